--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -65,9 +65,11 @@
         let begins_by = self.now + self.connect_timeout;
         let started_at = self.now;
         request.attempts.push(Attempt { backend, started_at, expires_at, begins_by, connection: None });
-        if refusal.is_some() || expires_at <= self.now {
+        // The exact clock: if the loop was held up since it read its own, the client may have given up meanwhile.
+        let has_expired = expires_at <= self.clock.now().max(self.now);
+        if refusal.is_some() || has_expired {
             let answered = request.answered;
-            tracing::debug!(target: "attempt", request = id.0, attempt = index, ?refusal, "not sent");
+            tracing::debug!(target: "attempt", request = id.0, attempt = index, ?refusal, has_expired, "not sent");
             return self.end_attempt(record, Outcome::NotSent, answered, None);
         }
         if !self.reserve_descriptor(backend) {
