--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -5,7 +5,7 @@
 use crate::simulation::{EventQueue, SECOND, START};
 use crate::statistics::quantile;
 use ingress::backoff::{Backoff, FailedPoll, PollSchedule};
-use ingress::Micros;
+
 use serde::{Deserialize, Serialize};
 
 /// How long a poll may wait in discovery's queue until it is rejected, though discovery works on it all the
--- a/fleet-experiments/src/experiments/endpoint_list.rs
+++ b/fleet-experiments/src/experiments/endpoint_list.rs
@@ -7,7 +7,7 @@
 use crate::simulation::{endpoint, ingress_settings, ready_endpoints, START, ZONES};
 use crate::statistics::{p50, p99};
 use hdrhistogram::Histogram;
-use ingress::{Action, Availability, Endpoint, EndpointUpdate, Event, Gateway, Micros};
+use ingress::{Action, Availability, Endpoint, EndpointUpdate, Event, Gateway, Instant};
 use serde::{Deserialize, Serialize};
 use std::time::Instant;
 
--- a/fleet-experiments/src/experiments/quota_messages/simulation.rs
+++ b/fleet-experiments/src/experiments/quota_messages/simulation.rs
@@ -6,8 +6,7 @@
     REQUEST_DEADLINE, SECOND, SERVICE_TIME, START,
 };
 use ingress::{
-    Action, BackendId, CustomerId, EndpointUpdate, Event, Gateway, GatewayId, Micros, Request, RequestId,
-    Settings,
+    Action, BackendId, CustomerId, EndpointUpdate, Event, Gateway, GatewayId, Request, RequestId, Settings,
 };
 use std::collections::HashMap;
 use std::ops::Range;
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -6,7 +6,7 @@
 use crate::simulation::{attempt_served, ingress_settings, ready_endpoints, REQUEST_DEADLINE, SECOND, START};
 use crate::statistics::{p50, p99};
 use hdrhistogram::Histogram;
-use ingress::{Action, CustomerId, EndpointUpdate, Event, Gateway, Micros, Request, RequestId};
+use ingress::{Action, CustomerId, EndpointUpdate, Event, Gateway, Instant, Request, RequestId};
 use serde::{Deserialize, Serialize};
 use std::time::Instant;
 
--- a/fleet-experiments/src/experiments/slow_start/overload_rule.rs
+++ b/fleet-experiments/src/experiments/slow_start/overload_rule.rs
@@ -2,7 +2,6 @@
 
 use super::Ramp;
 use crate::simulation::{SECOND, START};
-use ingress::Micros;
 
 /// The window in which sends are held against the rule.
 pub const WINDOW: Micros = 3 * SECOND;
--- a/fleet-experiments/src/experiments/slow_start/simulation.rs
+++ b/fleet-experiments/src/experiments/slow_start/simulation.rs
@@ -9,7 +9,7 @@
     SECOND, SERVICE_TIME, START,
 };
 use ingress::{
-    Action, Availability, BackendId, CustomerId, Endpoint, EndpointUpdate, Event, Gateway, Micros, Request,
+    Action, Availability, BackendId, CustomerId, Endpoint, EndpointUpdate, Event, Gateway, Request,
     RequestId, Settings,
 };
 use std::collections::HashMap;
--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -6,8 +6,8 @@
 pub use event_queue::EventQueue;
 
 use ingress::{
-    AttemptEnded, Availability, BackendId, Class, Endpoint, Event, GatewayId, Idempotency, Limits, Micros,
-    Outcome, Plan, RequestId, Rules, Settings,
+    AttemptEnded, Availability, BackendId, Class, Endpoint, Event, GatewayId, Idempotency, Limits, Outcome,
+    Plan, RequestId, Rules, Settings,
 };
 use std::ops::Range;
 
--- a/fleet-experiments/src/simulation/event_queue.rs
+++ b/fleet-experiments/src/simulation/event_queue.rs
@@ -1,6 +1,5 @@
 //! The events of a simulation that are still to come.
 
-use ingress::Micros;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
--- a/src/action.rs
+++ b/src/action.rs
@@ -1,6 +1,6 @@
 //! What a gateway asks its host to do.
 
-use crate::{BackendId, GatewayId, Micros, RequestId};
+use crate::{BackendId, Duration, GatewayId, Instant, RequestId};
 
 /// What a gateway asks its host to do; several are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
@@ -11,15 +11,15 @@
         id: RequestId,
         /// Where to.
         backend: BackendId,
-        /// When to give the attempt up; 0 for the client's deadline.
-        expires_at: Micros,
+        /// When to give the attempt up; none for the client's deadline.
+        expires_at: Option<Instant>,
     },
     /// Final answer: rejected, trying again is harmless.
     Reject {
         /// The request.
         id: RequestId,
         /// How long the client should keep away; 0 gives no advice.
-        retry_after: Micros,
+        retry_after: Duration,
     },
     /// Final answer: failed, with no promise.
     Fail(RequestId),
@@ -33,7 +33,7 @@
     /// Wake the gateway after `delay` with [`Event::Timer`](crate::Event::Timer).
     SetTimer {
         /// From now.
-        delay: Micros,
+        delay: Duration,
         /// Comes back with the event.
         token: u32,
     },
@@ -59,7 +59,7 @@
         /// The amount.
         delta: f64,
         /// How long a new name lives.
-        lifetime: Micros,
+        lifetime: Duration,
     },
     /// A line for the log.
     Log(String),
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -10,13 +10,13 @@
 pub use request::{AttemptBegun, RequestAudit};
 pub use violation::{Violation, ViolationKind};
 
-use crate::{Availability, BackendId, Endpoint, Idempotency, IdempotencyScope, Micros, Settings};
+use crate::{Availability, BackendId, Duration, Endpoint, Idempotency, IdempotencyScope, Instant, Settings};
 use std::collections::{HashMap, VecDeque};
 
 /// How long after a violation another one of its kind is only counted.
-const LOG_INTERVAL: Micros = 1_000_000;
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// How long it is remembered that a backend takes no new work. No attempt waits for its connection as long.
-const CLOSED_BACKEND_RETENTION: Micros = 60_000_000;
+const CLOSED_BACKEND_RETENTION: Duration = Duration::from_secs(60);
 
 /// What the invariants are judged by.
 #[derive(Clone, Debug, Default)]
@@ -28,7 +28,7 @@
     /// The most attempts of a request.
     pub max_attempts: usize,
     /// How long a backend that takes no new work may still be sent some.
-    pub drain_grace: Micros,
+    pub drain_grace: Duration,
 }
 
 impl AuditRules {
@@ -68,7 +68,7 @@
     /// The backend.
     backend: BackendId,
     /// Since when.
-    since: Micros,
+    since: Instant,
 }
 
 /// Counts violations, and knows what all requests share.
@@ -79,11 +79,11 @@
     /// Violations by kind.
     counts: [u64; ViolationKind::ALL.len()],
     /// When one of each kind was last logged.
-    last_logged_at: [Option<Micros>; ViolationKind::ALL.len()],
+    last_logged_at: [Option<Instant>; ViolationKind::ALL.len()],
     /// Where the listed backends are.
     locations: HashMap<BackendId, Location>,
     /// Since when backends take no new work.
-    closed_since: HashMap<BackendId, Micros>,
+    closed_since: HashMap<BackendId, Instant>,
     /// The same in the order of their closing, to be forgotten by and by.
     closing_order: VecDeque<ClosedBackend>,
 }
@@ -106,14 +106,14 @@
     }
 
     /// Takes in the entry of a backend that is listed from now on.
-    pub fn endpoint_listed(&mut self, endpoint: &Endpoint, now: Micros) {
+    pub fn endpoint_listed(&mut self, endpoint: &Endpoint, now: Instant) {
         let Endpoint { backend, zone, cell, availability, .. } = *endpoint;
         self.locations.insert(backend, Location { zone, cell });
         self.backend_listed(backend, availability, now);
     }
 
     /// Notes how a backend is listed from now on.
-    pub fn backend_listed(&mut self, backend: BackendId, availability: Availability, now: Micros) {
+    pub fn backend_listed(&mut self, backend: BackendId, availability: Availability, now: Instant) {
         if availability == Availability::Ready {
             self.closed_since.remove(&backend);
             return;
@@ -126,7 +126,7 @@
     }
 
     /// Forgets backends that take no work for long enough.
-    fn forget_closed_backends(&mut self, now: Micros) {
+    fn forget_closed_backends(&mut self, now: Instant) {
         while let Some(oldest) = self.closing_order.front() {
             if oldest.since + CLOSED_BACKEND_RETENTION > now {
                 return;
@@ -140,13 +140,13 @@
     }
 
     /// Whether a backend takes no new work for longer than the grace period.
-    fn is_closed(&self, backend: BackendId, now: Micros) -> bool {
+    fn is_closed(&self, backend: BackendId, now: Instant) -> bool {
         let since = self.closed_since.get(&backend);
-        since.is_some_and(|since| now > since + self.rules.drain_grace)
+        since.is_some_and(|since| now > *since + self.rules.drain_grace)
     }
 
     /// Counts a violation, and returns whether it is to be logged.
-    pub fn count(&mut self, violation: Violation, now: Micros) -> bool {
+    pub fn count(&mut self, violation: Violation, now: Instant) -> bool {
         let index = violation.kind as usize;
         self.counts[index] += 1;
         let logged_lately = self.last_logged_at[index].is_some_and(|at| now < at + LOG_INTERVAL);
--- a/src/audit/request.rs
+++ b/src/audit/request.rs
@@ -1,12 +1,12 @@
 //! What was done for one request.
 
 use super::{Auditor, Location, ViolationKind};
-use crate::{BackendId, Idempotency, Micros, Outcome};
+use crate::{BackendId, Duration, Idempotency, Instant, Outcome};
 
 /// How much more time than the client has left a backend may be told.
-const TIME_SLACK: Micros = 150_000;
+const TIME_SLACK: Duration = Duration::from_millis(150);
 /// How long after its client gave up a final answer is still no violation.
-const ANSWER_SLACK: Micros = 50_000;
+const ANSWER_SLACK: Duration = Duration::from_millis(50);
 
 /// An attempt whose first byte was written.
 #[derive(Clone, Copy, Debug)]
@@ -16,9 +16,9 @@
     /// Where it went.
     pub backend: BackendId,
     /// When it began.
-    pub at: Micros,
+    pub at: Instant,
     /// The time that the backend was told to have for it.
-    pub time_told: Micros,
+    pub time_told: Duration,
 }
 
 /// An attempt that has begun.
@@ -26,7 +26,7 @@
     /// The attempt's number, from 0.
     number: u16,
     /// When its first byte was written.
-    begun_at: Micros,
+    begun_at: Instant,
     /// Its end was not noted yet.
     in_flight: bool,
     /// It was executed, or may have been.
@@ -40,7 +40,7 @@
     /// Whether it may be executed again.
     idempotency: Idempotency,
     /// When its client gives up.
-    client_deadline: Micros,
+    client_deadline: Instant,
     /// It has its final answer, or its client has gone.
     has_ended: bool,
     /// The attempts that have begun, in their order.
@@ -49,7 +49,7 @@
 
 impl RequestAudit {
     /// A request of a class, whose client gives up at a time.
-    pub fn new(auditor: &Auditor, class: usize, client_deadline: Micros) -> RequestAudit {
+    pub fn new(auditor: &Auditor, class: usize, client_deadline: Instant) -> RequestAudit {
         // A class that is not known is judged by the strictest rule.
         let idempotency = auditor.rules.idempotency.get(class).copied();
         let idempotency = idempotency.unwrap_or(Idempotency::NonIdempotent);
@@ -63,7 +63,7 @@
         let may_have_executed = self.begun.iter().any(|earlier| earlier.may_have_executed);
         let only_once = self.idempotency == Idempotency::NonIdempotent;
         let location = auditor.locations.get(&begun.backend).copied();
-        let time_left = self.client_deadline.saturating_sub(begun.at);
+        let time_left = self.client_deadline.duration_since(begun.at);
         let checks = [
             (self.has_ended, ViolationKind::AttemptAfterEnd),
             (only_once && may_have_executed && !in_flight, ViolationKind::UnsafeRepeat),
@@ -85,7 +85,7 @@
     }
 
     /// Whether the key of an earlier attempt that may have been executed is forgotten.
-    fn is_key_expired(&self, now: Micros) -> bool {
+    fn is_key_expired(&self, now: Instant) -> bool {
         let Idempotency::Keyed { window, .. } = self.idempotency else { return false };
         let first = self.begun.iter().find(|earlier| earlier.may_have_executed);
         first.is_some_and(|first| now > first.begun_at + window)
@@ -118,7 +118,7 @@
     }
 
     /// Notes the final answer.
-    pub fn answered(&mut self, now: Micros) -> Option<ViolationKind> {
+    pub fn answered(&mut self, now: Instant) -> Option<ViolationKind> {
         if std::mem::replace(&mut self.has_ended, true) {
             return Some(ViolationKind::SecondAnswer);
         }
--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -6,9 +6,9 @@
 const IDEMPOTENT: usize = 0;
 const KEYED: usize = 1;
 const NON_IDEMPOTENT: usize = 2;
-const WINDOW: Micros = 2_000_000;
-const GRACE: Micros = 250_000;
-const DEADLINE: Micros = 10_000_000;
+const WINDOW: Duration = Duration::from_secs(2);
+const GRACE: Duration = Duration::from_millis(250);
+const DEADLINE: Duration = Duration::from_secs(10);
 const BACKEND: BackendId = BackendId(7);
 
 /// An auditor of a deployment that allows three attempts.
@@ -23,7 +23,7 @@
 }
 
 /// An attempt that tells the backend the time that the client has left.
-fn begun(number: u16, at: Micros) -> AttemptBegun {
+fn begun(number: u16, at: Instant) -> AttemptBegun {
     AttemptBegun { number, backend: BACKEND, at, time_told: DEADLINE - at }
 }
 
--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,41 +1,41 @@
 //! The schedule of polls of discovery: exponential backoff with jitter, bounded by the rule that a change counts as
 //! delivered a fixed time after discovery could be reached. No I/O and no clock; the caller passes the time.
 
-use crate::Micros;
+use crate::{Duration, Instant};
 use std::ops::RangeInclusive;
 
 /// The longest time for which discovery holds a poll.
-const MAX_POLL_TIMEOUT: Micros = 60_000_000;
+const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(60);
 /// The part of one ingress in the time over which first polls are spread.
-const SPREAD_PER_INGRESS: Micros = 20_000;
+const SPREAD_PER_INGRESS: Duration = Duration::from_millis(20);
 /// The most of that time: a process that starts counts as informed after 6 s like any other, and the response takes its
 /// time.
-const MAX_SPREAD: Micros = 4_000_000;
-/// The longest time from a failed poll to the next one, drawn from this range: a change counts as delivered 6 s after
+const MAX_SPREAD: Duration = Duration::from_secs(4);
+/// The longest time from a failed poll to the next one, in microseconds, drawn from this range: a change counts as delivered 6 s after
 /// discovery had it and could be reached, which may be the moment after the poll, and the rest is for the response.
-const MAX_POLL_GAP: RangeInclusive<Micros> = 4_500_000..=5_000_000;
+const MAX_POLL_GAP: RangeInclusive<u64> = 4_500_000..=5_000_000;
 
 /// The delays before a retry, each drawn between half of it and half as much again.
 #[derive(Clone, Copy, Debug)]
 struct RetryDelays {
     /// Before the first retry; each further one doubles it.
-    initial: Micros,
+    initial: Duration,
     /// Before any retry.
-    max: Micros,
+    max: Duration,
 }
 
-/// How polls are made, and when those that failed are retried. Times in microseconds.
+/// How polls are made, and when those that failed are retried.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     /// How long one poll waits for a change.
-    pub poll_timeout: Micros,
+    pub poll_timeout: Duration,
     /// How long a connection may take to be established, and the response to a poll that does not wait, until the
     /// connection counts as dead.
-    pub response_timeout: Micros,
+    pub response_timeout: Duration,
     /// The delays after a failure.
     retry_delays: RetryDelays,
     /// Over how long the first polls of ingresses that start, or lose their watches, at one moment are spread.
-    spread: Micros,
+    spread: Duration,
 }
 
 impl Backoff {
@@ -44,22 +44,22 @@
     /// What the agent has counts as delivered whether or not a poll is pending, so no delay may last as long as the
     /// grace period of a change.
     pub const LOCAL_AGENT: Backoff = Backoff {
-        poll_timeout: 2_000_000,
-        response_timeout: 1_000_000,
-        retry_delays: RetryDelays { initial: 50_000, max: 100_000 },
-        spread: 0,
+        poll_timeout: Duration::from_secs(2),
+        response_timeout: Duration::from_secs(1),
+        retry_delays: RetryDelays { initial: Duration::from_millis(50), max: Duration::from_millis(100) },
+        spread: Duration::ZERO,
     };
 
     /// Polls of a service that all ingresses share, with a queue in front of it. It also works on polls that have
     /// been given up, so a queue that is full after a mass restart empties only if rejected ingresses stay away as
     /// long as the rule lets them. `max_poll_interval` is the time of the settings within which discovery must be
     /// polled.
-    pub fn shared_service(max_poll_interval: Micros, ingress_count: u64) -> Backoff {
+    pub fn shared_service(max_poll_interval: Duration, ingress_count: u64) -> Backoff {
         Backoff {
-            poll_timeout: (2 * max_poll_interval).clamp(Self::LOCAL_AGENT.poll_timeout, MAX_POLL_TIMEOUT),
-            response_timeout: 3_000_000,
-            retry_delays: RetryDelays { initial: 1_000_000, max: 8_000_000 },
-            spread: (ingress_count * SPREAD_PER_INGRESS).min(MAX_SPREAD),
+            poll_timeout: (max_poll_interval * 2).clamp(Self::LOCAL_AGENT.poll_timeout, MAX_POLL_TIMEOUT),
+            response_timeout: Duration::from_secs(3),
+            retry_delays: RetryDelays { initial: Duration::from_secs(1), max: Duration::from_secs(8) },
+            spread: (SPREAD_PER_INGRESS * ingress_count).min(MAX_SPREAD),
         }
     }
 }
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FailedPoll {
     /// When it was started.
-    pub started_at: Micros,
+    pub started_at: Instant,
     /// Whether its request had been written to the last byte.
     pub request_sent: bool,
 }
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct NextPoll {
     /// When the next poll is due.
-    pub at: Micros,
+    pub at: Instant,
     /// Whether the last poll before the failed one had succeeded.
     pub is_first_failure: bool,
 }
@@ -88,7 +88,7 @@
     /// How polls are made.
     pub backoff: Backoff,
     /// The middle of the delay after the next failure.
-    next_delay: Micros,
+    next_delay: Duration,
     /// Draws the jitter.
     random: fastrand::Rng,
     /// A poll failed, and none has succeeded since.
@@ -107,21 +107,21 @@
     }
 
     /// When a process that starts now makes its first poll.
-    pub fn first_poll_at(&mut self, now: Micros) -> Micros {
-        now + self.random.u64(0..=self.backoff.spread)
+    pub fn first_poll_at(&mut self, now: Instant) -> Instant {
+        now + self.spread()
     }
 
     /// How long the next poll waits for a change.
-    pub fn next_poll_timeout(&mut self) -> Micros {
+    pub fn next_poll_timeout(&mut self) -> Duration {
         self.jittered(self.backoff.poll_timeout).min(MAX_POLL_TIMEOUT)
     }
 
     /// Records a failure now, of the poll that was pending, if one was, and schedules the next poll.
-    pub fn on_failure(&mut self, now: Micros, pending: Option<FailedPoll>) -> NextPoll {
+    pub fn on_failure(&mut self, now: Instant, pending: Option<FailedPoll>) -> NextPoll {
         let unobserved_since = self.unobserved_since(now, pending);
-        let latest = unobserved_since + self.random.u64(MAX_POLL_GAP);
+        let latest = unobserved_since + Duration::from_micros(self.random.u64(MAX_POLL_GAP));
         let is_first_failure = !std::mem::replace(&mut self.is_failing, true);
-        let spread = if is_first_failure { self.random.u64(0..=self.backoff.spread) } else { 0 };
+        let spread = if is_first_failure { self.spread() } else { Duration::ZERO };
         let at = (now + self.jittered(self.next_delay) + spread).min(latest).max(now);
         self.next_delay = (self.next_delay * 2).min(self.backoff.retry_delays.max);
         NextPoll { at, is_first_failure }
@@ -129,7 +129,7 @@
 
     /// Since when changes may have been missed. An established watch received every change until now; a poll that
     /// failed before it was one may have missed them from its start.
-    fn unobserved_since(&self, now: Micros, pending: Option<FailedPoll>) -> Micros {
+    fn unobserved_since(&self, now: Instant, pending: Option<FailedPoll>) -> Instant {
         let Some(poll) = pending else { return now };
         let failed_early = now <= poll.started_at + self.backoff.response_timeout;
         if self.is_failing || !poll.request_sent || failed_early {
@@ -152,7 +152,14 @@
 
     /// A time drawn between half of `middle` and half as much again: many ingresses start, fail and reach the end of
     /// a poll at one moment, and would otherwise retry, and fail again, at one moment.
-    fn jittered(&mut self, middle: Micros) -> Micros {
-        self.random.u64(middle / 2..=middle * 3 / 2)
+    fn jittered(&mut self, middle: Duration) -> Duration {
+        let shortest = middle / 2;
+        let longest = middle * 3 / 2;
+        Duration::from_micros(self.random.u64(shortest.as_micros()..=longest.as_micros()))
+    }
+
+    /// The part of one ingress in the time over which polls at one moment are spread.
+    fn spread(&mut self) -> Duration {
+        Duration::from_micros(self.random.u64(0..=self.backoff.spread.as_micros()))
     }
 }
--- a/src/bin/ingress/backends/assignment.rs
+++ b/src/bin/ingress/backends/assignment.rs
@@ -1,6 +1,6 @@
 //! What a connection is used for, and how that ends.
 
-use ingress::{BackendId, LoadReport, Micros, Outcome, RequestId};
+use ingress::{BackendId, Duration, Instant, LoadReport, Outcome, RequestId};
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -51,9 +51,9 @@
     /// The backend it is connected to.
     pub backend: BackendId,
     /// When the command was encoded that was written.
-    pub at: Micros,
+    pub at: Instant,
     /// The time that the command tells the backend to have.
-    pub time_told: Micros,
+    pub time_told: Duration,
 }
 
 /// Why a connection to a backend was closed.
@@ -83,9 +83,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TimeTold {
     /// When the command was encoded.
-    pub at: Micros,
+    pub at: Instant,
     /// The time that it tells the backend to have.
-    pub time_left: Micros,
+    pub time_left: Duration,
 }
 
 /// How an attempt or a health check ended.
@@ -97,7 +97,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// When the connection was given the assignment.
-    pub started_at: Micros,
+    pub started_at: Instant,
     /// The load that the backend reported.
     pub load_report: Option<LoadReport>,
     /// With [`Outcome::Ok`]: the value as encoded by the backend.
--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -2,7 +2,7 @@
 
 use super::{Assignment, CommandState, TimeTold};
 use crate::socket_error::is_not_ready;
-use ingress::{BackendId, Micros, Outcome};
+use ingress::{BackendId, Duration, Instant, Outcome};
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -22,11 +22,11 @@
     /// What it is used for; none while it is idle.
     pub assignment: Option<Assignment>,
     /// When it was given its assignment, or when it fell idle.
-    pub state_since: Micros,
+    pub state_since: Instant,
     /// How long it was idle before its assignment; none at its first one.
-    pub idle_before: Option<Micros>,
+    pub idle_before: Option<Duration>,
     /// When the first byte of the reply came.
-    pub reply_started_at: Micros,
+    pub reply_started_at: Instant,
     /// The command of the assignment.
     pub command: Vec<u8>,
     /// The time that the command tells.
@@ -52,7 +52,13 @@
 
 impl Connection {
     /// A connection that is being established, with no assignment.
-    pub fn new(stream: TcpStream, serial: u64, backend: BackendId, address: SocketAddr, now: Micros) -> Self {
+    pub fn new(
+        stream: TcpStream,
+        serial: u64,
+        backend: BackendId,
+        address: SocketAddr,
+        now: Instant,
+    ) -> Self {
         Connection {
             stream,
             serial,
@@ -62,7 +68,7 @@
             assignment: None,
             state_since: now,
             idle_before: None,
-            reply_started_at: 0,
+            reply_started_at: Instant::ZERO,
             command: Vec::new(),
             time_told: TimeTold::default(),
             written: 0,
@@ -111,7 +117,7 @@
     }
 
     /// Reads once, by way of `buffer`.
-    pub fn read_once(&mut self, buffer: &mut [u8], now: Micros) -> ReadStep {
+    pub fn read_once(&mut self, buffer: &mut [u8], now: Instant) -> ReadStep {
         match self.stream.read(buffer) {
             Ok(0) => ReadStep::Ended,
             Ok(count) => {
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -6,13 +6,13 @@
 use super::{AssignedConnection, Assignment, Backends, Begun, CommandState, Completion};
 use super::{ConnectionEnd, ConnectionId, TimeTold};
 use crate::resp;
-use ingress::{BackendId, Micros, Outcome};
+use ingress::{BackendId, Duration, Instant, Outcome};
 use mio::Registry;
 
 /// The most bytes of a reply that is waited for. The parser gives up far earlier; this bounds a turn whatever it does.
 const MAX_REPLY_BYTES: usize = 256 * 1024;
 /// A failure this soon after the assignment says that the connection was dead already.
-const IMMEDIATE_FAILURE: Micros = 10_000;
+const IMMEDIATE_FAILURE: Duration = Duration::from_millis(10);
 
 /// Whether a connection can still be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,7 +115,7 @@
 
     /// Does what a connection is ready for, which is `writable` where there is room to write. If it falls idle, that is at
     /// `now`.
-    pub fn on_ready(&mut self, key: usize, now: Micros, writable: bool) {
+    pub fn on_ready(&mut self, key: usize, now: Instant, writable: bool) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         if writable && !connection.is_connected && connection.stream.peer_addr().is_ok() {
             connection.is_connected = true;
@@ -158,7 +158,7 @@
     }
 
     /// Reads what has come, until nothing more is there or the connection has ended: the poll tells of each arrival once.
-    fn read(&mut self, key: usize, now: Micros) {
+    fn read(&mut self, key: usize, now: Instant) {
         while self.connections[key].received.len() <= MAX_REPLY_BYTES {
             let step = self.connections[key].read_once(&mut self.read_buffer, now);
             match step {
@@ -177,7 +177,7 @@
     }
 
     /// Completes the exchange if the reply is complete or malformed.
-    fn process_received(&mut self, key: usize, now: Micros) -> Usability {
+    fn process_received(&mut self, key: usize, now: Instant) -> Usability {
         let connection = &self.connections[key];
         // Without an assignment nobody asked for what has come.
         let Some(assignment) = connection.assignment else { return Usability::Unusable };
@@ -205,7 +205,7 @@
     }
 
     /// Ends a connection that broke, and the exchange on it.
-    pub(super) fn fail(&mut self, key: usize, now: Micros, end: ConnectionEnd) {
+    pub(super) fn fail(&mut self, key: usize, now: Instant, end: ConnectionEnd) {
         let outcome = self.connections[key].failure_outcome();
         self.complete(key, ExchangeResult::without_reply(outcome), Some(now));
         self.remove(key, end);
@@ -213,7 +213,7 @@
 
     /// Records how a connection's exchange ended, if it has one. Without `ended_at` a failure does not say that the
     /// connection was dead before.
-    pub(super) fn complete(&mut self, key: usize, result: ExchangeResult, ended_at: Option<Micros>) {
+    pub(super) fn complete(&mut self, key: usize, result: ExchangeResult, ended_at: Option<Instant>) {
         let connection = &self.connections[key];
         let Some(assignment) = connection.assignment else { return };
         let (backend, started_at) = (connection.backend, connection.state_since);
@@ -234,7 +234,7 @@
         &mut self,
         assignment: Assignment,
         backend: BackendId,
-        started_at: Micros,
+        started_at: Instant,
         result: ExchangeResult,
     ) {
         let ExchangeResult { outcome, value, load_report } = result;
--- a/src/bin/ingress/backends/idle_reuse.rs
+++ b/src/bin/ingress/backends/idle_reuse.rs
@@ -1,6 +1,6 @@
 //! How long a connection may be idle and still be used again, learned from how such uses end.
 
-use ingress::Micros;
+use ingress::Duration;
 
 /// The fraction of uses after some idle time that may find the connection stale.
 const MAX_STALE_FRACTION: f64 = 0.2;
@@ -10,8 +10,6 @@
 const RETAINED_PER_SWEEP: f64 = 0.97;
 /// Classes of idle time, each twice as long as the one before; the first one ends at 2 ms.
 const BUCKET_COUNT: usize = 16;
-/// Microseconds in a millisecond.
-const MICROS_PER_MILLI: Micros = 1000;
 
 /// How the use of an idle connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,8 +46,8 @@
 
 impl IdleReuseTracker {
     /// Records the use of a connection that had been idle for `idle_time`.
-    pub fn record(&mut self, idle_time: Micros, reuse: IdleReuse) {
-        let index = (idle_time / MICROS_PER_MILLI).max(1).ilog2() as usize;
+    pub fn record(&mut self, idle_time: Duration, reuse: IdleReuse) {
+        let index = idle_time.as_millis().max(1).ilog2() as usize;
         let bucket = &mut self.buckets[index.min(BUCKET_COUNT - 1)];
         bucket.uses += 1.0;
         if reuse == IdleReuse::Stale {
@@ -58,9 +56,9 @@
     }
 
     /// How long a connection may be idle and still be used.
-    pub fn max_idle_time(&self) -> Micros {
+    pub fn max_idle_time(&self) -> Duration {
         let shortest_stale = self.buckets.iter().position(Bucket::is_stale);
-        shortest_stale.map_or(Micros::MAX, |index| MICROS_PER_MILLI << index)
+        shortest_stale.map_or(Duration::MAX, |index| Duration::from_millis(1 << index))
     }
 
     /// Lets the past count for less; called at each sweep.
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -8,7 +8,7 @@
 use crate::discovery::{EndpointEntry, EndpointList};
 use crate::socket_error::is_local_shortage;
 use ingress::permissions::{may_reuse_connection, may_send_to, BackendRefusal, ReuseLimits};
-use ingress::{Availability, BackendId, Micros, Outcome};
+use ingress::{Availability, BackendId, Duration, Instant, Outcome};
 use mio::net::TcpStream;
 use mio::{Interest, Registry, Token};
 use slab::Slab;
@@ -19,9 +19,9 @@
 pub const BUFFER_SIZE: usize = 32 * 1024;
 /// How long a connection stays idle after a reply at the least: stray bytes or a duplicate reply must arrive before the
 /// next command, which could be served with them, since replies bear no id. They come up to some milliseconds late.
-pub const MIN_IDLE_TIME: Micros = 20_000;
+pub const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
 /// How long the rest of a reply may take to come once it has begun.
-const MAX_REPLY_DURATION: Micros = 500_000;
+const MAX_REPLY_DURATION: Duration = Duration::from_millis(500);
 
 /// The connections to one backend that are idle.
 #[derive(Default)]
@@ -45,7 +45,7 @@
     /// What a read fills first.
     pub(super) read_buffer: Vec<u8>,
     /// Idle connections are closed after this, before the backend does.
-    max_idle_time: Micros,
+    max_idle_time: Duration,
     /// Shortens the idle time further where connections turn out to be stale.
     pub(super) idle_reuse: IdleReuseTracker,
     /// The poll's token of the connection with a key.
@@ -61,7 +61,7 @@
 impl Backends {
     /// No backend yet. Backends close connections that have been idle for `keepalive_timeout`; `token` gives the
     /// poll's token of the connection with a key.
-    pub fn new(keepalive_timeout: Micros, token: fn(usize) -> Token) -> Self {
+    pub fn new(keepalive_timeout: Duration, token: fn(usize) -> Token) -> Self {
         Backends {
             connections: Slab::new(),
             pools: HashMap::new(),
@@ -158,15 +158,15 @@
 
     /// Whether an assignment for a backend would need a new connection. `now` is the time to the microsecond, not that of
     /// the tick.
-    pub fn needs_connection(&self, backend: BackendId, now: Micros) -> bool {
+    pub fn needs_connection(&self, backend: BackendId, now: Instant) -> bool {
         self.pools.get(&backend).is_some_and(|pool| self.newest_reusable(pool, now).is_none())
     }
 
     /// The place in a pool of the newest idle connection that may be used.
-    fn newest_reusable(&self, pool: &Pool, now: Micros) -> Option<usize> {
+    fn newest_reusable(&self, pool: &Pool, now: Instant) -> Option<usize> {
         let max_idle_time = self.idle_reuse.max_idle_time().min(self.max_idle_time);
         let limits = ReuseLimits { min_idle_time: MIN_IDLE_TIME, max_idle_time };
-        let idle_time = |key: usize| now.saturating_sub(self.connections[key].state_since);
+        let idle_time = |key: usize| now.duration_since(self.connections[key].state_since);
         pool.idle.iter().rposition(|key| may_reuse_connection(idle_time(*key), limits).is_ok())
     }
 
@@ -175,7 +175,7 @@
         &mut self,
         registry: &Registry,
         backend: BackendId,
-        now: Micros,
+        now: Instant,
     ) -> Result<usize, Outcome> {
         match self.take_idle(backend, now) {
             Some(key) => Ok(key),
@@ -184,13 +184,13 @@
     }
 
     /// Takes the newest idle connection to a backend that may be used, and closes those that turn out to be unusable.
-    fn take_idle(&mut self, backend: BackendId, now: Micros) -> Option<usize> {
+    fn take_idle(&mut self, backend: BackendId, now: Instant) -> Option<usize> {
         loop {
             let position = self.newest_reusable(self.pools.get(&backend)?, now)?;
             let key = self.pools.get_mut(&backend)?.idle.remove(position);
             let connection = &mut self.connections[key];
             if connection.is_quiet() {
-                connection.idle_before = Some(now.saturating_sub(connection.state_since));
+                connection.idle_before = Some(now.duration_since(connection.state_since));
                 return Some(key);
             }
             // Its descriptor serves the next one.
@@ -199,7 +199,7 @@
     }
 
     /// Begins to connect to a backend. That no socket can be had here is no failure of the backend's.
-    fn connect(&mut self, registry: &Registry, backend: BackendId, now: Micros) -> Result<usize, Outcome> {
+    fn connect(&mut self, registry: &Registry, backend: BackendId, now: Instant) -> Result<usize, Outcome> {
         let address = self.pools.get(&backend).and_then(|pool| pool.address).ok_or(Outcome::ConnectFailed)?;
         let mut stream = TcpStream::connect(address).map_err(|error| {
             tracing::debug!(target: "backend_connection", backend = backend.0, %error, "not connected");
@@ -223,7 +223,7 @@
 
     /// Puts a connection whose exchange is over into its backend's pool. Returns false if the backend has left the
     /// connection's address.
-    pub(super) fn release(&mut self, key: usize, now: Micros) -> bool {
+    pub(super) fn release(&mut self, key: usize, now: Instant) -> bool {
         let connection = &mut self.connections[key];
         let Some(pool) = self.pools.get_mut(&connection.backend) else { return false };
         if pool.address != Some(connection.address) {
@@ -265,17 +265,17 @@
     }
 
     /// Closes connections that have been idle for too long, or whose reply has stalled. Called every half second.
-    pub fn sweep(&mut self, now: Micros) {
+    pub fn sweep(&mut self, now: Instant) {
         self.idle_reuse.decay();
         self.close_expired(now);
         self.close_stalled(now);
     }
 
     /// Closes connections that have been idle for too long.
-    fn close_expired(&mut self, now: Micros) {
+    fn close_expired(&mut self, now: Instant) {
         let max_idle_time = self.max_idle_time.min(self.idle_reuse.max_idle_time());
         let is_expired = |connection: &Connection| {
-            connection.assignment.is_none() && now.saturating_sub(connection.state_since) > max_idle_time
+            connection.assignment.is_none() && now.duration_since(connection.state_since) > max_idle_time
         };
         for key in self.keys_where(is_expired) {
             self.remove(key, ConnectionEnd::Expired);
@@ -283,7 +283,7 @@
     }
 
     /// A reply that has begun and does not go on will not become complete: a line or a length without an end.
-    fn close_stalled(&mut self, now: Micros) {
+    fn close_stalled(&mut self, now: Instant) {
         let is_stalled = |connection: &Connection| {
             !connection.received.is_empty() && now > connection.reply_started_at + MAX_REPLY_DURATION
         };
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -3,13 +3,13 @@
 use super::pool::MIN_IDLE_TIME;
 use super::*;
 use crate::discovery::{EndpointEntry, EndpointList};
-use ingress::{Availability, BackendId, Endpoint, Micros, Outcome, RequestId};
+use ingress::{Availability, BackendId, Duration, Endpoint, Instant, Outcome, RequestId};
 use mio::{Poll, Token};
 use std::io::Write;
 use std::net::TcpListener;
 
 const BACKEND: BackendId = BackendId(7);
-const START: Micros = 1_000_000_000;
+const START: Instant = 1_000_000_000;
 /// A reply whose value is `one`, with no load report.
 const REPLY_ONE: &[u8] = b"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n";
 
@@ -19,7 +19,7 @@
 }
 
 /// A command that is encoded at a time.
-fn told(at: Micros) -> TimeTold {
+fn told(at: Instant) -> TimeTold {
     TimeTold { at, time_left: 0 }
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Rig {
-    fn new(keepalive_timeout: Micros) -> Rig {
+    fn new(keepalive_timeout: Duration) -> Rig {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut backends = Backends::new(keepalive_timeout, Token);
         let endpoint = Endpoint { backend: BACKEND, ..Endpoint::default() };
@@ -41,7 +41,7 @@
     }
 
     /// Begins an attempt, whose command is written at once.
-    fn assign(&mut self, request: u64, now: Micros) -> ConnectionId {
+    fn assign(&mut self, request: u64, now: Instant) -> ConnectionId {
         let encode = |command: &mut Vec<u8>| command.extend_from_slice(b"*1\r\n$4\r\nCALL\r\n");
         let registry = self.poll.registry();
         let assigned = self.backends.assign(registry, BACKEND, attempt(request), told(now), encode).unwrap();
@@ -52,7 +52,7 @@
     }
 
     /// Reads from a connection until an exchange has ended.
-    fn completion(&mut self, connection: ConnectionId, now: Micros) -> Completion {
+    fn completion(&mut self, connection: ConnectionId, now: Instant) -> Completion {
         for _ in 0..1_000_000 {
             if let Some(completion) = self.backends.completions.pop() {
                 return completion;
@@ -62,7 +62,7 @@
         panic!("nothing has ended");
     }
 
-    fn serve(&mut self, peer: &mut impl Write, connection: ConnectionId, now: Micros) {
+    fn serve(&mut self, peer: &mut impl Write, connection: ConnectionId, now: Instant) {
         peer.write_all(REPLY_ONE).unwrap();
         self.completion(connection, now);
     }
--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -18,7 +18,7 @@
 use closing::CloseReason;
 use connection::Connection;
 pub use error::ClientError;
-use ingress::{Micros, RequestId};
+use ingress::{Instant, RequestId};
 use memory::MemoryBudget;
 use mio::net::{TcpListener, TcpStream};
 use mio::Token;
@@ -50,7 +50,7 @@
         /// Where its reply belongs.
         reply_to: ReplyHandle,
         /// When it arrived at this machine, at the earliest.
-        arrived_at: Micros,
+        arrived_at: Instant,
         /// What the client sent.
         command: Command,
     },
@@ -124,15 +124,15 @@
     /// What was not taken yet, in order.
     events: VecDeque<ClientEvent>,
     /// When the latest connection was accepted.
-    pub last_accepted_at: Micros,
+    pub last_accepted_at: Instant,
     /// A connection that was accepted and could not be registered with the poll yet.
     unregistered: Option<TcpStream>,
     /// When what is read now has arrived, at the earliest.
-    arrival_time: Micros,
+    arrival_time: Instant,
     /// Since when connections may wait to be accepted; none while the queue was last found empty.
-    queued_since: Option<Micros>,
+    queued_since: Option<Instant>,
     /// Since when every attempt to accept a connection has failed.
-    accept_failing_since: Option<Micros>,
+    accept_failing_since: Option<Instant>,
     /// How many connections were closed, by reason.
     close_counts: [u64; CloseReason::ALL.len()],
     /// Connections that were closed by this side with replies owed, each with one request that had none. There should be
@@ -165,9 +165,9 @@
             over_limit_count: 0,
             memory: MemoryBudget::new(memory_limit),
             events: VecDeque::new(),
-            last_accepted_at: 0,
+            last_accepted_at: Instant::ZERO,
             unregistered: None,
-            arrival_time: 0,
+            arrival_time: Instant::ZERO,
             queued_since: None,
             accept_failing_since: None,
             close_counts: Default::default(),
@@ -186,7 +186,7 @@
     }
 
     /// Sets when what is read from now on has arrived, at the earliest.
-    pub fn set_arrival_time(&mut self, arrival_time: Micros) {
+    pub fn set_arrival_time(&mut self, arrival_time: Instant) {
         self.arrival_time = arrival_time;
     }
 
--- a/src/bin/ingress/clients/accepting.rs
+++ b/src/bin/ingress/clients/accepting.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Connection;
 use super::{AcceptOutcome, Capacity, Clients};
-use ingress::Micros;
+use ingress::{Duration, Instant};
 use mio::net::TcpStream;
 use mio::{Interest, Registry};
 use std::io::{self, ErrorKind};
@@ -11,7 +11,7 @@
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 /// How long accepting has to fail until idle connections are closed for it: several tries, since a moment's failure is
 /// no reason to close anybody.
-const ACCEPT_FAILURE_PATIENCE: Micros = 100_000;
+const ACCEPT_FAILURE_PATIENCE: Duration = Duration::from_millis(100);
 
 /// Whether accepting failed for the connection that was to be accepted alone: Linux also reports errors that the
 /// connection met before.
@@ -30,7 +30,7 @@
     pub fn accept(
         &mut self,
         registry: &Registry,
-        now: Micros,
+        now: Instant,
         mut capacity: impl FnMut(&mut Self) -> Capacity,
     ) -> AcceptOutcome {
         // What waits in the queue may have come as early as the first of it that could not be accepted.
@@ -75,7 +75,7 @@
 
     /// Out of descriptors or memory in spite of the limits. Accepting is tried again a little later; where it keeps
     /// failing, closing an idle connection may help.
-    fn on_accept_failure(&mut self, now: Micros) {
+    fn on_accept_failure(&mut self, now: Instant) {
         let failing_since = *self.accept_failing_since.get_or_insert(now);
         if now >= failing_since + ACCEPT_FAILURE_PATIENCE {
             self.close_longest_idle(now);
@@ -88,7 +88,7 @@
         mut stream: TcpStream,
         registry: &Registry,
         capacity: Capacity,
-        now: Micros,
+        now: Instant,
     ) -> Result<(), TcpStream> {
         let entry = self.connections.vacant_entry();
         let token = (self.token_of)(entry.key());
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use super::error::ClientError;
 use super::{Accepting, ClientEvent, Clients};
-use ingress::Micros;
+use ingress::Instant;
 
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
 
 impl Clients {
     /// Closes the connection that has been idle for longest, to free its descriptor; false if none is idle.
-    pub fn close_longest_idle(&mut self, now: Micros) -> bool {
+    pub fn close_longest_idle(&mut self, now: Instant) -> bool {
         loop {
             let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
             // Those that never sent a command go first, except those of this very turn: descriptors are freed before
@@ -71,7 +71,7 @@
 
     /// Closes connections as soon as they are idle, from now on. While connections are still accepted, those that
     /// have not sent a command yet are kept.
-    pub fn drain(&mut self, now: Micros, accepting: Accepting) {
+    pub fn drain(&mut self, now: Instant, accepting: Accepting) {
         self.draining = true;
         if accepting == Accepting::Stop {
             self.listener = None;
@@ -83,7 +83,7 @@
     }
 
     /// Closes connections whose clients take too long to send, to read, or to end.
-    pub fn close_expired(&mut self, now: Micros) {
+    pub fn close_expired(&mut self, now: Instant) {
         self.close_late_clients(now);
         if self.lingering_count == 0 {
             return;
@@ -101,7 +101,7 @@
 
     /// Closes connections that send nothing, leave a command incomplete or read nothing for too long: they hold
     /// descriptors and memory.
-    fn close_late_clients(&mut self, now: Micros) {
+    fn close_late_clients(&mut self, now: Instant) {
         let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
         let not_reading = self.keys_of(|connection| connection.output.is_timed_out(now));
         not_reading.into_iter().for_each(|key| self.remove(key, CloseReason::NotReading));
@@ -122,7 +122,7 @@
     }
 
     /// Moves a connection on to its end if nothing is left to be written.
-    pub(super) fn close_if_done(&mut self, key: usize, now: Micros) {
+    pub(super) fn close_if_done(&mut self, key: usize, now: Instant) {
         let connection = &mut self.connections[key];
         if connection.is_ready_for_shutdown() {
             self.lingering_count += usize::from(connection.linger_until.is_none());
@@ -133,14 +133,14 @@
     }
 
     /// Closes a connection that has fallen idle while all are to be closed.
-    pub(super) fn close_if_drained(&mut self, key: usize, now: Micros) {
+    pub(super) fn close_if_drained(&mut self, key: usize, now: Instant) {
         if self.draining && self.connections.get(key).is_some_and(Connection::is_idle) {
             self.close_if_silent(key, now, CloseReason::Draining);
         }
     }
 
     /// Closes an idle connection unless a command has arrived on it that was not read yet.
-    fn close_if_silent(&mut self, key: usize, now: Micros, reason: CloseReason) {
+    fn close_if_silent(&mut self, key: usize, now: Instant, reason: CloseReason) {
         self.read(key, now);
         if self.connections.get(key).is_some_and(Connection::is_idle) {
             self.remove(key, reason);
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -6,7 +6,7 @@
 use super::Capacity;
 use crate::resp;
 use ingress::permissions::{may_close_client, ClientConnectionFacts};
-use ingress::Micros;
+use ingress::{Duration, Instant};
 use mio::net::TcpStream;
 use std::net::Shutdown;
 
@@ -18,11 +18,11 @@
 /// Errors in a row after which a connection is closed: each costs a reply, and some clients never give up.
 const MAX_CONSECUTIVE_ERRORS: u32 = 8;
 /// How long a new connection may send nothing, and how long an incomplete command may stay incomplete.
-pub const COMMAND_TIMEOUT: Micros = 2_000_000;
+pub const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a client may take to read its last replies, counted anew whenever it sends more.
-pub const LINGER_TIMEOUT: Micros = 1_000_000;
+pub const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a client that keeps sending may take to read its last replies.
-const MAX_LINGER: Micros = 5_000_000;
+const MAX_LINGER: Duration = Duration::from_secs(5);
 
 /// How far the end of a connection has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,22 +50,22 @@
     /// The memory that the connection was last found to hold.
     pub accounted_memory: usize,
     /// When it was accepted, last sent a command, or last had all its replies written.
-    pub last_active_at: Micros,
+    pub last_active_at: Instant,
     /// When the incomplete command in `input` began to arrive; without one, as long as no command ever came, when the
     /// connection was accepted.
-    command_started_at: Micros,
+    command_started_at: Instant,
     /// Rejected commands since the last valid one.
     consecutive_errors: u32,
     /// How far its end has come.
     close_state: CloseState,
     /// When it is closed though the client has not ended it. One over the limit has this from the start.
-    pub linger_until: Option<Micros>,
+    pub linger_until: Option<Instant>,
     /// It was accepted only to be told with its first request that the ingress is busy.
     pub over_limit: bool,
     /// Nothing is read since too many replies are owed or unread.
     pub reading_paused: bool,
     /// Since when something may be unread, where it was not read to the end.
-    pub unread_since: Option<Micros>,
+    pub unread_since: Option<Instant>,
     /// It is in the queue of connections to be written to.
     pub queued_for_write: bool,
     /// It is in the queue of connections to be read from.
@@ -74,7 +74,7 @@
 
 impl Connection {
     /// A connection that was just accepted.
-    pub fn new(stream: TcpStream, serial: u64, capacity: Capacity, now: Micros) -> Self {
+    pub fn new(stream: TcpStream, serial: u64, capacity: Capacity, now: Instant) -> Self {
         let over_limit = capacity == Capacity::OverLimit;
         Connection {
             stream,
@@ -138,7 +138,7 @@
     }
 
     /// Whether its first command, or the rest of a command, has not arrived in time.
-    pub fn is_command_overdue(&self, now: Micros) -> bool {
+    pub fn is_command_overdue(&self, now: Instant) -> bool {
         let is_exempt = self.is_closing() || self.over_limit || self.reading_paused;
         let awaits_command =
             if self.input.is_empty() { !self.has_sent_command() } else { !self.is_backlogged() };
@@ -146,7 +146,7 @@
     }
 
     /// Whether its time for lingering is over.
-    pub fn is_linger_over(&self, now: Micros) -> bool {
+    pub fn is_linger_over(&self, now: Instant) -> bool {
         self.linger_until.is_some_and(|until| until <= now)
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Takes in bytes that arrived.
-    pub fn receive(&mut self, bytes: &[u8], now: Micros) {
+    pub fn receive(&mut self, bytes: &[u8], now: Instant) {
         if self.is_closing() {
             // They had to be read, or the kernel would reset the connection before the client has its replies.
             return self.extend_lingering(now);
@@ -168,7 +168,7 @@
     }
 
     /// Notes that a complete command was parsed.
-    pub fn record_command(&mut self, now: Micros) {
+    pub fn record_command(&mut self, now: Instant) {
         self.last_active_at = now.max(self.last_active_at);
         self.command_started_at = now.max(self.command_started_at);
     }
@@ -225,14 +225,14 @@
 
     /// Shuts the sending side down and lets the client read its last replies. Closed at once, the connection would be
     /// reset by what the client still sends, and the replies lost.
-    pub fn start_lingering_close(&mut self, now: Micros) {
+    pub fn start_lingering_close(&mut self, now: Instant) {
         let _ = self.stream.shutdown(Shutdown::Write);
         self.close_state = CloseState::ShutDown;
         self.linger_until = Some(now + LINGER_TIMEOUT);
     }
 
     /// Gives a client that still sends more time to notice the end.
-    fn extend_lingering(&mut self, now: Micros) {
+    fn extend_lingering(&mut self, now: Instant) {
         let latest = self.last_active_at + MAX_LINGER;
         if let Some(until) = self.linger_until.as_mut().filter(|_| self.close_state == CloseState::ShutDown) {
             *until = (now + LINGER_TIMEOUT).min(latest).max(*until);
--- a/src/bin/ingress/clients/output.rs
+++ b/src/bin/ingress/clients/output.rs
@@ -1,14 +1,14 @@
 //! What is to be written to a connection.
 
 use crate::socket_error::is_out_of_memory;
-use ingress::Micros;
+use ingress::{Duration, Instant};
 use mio::net::TcpStream;
 use std::io::{self, Write};
 
 /// What an idle connection may keep of its buffer.
 const IDLE_CAPACITY: usize = 2 * 1024;
 /// How long a client may accept nothing of its replies until its connection is closed.
-pub const WRITE_TIMEOUT: Micros = 15_000_000;
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// What a call to write came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     /// How many of the bytes are written.
     written: usize,
     /// Since when the client accepts nothing.
-    blocked_since: Option<Micros>,
+    blocked_since: Option<Instant>,
 }
 
 impl OutputBuffer {
@@ -47,12 +47,12 @@
     }
 
     /// Whether the client has accepted nothing for too long.
-    pub fn is_timed_out(&self, now: Micros) -> bool {
+    pub fn is_timed_out(&self, now: Instant) -> bool {
         self.blocked_since.is_some_and(|since| now > since + WRITE_TIMEOUT)
     }
 
     /// Writes as much as the client accepts; an error means that the connection is broken.
-    pub fn write_to(&mut self, stream: &mut TcpStream, now: Micros) -> io::Result<WriteProgress> {
+    pub fn write_to(&mut self, stream: &mut TcpStream, now: Instant) -> io::Result<WriteProgress> {
         while self.unwritten() > 0 {
             match stream.write(&self.bytes[self.written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -6,7 +6,7 @@
 use crate::command::Command;
 use crate::resp;
 use crate::socket_error::is_out_of_memory;
-use ingress::{Micros, RequestId};
+use ingress::{Instant, RequestId};
 use std::io::{ErrorKind, Read};
 use std::ops::Range;
 
@@ -29,7 +29,7 @@
 
 impl Clients {
     /// Handles a connection whose socket shows as ready.
-    pub fn on_ready(&mut self, key: usize, now: Micros, writable: bool) {
+    pub fn on_ready(&mut self, key: usize, now: Instant, writable: bool) {
         let Some(connection) = self.connections.get(key) else { return };
         if writable && !connection.output.is_empty() {
             self.queue_for_write(key);
@@ -46,7 +46,7 @@
     }
 
     /// Reads on from connections that were not read to the end.
-    pub fn resume_reads(&mut self, now: Micros) {
+    pub fn resume_reads(&mut self, now: Instant) {
         for key in std::mem::take(&mut self.read_queue) {
             if let Some(connection) = self.connections.get_mut(key) {
                 connection.queued_for_read = false;
@@ -57,13 +57,13 @@
     }
 
     /// Reads from all connections, whether or not their sockets showed as ready.
-    pub fn read_all(&mut self, now: Micros) {
+    pub fn read_all(&mut self, now: Instant) {
         let keys: Vec<usize> = self.connections.iter().map(|(key, _)| key).collect();
         keys.into_iter().for_each(|key| self.read(key, now));
     }
 
     /// Reads from a connection and accounts for the memory that this takes.
-    pub(super) fn read(&mut self, key: usize, now: Micros) {
+    pub(super) fn read(&mut self, key: usize, now: Instant) {
         if self.connections.contains(key) {
             self.read_and_parse(key, now);
             self.enforce_memory_limit(key);
@@ -73,7 +73,7 @@
     /// Reads from a connection and parses its commands, within the bound of a turn. A read that does not fill the buffer
     /// does not say that nothing is left, and the poll tells of each arrival once: only a read that finds nothing ends
     /// it before that bound.
-    fn read_and_parse(&mut self, key: usize, now: Micros) {
+    fn read_and_parse(&mut self, key: usize, now: Instant) {
         for _ in 0..MAX_READS_PER_TURN {
             if self.parse_commands(key, now) == Intake::Paused {
                 self.pause_reading(key);
@@ -115,7 +115,7 @@
     }
 
     /// Parses the complete commands that a connection has sent.
-    fn parse_commands(&mut self, key: usize, now: Micros) -> Intake {
+    fn parse_commands(&mut self, key: usize, now: Instant) -> Intake {
         let mut parsed = 0;
         loop {
             let connection = &mut self.connections[key];
@@ -147,7 +147,7 @@
     }
 
     /// Handles the command that was last parsed, at this place in the connection's input.
-    fn handle_command(&mut self, key: usize, position: Range<usize>, now: Micros) {
+    fn handle_command(&mut self, key: usize, position: Range<usize>, now: Instant) {
         let connection = &mut self.connections[key];
         connection.record_command(now);
         let bytes = &connection.input[position];
--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// The time at which connections are accepted and requests read.
-const NOW: Micros = 1_000_000_000;
+const NOW: Instant = 1_000_000_000;
 
 /// Connections on a listener of their own.
 struct Fixture {
@@ -56,7 +56,7 @@
     }
 
     /// Reads until the next request is there, and returns when it arrived.
-    fn next_arrival(&mut self, now: Micros) -> Micros {
+    fn next_arrival(&mut self, now: Instant) -> Micros {
         for _ in 0..1_000_000 {
             self.clients.read_all(now);
             if let Some(ClientEvent::Command { arrived_at, .. }) = self.clients.next_event() {
@@ -154,7 +154,7 @@
 /// descriptor, or accepting failed, and its request was waiting with it.
 #[test]
 fn the_time_that_a_connection_waited_to_be_accepted_counts() {
-    const WAIT: Micros = 900_000;
+    const WAIT: Duration = Duration::from_millis(900);
     let mut fixture = Fixture::new(1 << 20);
     let mut client = TcpStream::connect(fixture.address).unwrap();
     client.write_all(&request_command()).unwrap();
--- a/src/bin/ingress/clients/writing.rs
+++ b/src/bin/ingress/clients/writing.rs
@@ -5,7 +5,7 @@
 use super::error::ClientError;
 use super::output::WriteProgress;
 use super::{Clients, ReplyHandle};
-use ingress::Micros;
+use ingress::Instant;
 
 impl Clients {
     /// Replies with an error to a request that is not acceptable; a connection may have a few of them in a row.
@@ -30,7 +30,7 @@
     }
 
     /// Writes what there is to write: one write for all replies that a connection got in a turn.
-    pub fn flush(&mut self, now: Micros) {
+    pub fn flush(&mut self, now: Instant) {
         let mut queue = std::mem::take(&mut self.write_retries);
         queue.append(&mut self.write_queue);
         for key in queue {
--- a/src/bin/ingress/command.rs
+++ b/src/bin/ingress/command.rs
@@ -6,7 +6,7 @@
 mod template;
 
 pub use error::CommandError;
-use ingress::{CustomerId, Idempotency, Micros, Request};
+use ingress::{CustomerId, Duration, Idempotency, Request};
 use options::{is_token, parse_customer, Options};
 use std::ops::Range;
 use template::CommandTemplate;
@@ -70,7 +70,7 @@
     /// The request as the gateway is told of it; the caller fills in its id and deadline.
     pub request: Request,
     /// How long the client waits for the reply.
-    pub timeout: Micros,
+    pub timeout: Duration,
     /// The command as it was sent, less its timeout.
     template: CommandTemplate,
 }
@@ -130,7 +130,7 @@
     }
 
     /// Appends the command as a backend gets it, with the time that is left for the attempt.
-    pub fn encode(&self, timeout: Micros, out: &mut Vec<u8>) {
+    pub fn encode(&self, timeout: Duration, out: &mut Vec<u8>) {
         self.template.encode(timeout, out);
     }
 
--- a/src/bin/ingress/command/options.rs
+++ b/src/bin/ingress/command/options.rs
@@ -2,7 +2,7 @@
 
 use super::error::CommandError;
 use super::{CommandSchema, Verb};
-use ingress::{Idempotency, Micros};
+use ingress::{Duration, Idempotency};
 use std::ops::Range;
 
 /// The longest timeout that a client may ask for, in milliseconds.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct TimeoutOption {
     /// How long the client waits.
-    pub duration: Micros,
+    pub duration: Duration,
     /// Where the option's value is in the options' text.
     pub position: Range<usize>,
 }
@@ -79,7 +79,7 @@
             b"t" => set_once(&mut self.plan, value, "t"),
             b"k" => set_once(&mut self.idempotency_key, value, "k"),
             b"d" => {
-                let duration = parse_integer(value, MAX_TIMEOUT_MS, "d")? * 1000;
+                let duration = Duration::from_millis(parse_integer(value, MAX_TIMEOUT_MS, "d")?);
                 let position = start + equals + 1..start + option.len();
                 set_once(&mut self.timeout, TimeoutOption { duration, position }, "d")
             }
--- a/src/bin/ingress/command/template.rs
+++ b/src/bin/ingress/command/template.rs
@@ -1,7 +1,7 @@
 //! A command's encoded bytes, to be sent again with another timeout.
 
 use crate::resp;
-use ingress::Micros;
+use ingress::Duration;
 use std::ops::Range;
 
 /// How many bytes an encoded command is expected to take besides its options and body.
@@ -53,8 +53,8 @@
     }
 
     /// Appends the command with this timeout.
-    pub fn encode(&self, timeout: Micros, out: &mut Vec<u8>) {
-        let timeout_ms = (timeout / 1000).max(1).to_string();
+    pub fn encode(&self, timeout: Duration, out: &mut Vec<u8>) {
+        let timeout_ms = timeout.as_millis().max(1).to_string();
         let before_timeout = &self.bytes[self.options_start..self.timeout_position];
         let after_timeout = &self.bytes[self.timeout_position..self.options_end];
         out.extend_from_slice(&self.bytes[..self.options_start]);
--- a/src/bin/ingress/config.rs
+++ b/src/bin/ingress/config.rs
@@ -6,7 +6,7 @@
 use crate::command::{ClassSchema, CommandSchema};
 use crate::discovery::{EndpointList, LocationNames};
 pub use error::{ConfigError, ConfigFileError};
-use ingress::{Class, Micros, Settings, SettingsReader};
+use ingress::{Class, Duration, Settings, SettingsReader};
 use serde_json::Value;
 use std::io;
 use std::net::SocketAddr;
@@ -41,9 +41,9 @@
     /// The names of zones and machine types in endpoint lists.
     pub location_names: LocationNames,
     /// How long a connection to a backend may take to come up.
-    pub connect_timeout: Micros,
+    pub connect_timeout: Duration,
     /// How long a backend keeps an idle connection open.
-    pub keepalive_timeout: Micros,
+    pub keepalive_timeout: Duration,
 }
 
 /// The addresses of an ingress and its peers.
@@ -89,7 +89,7 @@
         let nested = json.get("settings").ok_or(ConfigError::Missing("settings"))?;
         let reader = SettingsReader::new(flatten::flatten(nested));
         let settings = reader.settings()?;
-        if settings.tick == 0 {
+        if settings.tick.is_zero() {
             return Err(ConfigError::ZeroTick);
         }
         let command_schema = parse_command_schema(&reader, &settings)?;
@@ -109,8 +109,8 @@
             max_memory: positive_number(&json, "limits", "memory_mb")?.saturating_mul(MEGABYTE),
             peers,
             cached_endpoints,
-            connect_timeout: reader.micros("limits.connect_timeout_us")?,
-            keepalive_timeout: reader.micros("limits.keepalive_us")?,
+            connect_timeout: reader.duration("limits.connect_timeout_us")?,
+            keepalive_timeout: reader.duration("limits.keepalive_us")?,
             settings,
             command_schema,
             location_names,
--- a/src/bin/ingress/discovery/endpoint_list.rs
+++ b/src/bin/ingress/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list as discovery gives it, in JSON.
 
 use super::{EndpointListError, LocationNames};
-use ingress::{Availability, BackendId, Endpoint, Micros};
+use ingress::{Availability, BackendId, Endpoint, UnixTime};
 use serde::de::{self, DeserializeSeed, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::Value;
 use std::borrow::Cow;
@@ -12,13 +12,15 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// What each step of a 64-bit FNV-1a hash multiplies by.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
-/// Start times are in milliseconds.
-const MICROS_PER_MILLI: Micros = 1000;
+/// Microseconds in a millisecond, the unit of start times.
+const MICROS_PER_MILLI: u64 = 1000;
 
 /// An entry of the list, with the backend's address as this ingress reaches it.
 pub struct EndpointEntry {
-    /// What the gateway needs to know of the backend.
+    /// What the gateway needs to know of the backend, but for its start.
     pub endpoint: Endpoint,
+    /// When the backend's process started, by the wall clock of whoever noted it; zero for long ago.
+    pub started_at: UnixTime,
     /// Where to connect to; none only for a backend that is gone.
     pub address: Option<SocketAddr>,
 }
@@ -142,10 +144,11 @@
             machine_type: location_names.machine_type(text("type")),
             availability,
             size: json.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
-            // Still in Unix time, by the clock of whoever noted it.
-            started_at: since_ms.saturating_mul(MICROS_PER_MILLI),
+            // Unknown until the wall clock's time is compared with the event loop's.
+            started_at: None,
         };
-        Ok(EndpointEntry { endpoint, address })
+        let started_at = UnixTime::from_micros(since_ms.saturating_mul(MICROS_PER_MILLI));
+        Ok(EndpointEntry { endpoint, address, started_at })
     }
 }
 
--- a/src/bin/ingress/discovery/poll.rs
+++ b/src/bin/ingress/discovery/poll.rs
@@ -2,12 +2,9 @@
 
 use super::http::{self, Persistence, StreamState};
 use super::{EndpointList, LocationNames, PollError};
-use ingress::Micros;
+use ingress::Duration;
 use std::net::SocketAddr;
 
-/// Microseconds in a millisecond, the unit of the request's timeout.
-const MICROS_PER_MILLI: Micros = 1000;
-
 /// What a poll asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollRequest {
@@ -18,7 +15,7 @@
         /// The version held.
         since: u64,
         /// How long discovery may wait for a change.
-        timeout: Micros,
+        timeout: Duration,
     },
 }
 
@@ -28,7 +25,7 @@
         let query = match self {
             PollRequest::Snapshot => String::new(),
             PollRequest::Changes { since, timeout } => {
-                format!("?since={since}&timeout_ms={}", timeout / MICROS_PER_MILLI)
+                format!("?since={since}&timeout_ms={}", timeout.as_millis())
             }
         };
         format!("GET /v1/endpoints{query} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -7,17 +7,17 @@
 use super::{EndpointList, LocationNames, PollError};
 use crate::error_chain::ErrorChain;
 use ingress::backoff::{Backoff, FailedPoll, NextPoll, PollSchedule};
-use ingress::Micros;
+use ingress::{Duration, Instant};
 use mio::{Registry, Token};
 use std::net::SocketAddr;
 
 /// How much longer than its timeout a poll may stay unanswered. What it missed counts as delivered 2 s after the
 /// timeout: by then the next poll has to be answered.
-const RESPONSE_GRACE: Micros = 750_000;
+const RESPONSE_GRACE: Duration = Duration::from_millis(750);
 /// The delay after an empty response that came at once: a watch counts as unbroken if polled within 200 ms.
-const EMPTY_RESPONSE_DELAY: Micros = 50_000;
+const EMPTY_RESPONSE_DELAY: Duration = Duration::from_millis(50);
 /// A response that came faster than this did not wait for changes.
-const IMMEDIATE_RESPONSE: Micros = 20_000;
+const IMMEDIATE_RESPONSE: Duration = Duration::from_millis(20);
 
 /// How a watch polls.
 pub struct WatchOptions {
@@ -28,7 +28,7 @@
     /// The seed of the jitter.
     pub seed: u64,
     /// The time of its start.
-    pub now: Micros,
+    pub now: Instant,
 }
 
 /// The watch.
@@ -44,15 +44,15 @@
     /// The version of the list held; none asks for a snapshot.
     index: Option<u64>,
     /// When the pending poll was started; none while no poll is pending.
-    poll_started_at: Option<Micros>,
+    poll_started_at: Option<Instant>,
     /// When the last poll counts as unanswered, once its request is written.
-    response_due_at: Micros,
+    response_due_at: Instant,
     /// When polls are made.
     schedule: PollSchedule,
     /// The most bytes of a response's body.
     max_body_bytes: usize,
     /// When [`Watch::on_timer`] has something to do.
-    pub next_timer_at: Micros,
+    pub next_timer_at: Instant,
     /// The last poll stayed unanswered: the next one does not wait for changes, so that what was missed comes at once,
     /// and a second silence is detected soon.
     last_poll_timed_out: bool,
@@ -76,7 +76,7 @@
             connection: None,
             index: Some(index),
             poll_started_at: None,
-            response_due_at: 0,
+            response_due_at: Instant::ZERO,
             schedule,
             max_body_bytes: options.max_body_bytes,
             next_timer_at,
@@ -87,7 +87,7 @@
     /// Continues at another address: it is asked for a snapshot at once, whatever is pending at the old one and
     /// however long the delay after a failure was to be. A snapshot that is pending at this very address is waited for:
     /// configurations may come faster than discovery answers.
-    pub fn set_address(&mut self, address: SocketAddr, now: Micros) {
+    pub fn set_address(&mut self, address: SocketAddr, now: Instant) {
         let awaits_snapshot = self.index.is_none() && self.poll_started_at.is_some();
         if awaits_snapshot && address == self.address {
             return;
@@ -111,14 +111,14 @@
     }
 
     /// Gives the connection up and schedules the next poll. Returns whether this is the first failure in a row.
-    fn fail(&mut self, now: Micros, error: &PollError) -> bool {
+    fn fail(&mut self, now: Instant, error: &PollError) -> bool {
         let request_sent = self.connection.as_ref().is_none_or(Connection::is_request_sent);
         let pending = self.poll_started_at.map(|started_at| FailedPoll { started_at, request_sent });
         let NextPoll { at, is_first_failure } = self.schedule.on_failure(now, pending);
         self.disconnect();
         self.next_timer_at = at;
         if is_first_failure {
-            let (retry_in_ms, error) = (at.saturating_sub(now) / 1000, ErrorChain(error));
+            let (retry_in_ms, error) = (at.duration_since(now).as_millis(), ErrorChain(error));
             tracing::info!(target: "discovery", retry_in_ms, %error, "poll failed");
         }
         is_first_failure
@@ -126,7 +126,7 @@
 
     /// Starts the next poll, or detects that the pending one stays unanswered, if that is due. Returns whether polls
     /// have just begun to fail.
-    pub fn on_timer(&mut self, now: Micros, registry: &Registry) -> bool {
+    pub fn on_timer(&mut self, now: Instant, registry: &Registry) -> bool {
         if now < self.next_timer_at {
             return false;
         }
@@ -138,7 +138,7 @@
 
     /// The first time in a row, the next poll is started at once: changes that were missed meanwhile soon count as
     /// delivered. Ingresses hardly do so in unison, since poll timeouts are drawn.
-    fn on_response_timeout(&mut self, now: Micros, registry: &Registry) -> bool {
+    fn on_response_timeout(&mut self, now: Instant, registry: &Registry) -> bool {
         let is_first_timeout = !std::mem::replace(&mut self.last_poll_timed_out, true);
         let just_failed = self.fail(now, &PollError::TimedOut);
         if is_first_timeout {
@@ -149,7 +149,7 @@
     }
 
     /// Makes the next poll. Returns whether polls have just begun to fail.
-    fn start_poll(&mut self, now: Micros, registry: &Registry) -> bool {
+    fn start_poll(&mut self, now: Instant, registry: &Registry) -> bool {
         if self.connection.is_none() {
             match Connection::open(self.address, registry, self.token) {
                 Ok(connection) => self.connection = Some(connection),
@@ -162,7 +162,7 @@
                 let timeout = self.schedule.next_poll_timeout();
                 (PollRequest::Changes { since, timeout }, timeout + RESPONSE_GRACE)
             }
-            Some(since) => (PollRequest::Changes { since, timeout: 0 }, response_timeout),
+            Some(since) => (PollRequest::Changes { since, timeout: Duration::ZERO }, response_timeout),
             None => (PollRequest::Snapshot, response_timeout),
         };
         if let Some(connection) = &mut self.connection {
@@ -177,7 +177,7 @@
     }
 
     /// Writes as much of the request as possible. Returns whether polls have just begun to fail.
-    fn flush(&mut self, now: Micros) -> bool {
+    fn flush(&mut self, now: Instant) -> bool {
         match self.connection.as_mut().map(Connection::flush) {
             Some(Ok(Flush::Completed)) => self.next_timer_at = self.response_due_at,
             Some(Ok(Flush::NotCompleted)) | None => {}
@@ -190,7 +190,7 @@
     /// just begun to fail.
     pub fn on_ready(
         &mut self,
-        now: Micros,
+        now: Instant,
         registry: &Registry,
         on_endpoints: &mut impl FnMut(EndpointList),
     ) -> bool {
@@ -228,8 +228,8 @@
     /// Records a response, and when the next poll is due.
     fn complete_poll(
         &mut self,
-        now: Micros,
-        started_at: Micros,
+        now: Instant,
+        started_at: Instant,
         stream_state: StreamState,
         response: &PollResponse,
     ) {
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -6,7 +6,7 @@
 use std::io::{Read, Write};
 
 /// How soon a failed poll is to be followed by the next: 6 s, less what a response takes.
-const MAX_RETRY_GAP: Micros = 5_000_000;
+const MAX_RETRY_GAP: Duration = Duration::from_secs(5);
 
 /// The failure of a poll that discovery rejects.
 fn rejected() -> PollError {
@@ -17,7 +17,7 @@
 /// two seconds, and with delays of a second at most the rest kept its queue full for the whole of the day.
 #[test]
 fn a_hundred_watches_neither_start_nor_retry_in_unison() {
-    let now: Micros = 1_000_000_000;
+    let now: Instant = 1_000_000_000;
     let watch = |seed| {
         let options = WatchOptions {
             max_body_bytes: MAX_BODY_BYTES,
@@ -29,7 +29,7 @@
     };
     let mut watches: Vec<Watch> = (0..100).map(watch).collect();
     let most_at_once = |watches: &[Watch]| {
-        let mut times: Vec<Micros> = watches.iter().map(|watch| watch.next_timer_at).collect();
+        let mut times: Vec<Duration> = watches.iter().map(|watch| watch.next_timer_at).collect();
         times.sort_unstable();
         (0..100)
             .map(|first| times[first..].iter().take_while(|at| **at < times[first] + 100_000).count())
@@ -51,7 +51,7 @@
     watch: Watch,
     poll: mio::Poll,
     listener: std::net::TcpListener,
-    now: Micros,
+    now: Instant,
     lists: Vec<u64>,
 }
 
@@ -194,20 +194,20 @@
 /// is not begun after two seconds in the queue, though it is worked on all the same.
 struct SharedDiscovery {
     /// What a poll takes, and when the last one in the queue is served.
-    service_time: Micros,
-    free_at: Micros,
+    service_time: Duration,
+    free_at: Instant,
 }
 
 /// How a poll of [`SharedDiscovery`] ended.
 struct PollEnd {
-    at: Micros,
+    at: Instant,
     is_answered: bool,
 }
 
 impl SharedDiscovery {
-    const MAX_QUEUEING: Micros = 2_000_000;
+    const MAX_QUEUEING: Duration = Duration::from_secs(2);
 
-    fn poll(&mut self, now: Micros) -> PollEnd {
+    fn poll(&mut self, now: Instant) -> PollEnd {
         let begins_at = self.free_at.max(now);
         self.free_at = begins_at + self.service_time;
         if begins_at > now + Self::MAX_QUEUEING {
@@ -221,9 +221,9 @@
 #[derive(Debug)]
 struct Outage {
     /// The longest that an ingress without a response went without a poll, once discovery could be reached.
-    longest_gap: Micros,
+    longest_gap: Duration,
     /// When nineteen in twenty had their response, from the return on (those that started later: from their start on).
-    p95: Micros,
+    p95: Duration,
     /// The polls that reached it, from the return on.
     polls: usize,
 }
@@ -237,8 +237,8 @@
     AfterReturn,
 }
 
-const DOWN_AT: Micros = 1_000_000_000;
-const RETURN_AT: Micros = DOWN_AT + 8_000_000;
+const DOWN_AT: Instant = 1_000_000_000;
+const RETURN_AT: Instant = DOWN_AT + 8_000_000;
 
 impl Restart {
     fn at(self) -> Micros {
@@ -254,13 +254,13 @@
     watch: Watch,
     is_killed: bool,
     has_restarted: bool,
-    answered_at: Option<Micros>,
-    last_poll_at: Micros,
+    answered_at: Option<Instant>,
+    last_poll_at: Instant,
 }
 
 impl Ingress {
     /// From when on discovery could be reached, by an ingress that restarts at `restart_at` if it is killed.
-    fn reachable_since(is_killed: bool, restart_at: Micros) -> Micros {
+    fn reachable_since(is_killed: bool, restart_at: Instant) -> Micros {
         if is_killed {
             RETURN_AT.max(restart_at)
         } else {
@@ -273,11 +273,11 @@
 struct Fleet {
     ingress_count: u64,
     seed: u64,
-    restart_at: Micros,
+    restart_at: Instant,
     discovery: SharedDiscovery,
     ingresses: Vec<Ingress>,
     /// When an ingress polls next, by its number.
-    due: std::collections::BTreeSet<(Micros, usize)>,
+    due: std::collections::BTreeSet<(Instant, usize)>,
     outage: Outage,
 }
 
@@ -299,7 +299,7 @@
         fleet
     }
 
-    fn watch(&self, number: u64, now: Micros) -> Watch {
+    fn watch(&self, number: u64, now: Instant) -> Watch {
         let options = WatchOptions {
             max_body_bytes: MAX_BODY_BYTES,
             backoff: Backoff::shared_service(10_000_000, self.ingress_count),
@@ -323,7 +323,7 @@
             let since = Ingress::reachable_since(ingress.is_killed, self.restart_at);
             ingress.answered_at.expect("all got a response").saturating_sub(since)
         };
-        let mut times: Vec<Micros> = self.ingresses.iter().map(answered_after).collect();
+        let mut times: Vec<Duration> = self.ingresses.iter().map(answered_after).collect();
         times.sort_unstable();
         Outage { p95: times[times.len() * 19 / 20 - 1], ..self.outage }
     }
@@ -336,7 +336,7 @@
         self.ingresses[number] = Ingress { watch, is_killed, has_restarted, answered_at, last_poll_at };
     }
 
-    fn poll(&mut self, number: usize, now: Micros) {
+    fn poll(&mut self, number: usize, now: Instant) {
         let ingress = &mut self.ingresses[number];
         let since = Ingress::reachable_since(ingress.has_restarted, self.restart_at);
         let gap = now.saturating_sub(since.max(ingress.last_poll_at));
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -33,7 +33,7 @@
 use descriptor_budget::DescriptorBudget;
 pub use error::EventLoopError;
 use ingress::audit::Auditor;
-use ingress::{Action, Event, Gateway, Micros, StartTimes};
+use ingress::{Action, Duration, Event, Gateway, Instant, StartTimes};
 use mio::{Events, Poll};
 use request_table::RequestTable;
 use shutdown::Shutdown;
@@ -41,7 +41,6 @@
 use source::{sort_for_processing, ReadySocket, Source};
 use std::collections::VecDeque;
 use std::io;
-use std::time::Duration;
 use timer_queue::TimerQueue;
 
 /// The ingress: its sockets, the policy, and what is under way.
@@ -53,13 +52,13 @@
     /// When what the poll reported can have arrived.
     arrivals: ArrivalClock,
     /// The time that the policy is given.
-    now: Micros,
+    now: Instant,
     /// The step in which that time goes on.
-    tick: Micros,
+    tick: Duration,
     /// Whether failed polls of discovery are reported to the policy.
     polls_discovery: bool,
     /// How long a connection to a backend may take to come up, and a health check in all.
-    connect_timeout: Micros,
+    connect_timeout: Duration,
     /// Checks what was done.
     auditor: Auditor,
     /// What was done, in numbers.
@@ -124,7 +123,7 @@
     fn wait(&mut self, events: &mut Events) -> Result<(), EventLoopError> {
         let called_at = self.clock.now();
         let timeout = self.poll_timeout(called_at);
-        let result = self.poll.poll(events, Some(Duration::from_micros(timeout)));
+        let result = self.poll.poll(events, Some(std::time::Duration::from_micros(timeout.as_micros())));
         let clock = self.clock.now();
         match result {
             Ok(()) => self.arrivals.poll_returned(called_at, timeout, clock),
@@ -141,18 +140,19 @@
     }
 
     /// How long the poll may wait for a socket, from a time on.
-    fn poll_timeout(&self, called_at: Micros) -> Micros {
+    fn poll_timeout(&self, called_at: Instant) -> Duration {
         if self.accept_pending || self.peer_messages_pending || self.clients.has_pending_work() {
-            return 0;
+            return Duration::ZERO;
         }
         if self.shutdown.is_past_reply_deadline(self.now) || self.clients.has_write_retries() {
             // The end is near and has to be seen within a tick, or a write is to be tried again.
             return self.tick;
         }
-        let next_timer_at = self.timers.next_due_at().unwrap_or(Micros::MAX).min(self.watch.next_timer_at);
+        let next_timer_at =
+            self.timers.next_due_at().unwrap_or(Instant::FAR_FUTURE).min(self.watch.next_timer_at);
         // No timer is due before the clock is read anew.
         let wake_at = next_timer_at.max(self.now + self.tick);
-        wake_at.saturating_sub(called_at)
+        wake_at.duration_since(called_at)
     }
 
     /// One iteration. Discovery comes first, so that the policy knows of a draining backend before it sends anything;
--- a/src/bin/ingress/event_loop/actions.rs
+++ b/src/bin/ingress/event_loop/actions.rs
@@ -6,7 +6,7 @@
 use crate::backends::ConnectionEnd;
 use crate::clients::BUSY_REPLY;
 use crate::logging;
-use ingress::{Action, Event, Micros, Outcome, RequestId};
+use ingress::{Action, Duration, Event, Outcome, RequestId};
 use std::io::Write;
 
 /// The most bytes of a reply that tells when to try again.
@@ -21,7 +21,7 @@
             Action::Fail(id) => self.reply(id, FAILED_REPLY, Answer::Failed),
             Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt, |_| Outcome::Cancelled),
             Action::SetTimer { delay, token } => {
-                self.timers.schedule(self.now.saturating_add(delay), Timer::Policy(token));
+                self.timers.schedule(self.now + delay, Timer::Policy(token));
             }
             Action::SendToPeer { to, bytes } => {
                 if let Some(peers) = &self.peers {
@@ -45,13 +45,13 @@
     }
 
     /// Rejects a request, with advice when to try again unless that is 0.
-    fn reject(&mut self, id: RequestId, retry_after: Micros) {
-        if retry_after == 0 {
+    fn reject(&mut self, id: RequestId, retry_after: Duration) {
+        if retry_after.is_zero() {
             return self.reply(id, BUSY_REPLY, Answer::Rejected);
         }
         let mut text = [0; MAX_BUSY_REPLY_BYTES];
         let mut unused = &mut text[..];
-        let _ = write!(unused, "-BUSY {}\r\n", retry_after.div_ceil(1000));
+        let _ = write!(unused, "-BUSY {}\r\n", retry_after.as_millis_ceil());
         let length = MAX_BUSY_REPLY_BYTES - unused.len();
         self.reply(id, &text[..length], Answer::Rejected);
     }
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -7,10 +7,7 @@
 use crate::backends::{Assignment, CommandState, Completion, ConnectionId, TimeTold};
 use crate::resp;
 use ingress::permissions::{may_begin_writing, WriteFacts, WriteRefusal};
-use ingress::{AttemptEnded, BackendId, Event, LoadReport, Micros, Outcome, RequestId};
-
-/// Microseconds in a millisecond.
-const MICROS_PER_MILLI: Micros = 1000;
+use ingress::{AttemptEnded, BackendId, Duration, Event, Instant, LoadReport, Outcome, RequestId};
 
 /// An attempt, as reported to the policy.
 #[derive(Clone, Copy)]
@@ -22,7 +19,7 @@
     /// Where it went.
     backend: BackendId,
     /// How long it was in flight.
-    elapsed: Micros,
+    elapsed: Duration,
 }
 
 impl AttemptRecord {
@@ -52,15 +49,15 @@
 
 impl EventLoop {
     /// Begins an attempt, if the request still wants one and there is time and a connection for it.
-    pub(super) fn send(&mut self, id: RequestId, backend: BackendId, expires_at: Micros) {
-        let mut record = AttemptRecord { id, number: 0, backend, elapsed: 0 };
+    pub(super) fn send(&mut self, id: RequestId, backend: BackendId, expires_at: Option<Instant>) {
+        let mut record = AttemptRecord { id, number: 0, backend, elapsed: Duration::ZERO };
         let Some(request) = self.requests.get_mut(id) else {
             // It has ended and been removed: there is no attempt to count.
             return self.pending_events.push_back(record.ended(Outcome::NotSent, true, None));
         };
         let index = request.attempts.len();
         record.number = u16::try_from(index).unwrap_or(u16::MAX);
-        let expires_at = if expires_at == 0 { request.deadline } else { expires_at.min(request.deadline) };
+        let expires_at = expires_at.map_or(request.deadline, |expires_at| expires_at.min(request.deadline));
         let refusal = request.may_send(self.auditor.rules()).err();
         let begins_by = self.now + self.connect_timeout;
         let started_at = self.now;
@@ -86,7 +83,7 @@
         // An attempt's time is measured by the exact clock: one that is answered within a tick would otherwise have
         // taken no time at all.
         let started_at = self.clock.now();
-        let time_left = expires_at.saturating_sub(started_at);
+        let time_left = expires_at.duration_since(started_at);
         attempt.started_at = started_at;
         let assignment = Assignment::Attempt { id, attempt: number };
         let time_told = TimeTold { at: started_at, time_left };
@@ -100,7 +97,7 @@
             backend = backend.0,
             connection = ?assigned.map(|assigned| assigned.connection),
             command = ?assigned.map(|assigned| assigned.command),
-            time_left_ms = time_left / MICROS_PER_MILLI,
+            time_left_ms = time_left.as_millis(),
             "started"
         );
         let Some(assigned) = assigned else { return self.audit_begun_attempts() };
@@ -121,7 +118,7 @@
     /// Begins a health check.
     pub(super) fn check_health(&mut self, backend: BackendId) {
         if !self.reserve_descriptor(backend) {
-            return self.report_health_check(backend, Outcome::ConnectFailed, 0, None);
+            return self.report_health_check(backend, Outcome::ConnectFailed, Duration::ZERO, None);
         }
         let (registry, now) = (self.poll.registry(), self.now);
         let time_told = TimeTold { at: now, time_left: self.connect_timeout };
@@ -143,7 +140,7 @@
         &mut self,
         backend: BackendId,
         outcome: Outcome,
-        elapsed: Micros,
+        elapsed: Duration,
         load_report: Option<LoadReport>,
     ) {
         self.pending_events.push_back(Event::HealthCheckEnded { backend, outcome, elapsed, load_report });
@@ -152,7 +149,7 @@
     /// Takes in how an attempt or a health check has ended.
     pub(super) fn complete(&mut self, completion: Completion) {
         let Completion { assignment, backend, outcome, started_at, load_report, value } = completion;
-        let elapsed = self.clock.now().saturating_sub(started_at);
+        let elapsed = self.clock.now().duration_since(started_at);
         let (id, number) = match assignment {
             Assignment::Attempt { id, attempt } => (id, attempt),
             Assignment::HealthCheck => {
@@ -182,10 +179,15 @@
         &mut self,
         connection: ConnectionId,
         backend: BackendId,
-        started_at: Micros,
+        started_at: Instant,
     ) {
         if let Some(command) = self.backends.cancel(connection, Assignment::HealthCheck) {
-            self.report_health_check(backend, timeout_outcome(command), self.now - started_at, None);
+            self.report_health_check(
+                backend,
+                timeout_outcome(command),
+                self.now.duration_since(started_at),
+                None,
+            );
         }
     }
 
@@ -203,7 +205,7 @@
             attempt.connection.and_then(|connection| self.backends.cancel(connection, assignment));
         let Some(command) = cancelled else { return };
         attempt.connection = None;
-        let elapsed = self.clock.now().saturating_sub(attempt.started_at);
+        let elapsed = self.clock.now().duration_since(attempt.started_at);
         let record = AttemptRecord { id, number, backend: attempt.backend, elapsed };
         let answered = request.answered;
         self.end_attempt(record, outcome(command), answered, None);
@@ -224,7 +226,7 @@
             attempt = record.number,
             backend = record.backend.0,
             ?outcome,
-            elapsed_us = record.elapsed,
+            elapsed_us = record.elapsed.as_micros(),
             "ended"
         );
         self.counters.record_outcome(outcome);
@@ -242,7 +244,7 @@
             let Some(connection) = unsent else { continue };
             self.backends.cancel(connection, Assignment::Attempt { id, attempt: number });
             attempt.connection = None;
-            let elapsed = self.clock.now().saturating_sub(attempt.started_at);
+            let elapsed = self.clock.now().duration_since(attempt.started_at);
             ended.push(AttemptRecord { id, number, backend: attempt.backend, elapsed });
         }
         ended.into_iter().for_each(|record| self.end_attempt(record, Outcome::NotSent, true, None));
@@ -269,7 +271,7 @@
             };
             return self.cancel_attempt(id, number, |_| outcome);
         }
-        let time_left = expires_at.saturating_sub(at);
+        let time_left = expires_at.duration_since(at);
         let time_told = TimeTold { at, time_left };
         self.backends.rewrite_command(key, time_told, |buffer| request.command.encode(time_left, buffer));
     }
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -5,7 +5,7 @@
 use crate::clients::{AcceptOutcome, ClientError, ClientEvent, ReplyHandle, BUSY_REPLY};
 use crate::command::Command;
 use ingress::audit::RequestAudit;
-use ingress::{Event, Micros, RequestId};
+use ingress::{Duration, Event, Instant, RequestId};
 
 /// The reply to a request that may have been executed.
 pub(super) const FAILED_REPLY: &[u8] = b"-ERR failed\r\n";
@@ -22,11 +22,11 @@
 }
 
 /// The longest that a client is taken to wait: the timers of requests long answered must not pile up for hours.
-const MAX_CLIENT_TIMEOUT: Micros = 60_000_000;
+const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
 /// What a reply may take on its way to the client, besides two ticks.
-const REPLY_TRANSIT_TIME: Micros = 2_000;
+const REPLY_TRANSIT_TIME: Duration = Duration::from_millis(2);
 /// The delay before connections are accepted again after there was no descriptor for them.
-const ACCEPT_RETRY_DELAY: Micros = 10_000;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 impl EventLoop {
     /// Accepts a batch of the connections that wait.
@@ -99,7 +99,7 @@
 
     /// Opens a request and passes it to the policy, or rejects it where a limit leaves no room. Its time counts from its
     /// arrival, which may be a while ago where the process was held up.
-    fn open_request(&mut self, id: RequestId, reply_to: ReplyHandle, arrived_at: Micros, command: Command) {
+    fn open_request(&mut self, id: RequestId, reply_to: ReplyHandle, arrived_at: Instant, command: Command) {
         // Backends and clients could not tell two with one id apart, and the first one came in good faith.
         let id_hash = self.requests.hash_id(&command);
         if self.requests.is_known(id_hash) {
@@ -113,7 +113,7 @@
         let arrived_at = arrived_at.min(self.now);
         self.timers.schedule(arrived_at + timeout, Timer::ClientDeadline(id));
         // The policy's deadline is a little before the client's: the reply takes time to arrive.
-        let reply_time = (2 * self.tick + REPLY_TRANSIT_TIME).min(timeout / 4);
+        let reply_time = (self.tick * 2 + REPLY_TRANSIT_TIME).min(timeout / 4);
         let mut request = command.request;
         request.id = id;
         request.deadline = arrived_at + timeout - reply_time;
@@ -123,8 +123,8 @@
             client_request_id = %String::from_utf8_lossy(command.client_request_id()),
             customer = request.customer.0,
             class = request.class,
-            timeout_ms = timeout / 1000,
-            waited_us = self.now - arrived_at,
+            timeout_ms = timeout.as_millis(),
+            waited_us = self.now.duration_since(arrived_at).as_micros(),
             client = ?reply_to,
             "opened"
         );
--- a/src/bin/ingress/event_loop/clock.rs
+++ b/src/bin/ingress/event_loop/clock.rs
@@ -1,31 +1,34 @@
 //! The event loop's clock.
 
-use ingress::Micros;
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use ingress::{Duration, Instant, UnixTime};
+use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A monotonic clock that counts from the Unix epoch, as it was read at the start. Later steps of the system's clock do
-/// not reach it: all spans are real time.
+/// A monotonic clock that counts from the Unix epoch, as the wall clock showed it at the start. Later steps of the wall
+/// clock do not reach it: all spans are real time.
 pub struct Clock {
     /// When the clock was started.
-    started: Instant,
-    /// The Unix time of the start.
-    offset: Micros,
+    started: std::time::Instant,
+    /// The time of the start.
+    started_at: Instant,
 }
 
 impl Clock {
     /// Starts the clock from the system's.
     pub fn new() -> Self {
-        Clock { started: Instant::now(), offset: unix_time() }
+        Clock {
+            started: std::time::Instant::now(),
+            started_at: Instant::from_micros(unix_time().as_micros()),
+        }
     }
 
     /// The time.
-    pub fn now(&self) -> Micros {
-        self.offset + self.started.elapsed().as_micros() as Micros
+    pub fn now(&self) -> Instant {
+        self.started_at + Duration::from_micros(self.started.elapsed().as_micros() as u64)
     }
 }
 
-/// The Unix time by the system's clock, which may be stepped.
-pub fn unix_time() -> Micros {
+/// The time by the wall clock, which may be stepped.
+pub fn unix_time() -> UnixTime {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    elapsed.as_micros() as Micros
+    UnixTime::from_micros(elapsed.as_micros() as u64)
 }
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -55,10 +55,11 @@
     fn endpoints_in_host_time(&mut self, list: &EndpointList) -> Vec<Endpoint> {
         let (now, times) = (self.now, &mut self.start_times);
         times.observe_clock(self.clock.now(), unix_time());
-        let mut endpoints: Vec<Endpoint> = list.entries.iter().map(|entry| entry.endpoint).collect();
-        for endpoint in &mut endpoints {
-            self.auditor.endpoint_listed(endpoint, now);
-            endpoint.started_at = times.host_time(endpoint.backend, endpoint.started_at, now);
+        let mut endpoints = Vec::with_capacity(list.entries.len());
+        for entry in &list.entries {
+            self.auditor.endpoint_listed(&entry.endpoint, now);
+            let started_at = times.host_time(entry.endpoint.backend, entry.started_at, now);
+            endpoints.push(Endpoint { started_at, ..entry.endpoint });
         }
         endpoints
     }
@@ -101,7 +102,7 @@
     /// Begins the graceful shutdown, unless it has begun before.
     fn begin_shutdown(&mut self) {
         let Some(reply_deadline) = self.shutdown.begin(self.now) else { return };
-        let reply_time_ms = (reply_deadline - self.now) / 1000;
+        let reply_time_ms = reply_deadline.duration_since(self.now).as_millis();
         tracing::info!(target: "shutdown", reply_time_ms, "started");
         self.timers.schedule(self.now + MIN_ACCEPTING_TIME, Timer::StopAccepting);
         self.timers.schedule(reply_deadline, Timer::ReplyDeadline);
--- a/src/bin/ingress/event_loop/descriptor_budget.rs
+++ b/src/bin/ingress/event_loop/descriptor_budget.rs
@@ -3,7 +3,7 @@
 use super::EventLoopError;
 use crate::backends::Backends;
 use crate::clients::{Capacity, Clients};
-use ingress::Micros;
+use ingress::Instant;
 
 /// Descriptors that are neither clients nor backends: standard streams, poll, listener, signals, discovery, peers, and
 /// some to spare for what is opened before another is closed.
@@ -59,7 +59,7 @@
         &self,
         clients: &mut Clients,
         backends: &mut Backends,
-        now: Micros,
+        now: Instant,
     ) -> Capacity {
         let max_share = self.max_share();
         let is_full = clients.len() >= max_share || self.is_exhausted(clients, backends);
@@ -76,7 +76,7 @@
     }
 
     /// Whether one more connection to a backend can be opened, if need be after closing an idle connection.
-    pub fn reserve_for_backend(&self, clients: &mut Clients, backends: &mut Backends, now: Micros) -> bool {
+    pub fn reserve_for_backend(&self, clients: &mut Clients, backends: &mut Backends, now: Instant) -> bool {
         if backends.len() >= self.max_share() {
             return backends.close_longest_idle();
         }
--- a/src/bin/ingress/event_loop/request_table.rs
+++ b/src/bin/ingress/event_loop/request_table.rs
@@ -5,24 +5,24 @@
 use crate::command::Command;
 use ingress::audit::{AuditRules, RequestAudit};
 use ingress::permissions::{self, AttemptFacts, AttemptKind, AttemptRefusal};
-use ingress::{BackendId, Idempotency, Micros, RequestId};
+use ingress::{BackendId, Duration, Idempotency, Instant, RequestId};
 use std::collections::hash_map::RandomState;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::BuildHasher;
 
 /// How long after its end a request's id is still known: a client that draws a new one for each does not send it again.
-const ENDED_ID_RETENTION: Micros = 1_000_000;
+const ENDED_ID_RETENTION: Duration = Duration::from_secs(1);
 
 /// A request's being sent to a backend.
 pub struct Attempt {
     /// The backend.
     pub backend: BackendId,
     /// When it was sent.
-    pub started_at: Micros,
+    pub started_at: Instant,
     /// When it is given up.
-    pub expires_at: Micros,
+    pub expires_at: Instant,
     /// By when its first byte has to be written: the policy counts on that.
-    pub begins_by: Micros,
+    pub begins_by: Instant,
     /// Its connection, while it is in flight.
     pub connection: Option<ConnectionId>,
 }
@@ -34,7 +34,7 @@
     /// Where the reply goes.
     pub reply_to: ReplyHandle,
     /// When the reply has to be known.
-    pub deadline: Micros,
+    pub deadline: Instant,
     /// All attempts so far; an attempt's number is its place here.
     pub attempts: Vec<Attempt>,
     /// It has its final reply, or its client has disconnected: no reply is owed any more.
@@ -72,7 +72,7 @@
 /// The id of a request that has ended.
 struct EndedId {
     /// When the id may come again.
-    forget_at: Micros,
+    forget_at: Instant,
     /// Its id, as its client gave it.
     id_hash: IdHash,
 }
@@ -131,7 +131,7 @@
         id_hash: IdHash,
         command: Command,
         reply_to: ReplyHandle,
-        deadline: Micros,
+        deadline: Instant,
         audit: RequestAudit,
     ) {
         self.memory += command.memory_size();
@@ -185,7 +185,7 @@
     }
 
     /// Removes a request that owes no reply and has no attempt in flight.
-    pub fn remove_if_finished(&mut self, id: RequestId, now: Micros) {
+    pub fn remove_if_finished(&mut self, id: RequestId, now: Instant) {
         let finished =
             self.requests.get(&id).is_some_and(|request| request.answered && !request.is_in_flight());
         if !finished {
@@ -199,7 +199,7 @@
     }
 
     /// Forgets the ids of requests that ended long enough ago.
-    pub fn forget_ended_ids(&mut self, now: Micros) {
+    pub fn forget_ended_ids(&mut self, now: Instant) {
         while let Some(ended) = self.ended_ids.front().filter(|ended| ended.forget_at <= now) {
             self.known_ids.remove(&ended.id_hash);
             self.ended_ids.pop_front();
--- a/src/bin/ingress/event_loop/shutdown/tests.rs
+++ b/src/bin/ingress/event_loop/shutdown/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const STARTED: Micros = 1_000_000_000;
+const STARTED: Instant = 1_000_000_000;
 
 #[test]
 fn the_reply_deadline_follows_the_longest_deadline_up_to_a_bound() {
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -19,7 +19,7 @@
 use crate::start_retry::StartRetry;
 use ingress::audit::{AuditRules, Auditor};
 use ingress::backoff::Backoff;
-use ingress::{Discovery, EndpointUpdate, Gateway, Micros, Settings, StartTimes};
+use ingress::{Discovery, Duration, EndpointUpdate, Gateway, Instant, Settings, StartTimes};
 use mio::net::TcpListener;
 use mio::{Interest, Poll, Registry, Token};
 use signal_hook_mio::v1_0::Signals;
@@ -119,12 +119,12 @@
 }
 
 /// The longest deadline of all request classes.
-fn longest_deadline(settings: &Settings) -> Micros {
-    settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0)
+fn longest_deadline(settings: &Settings) -> Duration {
+    settings.classes.iter().map(|class| class.deadline).max().unwrap_or(Duration::ZERO)
 }
 
 /// How the watch on the endpoint list behaves.
-fn watch_options(config: &Config, now: Micros) -> WatchOptions {
+fn watch_options(config: &Config, now: Instant) -> WatchOptions {
     WatchOptions {
         backoff: discovery_backoff(&config.settings),
         max_body_bytes: max_body_bytes(config.max_memory),
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -54,7 +54,7 @@
         event_loop.clients.read_all(event_loop.now);
     }
     let since = event_loop.now - MAX_DRAINING_TIME - 1;
-    event_loop.shutdown.phase = Phase::Draining { reply_deadline: Micros::MAX, since };
+    event_loop.shutdown.phase = Phase::Draining { reply_deadline: Instant::MAX, since };
     client.write_all(b"NG\r\n").unwrap();
     event_loop.can_exit();
     let mut reply = [0; 7];
--- a/src/bin/ingress/event_loop/timer_queue.rs
+++ b/src/bin/ingress/event_loop/timer_queue.rs
@@ -1,7 +1,7 @@
 //! What the event loop has to do at a given time.
 
 use crate::backends::{Assignment, ConnectionId};
-use ingress::{BackendId, Micros, RequestId};
+use ingress::{BackendId, Instant, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -23,7 +23,7 @@
         /// The backend.
         backend: BackendId,
         /// When it was sent.
-        started_at: Micros,
+        started_at: Instant,
     },
     /// Idle connections and what else has expired are cleared away.
     Sweep,
@@ -41,22 +41,22 @@
 #[derive(Default)]
 pub struct TimerQueue {
     /// The earliest first; of those due at one time, the earlier variant.
-    heap: BinaryHeap<Reverse<(Micros, Timer)>>,
+    heap: BinaryHeap<Reverse<(Instant, Timer)>>,
 }
 
 impl TimerQueue {
     /// Sets a timer.
-    pub fn schedule(&mut self, due_at: Micros, timer: Timer) {
+    pub fn schedule(&mut self, due_at: Instant, timer: Timer) {
         self.heap.push(Reverse((due_at, timer)));
     }
 
     /// When the earliest timer is due; none where none is set.
-    pub fn next_due_at(&self) -> Option<Micros> {
+    pub fn next_due_at(&self) -> Option<Instant> {
         self.heap.peek().map(|Reverse((due_at, _))| *due_at)
     }
 
     /// Takes out the timers that are due, in their order.
-    pub fn take_due(&mut self, now: Micros) -> Vec<Timer> {
+    pub fn take_due(&mut self, now: Instant) -> Vec<Timer> {
         let mut due = Vec::new();
         while self.next_due_at().is_some_and(|due_at| due_at <= now) {
             due.extend(self.heap.pop().map(|Reverse((_, timer))| timer));
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -5,10 +5,10 @@
 use super::timer_queue::Timer;
 use super::EventLoop;
 use crate::clients::{AcceptOutcome, Accepting};
-use ingress::{Event, Micros};
+use ingress::{Duration, Event};
 
 /// How often idle connections and what else may have expired is looked through.
-pub(super) const SWEEP_INTERVAL: Micros = 500_000;
+pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// Batches of connections that are still accepted when the listener is closed: more than its queue holds.
 const MAX_FINAL_ACCEPTS: usize = 64;
 
--- a/src/bin/simulator-adapter/instances.rs
+++ b/src/bin/simulator-adapter/instances.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{FieldProblem, RecordError};
 use crate::wire::{Batch, InstanceId, Record, RecordContent, Reply};
-use ingress::{Action, Event, Gateway, Micros, SettingsError, SettingsReader};
+use ingress::{Action, Event, Gateway, Instant, SettingsError, SettingsReader};
 use std::collections::BTreeMap;
 
 /// A running instance.
@@ -15,7 +15,7 @@
 
 impl Instance {
     /// Starts an instance with the settings that the simulator gives as text.
-    fn start(settings: &str, seed: u64, now: Micros) -> Result<Instance, SettingsError> {
+    fn start(settings: &str, seed: u64, now: Instant) -> Result<Instance, SettingsError> {
         let reader = SettingsReader::from_lines(settings)?;
         let (settings, report_fields) = (reader.settings()?, reader.report_fields()?);
         Ok(Instance { gateway: Gateway::new(settings, seed, now), report_fields })
@@ -42,7 +42,7 @@
     }
 
     /// Starts or stops an instance, or hands it an event.
-    fn handle_record(&mut self, record: &Record, now: Micros, reply: &mut Reply) -> Result<(), RecordError> {
+    fn handle_record(&mut self, record: &Record, now: Instant, reply: &mut Reply) -> Result<(), RecordError> {
         let id = record.instance();
         let report_fields =
             self.running.get(&id).map_or(&[][..], |instance| instance.report_fields.as_slice());
@@ -62,7 +62,7 @@
     }
 
     /// Hands an event to its instance, whose actions go into the reply.
-    fn handle_event(&mut self, record: &Record, event: Event, now: Micros, reply: &mut Reply) {
+    fn handle_event(&mut self, record: &Record, event: Event, now: Instant, reply: &mut Reply) {
         let id = record.instance();
         match self.running.get_mut(&id) {
             Some(instance) => {
--- a/src/bin/simulator-adapter/wire/batch.rs
+++ b/src/bin/simulator-adapter/wire/batch.rs
@@ -3,7 +3,7 @@
 use super::field_reader::FieldReader;
 use super::record::{Record, RECORD_SIZE};
 use crate::error::FrameError;
-use ingress::Micros;
+use ingress::Instant;
 
 /// Bytes of a batch's header.
 pub const BATCH_HEADER_SIZE: usize = 20;
@@ -15,7 +15,7 @@
     /// Bytes of the whole frame, this header included.
     frame_size: usize,
     /// See [`Batch::clock`].
-    clock: Micros,
+    clock: Instant,
     /// See [`Batch::number`].
     number: u32,
 }
@@ -27,7 +27,7 @@
         let header = Header {
             record_count: fields.u32(),
             frame_size: fields.u32() as usize,
-            clock: fields.u64(),
+            clock: fields.instant(),
             number: fields.u32(),
         };
         if header.frame_size < header.tail_start() {
@@ -56,7 +56,7 @@
     /// Its number, which the reply repeats.
     pub number: u32,
     /// The time of all that it tells.
-    pub clock: Micros,
+    pub clock: Instant,
     /// The bytes of all records.
     records: &'a [u8],
     /// What records point into.
--- a/src/bin/simulator-adapter/wire/field_reader.rs
+++ b/src/bin/simulator-adapter/wire/field_reader.rs
@@ -1,6 +1,6 @@
 //! Reads the fields of a record one after another, in the order in which the wire has them.
 
-use ingress::BackendId;
+use ingress::{BackendId, Duration, Instant};
 
 /// Bytes of a backend's identifier on the wire.
 pub const BACKEND_ID_SIZE: usize = 6;
@@ -52,6 +52,21 @@
         u64::from_le_bytes(self.bytes())
     }
 
+    /// A point in time, in microseconds of the host's clock.
+    pub fn instant(&mut self) -> Instant {
+        Instant::from_micros(self.u64())
+    }
+
+    /// When a backend started; 0 says that this is long ago.
+    pub fn start(&mut self) -> Option<Instant> {
+        Some(self.instant()).filter(|start| *start != Instant::ZERO)
+    }
+
+    /// A span of time, in microseconds.
+    pub fn span(&mut self) -> Duration {
+        Duration::from_micros(u64::from(self.u32()))
+    }
+
     /// A floating-point number of four bytes.
     pub fn f32(&mut self) -> f64 {
         f64::from(f32::from_le_bytes(self.bytes()))
--- a/src/bin/simulator-adapter/wire/field_writer.rs
+++ b/src/bin/simulator-adapter/wire/field_writer.rs
@@ -1,7 +1,7 @@
 //! Writes the fields of a record one after another, in the order in which the wire has them.
 
 use super::field_reader::BACKEND_ID_SIZE;
-use ingress::{BackendId, Micros, RequestId};
+use ingress::{BackendId, Duration, RequestId};
 
 /// A record of `SIZE` bytes under construction; what is not written is zero. Writing beyond its end is a
 /// mistake in its layout and panics.
@@ -56,9 +56,9 @@
         self.bytes(&value.to_le_bytes())
     }
 
-    /// A span of time in four bytes; one that is too long for them becomes the longest.
-    pub fn span(&mut self, span: Micros) -> &mut Self {
-        self.u32(u32::try_from(span).unwrap_or(u32::MAX))
+    /// A span of time, in microseconds, in four bytes; one that is too long for them becomes the longest.
+    pub fn span(&mut self, span: Duration) -> &mut Self {
+        self.u32(u32::try_from(span.as_micros()).unwrap_or(u32::MAX))
     }
 
     /// A request's identifier.
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -133,7 +133,7 @@
             cell: fields.u16(),
             availability: self.availability(&mut fields)?,
             size: fields.f32(),
-            started_at: fields.u64(),
+            started_at: fields.start(),
         })
     }
 
@@ -156,7 +156,7 @@
         Ok(Event::HealthCheckEnded {
             backend: fields.backend(),
             outcome: self.outcome(fields)?,
-            elapsed: u64::from(fields.u32()),
+            elapsed: fields.span(),
             load_report: load_report(fields, report_fields),
         })
     }
@@ -169,7 +169,7 @@
     ) -> Result<Event, RecordError> {
         Ok(Event::AttemptEnded(AttemptEnded {
             id: RequestId(fields.u64()),
-            elapsed: u64::from(fields.u32()),
+            elapsed: fields.span(),
             outcome: self.outcome(fields)?,
             answered: fields.u8() != 0,
             attempt: fields.u16(),
@@ -231,7 +231,7 @@
         class: fields.u8(),
         plan: fields.u16(),
         customer: CustomerId(fields.u64()),
-        deadline: fields.u64(),
+        deadline: fields.instant(),
         units: fields.f32(),
         gateway_set_size: fields.f32(),
         gateway_set_start: fields.f32(),
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -2,7 +2,7 @@
 
 use super::field_writer::FieldWriter;
 use super::InstanceId;
-use ingress::{Action, GatewayId};
+use ingress::{Action, GatewayId, Instant};
 
 /// Bytes of a reply's header.
 pub const REPLY_HEADER_SIZE: usize = 12;
@@ -57,7 +57,9 @@
     fn write_fields(&mut self, record: &mut FieldWriter<ACTION_SIZE>, action: &Action) {
         match action {
             Action::Send { id, backend, expires_at } => {
-                record.request(*id).u64(*expires_at).backend(*backend);
+                // 0 leaves the attempt the client's time.
+                let expires_at = expires_at.map_or(0, Instant::as_micros);
+                record.request(*id).u64(expires_at).backend(*backend);
             }
             Action::Reject { id, retry_after } => {
                 record.request(*id).span(*retry_after);
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,6 +1,6 @@
 //! The endpoint list as discovery gives it: one entry for each backend.
 
-use crate::{BackendId, Micros};
+use crate::{BackendId, Instant};
 
 /// The state of a backend as listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -29,8 +29,8 @@
     pub availability: Availability,
     /// Its size, see [`SizeMeaning`](crate::SizeMeaning).
     pub size: f64,
-    /// When it last started; 0 for long ago.
-    pub started_at: Micros,
+    /// When its process started; none for long ago.
+    pub started_at: Option<Instant>,
 }
 
 /// How an endpoint list is to be read.
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,6 +1,6 @@
 //! What a gateway sees: requests, the ends of attempts, endpoint lists, peers' messages and timers.
 
-use crate::{BackendId, CustomerId, Endpoint, EndpointUpdate, GatewayId, Micros, RequestId};
+use crate::{BackendId, CustomerId, Duration, Endpoint, EndpointUpdate, GatewayId, Instant, RequestId};
 
 /// The load that a backend reported, as far as it reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -74,7 +74,7 @@
     /// Whose it is.
     pub customer: CustomerId,
     /// When the client abandons it.
-    pub deadline: Micros,
+    pub deadline: Instant,
     /// What it draws from the quota.
     pub units: f64,
     /// Over how many gateways the customer's requests come.
@@ -97,7 +97,7 @@
     /// The request has its final answer.
     pub answered: bool,
     /// How long it was in flight.
-    pub elapsed: Micros,
+    pub elapsed: Duration,
     /// The customer's metered use as a share of its rate or concurrency quota, where there is a meter.
     pub metered: Option<f64>,
     /// True units, where they are settled afterwards.
@@ -133,7 +133,7 @@
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
-        elapsed: Micros,
+        elapsed: Duration,
         /// The load report that came along.
         load_report: Option<LoadReport>,
     },
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -6,7 +6,7 @@
 use crate::state::{BackendTable, DecayingRate, LatencyBaseline, LoadShedder, PeerTable, QuotaTable};
 use crate::state::{RequestTable, RetryBudget};
 use crate::{Action, AttemptEnded, BackendId, Class, CustomerId, Endpoint, EndpointUpdate, Event};
-use crate::{Micros, Outcome, Plan, Request, RequestId, Settings};
+use crate::{Duration, Instant, Outcome, Plan, Request, RequestId, Settings};
 
 /// One gateway's decisions. Feed it events with [`Gateway::handle`], and do what it asks.
 #[derive(Default)]
@@ -18,15 +18,15 @@
     /// Counted up for each draw; the seed is its first value.
     pub(crate) random_state: u64,
     /// The host's clock at the latest event; it never goes back.
-    pub(crate) now: Micros,
+    pub(crate) now: Instant,
     /// When this process started; peers tell it from earlier ones by the incarnation made from this.
-    pub(crate) started_at: Micros,
+    pub(crate) started_at: Instant,
     /// When the timer that was last set is due.
-    pub(crate) next_wake_up_at: Micros,
+    pub(crate) next_wake_up_at: Instant,
     /// When the host last went on after it had stood still: latencies found with that event say nothing.
-    pub(crate) resumed_at: Micros,
+    pub(crate) resumed_at: Instant,
     /// When discovery is to be polled next, where it has to be.
-    pub(crate) next_poll_at: Micros,
+    pub(crate) next_poll_at: Instant,
     /// Requests that are not finished, and their queue.
     pub(crate) requests: RequestTable,
     /// Customers and their token buckets.
@@ -72,7 +72,7 @@
 
 impl Gateway {
     /// A gateway that starts now and knows nothing yet.
-    pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
+    pub fn new(settings: Settings, seed: u64, now: Instant) -> Self {
         let fleet_size = u64::from(settings.gateway_count.max(1));
         let report_interval = report_interval(&settings, fleet_size);
         Gateway {
@@ -175,7 +175,7 @@
     }
 
     /// Asks the host to wake this gateway after an interval.
-    pub(crate) fn schedule_wake_up(&mut self, now: Micros, interval: Micros, actions: &mut Vec<Action>) {
+    pub(crate) fn schedule_wake_up(&mut self, now: Instant, interval: Duration, actions: &mut Vec<Action>) {
         self.next_wake_up_at = now + interval;
         actions.push(Action::SetTimer { delay: interval, token: 0 });
     }
@@ -185,12 +185,12 @@
         &self,
         id: RequestId,
         reason: RejectReason,
-        retry_after: Micros,
+        retry_after: Duration,
         actions: &mut Vec<Action>,
     ) {
         tracing::debug!(target: "policy", request = id.0, ?reason, "rejected");
         let limits = &self.settings.limits;
-        let most = if limits.retry_after { limits.max_retry_after } else { 0 };
+        let most = if limits.retry_after { limits.max_retry_after } else { Duration::ZERO };
         actions.push(Action::Reject { id, retry_after: retry_after.min(most) });
     }
 
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -40,7 +40,7 @@
             let class = usize::from(sample.class);
             let Some(backend) = self.backends.by_tag(sample.backend_tag) else { continue };
             let Some(settings) = self.settings.classes.get(class) else { continue };
-            let objective = settings.latency_objective as f64;
+            let objective = settings.latency_objective.as_micros_f64();
             let latency = sample.relative_latency.map(|relative| relative * objective);
             self.record_observation(Observation { backend, class, latency, source: Source::Peer });
         }
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,7 +1,7 @@
 //! The messages between gateways, with typed fields. [`super::encoding`] turns them into bytes and back.
 
 use super::TokenLevel;
-use crate::{CustomerId, Micros};
+use crate::{CustomerId, Instant};
 
 /// A customer's usage, as one gateway counts it since its start. It goes to the owners of the customer's
 /// quota.
@@ -86,8 +86,8 @@
 
 /// The number that tells a gateway from the same gateway after a restart: the millisecond of its start by its wall clock,
 /// wrapping. A later one may be less, since wall clocks are stepped.
-pub fn incarnation_of(started_at: Micros) -> u32 {
-    (started_at / 1000) as u32
+pub fn incarnation_of(started_at: Instant) -> u32 {
+    (started_at.as_micros() / 1000) as u32
 }
 
 /// A short name for a backend, 24 bits of a hash of its id.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,13 +13,14 @@
 //!     price: 1.0, over_quota_weight: 0.0, over_quota_cost: 1.0,
 //! };
 //! let class = Class {
-//!     latency_objective: 500_000, latency_objective_stretch: 0.0, deadline: 2_000_000,
+//!     latency_objective: Duration::from_millis(500), latency_objective_stretch: 0.0,
+//!     deadline: Duration::from_secs(2),
 //!     priority_weight: 1.0, late_weight: 0.0, idempotency: Idempotency::Idempotent, streaming: false,
 //! };
 //! let settings = Settings {
-//!     gateway_count: 1, tick: 4_000, classes: vec![class], plans: vec![plan], ..Settings::default()
+//!     gateway_count: 1, tick: Duration::from_millis(4), classes: vec![class], plans: vec![plan], ..Settings::default()
 //! };
-//! let start = 1_000_000;
+//! let start = Instant::from_micros(1_000_000);
 //! let mut gateway = Gateway::new(settings, 42, start);
 //! let mut actions = Vec::new();
 //!
@@ -31,16 +32,16 @@
 //!
 //! actions.clear();
 //! let id = RequestId(1);
-//! let request = Request { id, deadline: start + 2_000_000, units: 1.0, gateway_set_size: 1.0, ..Request::default() };
-//! gateway.handle(start + 4_000, Event::Request(request), &mut actions);
-//! assert_eq!(actions, [Action::Send { id, backend, expires_at: 0 }]);
+//! let request = Request { id, deadline: start + Duration::from_secs(2), units: 1.0, gateway_set_size: 1.0, ..Request::default() };
+//! gateway.handle(start + Duration::from_millis(4), Event::Request(request), &mut actions);
+//! assert_eq!(actions, [Action::Send { id, backend, expires_at: None }]);
 //!
 //! actions.clear();
 //! let answer = Event::AttemptEnded(AttemptEnded {
-//!     id, attempt: 0, backend, outcome: Outcome::Ok, answered: true, elapsed: 12_000,
+//!     id, attempt: 0, backend, outcome: Outcome::Ok, answered: true, elapsed: Duration::from_millis(12),
 //!     metered: None, charged_units: None, load_report: None,
 //! });
-//! gateway.handle(start + 16_000, answer, &mut actions);
+//! gateway.handle(start + Duration::from_millis(16), answer, &mut actions);
 //! assert!(actions.is_empty(), "the answer went to the client; nothing is left to do");
 //! ```
 
@@ -70,4 +71,4 @@
     Class, Discovery, Idempotency, IdempotencyScope, Limits, Plan, Rules, Settings, SettingsError,
     SettingsReader, SizeMeaning,
 };
-pub use time::Micros;
+pub use time::{Duration, Instant, UnixTime};
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -4,15 +4,15 @@
 use super::load_shedding::epoch_draw;
 use super::quota::CUSTOMER_IDLE_TIME;
 use super::RejectReason;
-use crate::state::{Customer, GatewaySet, RequestState, SECOND};
-use crate::{Action, Gateway, Micros, Request, RequestId};
+use crate::state::{Customer, GatewaySet, RequestState};
+use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
 
 /// Share of the useful duration that a request may be queued for; queued longer it would fail late.
 const MAX_QUEUE_SHARE: f64 = 0.3;
 /// Age up to which a grant need not be requested again, and the longest wait for one.
-const GRANT_FRESHNESS: Micros = 100_000;
+const GRANT_FRESHNESS: Duration = Duration::from_millis(100);
 /// The same for a grant by which there were no tokens.
-const REJECTION_FRESHNESS: Micros = 500_000;
+const REJECTION_FRESHNESS: Duration = Duration::from_millis(500);
 
 impl Gateway {
     /// Rejects a new request, admits it, or holds it until its quota owners have answered.
@@ -22,18 +22,18 @@
         }
         // With less than two wake-ups left nothing can be held, watched or served: answered at once.
         if !self.is_valid(&request) {
-            return self.reject(request.id, RejectReason::Invalid, 0, actions);
+            return self.reject(request.id, RejectReason::Invalid, Duration::ZERO, actions);
         }
         if request.deadline < self.now + self.min_queue_time() {
-            return self.reject(request.id, RejectReason::NoTime, 0, actions);
+            return self.reject(request.id, RejectReason::NoTime, Duration::ZERO, actions);
         }
         let claimed_plan = usize::from(request.plan);
         let unseen = self.observe_customer(&mut request);
         if self.evades_hard_limit(&request, claimed_plan) {
-            return self.reject(request.id, RejectReason::OverQuota, Micros::MAX, actions);
+            return self.reject(request.id, RejectReason::OverQuota, Duration::MAX, actions);
         }
         if !self.load_shedder.admits(self.now, &request, &self.settings.plans, unseen) {
-            return self.reject(request.id, RejectReason::Shed, Micros::MAX, actions);
+            return self.reject(request.id, RejectReason::Shed, Duration::MAX, actions);
         }
         let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
         let wait = self.wait_for_tokens(&request);
@@ -41,9 +41,9 @@
         // A no may rest on an older grant than a yes, which was for another request: else the retries of a
         // customer over its quota would request grants without end.
         let over_rate_quota = wait.quota.is_some() && self.plan_of(&request).concurrency_quota == 0;
-        let yes_freshness = if self.all_gateways_own_quotas() { GRANT_FRESHNESS } else { 0 };
+        let yes_freshness = if self.all_gateways_own_quotas() { GRANT_FRESHNESS } else { Duration::ZERO };
         let freshness = if over_rate_quota { REJECTION_FRESHNESS } else { yes_freshness };
-        let granted_ago = self.now - customer.granted_at.min(self.now);
+        let granted_ago = self.now.duration_since(customer.granted_at);
         let known = customer.is_quota_owner || granted_ago < freshness;
         let elsewhere = customer.hard_limit.owners != [self.settings.own_id.0; 2];
         let needs_grant = wait.hard_limit.is_some() && wait.quota.is_none() && elsewhere;
@@ -52,7 +52,7 @@
             return self.admit(request.id, true, actions);
         }
         if self.skips_grant_request(&request) {
-            return self.reject(request.id, RejectReason::OverQuota, Micros::MAX, actions);
+            return self.reject(request.id, RejectReason::OverQuota, Duration::MAX, actions);
         }
         self.requests.insert(RequestState { awaiting_grant: true, ..state });
         self.await_grant(&request, wait.hard_limit.is_some(), needs_grant, actions);
@@ -75,15 +75,15 @@
         let Some(customer) = self.quota.customers.get_mut(&request.customer) else { return };
         customer.grant_request.waiting.push(request.id);
         let first = customer.grant_request.waiting.len() == 1;
-        if first || now - customer.grant_request.requested_at > GRANT_FRESHNESS || at_once {
+        if first || now.duration_since(customer.grant_request.requested_at) > GRANT_FRESHNESS || at_once {
             customer.grant_request.start(now, request.units, hard_limit);
             self.queue_usage_report(request.customer, true, actions);
         }
     }
 
     /// How long a request that arrived at a time may be held for a grant.
-    fn grant_wait(&self, request: &Request, arrived_at: Micros) -> Micros {
-        let left = (request.deadline - arrived_at).min(self.class_of(request).latency_objective);
+    fn grant_wait(&self, request: &Request, arrived_at: Instant) -> Duration {
+        let left = request.deadline.duration_since(arrived_at).min(self.class_of(request).latency_objective);
         GRANT_FRESHNESS.min(left / 5)
     }
 
@@ -120,7 +120,7 @@
             self.load_shedder.record_rejection();
         }
         self.requests.remove(id);
-        let retry_after = seconds.map_or(Micros::MAX, |seconds| (seconds * SECOND) as Micros);
+        let retry_after = seconds.map_or(Duration::MAX, Duration::from_secs_f64);
         let reason = if seconds.is_none() { RejectReason::Saturated } else { RejectReason::OverQuota };
         self.reject(id, reason, retry_after, actions);
         let charged_by_owner = self.quota.take_owner_charge(request.customer);
@@ -164,19 +164,20 @@
         let new = Customer { remote_rate, ..Customer::new(usize::from(request.plan), plan, tokens, now) };
         self.record_identity(request.customer, set, new);
         let Some(customer) = self.quota.customers.get_mut(&request.customer) else { return true };
-        let unseen = customer.last_seen_at == 0 || now - customer.last_seen_at > CUSTOMER_IDLE_TIME;
+        let unseen = customer.last_seen_at == Instant::ZERO
+            || now.duration_since(customer.last_seen_at) > CUSTOMER_IDLE_TIME;
         customer.last_seen_at = now;
         request.plan = customer.plan as u16;
         unseen
     }
 
     /// Two wake-ups: with less time left a request cannot be held.
-    fn min_queue_time(&self) -> Micros {
-        2 * WAKE_UP_TICKS * self.settings.tick
+    fn min_queue_time(&self) -> Duration {
+        self.settings.tick * WAKE_UP_TICKS * 2
     }
 
     /// Whether a request has the time to be held for two wake-ups.
-    pub(crate) fn can_be_queued(&self, state: &RequestState, now: Micros) -> bool {
+    pub(crate) fn can_be_queued(&self, state: &RequestState, now: Instant) -> bool {
         now + self.min_queue_time() <= state.request.deadline
     }
 
@@ -184,7 +185,7 @@
     pub(crate) fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else { return true };
         let useful_duration = state.useful_duration(self.class_of(&state.request).latency_objective);
-        let queued_until = state.arrived_at + (useful_duration * MAX_QUEUE_SHARE) as Micros;
+        let queued_until = state.arrived_at + useful_duration.mul_f64(MAX_QUEUE_SHARE);
         let overdue = self.now > queued_until || !self.can_be_queued(state, self.now);
         if overdue {
             self.reject_or_fail(id, actions);
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -2,8 +2,7 @@
 
 use super::load_shedding::MIN_STAGE_TIME_UP;
 use super::RejectReason;
-use crate::state::SECOND;
-use crate::{Action, AttemptEnded, Discovery, Event, Gateway, Micros};
+use crate::{Action, AttemptEnded, Discovery, Duration, Event, Gateway, Instant};
 use crate::{Idempotency, IdempotencyScope, RequestId, Settings};
 
 /// Ticks between wake-ups, which look at deadlines and messages to peers; more of them save processor time.
@@ -13,24 +12,24 @@
 /// Seconds between reports up to which every gateway of a customer is an owner of its quota.
 const MAX_SHARED_REPORT_INTERVAL: f64 = 0.35;
 /// No more than 20 reports a second: bytes cost.
-const MIN_REPORT_INTERVAL: Micros = 50_000;
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time between reports where all of a customer's gateways own its quota, most of what a receiver takes in
 /// over all senders; 0 in a fleet too large for that.
-pub(crate) fn report_interval(settings: &Settings, fleet_size: u64) -> Micros {
+pub(crate) fn report_interval(settings: &Settings, fleet_size: u64) -> Duration {
     let messages_per_second = settings.limits.peer_messages_per_second.max(1.0);
     let seconds = 1.5 * (fleet_size as f64 - 1.0) / messages_per_second;
     if seconds > MAX_SHARED_REPORT_INTERVAL {
-        return 0;
+        return Duration::ZERO;
     }
-    ((seconds * SECOND) as Micros).max(MIN_REPORT_INTERVAL)
+    Duration::from_secs_f64(seconds).max(MIN_REPORT_INTERVAL)
 }
 
 impl Gateway {
     /// Takes one event and appends what the host is to do.
-    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        let interval = (WAKE_UP_TICKS * self.settings.tick).max(1);
-        if self.next_wake_up_at > 0 && now > self.next_wake_up_at + MISSED_WAKE_UPS * interval {
+    pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
+        let interval = (self.settings.tick * WAKE_UP_TICKS).max(Duration::MICROSECOND);
+        if self.next_wake_up_at > Instant::ZERO && now > self.next_wake_up_at + interval * MISSED_WAKE_UPS {
             self.resume(now, actions);
             self.schedule_wake_up(now, interval, actions);
         }
@@ -48,14 +47,15 @@
     /// Polls discovery in time, where it has to be polled.
     pub(crate) fn poll_discovery(&mut self, actions: &mut Vec<Action>) {
         if self.settings.discovery == Discovery::Poll && self.now >= self.next_poll_at {
-            self.next_poll_at = self.now + (self.settings.rules.max_poll_interval / 2).max(1);
+            self.next_poll_at =
+                self.now + (self.settings.rules.max_poll_interval / 2).max(Duration::MICROSECOND);
             actions.push(Action::WatchEndpoints(true));
         }
     }
 
     /// A poll of discovery failed: the next one comes sooner.
     pub(crate) fn on_poll_failed(&mut self) {
-        let retry_at = self.now + (self.settings.rules.max_poll_interval / 8).max(1);
+        let retry_at = self.now + (self.settings.rules.max_poll_interval / 8).max(Duration::MICROSECOND);
         self.next_poll_at = self.next_poll_at.min(retry_at);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Goes on after the host stood still: what is overdue is answered first, and no latency counts.
-    pub(crate) fn resume(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(crate) fn resume(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let unsent = self.requests.iter().filter(|state| state.attempts.is_empty());
         let overdue = unsent.filter(|state| !self.can_be_queued(state, now));
         let overdue: Vec<RequestId> = overdue.map(|state| state.request.id).collect();
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -4,8 +4,8 @@
 use super::outlier_detection::SUSPECT_FAILURE_RATE;
 use super::quota::USAGE_RATE_TIME_CONSTANT;
 use super::retry::SILENCE_SHARE;
-use crate::state::{decay, hash, Backend, RequestState, RetryScope, SECOND};
-use crate::{Action, BackendId, Gateway, Micros, RequestId};
+use crate::state::{decay, hash, Backend, RequestState, RetryScope, MICROS_PER_SECOND};
+use crate::{Action, BackendId, Duration, Gateway, Instant, RequestId};
 
 /// Part of the rule's budget spent on a backend in slow start. The budget is computed from what is sent,
 /// which may be two and a half times what backends bear before answers show it; the rest is for chance.
@@ -75,17 +75,17 @@
         if !backend.in_slow_start(self.now, rules) {
             return true;
         }
-        let window = rules.overload_window.max(1);
+        let window = rules.overload_window.max(Duration::MICROSECOND);
         let rate = self.send_rate.at(self.now, USAGE_RATE_TIME_CONSTANT);
         let fair_share = rate * backend.size / self.backends.ready_capacity.max(backend.size);
-        let fair_sends = fair_share * window as f64 / SECOND;
+        let fair_sends = fair_share * window.as_micros_f64() / MICROS_PER_SECOND;
         let share = backend.slow_start_share(self.now, rules);
         let budget = rules.overload_factor * share * fair_sends * SLOW_START_MARGIN;
         let budget = budget.max(1.0 / self.fleet_size as f64);
         // Drawn by each gateway at its own times, and for longer than the window, since the window slides.
         let own_id = u64::from(self.settings.own_id.0);
         let period = window * LOTTERY_WINDOWS;
-        let round = (self.now + (hash(own_id) * period as f64) as u64) / period;
+        let round = (self.now + period.mul_f64(hash(own_id))).period_index(period);
         let draw = hash(backend.endpoint.backend.0 ^ round << 48 ^ own_id << 32);
         backend.recent_sends(self.now, window) as f64 + draw < budget
     }
@@ -162,7 +162,7 @@
             self.retry_budget.deposit();
         }
         let objective = self.class_of(&state.request).latency_objective;
-        let silent_at = self.now + (state.useful_duration(objective) * SILENCE_SHARE) as Micros;
+        let silent_at = self.now + state.useful_duration(objective).mul_f64(SILENCE_SHARE);
         self.requests.check_at(silent_at, id);
         self.send_rate.record(self.now, USAGE_RATE_TIME_CONSTANT);
         self.begin_attempt(id, backend);
@@ -170,17 +170,17 @@
         true
     }
 
-    /// When an attempt is given up; 0 for the client's deadline. Past its objective an attempt may earn
+    /// When an attempt is given up; none for the client's deadline. Past its objective an attempt may earn
     /// nothing, but still counts towards its customer's concurrency quota. In a small fleet clients that come
     /// again would cost more.
-    fn attempt_expiry(&self, id: RequestId) -> Micros {
-        let Some(state) = self.requests.get(id) else { return 0 };
+    fn attempt_expiry(&self, id: RequestId) -> Option<Instant> {
+        let state = self.requests.get(id)?;
         let class = self.class_of(&state.request);
         let worthless_when_late = class.late_weight == 0.0 && class.latency_objective_stretch == 0.0;
         let capped = self.plan_of(&state.request).concurrency_quota > 0;
         if self.all_gateways_own_quotas() || !capped || !worthless_when_late {
-            return 0;
+            return None;
         }
-        (state.arrived_at + class.latency_objective).max(self.now + self.settings.tick)
+        Some((state.arrived_at + class.latency_objective).max(self.now + self.settings.tick))
     }
 }
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -1,19 +1,19 @@
 //! Load shedding: the pressure that answers show, the shedding stages, and the limit on attempts in flight.
 
 use crate::gateway::GatewayLoad;
-use crate::state::{decay, hash, LoadShedder, SECOND};
-use crate::{Action, CustomerId, Micros, Plan, Request};
+use crate::state::{decay, hash, LoadShedder};
+use crate::{Action, CustomerId, Duration, Instant, Plan, Request};
 
 /// Share of customers on ordinary plans that passes, by stage (paper, table I).
 const STAGE_ADMITTED_SHARE: [f64; 4] = [1.0, 0.9, 0.7, 0.5];
 /// The stage that only the customers on the dearest plan pass.
 const LAST_STAGE: usize = 4;
 /// The least stay on a stage before a higher one, so that its effect is seen.
-pub(crate) const MIN_STAGE_TIME_UP: Micros = 1_500_000;
+pub(crate) const MIN_STAGE_TIME_UP: Duration = Duration::from_millis(1500);
 /// The least stay on a stage before a lower one.
-const MIN_STAGE_TIME_DOWN: Micros = 2_000_000;
+const MIN_STAGE_TIME_DOWN: Duration = Duration::from_secs(2);
 /// How long the same customers are shed: longer than clients retry.
-const SHEDDING_EPOCH: Micros = 10_000_000;
+const SHEDDING_EPOCH: Duration = Duration::from_secs(10);
 /// Pressure that raises an alert.
 const HIGH_PRESSURE: f64 = 1.0;
 /// Pressure that ends an alert: between the two nothing moves.
@@ -24,8 +24,8 @@
 const GROWTH_PRESSURE: f64 = 0.4;
 /// Share rejected for want of capacity that raises an alert while the pressure is not low.
 const ALERT_REJECTION_RATE: f64 = 0.05;
-/// Memory of the pressure in seconds: some dozen answers.
-pub(crate) const PRESSURE_TIME_CONSTANT: f64 = 1.0;
+/// Memory of the pressure: some dozen answers.
+pub(crate) const PRESSURE_TIME_CONSTANT: Duration = Duration::from_secs(1);
 /// The stage from which customers unseen so far are shed like others.
 const FIRST_STAGE_FOR_UNSEEN: usize = 2;
 /// Weight of a new answer for the rejection rate.
@@ -46,7 +46,7 @@
     /// Whether the stage lets a customer pass. Whom it sheds is fixed for an epoch, alike at all gateways: a
     /// draw for each request would admit rejected clients' retries, too late to earn anything, until they
     /// fill the fleet and cause the next rejections.
-    pub(crate) fn admits(&self, now: Micros, request: &Request, plans: &[Plan], unseen: bool) -> bool {
+    pub(crate) fn admits(&self, now: Instant, request: &Request, plans: &[Plan], unseen: bool) -> bool {
         if self.stage == 0 || (unseen && self.stage < FIRST_STAGE_FOR_UNSEEN) {
             return true;
         }
@@ -62,7 +62,7 @@
     }
 
     /// Takes in how an answer compares with the highest latency that passes for normal.
-    pub(crate) fn record_pressure(&mut self, now: Micros, ratio: f64, load: GatewayLoad) {
+    pub(crate) fn record_pressure(&mut self, now: Instant, ratio: f64, load: GatewayLoad) {
         let keep = decay(self.pressure_updated_at, now, PRESSURE_TIME_CONSTANT).min(0.98);
         self.pressure = self.pressure * keep + ratio.min(4.0) * (1.0 - keep);
         self.pressure_updated_at = now;
@@ -89,7 +89,7 @@
     }
 
     /// Moves by at most one stage, and reduces the concurrency limit under pressure.
-    pub(crate) fn update(&mut self, now: Micros, load: GatewayLoad, actions: &mut Vec<Action>) {
+    pub(crate) fn update(&mut self, now: Instant, load: GatewayLoad, actions: &mut Vec<Action>) {
         let stage = self.next_stage(now);
         if stage != self.stage {
             self.stage_changed_at = now;
@@ -97,7 +97,7 @@
             self.stage = stage;
         }
         // One reduction in a memory of the pressure: answers sent before it must not cause the next one.
-        let settled = now - self.limit_reduced_at > (PRESSURE_TIME_CONSTANT * SECOND) as Micros;
+        let settled = now.duration_since(self.limit_reduced_at) > PRESSURE_TIME_CONSTANT;
         if self.pressure > HIGH_PRESSURE && settled {
             let reduced = self.concurrency_per_backend * LIMIT_DECREASE;
             self.concurrency_per_backend = reduced.max(INITIAL_CONCURRENCY / 6.0);
@@ -106,8 +106,8 @@
     }
 
     /// The stage for now, one up or down at most.
-    fn next_stage(&self, now: Micros) -> usize {
-        let since = now - self.stage_changed_at;
+    fn next_stage(&self, now: Instant) -> usize {
+        let since = now.duration_since(self.stage_changed_at);
         // Rejections alone hold no alert up: shedding causes them, and the fleet may be idle behind them.
         let rejecting = self.pressure > LOW_PRESSURE && self.rejection_rate > ALERT_REJECTION_RATE;
         let alert = self.pressure > HIGH_PRESSURE || rejecting;
@@ -122,6 +122,6 @@
 }
 
 /// A number from 0 to 1, the same for a customer at all gateways for an epoch.
-pub(crate) fn epoch_draw(now: Micros, customer: CustomerId) -> f64 {
-    hash(customer.0 ^ (now / SHEDDING_EPOCH) << 33)
+pub(crate) fn epoch_draw(now: Instant, customer: CustomerId) -> f64 {
+    hash(customer.0 ^ now.period_index(SHEDDING_EPOCH) << 33)
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -2,8 +2,8 @@
 
 use super::EjectionReason;
 use crate::gossip::{backend_tag, LatencySample, MAX_CLASS};
-use crate::state::{Health, LatencyBaseline, Observation, Source, SECOND};
-use crate::{AttemptEnded, Class, Gateway, Micros, Outcome};
+use crate::state::{Health, LatencyBaseline, Observation, Source};
+use crate::{AttemptEnded, Class, Duration, Gateway, Instant, Outcome};
 
 /// An answer weighs on the pressure by its latency over the lesser of two: a multiple of its class's
 /// latency on unloaded backends, and a share of its objective. Backends driven harder lose throughput
@@ -16,9 +16,9 @@
 /// Failure rate of recent answers from which a backend gets a trickle only.
 const EJECTION_FAILURE_RATE: f64 = 0.25;
 /// How long it stays ejected before one attempt tries it again; doubles up to 2^3.
-const BASE_EJECTION_TIME: Micros = 500_000;
-/// Memory of failures in seconds: an ejected backend is tried again by and by.
-const FAILURE_RATE_TIME_CONSTANT: f64 = 4.0;
+const BASE_EJECTION_TIME: Duration = Duration::from_millis(500);
+/// Memory of failures: an ejected backend is tried again by and by.
+const FAILURE_RATE_TIME_CONSTANT: Duration = Duration::from_secs(4);
 /// Failure rate from which a backend is looked past in the choice.
 pub(crate) const SUSPECT_FAILURE_RATE: f64 = 0.4;
 /// Messages that carry the sample of a good answer.
@@ -36,23 +36,23 @@
 
 impl Health {
     /// Takes it out of the choice for a while, which doubles with each ejection in a row.
-    pub(crate) fn eject(&mut self, now: Micros) {
-        self.ejected_until = now + (BASE_EJECTION_TIME << self.consecutive_ejections.min(3));
+    pub(crate) fn eject(&mut self, now: Instant) {
+        self.ejected_until = now + BASE_EJECTION_TIME * (1 << self.consecutive_ejections.min(3));
         self.consecutive_ejections = self.consecutive_ejections.saturating_add(1);
     }
 
-    pub(crate) fn failure_rate(&self, now: Micros) -> f64 {
+    pub(crate) fn failure_rate(&self, now: Instant) -> f64 {
         self.failures.at(now, FAILURE_RATE_TIME_CONSTANT)
     }
 
-    fn record(&mut self, now: Micros, failed: bool, weight: f64) {
+    fn record(&mut self, now: Instant, failed: bool, weight: f64) {
         self.failures.record(now, f64::from(u8::from(failed)), weight, FAILURE_RATE_TIME_CONSTANT);
     }
 }
 
 /// What answers of a class are taken to last before any has come.
-pub(crate) fn initial_baseline(class: &Class, now: Micros) -> LatencyBaseline {
-    let latency = class.latency_objective as f64 * 0.15;
+pub(crate) fn initial_baseline(class: &Class, now: Instant) -> LatencyBaseline {
+    let latency = class.latency_objective.as_micros_f64() * 0.15;
     LatencyBaseline { recent: latency, unloaded: latency, sample_count: 0.0, updated_at: now }
 }
 
@@ -79,7 +79,8 @@
         if self.all_gateways_own_quotas() || seen.class > MAX_CLASS {
             return;
         }
-        let objective = self.settings.classes[seen.class].latency_objective.max(1) as f64;
+        let objective =
+            self.settings.classes[seen.class].latency_objective.max(Duration::MICROSECOND).as_micros_f64();
         let sample = LatencySample {
             backend_tag: backend_tag(seen.backend.0),
             class: seen.class as u8,
@@ -94,7 +95,8 @@
     fn record_latency(&mut self, seen: &Observation) {
         let Some(latency) = seen.latency else { return };
         let Some(backend) = self.backends.get_mut(seen.backend) else { return };
-        let objective = self.settings.classes[seen.class].latency_objective.max(1) as f64;
+        let objective =
+            self.settings.classes[seen.class].latency_objective.max(Duration::MICROSECOND).as_micros_f64();
         let baseline = &mut self.latency_baselines[seen.class];
         let own = seen.source == Source::Own;
         let weight = if own { OWN_LATENCY_WEIGHT } else { PEER_OBSERVATION_WEIGHT };
@@ -104,7 +106,7 @@
         baseline.sample_count += 1.0;
         baseline.recent += (latency - baseline.recent) / baseline.sample_count.min(BASELINE_SAMPLES);
         // Down at once, up by a percent a second: half a minute of overload must not pass for unloaded.
-        let seconds = (self.now - baseline.updated_at) as f64 / SECOND;
+        let seconds = self.now.duration_since(baseline.updated_at).as_secs_f64();
         let growth = 1.0 + seconds * UNLOADED_LATENCY_GROWTH;
         let most = if baseline.sample_count <= BASELINE_SAMPLES {
             objective * 0.3
@@ -144,7 +146,7 @@
         } else if !failed && !outlier {
             health.consecutive_ejections = 0;
         }
-        let latency = (!failed).then_some(ended.elapsed as f64);
+        let latency = (!failed).then_some(ended.elapsed.as_micros_f64());
         let source = Source::Own;
         self.record_observation(Observation { backend: ended.backend, class, latency, source });
     }
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -3,7 +3,7 @@
 //! both ask here, and get a typed reason for a yes and for a no. [`crate::audit`] checks afterwards what was
 //! done.
 
-use crate::{Availability, Idempotency, Micros};
+use crate::{Availability, Duration, Idempotency, Instant};
 use thiserror::Error;
 
 /// What kind of attempt may be started.
@@ -78,11 +78,11 @@
 /// Whether an attempt that begins at `begins_by` at the latest meets backends that know the key of the
 /// attempt that was first sent, at `first_sent_at`.
 pub fn may_repeat_key(
-    window: Micros,
-    first_sent_at: Micros,
-    begins_by: Micros,
+    window: Duration,
+    first_sent_at: Instant,
+    begins_by: Instant,
 ) -> Result<(), AttemptRefusal> {
-    if begins_by < first_sent_at.saturating_add(window) {
+    if begins_by < first_sent_at + window {
         Ok(())
     } else {
         Err(AttemptRefusal::KeyExpired)
@@ -107,11 +107,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WriteFacts {
     /// The time.
-    pub now: Micros,
+    pub now: Instant,
     /// When the attempt is given up.
-    pub expires_at: Micros,
+    pub expires_at: Instant,
     /// By when the policy counts on its beginning.
-    pub begins_by: Micros,
+    pub begins_by: Instant,
     /// The request has its final answer, or its client has gone.
     pub answered: bool,
 }
@@ -164,13 +164,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ReuseLimits {
     /// At the least.
-    pub min_idle_time: Micros,
+    pub min_idle_time: Duration,
     /// Less than this.
-    pub max_idle_time: Micros,
+    pub max_idle_time: Duration,
 }
 
 /// Whether a connection that was idle for so long may carry the next command.
-pub fn may_reuse_connection(idle_time: Micros, limits: ReuseLimits) -> Result<(), ReuseRefusal> {
+pub fn may_reuse_connection(idle_time: Duration, limits: ReuseLimits) -> Result<(), ReuseRefusal> {
     if idle_time < limits.min_idle_time {
         Err(ReuseRefusal::TooFresh)
     } else if idle_time >= limits.max_idle_time {
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -5,25 +5,27 @@
 
 /// How long a grant holds where no newer one comes. After that a customer is admitted: most are inside their
 /// quota, and a large fleet whose messages are lost would otherwise reject them all.
-const GRANT_LIFETIME: Micros = 2_000_000;
+const GRANT_LIFETIME: Duration = Duration::from_secs(2);
 /// Share of an owner's messages that requests for grants on one capped customer may be; others are skipped.
 const MAX_GRANT_REQUEST_SHARE: f64 = 0.25;
 /// Delay of a peer's report, lost ones included, in addition to the report interval.
-const REPORT_PROPAGATION_TIME: Micros = 350_000;
+const REPORT_PROPAGATION_TIME: Duration = Duration::from_millis(350);
 /// Least own rate of a gateway, as a part of its even share, where the usage of others is known.
 const MIN_OWN_RATE: f64 = 0.1;
 /// Least share of a hard limit that a wait is reckoned with.
 const MIN_HARD_LIMIT_FRACTION: f64 = 0.01;
 /// Part of a hard limit that two gateways hold and grant on request.
 const POOLED_HARD_LIMIT: f64 = 0.5;
-/// Time constant of rates of usage, in seconds: longer than pauses, shorter than shifts.
-pub(crate) const USAGE_RATE_TIME_CONSTANT: f64 = 2.0;
+/// Time constant of rates of usage: longer than pauses, shorter than shifts.
+pub(crate) const USAGE_RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 /// A customer unseen for so long counts as new to load shedding; it is forgotten once its buckets are full.
-pub(crate) const CUSTOMER_IDLE_TIME: Micros = 10_000_000;
+pub(crate) const CUSTOMER_IDLE_TIME: Duration = Duration::from_secs(10);
 /// Requests under another plan or set of gateways that a customer's record outlasts.
 const MAX_IDENTITY_CONFIDENCE: u8 = 8;
+/// How often old records are looked for.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Attempts of a peer that reports nothing count as in flight for so long.
-const REPORTED_IN_FLIGHT_LIFETIME: Micros = 1_500_000;
+const REPORTED_IN_FLIGHT_LIFETIME: Duration = Duration::from_millis(1500);
 
 /// Tokens that a bucket may lack because sums were rounded.
 pub(crate) const ROUNDING_MARGIN: f64 = 1e-9;
@@ -33,13 +35,13 @@
 impl Customer {
     /// This gateway's share of the customer's usage, with a floor for a gateway that sees little of it.
     fn own_share(&self, plan: &Plan) -> f64 {
-        let floor = if self.is_quota_owner || self.granted_at > 0 { MIN_OWN_RATE } else { 1.0 };
+        let floor = if self.is_quota_owner || self.granted_at > Instant::ZERO { MIN_OWN_RATE } else { 1.0 };
         let own_rate = self.own_rate.max(plan.rate / self.gateway_set.size.max(1.0) * floor);
         own_rate / (own_rate + self.remote_rate).max(1e-9)
     }
 
     /// Refills the token buckets up to now.
-    pub(crate) fn refill(&mut self, plan: &Plan, now: Micros) {
+    pub(crate) fn refill(&mut self, plan: &Plan, now: Instant) {
         let remaining = decay(self.refilled_at, now, USAGE_RATE_TIME_CONSTANT);
         self.own_rate *= remaining;
         let refill_rate = if self.is_quota_owner {
@@ -68,16 +70,16 @@
 
     /// Whether the record has to be kept: a customer that comes again starts with full buckets. An owner
     /// keeps it for longer than the gateways that report to it: what they count on would seem new to it.
-    fn must_be_kept(&self, plan: &Plan, now: Micros) -> bool {
+    fn must_be_kept(&self, plan: &Plan, now: Instant) -> bool {
         let in_use = self.in_flight > 0 || !self.grant_request.waiting.is_empty();
-        in_use || now - self.last_seen_at <= record_lifetime(plan, self.is_quota_owner)
+        in_use || now.duration_since(self.last_seen_at) <= record_lifetime(plan, self.is_quota_owner)
     }
 }
 
 /// How long a gateway, an owner or not, keeps the record of a customer that does not come.
-pub(crate) fn record_lifetime(plan: &Plan, is_quota_owner: bool) -> Micros {
+pub(crate) fn record_lifetime(plan: &Plan, is_quota_owner: bool) -> Duration {
     let idle_times = if is_quota_owner { 4 } else { 2 };
-    idle_times * CUSTOMER_IDLE_TIME.max(refill_time(plan))
+    CUSTOMER_IDLE_TIME.max(refill_time(plan)) * idle_times
 }
 
 impl Gateway {
@@ -106,7 +108,7 @@
     /// bucket holds no more than `max_tokens` to begin with.
     fn assign_owners(&mut self, id: CustomerId, set: GatewaySet, max_tokens: f64) {
         let (own_id, gateway_count) = (self.settings.own_id.0, self.settings.gateway_count);
-        let age = (self.now - self.started_at) as f64;
+        let age = self.now.duration_since(self.started_at).as_micros_f64();
         let owned_by_all = self.all_gateways_own_quotas();
         let unassigned = |customer: &&mut Customer| customer.quota_owners.is_empty();
         let Some(customer) = self.quota.customers.get_mut(&id).filter(unassigned) else { return };
@@ -129,7 +131,7 @@
         let owned = customer.hard_limit.owners.iter().filter(|owner| **owner == own_id).count() as f64;
         customer.hard_limit.fraction = (1.0 - POOLED_HARD_LIMIT) / set.size + owned * POOLED_HARD_LIMIT / 2.0;
         // The bucket is taken to have been empty at this start: what was used before is not known here.
-        let refilled = (plan.hard_limit_rate * age / SECOND).min(plan.hard_limit_burst);
+        let refilled = (plan.hard_limit_rate * age / MICROS_PER_SECOND).min(plan.hard_limit_burst);
         customer.hard_limit.tokens = (refilled * customer.hard_limit.fraction).min(max_tokens);
     }
 
@@ -142,8 +144,8 @@
         let usage_known = owned_by_all || customer.is_quota_owner || self.is_recent(customer.granted_at);
         // A small fleet asks no owner first: peers have used some units since their last reports.
         let report_age = self.quota.report_interval + REPORT_PROPAGATION_TIME;
-        let report_age = if owned_by_all { report_age } else { 0 };
-        let unreported_units = customer.remote_rate * report_age as f64 / SECOND;
+        let report_age = if owned_by_all { report_age } else { Duration::ZERO };
+        let unreported_units = customer.remote_rate * report_age.as_micros_f64() / MICROS_PER_SECOND;
         let rate_wait = customer.wait_for_rate(plan, unreported_units, request.units).filter(|_| usage_known);
         // Heavy users wait at every gateway for the same attempt to end: those that peers likely began count.
         let unreported_attempts = (unreported_units / request.units.max(0.1)) as u32;
@@ -154,7 +156,7 @@
             self.presumes_owners_overloaded(customer, plan, request)
         };
         let concurrency_wait = (plan.concurrency_quota > 0 && at_concurrency_quota).then(|| {
-            let answer_time = self.latency_baselines[usize::from(request.class)].unloaded / SECOND;
+            let answer_time = self.latency_baselines[usize::from(request.class)].unloaded / MICROS_PER_SECOND;
             rate_wait.unwrap_or(0.0).max(answer_time)
         });
         TokenWait {
@@ -164,8 +166,8 @@
     }
 
     /// Whether a time is within the lifetime of a grant.
-    fn is_recent(&self, time: Micros) -> bool {
-        self.now - time.min(self.now) < GRANT_LIFETIME
+    fn is_recent(&self, time: Instant) -> bool {
+        self.now.duration_since(time) < GRANT_LIFETIME
     }
 
     /// Whether owners that sent no grant are taken to be overloaded by a customer far beyond its concurrency
@@ -173,10 +175,11 @@
     /// the more a wrong admission costs, the fewer requests win.
     fn presumes_owners_overloaded(&self, customer: &Customer, plan: &Plan, request: &Request) -> bool {
         let is_alive = |peer: &Peer| self.is_recent(peer.last_heard_at);
-        let draw = hash(request.id.0 ^ self.started_at << 24);
+        let draw = hash(request.id.0 ^ self.started_at.as_micros() << 24);
         let loses = draw * (1.0 + plan.over_quota_cost) > 1.0;
         let mut owners = customer.quota_owners.iter().map(|owner| self.peers.by_gateway.get(owner));
-        customer.grant_request.requested_at > 0 && (loses || owners.all(|owner| owner.is_some_and(is_alive)))
+        customer.grant_request.requested_at > Instant::ZERO
+            && (loses || owners.all(|owner| owner.is_some_and(is_alive)))
     }
 
     /// Whether a grant had better not be requested: an overloaded owner loses other messages, too.
@@ -205,7 +208,7 @@
         if now < self.quota.next_sweep_at {
             return;
         }
-        self.quota.next_sweep_at = now + SECOND as Micros;
+        self.quota.next_sweep_at = now + SWEEP_INTERVAL;
         let mut with_attempts = Vec::new();
         self.quota.customers.retain(|id, customer| {
             let plan = &self.settings.plans[customer.plan];
@@ -216,7 +219,8 @@
                 with_attempts.push(*id);
             }
             // A small fleet keeps old totals: without one all that a gateway ever sent would seem new.
-            let is_kept = |usage: &GatewayUsage| now - usage.reported_at <= record_lifetime(plan, true);
+            let is_kept =
+                |usage: &GatewayUsage| now.duration_since(usage.reported_at) <= record_lifetime(plan, true);
             customer.usage_by_gateway.retain(|_, usage| owned_by_all || is_kept(usage));
             customer.must_be_kept(plan, now)
         });
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -3,7 +3,7 @@
 use super::permissions::{may_repeat_key, may_start_attempt, AttemptFacts};
 use super::EjectionReason;
 use crate::state::{Observation, RequestState, RetryBudget, RetryScope, Source};
-use crate::{Action, Gateway, Idempotency, Micros, RequestId};
+use crate::{Action, Gateway, Idempotency, RequestId};
 
 /// Share of the useful duration after which an attempt at a silent backend is retried elsewhere.
 pub(crate) const SILENCE_SHARE: f64 = 0.35;
@@ -84,7 +84,7 @@
         let Some(backend) = self.backends.get_mut(backend_id) else { return };
         let health = &mut backend.health[class_index];
         let silent = health.last_heard_at < sent_at;
-        let hedge_at = sent_at + (useful_duration * HEDGE_SHARE) as Micros;
+        let hedge_at = sent_at + useful_duration.mul_f64(HEDGE_SHARE);
         if !silent && now < hedge_at {
             return self.requests.check_at(hedge_at, id);
         }
--- a/src/policy/start_times.rs
+++ b/src/policy/start_times.rs
@@ -2,14 +2,14 @@
 //! here and elsewhere; a backend's age is a span of real time. What tells one start from another is the Unix
 //! time as it was given; where it can be read in several ways, the one that makes the backend colder counts.
 
-use crate::{BackendId, Micros};
+use crate::{BackendId, Duration, Instant, UnixTime};
 use std::collections::HashMap;
 
 /// How far in the future a start may seem to lie: clocks differ a little. One further off was read by the
 /// wrong clock.
 const CLOCK_SKEW: i64 = 1_000_000;
 /// How much later than its start a backend's new start may be listed, while discovery can be reached.
-const MAX_LISTING_DELAY: Micros = 6_000_000;
+const MAX_LISTING_DELAY: Duration = Duration::from_secs(6);
 
 /// By how much the wall clock was ahead of the host's time, which begins as Unix time and goes on steadily.
 #[derive(Clone, Copy, Default)]
@@ -24,19 +24,19 @@
 
 impl ClockOffsets {
     /// Takes in a reading of the wall clock.
-    fn observe(&mut self, now: Micros, unix_now: Micros) {
-        self.latest = unix_now as i64 - now as i64;
+    fn observe(&mut self, now: Instant, unix_now: UnixTime) {
+        self.latest = unix_now.as_micros() as i64 - now.as_micros() as i64;
         self.lowest = self.lowest.min(self.latest);
         self.highest = self.highest.max(self.latest);
     }
 
     /// The least age, by any of the clock readings there were, of what started at a Unix time; nothing if it
     /// started in the future by all of them.
-    fn least_age(&self, now: Micros, unix_start: Micros) -> Micros {
+    fn least_age(&self, now: Instant, unix_start: UnixTime) -> Duration {
         let offsets = [0, self.latest, self.lowest, self.highest];
-        let ages = offsets.map(|offset| now as i64 + offset - unix_start as i64);
+        let ages = offsets.map(|offset| now.as_micros() as i64 + offset - unix_start.as_micros() as i64);
         let possible = ages.into_iter().filter(|age| *age >= -CLOCK_SKEW);
-        possible.min().unwrap_or(0).max(0) as Micros
+        Duration::from_micros(possible.min().unwrap_or(0).max(0) as u64)
     }
 }
 
@@ -44,9 +44,9 @@
 #[derive(Clone, Copy)]
 struct Start {
     /// As discovery gives it.
-    unix_time: Micros,
-    /// In the host's time; 0 for long ago.
-    host_time: Micros,
+    unix_time: UnixTime,
+    /// In the host's time; none for long ago.
+    host_time: Option<Instant>,
 }
 
 /// The starts of the backends that are listed.
@@ -57,36 +57,35 @@
     /// The start of each listed backend.
     starts: HashMap<BackendId, Start>,
     /// When discovery last sent a list or a change.
-    last_listed_at: Option<Micros>,
+    last_listed_at: Option<Instant>,
 }
 
 impl StartTimes {
     /// Takes in a reading of the wall clock, by which starts may be given from now on.
-    pub fn observe_clock(&mut self, now: Micros, unix_now: Micros) {
+    pub fn observe_clock(&mut self, now: Instant, unix_now: UnixTime) {
         self.offsets.observe(now, unix_now);
     }
 
     /// Notes that a list or change of discovery has been taken in whole, even an empty one.
-    pub fn list_taken(&mut self, now: Micros) {
+    pub fn list_taken(&mut self, now: Instant) {
         self.last_listed_at = Some(now);
     }
 
-    /// When a backend started, in the host's time, by the Unix time that it is listed with; 0 for long ago.
-    pub fn host_time(&mut self, backend: BackendId, unix_time: Micros, now: Micros) -> Micros {
+    /// When a backend started, in the host's time, by the Unix time that it is listed with; none for long ago, which a Unix
+    /// time of zero says.
+    pub fn host_time(&mut self, backend: BackendId, unix_time: UnixTime, now: Instant) -> Option<Instant> {
         let known = self.starts.get(&backend).copied();
         if let Some(known) = known.filter(|known| known.unix_time == unix_time) {
             return known.host_time;
         }
-        let host_time = if unix_time == 0 {
-            0
-        } else {
+        let host_time = (unix_time != UnixTime::default()).then(|| {
             let age = self.offsets.least_age(now, unix_time);
             // It had not started anew when its earlier start was still listed.
-            let most = known.and(self.last_listed_at).map_or(Micros::MAX, |listed_at| {
-                now.saturating_sub(listed_at).saturating_add(MAX_LISTING_DELAY)
-            });
-            now.saturating_sub(age.min(most)).max(1)
-        };
+            let most = known
+                .and(self.last_listed_at)
+                .map_or(Duration::MAX, |listed_at| now.duration_since(listed_at) + MAX_LISTING_DELAY);
+            now - age.min(most)
+        });
         self.starts.insert(backend, Start { unix_time, host_time });
         host_time
     }
--- a/src/policy/start_times/tests.rs
+++ b/src/policy/start_times/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 const BACKEND: BackendId = BackendId(7);
-const SECOND: Micros = 1_000_000;
-const HOUR: Micros = 3600 * SECOND;
+const SECOND: Duration = Duration::from_secs(1);
+const HOUR: Duration = 3600 * SECOND;
 /// When the host's process started, by every clock.
-const START: Micros = 1_000_000 * SECOND;
+const START: Instant = 1_000_000 * SECOND;
 
 /// The age of a backend that is listed with a Unix time, first heard of `elapsed` after the start, where the wall clock
 /// was read after steps to these offsets.
-fn age(steps: &[i64], unix_time: Micros, elapsed: Micros) -> Micros {
+fn age(steps: &[i64], unix_time: UnixTime, elapsed: Duration) -> Micros {
     let mut times = StartTimes::default();
     for step in steps {
         times.observe_clock(START + SECOND, (START + SECOND).saturating_add_signed(*step));
--- a/src/policy/usage_reports.rs
+++ b/src/policy/usage_reports.rs
@@ -9,11 +9,11 @@
 /// Most units, as a part of the burst, that the first report of an older gateway may be believed to add.
 const MAX_FIRST_UNITS: f64 = 0.25;
 /// How long after a grant a gateway reports the level of a bucket.
-const LEVEL_FRESHNESS: Micros = CUSTOMER_IDLE_TIME / 10;
+const LEVEL_FRESHNESS: Duration = Duration::from_secs(1);
 /// A customer seen within this time is reported to an owner that starts.
-const ACTIVE_CUSTOMER_TIME: Micros = CUSTOMER_IDLE_TIME / 5;
+const ACTIVE_CUSTOMER_TIME: Duration = Duration::from_secs(2);
 /// Units of the hard limit that are granted later than this after the request for them lapse.
-const HARD_LIMIT_GRANT_LIFETIME: Micros = 250_000;
+const HARD_LIMIT_GRANT_LIFETIME: Duration = Duration::from_millis(250);
 
 impl Customer {
     /// At an owner: the units used through a gateway since its last report. The total of one that started
@@ -62,7 +62,7 @@
     }
 
     /// Elsewhere: the bucket is as an owner says, less the usage that the owner cannot know of.
-    fn apply_grant(&mut self, plan: &Plan, grant: &QuotaGrant, now: Micros) {
+    fn apply_grant(&mut self, plan: &Plan, grant: &QuotaGrant, now: Instant) {
         self.remote_rate = grant.remote_rate;
         self.remote_in_flight = u32::from(grant.remote_in_flight);
         self.granted_at = now;
@@ -100,11 +100,11 @@
     pub(crate) fn report_to(&mut self, to: u16, id: CustomerId, entry: OutboxEntry) -> Option<UsageReport> {
         let (now, own_id) = (self.now, self.settings.own_id.0);
         let customer = self.quota.refill(id, now, &self.settings.plans)?;
-        let granted_lately = now - customer.granted_at.min(now) < LEVEL_FRESHNESS;
+        let granted_lately = now.duration_since(customer.granted_at) < LEVEL_FRESHNESS;
         let level_known = customer.is_quota_owner || granted_lately;
         let burst = level_known.then_some(self.settings.plans[customer.plan].burst);
         // One of the two is drawn to grant units of the hard limit: two grants would waste one.
-        let drawn = customer.hard_limit.owners[usize::from(hash(now ^ id.0) < 0.5)];
+        let drawn = customer.hard_limit.owners[usize::from(hash(now.as_micros() ^ id.0) < 0.5)];
         let is_granter = drawn == to || customer.hard_limit.owners.contains(&own_id);
         Some(UsageReport {
             requests_grant: entry.requests_grant,
@@ -122,7 +122,7 @@
         let mut unreported = Vec::new();
         for (id, customer) in &mut self.quota.customers {
             customer.forget_usage_of(peer);
-            let is_active = self.now - customer.last_seen_at < ACTIVE_CUSTOMER_TIME;
+            let is_active = self.now.duration_since(customer.last_seen_at) < ACTIVE_CUSTOMER_TIME;
             if reports_again && is_active && customer.quota_owners.contains(&peer) {
                 unreported.push(*id);
             }
@@ -143,7 +143,8 @@
 
     /// Whether the whole fleet started lately. Later a peer may have forgotten customers.
     fn fleet_just_started(&self) -> bool {
-        self.quota.usage_known_since.is_none() && self.now - self.started_at < CUSTOMER_IDLE_TIME
+        self.quota.usage_known_since.is_none()
+            && self.now.duration_since(self.started_at) < CUSTOMER_IDLE_TIME
     }
 
     /// Handles the usage report of a peer, started earlier or not; the answer if it requests a grant.
@@ -167,7 +168,7 @@
         let may_count_more = may_count_more && known.is_none();
         let has_fallen = wrapping_delta(usage.reported_total, report.total_units) < 0.0;
         let sender_is_owner = customer.quota_owners.contains(&from);
-        if has_fallen && now - usage.reported_at > record_lifetime(plan, sender_is_owner) {
+        if has_fallen && now.duration_since(usage.reported_at) > record_lifetime(plan, sender_is_owner) {
             usage.reported_total = 0; // The gateway has forgotten the customer meanwhile, and counts anew.
         }
         let units = customer.new_units(plan, usage.reported_total, may_count_more, report);
@@ -179,7 +180,8 @@
         let counted = if counts_requests { f64::from(u8::from(report.requests_grant)) } else { units };
         let counted_for_sender = if counts_requests { 0.0 } else { units };
         usage.record(report.total_units, counted_for_sender, now, USAGE_RATE_TIME_CONSTANT);
-        customer.remote_rate = (customer.remote_rate + counted / USAGE_RATE_TIME_CONSTANT).max(0.0);
+        customer.remote_rate =
+            (customer.remote_rate + counted / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
         let grant = customer.grant(plan, &mut usage, report);
         customer.usage_by_gateway.insert(from, usage);
         report.requests_grant.then_some(grant)
@@ -211,7 +213,7 @@
         }
         customer.grant_request.answered_by.push(from);
         // Units of the hard limit are for a request that waits: kept longer, they would overfill the bucket.
-        if now - customer.grant_request.requested_at < HARD_LIMIT_GRANT_LIFETIME {
+        if now.duration_since(customer.grant_request.requested_at) < HARD_LIMIT_GRANT_LIFETIME {
             customer.hard_limit.granted += grant.hard_limit_grant;
         }
         // One owner may have too little: a request is rejected only once both have said so.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,7 +3,7 @@
 
 mod reader;
 
-use crate::{GatewayId, Micros};
+use crate::{Duration, GatewayId};
 pub use reader::{SettingsError, SettingsReader};
 
 /// Which backends recognise the idempotency key of a request that they have seen before.
@@ -27,7 +27,7 @@
         /// The backends that know the idempotency key.
         scope: IdempotencyScope,
         /// How long they know it.
-        window: Micros,
+        window: Duration,
     },
     /// Only with proof that no earlier attempt was executed.
     NonIdempotent,
@@ -37,11 +37,11 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time earns the full weight.
-    pub latency_objective: Micros,
+    pub latency_objective: Duration,
     /// The objective grows by this multiple of a request's own work.
     pub latency_objective_stretch: f64,
     /// The longest that a client waits, over all its tries.
-    pub deadline: Micros,
+    pub deadline: Duration,
     /// What an answer in time is worth.
     pub priority_weight: f64,
     /// The share of the weight that is left after the objective.
@@ -93,32 +93,32 @@
     /// Clients are told how long to keep away.
     pub retry_after: bool,
     /// The longest pause that a client keeps.
-    pub max_retry_after: Micros,
+    pub max_retry_after: Duration,
     /// A shared counter may be used.
     pub shared_counter: bool,
     /// Requests open at once.
     pub max_open_requests: u32,
     /// A connection still not up by then has failed; an attempt may begin that much after its send.
-    pub connect_timeout: Micros,
+    pub connect_timeout: Duration,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
     /// A final answer counts until this long past the deadline.
-    pub answer_slack: Micros,
+    pub answer_slack: Duration,
     /// New work to a draining backend must have ended after this.
-    pub drain_grace: Micros,
+    pub drain_grace: Duration,
     /// A backend starts at this share of its capacity or more.
     pub slow_start_floor: f64,
     /// It has its full capacity after this long.
-    pub slow_start_duration: Micros,
+    pub slow_start_duration: Duration,
     /// A backend in slow start falls over when sent more than this multiple of its capacity ...
     pub overload_factor: f64,
     /// ... for this long.
-    pub overload_window: Micros,
+    pub overload_window: Duration,
     /// Discovery must be polled at least this often where it must be polled.
-    pub max_poll_interval: Micros,
+    pub max_poll_interval: Duration,
 }
 
 /// How the endpoint list comes.
@@ -153,7 +153,7 @@
     /// The zone of this gateway.
     pub zone: u8,
     /// The least time between two calls with a new clock.
-    pub tick: Micros,
+    pub tick: Duration,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The plans.
@@ -167,7 +167,7 @@
     /// What the sizes of endpoints mean.
     pub size_meaning: SizeMeaning,
     /// The period of the meter that reports use; 0 for none.
-    pub meter_period: Micros,
+    pub meter_period: Duration,
     /// Units are guesses, settled with the answer.
     pub postpaid: bool,
 }
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -3,7 +3,7 @@
 //! same paths. Unknown keys are skipped, missing or bad ones named.
 
 use crate::{
-    Class, Discovery, GatewayId, Idempotency, IdempotencyScope, Limits, Micros, Plan, Rules, Settings,
+    Class, Discovery, Duration, GatewayId, Idempotency, IdempotencyScope, Limits, Plan, Rules, Settings,
     SizeMeaning,
 };
 use std::collections::HashMap;
@@ -132,9 +132,9 @@
         }
     }
 
-    /// The time span at a path.
-    pub fn micros(&self, key: &str) -> Result<Micros, SettingsError> {
-        self.whole_number(key, MAX_MICROS)
+    /// The time span at a path, in whole microseconds.
+    pub fn duration(&self, key: &str) -> Result<Duration, SettingsError> {
+        self.whole_number(key, MAX_MICROS).map(Duration::from_micros)
     }
 
     /// The truth value at a path.
@@ -173,14 +173,14 @@
                     "cell" => IdempotencyScope::Cell,
                     other => return Err(SettingsError::unknown_value(&key("group"), other)),
                 },
-                window: self.micros(&key("window_us"))?,
+                window: self.duration(&key("window_us"))?,
             },
             other => return Err(SettingsError::unknown_value(&key("effect"), other)),
         };
         Ok(Class {
-            latency_objective: self.micros(&key("objective_us"))?,
+            latency_objective: self.duration(&key("objective_us"))?,
             latency_objective_stretch: self.number_or(&key("aim_stretch"), 0.0)?,
-            deadline: self.micros(&key("give_up_us"))?,
+            deadline: self.duration(&key("give_up_us"))?,
             priority_weight: self.number(&key("worth"))?,
             late_weight: self.number(&key("late_worth"))?,
             idempotency,
@@ -214,23 +214,23 @@
             peer_messages: self.flag("limits.peers")?,
             peer_messages_per_second: self.number("family_info.peer_in_per_s")?,
             retry_after: self.flag("limits.retry_after")?,
-            max_retry_after: self.micros("limits.max_retry_after_us")?,
+            max_retry_after: self.duration("limits.max_retry_after_us")?,
             shared_counter: self.flag("family_info.has_counter")?,
             max_open_requests: self.whole_number("limits.max_open", u64::from(u32::MAX))? as u32,
-            connect_timeout: self.micros("limits.connect_timeout_us")?,
+            connect_timeout: self.duration("limits.connect_timeout_us")?,
         })
     }
 
     /// The figures of the rules.
     fn rules(&self) -> Result<Rules, SettingsError> {
         Ok(Rules {
-            answer_slack: self.micros("rules.answer_slack_us")?,
-            drain_grace: self.micros("rules.drain_grace_us")?,
+            answer_slack: self.duration("rules.answer_slack_us")?,
+            drain_grace: self.duration("rules.drain_grace_us")?,
             slow_start_floor: self.number("rules.cold_from")?,
-            slow_start_duration: self.micros("rules.cold_us")?,
+            slow_start_duration: self.duration("rules.cold_us")?,
             overload_factor: self.number("rules.overload_factor")?,
-            overload_window: self.micros("rules.fall_us")?,
-            max_poll_interval: self.micros("rules.must_ask_in_us")?,
+            overload_window: self.duration("rules.fall_us")?,
+            max_poll_interval: self.duration("rules.must_ask_in_us")?,
         })
     }
 
@@ -263,14 +263,14 @@
             gateway_count: self.whole_number("n_instances", MAX_COUNT)? as u16,
             own_id: GatewayId(self.whole_number("slot_no", MAX_COUNT)? as u16),
             zone: self.whole_number("zone", 255)? as u8,
-            tick: self.micros("tick_us")?,
+            tick: self.duration("tick_us")?,
             classes,
             plans,
             limits: self.limits()?,
             rules: self.rules()?,
             discovery: self.discovery()?,
             size_meaning: self.size_meaning()?,
-            meter_period: self.micros("family_info.meter_period_us")?,
+            meter_period: self.duration("family_info.meter_period_us")?,
             postpaid: self.flag("family_info.post_paid")?,
         })
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -21,7 +21,7 @@
 mod token_bucket;
 mod token_wait;
 
-pub use arithmetic::{decay, hash, DecayingAverage, DecayingRate, SECOND};
+pub use arithmetic::{decay, hash, DecayingAverage, DecayingRate, MICROS_PER_SECOND};
 pub use backend::{Backend, Health};
 pub use backend_table::BackendTable;
 pub use customer::{Customer, GatewayUsage, MAX_REPORTED_IN_FLIGHT};
--- a/src/state/arithmetic.rs
+++ b/src/state/arithmetic.rs
@@ -1,16 +1,17 @@
 //! Arithmetic that the records share.
 
-use crate::Micros;
+use crate::{Duration, Instant};
 
-/// A second in the host's unit.
-pub const SECOND: f64 = 1e6;
+/// Microseconds in a second, for sums with fractions.
+pub const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What is left at one time of a value of 1 at another, with a time constant in seconds.
-pub fn decay(from: Micros, to: Micros, time_constant: f64) -> f64 {
+/// What is left at one time of a value of 1 at another that decays exponentially: 1/e after the time constant.
+/// Nothing has decayed where the times are in the wrong order.
+pub fn decay(from: Instant, to: Instant, time_constant: Duration) -> f64 {
     if from >= to {
         1.0
     } else {
-        (-((to - from) as f64) / SECOND / time_constant).exp()
+        (-to.duration_since(from).as_secs_f64() / time_constant.as_secs_f64()).exp()
     }
 }
 
@@ -28,18 +29,18 @@
     /// As of the latest event.
     per_second: f64,
     /// When that was.
-    updated_at: Micros,
+    updated_at: Instant,
 }
 
 impl DecayingRate {
     /// The rate now.
-    pub fn at(&self, now: Micros, time_constant: f64) -> f64 {
+    pub fn at(&self, now: Instant, time_constant: Duration) -> f64 {
         self.per_second * decay(self.updated_at, now, time_constant)
     }
 
     /// Counts one event.
-    pub fn record(&mut self, now: Micros, time_constant: f64) {
-        self.per_second = self.at(now, time_constant) + 1.0 / time_constant;
+    pub fn record(&mut self, now: Instant, time_constant: Duration) {
+        self.per_second = self.at(now, time_constant) + 1.0 / time_constant.as_secs_f64();
         self.updated_at = now;
     }
 }
@@ -50,17 +51,17 @@
     /// As of the latest sample.
     value: f64,
     /// When that was.
-    updated_at: Micros,
+    updated_at: Instant,
 }
 
 impl DecayingAverage {
     /// The mean now.
-    pub fn at(&self, now: Micros, time_constant: f64) -> f64 {
+    pub fn at(&self, now: Instant, time_constant: Duration) -> f64 {
         self.value * decay(self.updated_at, now, time_constant)
     }
 
     /// Takes in a sample.
-    pub fn record(&mut self, now: Micros, sample: f64, weight: f64, time_constant: f64) {
+    pub fn record(&mut self, now: Instant, sample: f64, weight: f64, time_constant: Duration) {
         let before = self.at(now, time_constant);
         self.value = before + weight * (sample - before);
         self.updated_at = now;
--- a/src/state/customer.rs
+++ b/src/state/customer.rs
@@ -1,8 +1,8 @@
 //! What a gateway knows of a customer: its token buckets, its owners and the usage that gateways reported.
 
-use super::{decay, GatewaySet, GrantRequest, HardLimitShare, SECOND};
+use super::{decay, GatewaySet, GrantRequest, HardLimitShare};
 use crate::gossip::{wrap_total, TokenLevel, UsageReport, MAX_PLAN};
-use crate::{CustomerId, Micros, Plan};
+use crate::{CustomerId, Duration, Instant, Plan};
 use std::collections::BTreeMap;
 
 /// The highest count of attempts in flight that a message carries.
@@ -18,7 +18,7 @@
     /// Units a second, of late.
     pub rate: f64,
     /// When the last report came.
-    pub reported_at: Micros,
+    pub reported_at: Instant,
     /// Attempts in flight, with one that was granted and isn't reported yet.
     pub in_flight: u8,
 }
@@ -26,9 +26,9 @@
 impl GatewayUsage {
     /// Takes over a reported total, and the units that have come to it since the last report. The rate decays
     /// with the time constant, in seconds.
-    pub fn record(&mut self, total: u16, units: f64, now: Micros, time_constant: f64) {
+    pub fn record(&mut self, total: u16, units: f64, now: Instant, time_constant: Duration) {
         let remaining = decay(self.reported_at, now, time_constant);
-        self.rate = (self.rate * remaining + units / time_constant).max(0.0);
+        self.rate = (self.rate * remaining + units / time_constant.as_secs_f64()).max(0.0);
         self.reported_total = total;
         self.reported_at = now;
     }
@@ -46,7 +46,7 @@
     /// Tokens in the quota's bucket, as far as known here.
     pub tokens: f64,
     /// When both buckets were last refilled.
-    pub refilled_at: Micros,
+    pub refilled_at: Instant,
     /// Tokens that were missing in the quota's bucket when the record was made, because usage before this
     /// gateway's start is not known.
     pub withheld_tokens: f64,
@@ -59,7 +59,7 @@
     /// Attempts in flight from this gateway.
     pub in_flight: u32,
     /// When a request or a report last named the customer; 0 for never.
-    pub last_seen_at: Micros,
+    pub last_seen_at: Instant,
     /// The gateways that add up the customer's usage.
     pub quota_owners: Vec<u16>,
     /// Whether this gateway is one of the owners.
@@ -71,14 +71,14 @@
     /// Attempts in flight from all other gateways.
     pub remote_in_flight: u32,
     /// Elsewhere: when an owner last sent a grant.
-    pub granted_at: Micros,
+    pub granted_at: Instant,
     /// The last request for a grant, and who waits for it.
     pub grant_request: GrantRequest,
 }
 
 impl Customer {
     /// A customer that was not known until now. What its bucket lacks to be full is withheld.
-    pub fn new(plan_index: usize, plan: &Plan, tokens: f64, now: Micros) -> Customer {
+    pub fn new(plan_index: usize, plan: &Plan, tokens: f64, now: Instant) -> Customer {
         let withheld_tokens = plan.burst - tokens;
         Customer { plan: plan_index, tokens, withheld_tokens, refilled_at: now, ..Customer::default() }
     }
@@ -99,8 +99,8 @@
     }
 
     /// Adds the tokens since the last refill, up to the capacity of the buckets.
-    pub fn add_tokens(&mut self, plan: &Plan, refill_rate: f64, now: Micros) {
-        let elapsed = (now - self.refilled_at) as f64 / SECOND;
+    pub fn add_tokens(&mut self, plan: &Plan, refill_rate: f64, now: Instant) {
+        let elapsed = now.duration_since(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + refill_rate * elapsed).min(plan.burst);
         self.hard_limit.refill(plan, elapsed);
         self.refilled_at = now;
@@ -108,11 +108,11 @@
 
     /// Draws units from both buckets; negative units are given back. The rate of usage decays with the time
     /// constant, in seconds.
-    pub fn charge(&mut self, plan: &Plan, units: f64, time_constant: f64) {
+    pub fn charge(&mut self, plan: &Plan, units: f64, time_constant: Duration) {
         self.tokens = (self.tokens - units).clamp(-plan.burst, plan.burst);
         self.hard_limit.charge(plan, units);
         self.total_units += units;
-        self.own_rate = (self.own_rate + units / time_constant).max(0.0);
+        self.own_rate = (self.own_rate + units / time_constant.as_secs_f64()).max(0.0);
     }
 
     /// Attempts in flight from all gateways but the one with this usage.
@@ -139,8 +139,12 @@
     }
 
     /// Drops the attempts in flight of gateways whose last report is older than `lifetime`.
-    pub fn expire_reported_in_flight(&mut self, now: Micros, lifetime: Micros) {
-        for usage in self.usage_by_gateway.values_mut().filter(|usage| now - usage.reported_at > lifetime) {
+    pub fn expire_reported_in_flight(&mut self, now: Instant, lifetime: Duration) {
+        for usage in self
+            .usage_by_gateway
+            .values_mut()
+            .filter(|usage| now.duration_since(usage.reported_at) > lifetime)
+        {
             usage.in_flight = 0;
         }
         self.remote_in_flight = self.usage_by_gateway.values().map(|usage| u32::from(usage.in_flight)).sum();
--- a/src/state/latency.rs
+++ b/src/state/latency.rs
@@ -1,6 +1,6 @@
 //! How long answers of a class usually take.
 
-use crate::Micros;
+use crate::Instant;
 
 /// Latencies of a class, in microseconds.
 #[derive(Default)]
@@ -12,5 +12,5 @@
     /// Answers seen.
     pub sample_count: f64,
     /// When the latest answer came.
-    pub updated_at: Micros,
+    pub updated_at: Instant,
 }
--- a/src/state/peer.rs
+++ b/src/state/peer.rs
@@ -1,7 +1,7 @@
 //! What a gateway knows of a peer, and what waits to be sent to it.
 
 use crate::gossip::{LatencySample, MAX_USAGE_REPORTS};
-use crate::{CustomerId, Micros};
+use crate::{CustomerId, Duration, Instant};
 use std::collections::BTreeMap;
 
 /// A customer whose usage waits to be reported to a peer.
@@ -37,7 +37,7 @@
 
 /// How long a message may be on its way. After this, one of an earlier incarnation says that it still runs, and one whose
 /// sequence number seems to have gone back says that the numbers have wrapped meanwhile.
-const MAX_MESSAGE_DELAY: Micros = 1_000_000;
+const MAX_MESSAGE_DELAY: Duration = Duration::from_secs(1);
 /// Messages that a peer sent before the first one that came here, from which on it has run for longer than this gateway: a
 /// process that starts is heard within its first few, whatever is lost.
 const MESSAGES_OF_AN_OLDER_PEER: u16 = 16;
@@ -48,7 +48,7 @@
     /// Its number.
     incarnation: u32,
     /// When the next one was first heard.
-    at: Micros,
+    at: Instant,
 }
 
 /// A peer's record.
@@ -66,9 +66,9 @@
     /// Messages sent to it, wrapping.
     pub sent_messages: u16,
     /// When a message was last received.
-    pub last_heard_at: Micros,
+    pub last_heard_at: Instant,
     /// When the next message may be sent.
-    pub next_send_at: Micros,
+    pub next_send_at: Instant,
     /// Where in the outbox the last message ended.
     pub last_sent: CustomerId,
     /// The customers to report to it.
@@ -77,7 +77,7 @@
 
 impl Peer {
     /// Takes note of a message's incarnation and sequence number.
-    pub fn receive(&mut self, incarnation: u32, sequence: u16, now: Micros) -> Receipt {
+    pub fn receive(&mut self, incarnation: u32, sequence: u16, now: Instant) -> Receipt {
         let same_incarnation = incarnation == self.incarnation;
         let is_behind = sequence.wrapping_sub(self.last_sequence) as i16 <= 0;
         let overtaken = is_behind && now < self.last_heard_at + MAX_MESSAGE_DELAY;
@@ -96,7 +96,7 @@
     }
 
     /// Whether a message of this incarnation may have been on its way since before the peer's restart.
-    fn was_superseded_lately(&self, incarnation: u32, now: Micros) -> bool {
+    fn was_superseded_lately(&self, incarnation: u32, now: Instant) -> bool {
         let superseded = self.superseded.filter(|superseded| superseded.incarnation == incarnation);
         superseded.is_some_and(|superseded| now < superseded.at + MAX_MESSAGE_DELAY)
     }
--- a/src/state/peer_table.rs
+++ b/src/state/peer_table.rs
@@ -2,7 +2,7 @@
 
 use super::{OutboxEntry, Peer, QueuedSample};
 use crate::gossip::{LatencySample, MAX_SAMPLES};
-use crate::{CustomerId, Micros};
+use crate::{CustomerId, Instant};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The peers of a gateway, their outboxes, and the latency samples that go along with any message.
@@ -53,7 +53,7 @@
     }
 
     /// Peers with something in their outbox that may be sent a message now.
-    pub fn ready_to_send(&self, now: Micros) -> Vec<u16> {
+    pub fn ready_to_send(&self, now: Instant) -> Vec<u16> {
         let ready = |peer: &u16| self.by_gateway.get(peer).is_some_and(|peer| peer.next_send_at <= now);
         self.with_outbox.iter().copied().filter(ready).collect()
     }
--- a/src/state/quota_table.rs
+++ b/src/state/quota_table.rs
@@ -1,7 +1,7 @@
 //! The customers that a gateway knows, and since when it knows what they use.
 
-use super::{Customer, SECOND};
-use crate::{CustomerId, Micros, Plan, RequestId};
+use super::Customer;
+use crate::{CustomerId, Duration, Instant, Plan, RequestId};
 use std::collections::BTreeMap;
 
 /// The quotas of all customers, as far as one gateway knows them.
@@ -10,24 +10,24 @@
     /// The record of each customer seen lately.
     pub customers: BTreeMap<CustomerId, Customer>,
     /// Since when all usage of customers is known: this start; none where all gateways started with this one.
-    pub usage_known_since: Option<Micros>,
+    pub usage_known_since: Option<Instant>,
     /// Time between usage reports where every gateway of a customer owns its quota; 0 in a fleet too large
     /// for that.
-    pub report_interval: Micros,
+    pub report_interval: Duration,
     /// When old records are next removed.
-    pub next_sweep_at: Micros,
+    pub next_sweep_at: Instant,
 }
 
 impl QuotaTable {
     /// Whether each gateway of a customer's set owns its quota, as in a fleet small enough for all of them to
     /// report to each other. In a larger one an owner or two are asked for grants.
     pub fn all_gateways_own_quotas(&self) -> bool {
-        self.report_interval > 0
+        !self.report_interval.is_zero()
     }
 
     /// Seconds for which all usage has been known here.
-    pub fn seconds_of_known_usage(&self, now: Micros) -> f64 {
-        self.usage_known_since.map_or(f64::MAX, |since| (now - since) as f64 / SECOND)
+    pub fn seconds_of_known_usage(&self, now: Instant) -> f64 {
+        self.usage_known_since.map_or(f64::MAX, |since| now.duration_since(since).as_secs_f64())
     }
 
     /// Whether an owner of the customer's quota has charged its request already. The answer is yes only once.
@@ -37,7 +37,7 @@
     }
 
     /// Refills a customer's token buckets up to now.
-    pub fn refill(&mut self, id: CustomerId, now: Micros, plans: &[Plan]) -> Option<&mut Customer> {
+    pub fn refill(&mut self, id: CustomerId, now: Instant, plans: &[Plan]) -> Option<&mut Customer> {
         let customer = self.customers.get_mut(&id)?;
         customer.refill(&plans[customer.plan], now);
         Some(customer)
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,13 +1,13 @@
 //! Requests that are not finished, and their attempts.
 
-use crate::{Action, Endpoint, Micros, Outcome, Request};
+use crate::{Action, Duration, Endpoint, Instant, Outcome, Request};
 
 /// One send of a request to a backend.
 pub struct Attempt {
     /// The backend's entry of the endpoint list at the send.
     pub endpoint: Endpoint,
     /// When the host was asked to send it.
-    pub sent_at: Micros,
+    pub sent_at: Instant,
     /// Its end has not been told.
     pub in_flight: bool,
     /// The host was asked to cancel it.
@@ -22,7 +22,7 @@
     /// As it came, but for the plan, which is its customer's.
     pub request: Request,
     /// When it came.
-    pub arrived_at: Micros,
+    pub arrived_at: Instant,
     /// By their number.
     pub attempts: Vec<Attempt>,
     /// Its final answer has been given.
@@ -45,7 +45,7 @@
     }
 
     /// Notes a send.
-    pub fn begin_attempt(&mut self, endpoint: Endpoint, now: Micros) {
+    pub fn begin_attempt(&mut self, endpoint: Endpoint, now: Instant) {
         let (in_flight, cancelled, never_executed) = (true, false, false);
         self.attempts.push(Attempt { endpoint, sent_at: now, in_flight, cancelled, never_executed });
     }
@@ -79,7 +79,7 @@
     }
 
     /// How long an answer is worth something: the latency objective, or what the client waits if that is less.
-    pub fn useful_duration(&self, latency_objective: Micros) -> f64 {
-        latency_objective.min(self.request.deadline.saturating_sub(self.arrived_at)) as f64
+    pub fn useful_duration(&self, latency_objective: Duration) -> Duration {
+        latency_objective.min(self.request.deadline.duration_since(self.arrived_at))
     }
 }
--- a/src/state/request_table.rs
+++ b/src/state/request_table.rs
@@ -1,7 +1,7 @@
 //! All requests that are not finished, the queue of those that wait for a backend, and the times to look at them again.
 
 use super::RequestState;
-use crate::{Micros, RequestId};
+use crate::{Instant, RequestId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
@@ -13,7 +13,7 @@
     /// Admitted requests that wait for a backend, in the order in which they came.
     pub queue: VecDeque<RequestId>,
     /// When to look at which request, the earliest first.
-    checks: BinaryHeap<Reverse<(Micros, RequestId)>>,
+    checks: BinaryHeap<Reverse<(Instant, RequestId)>>,
     /// Attempts in flight, of all requests.
     pub in_flight: u32,
 }
@@ -50,12 +50,12 @@
     }
 
     /// Has the request looked at again at a time.
-    pub fn check_at(&mut self, time: Micros, id: RequestId) {
+    pub fn check_at(&mut self, time: Instant, id: RequestId) {
         self.checks.push(Reverse((time, id)));
     }
 
     /// Takes out the next request that is to be looked at by now.
-    pub fn next_due(&mut self, now: Micros) -> Option<RequestId> {
+    pub fn next_due(&mut self, now: Instant) -> Option<RequestId> {
         let Reverse((time, id)) = self.checks.peek().copied()?;
         if time > now {
             return None;
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -1,8 +1,7 @@
 //! Times in which the token buckets of a plan refill.
 
-use super::SECOND;
 use crate::policy::{MAX_REFILL_SECONDS, ROUNDING_MARGIN};
-use crate::{Micros, Plan};
+use crate::{Duration, Plan};
 
 /// Seconds until a bucket with so many tokens has those for `units`; none if it has them now.
 pub fn time_to_refill(tokens: f64, units: f64, refill_rate: f64) -> Option<f64> {
@@ -12,8 +11,8 @@
 
 /// The time in which both buckets of a plan refill from empty; a bucket that never does counts with some
 /// days.
-pub fn refill_time(plan: &Plan) -> Micros {
-    // Without any rate this is 0 / 0, a NaN, which the cast turns into 0.
+pub fn refill_time(plan: &Plan) -> Duration {
+    // Without any rate this is 0 / 0, a NaN, which becomes a duration of zero.
     let seconds = (plan.burst / plan.rate).max(plan.hard_limit_burst / plan.hard_limit_rate);
-    (seconds.clamp(0.0, MAX_REFILL_SECONDS) * SECOND) as Micros
+    Duration::from_secs_f64(seconds.clamp(0.0, MAX_REFILL_SECONDS))
 }
--- a/tests/decision_digest/deployment.rs
+++ b/tests/decision_digest/deployment.rs
@@ -4,7 +4,7 @@
 use ingress::*;
 
 /// A millisecond, in the unit of [`Micros`].
-pub const MILLISECOND: Micros = 1_000;
+pub const MILLISECOND: Duration = Duration::from_millis(1);
 
 /// How many gateways the settings name, how many of them run, and what they run with.
 #[derive(Clone, Copy)]
@@ -94,7 +94,7 @@
 }
 
 /// The entry of a backend in the endpoint list at a time of the run; none while it is not on the list.
-fn endpoint_at(backend: u64, time: Micros, size: FleetSize) -> Option<Endpoint> {
+fn endpoint_at(backend: u64, time: Instant, size: FleetSize) -> Option<Endpoint> {
     let is_away = (18 * SECOND..22 * SECOND).contains(&time) && backend + 2 >= size.backends;
     let (availability, started_at) = match (backend, time / SECOND) {
         (2, 5) => (Availability::Draining, 0),
@@ -115,7 +115,7 @@
 }
 
 /// The event by which a gateway gets the endpoint list.
-pub fn endpoint_event(kind: EndpointUpdate, time: Micros, size: FleetSize) -> Event {
+pub fn endpoint_event(kind: EndpointUpdate, time: Instant, size: FleetSize) -> Event {
     let backends = match kind {
         EndpointUpdate::Delta => 2..4,
         EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot => 0..size.backends,
--- a/tests/decision_digest/digest.rs
+++ b/tests/decision_digest/digest.rs
@@ -73,7 +73,7 @@
     }
 
     /// A span or time that was computed with `exp`, whose last bit may differ between processors.
-    fn rounded(time: Micros) -> u64 {
+    fn rounded(time: Instant) -> u64 {
         (time + MILLISECOND / 2) / MILLISECOND
     }
 
--- a/tests/decision_digest/fleet.rs
+++ b/tests/decision_digest/fleet.rs
@@ -7,14 +7,14 @@
 use ingress::*;
 use std::collections::BTreeMap;
 
-const RUN_LENGTH: Micros = 28 * SECOND;
+const RUN_LENGTH: Duration = 28 * SECOND;
 
 const EVENT_SEED: u64 = 41;
 
 /// Backends are slower and more requests come between these times of the run.
 const OVERLOAD: std::ops::Range<Micros> = 10 * SECOND..17 * SECOND;
 
-const RESTART_AT: Micros = 14 * SECOND;
+const RESTART_AT: Duration = 14 * SECOND;
 
 /// When discovery sends an endpoint list or a change of it.
 const ENDPOINT_UPDATES: [ScheduledUpdate; 8] = [
@@ -29,14 +29,14 @@
 ];
 
 struct ScheduledUpdate {
-    at: Micros,
+    at: Instant,
     kind: EndpointUpdate,
 }
 
 /// An attempt, as the host sees it.
 struct Attempt {
     backend: BackendId,
-    sent: Micros,
+    sent: Duration,
     in_flight: bool,
 }
 
@@ -74,7 +74,7 @@
 /// The order of scheduled events: by time, then by the order of scheduling.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduleKey {
-    at: Micros,
+    at: Instant,
     sequence: u64,
 }
 
@@ -90,7 +90,7 @@
     size: FleetSize,
     deployment: Deployment,
     gateway_seed: u64,
-    now: Micros,
+    now: Instant,
     random: Random,
     hosts: Vec<Host>,
     scheduled: BTreeMap<ScheduleKey, ScheduledEvent>,
@@ -140,7 +140,7 @@
         Gateway::new(settings(self.size, self.deployment, own_id), seed, self.now)
     }
 
-    fn schedule(&mut self, delay: Micros, gateway: u16, event: HostEvent) {
+    fn schedule(&mut self, delay: Duration, gateway: u16, event: HostEvent) {
         self.sequence += 1;
         let key = ScheduleKey { at: self.now + delay, sequence: self.sequence };
         self.scheduled.insert(key, ScheduledEvent { gateway, event });
