--- a/tests/fleet_quota.rs
+++ b/tests/fleet_quota.rs
@@ -12,11 +12,11 @@
 const GATEWAYS: u16 = 60;
 const CUSTOMERS: u64 = 160;
 const BACKENDS: u64 = 200;
-const RUN_LENGTH: Micros = 8 * SECOND;
+const RUN_LENGTH: Duration = 8 * SECOND;
 /// How long an attempt takes at a backend that is not busy.
-const SERVICE_TIME: Micros = 110_000;
+const SERVICE_TIME: Duration = Duration::from_millis(110);
 /// How late the policy to compare with knows the true state: a tick, the least that a real one could have.
-const OBSERVATION_DELAY: Micros = 4_000;
+const OBSERVATION_DELAY: Duration = Duration::from_millis(4);
 const PEER_MESSAGES_PER_SECOND: u32 = 40;
 const MESSAGE_LOSS_PERCENT: u64 = 5;
 
@@ -69,7 +69,7 @@
 /// A request of one unit.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
-    at: Micros,
+    at: Instant,
     customer: u64,
 }
 
@@ -93,7 +93,7 @@
 /// The tokens of a customer's bucket after a request.
 #[derive(Clone, Copy)]
 struct BucketLevel {
-    at: Micros,
+    at: Instant,
     tokens: f64,
 }
 
@@ -102,7 +102,7 @@
     plan: Plan,
     bucket: BucketLevel,
     /// When attempts were sent.
-    sent_at: Vec<Micros>,
+    sent_at: Vec<Instant>,
     /// The bucket after each of them.
     history: Vec<BucketLevel>,
 }
@@ -125,12 +125,12 @@
         (0..CUSTOMERS).map(new).collect()
     }
 
-    fn refilled(&self, level: BucketLevel, elapsed: Micros) -> f64 {
+    fn refilled(&self, level: BucketLevel, elapsed: Duration) -> f64 {
         (level.tokens + self.plan.rate * elapsed as f64 / 1e6).min(self.plan.burst)
     }
 
     /// Whether a request is within the quota by the true state at a time.
-    fn has_room(&self, at: Micros) -> bool {
+    fn has_room(&self, at: Instant) -> bool {
         let is_in_flight = |sent_at: &&Micros| **sent_at <= at && **sent_at + SERVICE_TIME > at;
         let in_flight = self.sent_at.iter().filter(is_in_flight).count();
         let full = BucketLevel { at: START, tokens: self.plan.burst };
@@ -141,7 +141,7 @@
     }
 
     /// Records that a request is sent.
-    fn send(&mut self, now: Micros, totals: &mut Totals) {
+    fn send(&mut self, now: Instant, totals: &mut Totals) {
         let has_room = self.has_room(now);
         self.bucket.tokens = self.refilled(self.bucket, now - self.bucket.at);
         self.bucket.at = now;
@@ -157,7 +157,7 @@
 }
 
 /// What is sent where each request is admitted by the true state of a while ago.
-fn run_with_delayed_state(arrivals: &[Arrival], delay: Micros) -> Totals {
+fn run_with_delayed_state(arrivals: &[Arrival], delay: Duration) -> Totals {
     let (mut customers, mut totals) = (CustomerState::all(), Totals::default());
     for arrival in arrivals {
         let customer = &mut customers[arrival.customer as usize];
@@ -179,12 +179,12 @@
 #[derive(Default)]
 struct EventQueue {
     /// By time, then by the index of the event, with the gateway.
-    order: BinaryHeap<Reverse<(Micros, usize, u16)>>,
+    order: BinaryHeap<Reverse<(Instant, usize, u16)>>,
     events: Vec<Option<HostEvent>>,
 }
 
 impl EventQueue {
-    fn push(&mut self, at: Micros, gateway: u16, event: HostEvent) {
+    fn push(&mut self, at: Instant, gateway: u16, event: HostEvent) {
         self.order.push(Reverse((at, self.events.len(), gateway)));
         self.events.push(Some(event));
     }
@@ -252,7 +252,7 @@
     }
 
     /// What the gateway gets of an event at its host; nothing of a message beyond what it takes in.
-    fn receive(&mut self, now: Micros, gateway: u16, event: HostEvent) -> Option<Event> {
+    fn receive(&mut self, now: Instant, gateway: u16, event: HostEvent) -> Option<Event> {
         match event {
             HostEvent::Arrival { customer } => {
                 Some(Event::Request(self.open_request(now, gateway, customer)))
@@ -270,7 +270,7 @@
         }
     }
 
-    fn open_request(&mut self, now: Micros, gateway: u16, customer: u64) -> Request {
+    fn open_request(&mut self, now: Instant, gateway: u16, customer: u64) -> Request {
         self.last_request_id += 1;
         let id = RequestId(self.last_request_id);
         self.requests.insert((gateway, id), OpenRequest { customer, attempts: 0 });
@@ -287,7 +287,7 @@
     }
 
     /// Gives a gateway an event, and executes the actions that it asks for.
-    fn handle(&mut self, now: Micros, gateway: u16, event: Event) {
+    fn handle(&mut self, now: Instant, gateway: u16, event: Event) {
         let mut actions = Vec::new();
         self.gateways[usize::from(gateway)].handle(now, event, &mut actions);
         for action in actions {
@@ -295,7 +295,7 @@
         }
     }
 
-    fn execute(&mut self, now: Micros, gateway: u16, action: Action) {
+    fn execute(&mut self, now: Instant, gateway: u16, action: Action) {
         match action {
             Action::Send { id, backend, .. } => {
                 let request = self.requests.get_mut(&(gateway, id)).expect("it has arrived");
--- a/tests/gateway/rate_quota.rs
+++ b/tests/gateway/rate_quota.rs
@@ -149,7 +149,7 @@
 #[test]
 fn a_customer_that_returns_to_a_gateway_is_not_charged_for_past_usage() {
     let mut fleet = Fleet::new(3);
-    let request_once = |fleet: &mut Fleet, at: usize, pause: Micros| {
+    let request_once = |fleet: &mut Fleet, at: usize, pause: Duration| {
         let actions = fleet.gateways[at].request_from_set(IDEMPOTENT, RATE_QUOTA, 5, 1.0, 3.0).actions;
         let sent = fleet.execute(at, actions, 0);
         fleet.advance(pause, 0);
@@ -166,7 +166,7 @@
 }
 
 /// How far back a wall clock is set.
-const CLOCK_STEP: Micros = 600 * SECOND;
+const CLOCK_STEP: Duration = 600 * SECOND;
 
 /// Restarts gateway 2 of three on a machine whose wall clock was set back.
 fn restart_with_clock_set_back(fleet: &mut Fleet) {
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -9,8 +9,8 @@
 use support::gateway::attempt_ended;
 use support::settings::{class, plan};
 
-const START: Micros = 50_000_000;
-const TICK: Micros = 20_000;
+const START: Instant = 50_000_000;
+const TICK: Duration = Duration::from_millis(20);
 const MAX_ATTEMPTS: u16 = 3;
 /// Indices of the classes and of the plan that the rules treat in their own way.
 const IDEMPOTENT: u8 = 0;
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// A request, of a class and a plan that may not exist.
-    Request { class: u8, plan: u16, customer: u64, units: f64, set_size: f64, time_left: Micros },
+    Request { class: u8, plan: u16, customer: u64, units: f64, set_size: f64, time_left: Duration },
     /// An attempt in flight ends, or one that the gateway never sent.
     EndAttempt { pick: usize, outcome: usize, is_unknown: bool },
     /// A client disconnects, of a request that may not exist.
@@ -129,7 +129,7 @@
 }
 
 impl Host {
-    fn check(&mut self, now: Micros, actions: &[Action]) {
+    fn check(&mut self, now: Instant, actions: &[Action]) {
         for action in actions {
             self.log.push(format!("{now} {action:?}"));
             match action {
@@ -198,7 +198,7 @@
     }
 }
 
-fn endpoint(backend: u64, availability: Availability, started_at: Micros) -> Endpoint {
+fn endpoint(backend: u64, availability: Availability, started_at: Instant) -> Endpoint {
     Endpoint {
         backend: BackendId(backend),
         zone: (backend % 2) as u8,
@@ -214,7 +214,7 @@
 struct Run {
     gateway: Gateway,
     host: Host,
-    now: Micros,
+    now: Instant,
     next_request_id: u64,
 }
 
@@ -275,7 +275,7 @@
         self.handle(Event::Timer(0));
     }
 
-    fn request(&mut self, record: RequestRecord, gateway_set_size: f64, time_left: Micros) {
+    fn request(&mut self, record: RequestRecord, gateway_set_size: f64, time_left: Duration) {
         let id = RequestId(self.next_request_id);
         self.next_request_id += 1;
         let request = Request {
@@ -307,7 +307,7 @@
 
     fn handle_attempt_ended(
         &mut self,
-        elapsed: Micros,
+        elapsed: Duration,
         id: RequestId,
         attempt: u16,
         backend: BackendId,
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -52,7 +52,7 @@
     }
 
     /// Lets time pass at one gateway after the other. Returns how many attempts were sent.
-    pub fn advance(&mut self, span: Micros, lose_every: u64) -> usize {
+    pub fn advance(&mut self, span: Duration, lose_every: u64) -> usize {
         let mut sent = 0;
         for index in 0..self.gateways.len() {
             let actions = self.gateways[index].advance(span);
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -12,7 +12,7 @@
 /// A gateway with its clock.
 pub struct GatewayHarness {
     pub gateway: Gateway,
-    pub now: Micros,
+    pub now: Instant,
     pub next_request_id: u64,
 }
 
@@ -45,7 +45,7 @@
     }
 
     /// Lets time pass, waking the gateway as it asked.
-    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
+    pub fn advance(&mut self, span: Duration) -> Vec<Action> {
         let (mut actions, end) = (Vec::new(), self.now + span);
         while self.now < end {
             self.now += 20_000;
@@ -100,7 +100,7 @@
     /// Ends an attempt that took this long.
     pub fn end_attempt_after(
         &mut self,
-        elapsed: Micros,
+        elapsed: Duration,
         id: RequestId,
         attempt: u16,
         backend: BackendId,
@@ -112,7 +112,7 @@
 
 /// The end of an attempt, without a meter or a load report. A request that was served has its final answer.
 pub fn attempt_ended(
-    elapsed: Micros,
+    elapsed: Duration,
     id: RequestId,
     attempt: u16,
     backend: BackendId,
--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -3,10 +3,10 @@
 use ingress::*;
 
 /// When gateways under test start.
-pub const START: Micros = 1_000_000_000;
+pub const START: Instant = 1_000_000_000;
 
 /// A second, in the unit of [`Micros`].
-pub const SECOND: Micros = 1_000_000;
+pub const SECOND: Duration = Duration::from_secs(1);
 
 /// Index of a class of [`settings`], retried at will.
 pub const IDEMPOTENT: u8 = 0;
