--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -2,8 +2,9 @@
 //! decided here: that is the work of `crate::policy`.
 
 use crate::policy::{initial_baseline, report_interval, retry_budget};
+use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
 use crate::policy::{RejectReason, MAX_REPORTED_QUEUE_DEPTH};
-use crate::state::{BackendTable, DecayingRate, LatencyBaseline, LoadShedder, PeerTable, QuotaTable};
+use crate::state::{BackendTable, DecayingRate, LatencyBaseline, PeerTable, QuotaTable};
 use crate::state::{RequestTable, RetryBudget};
 use crate::{Action, AttemptEnded, BackendId, Class, CustomerId, Endpoint, EndpointUpdate, Event};
 use crate::{Duration, Instant, Outcome, Plan, Request, RequestId, Settings};
@@ -37,25 +38,18 @@
     pub(crate) backends: BackendTable,
     /// By class.
     pub(crate) latency_baselines: Vec<LatencyBaseline>,
-    /// Pressure, shedding stage and concurrency limit.
+    /// How far recent latencies are from the highest that pass for normal.
+    pub(crate) pressure: Pressure,
+    /// Decides which customers are shed.
     pub(crate) load_shedder: LoadShedder,
+    /// Limits the attempts in flight.
+    pub(crate) concurrency_limiter: ConcurrencyLimiter,
     /// Retries that may still be sent.
     pub(crate) retry_budget: RetryBudget,
     /// Attempts sent by this gateway.
     pub(crate) send_rate: DecayingRate,
 }
 
-/// What the concurrency limit of a gateway is computed from.
-#[derive(Clone, Copy)]
-pub(crate) struct GatewayLoad {
-    /// Attempts of this gateway in flight.
-    pub in_flight: u32,
-    /// Backends that take work.
-    pub ready_backends: usize,
-    /// Gateways that share them.
-    pub fleet_size: u64,
-}
-
 /// What the end of an attempt means for others.
 pub(crate) struct SettledAttempt {
     /// Where the attempt went.
@@ -82,7 +76,6 @@
             quota: QuotaTable { usage_known_since: Some(now), report_interval, ..QuotaTable::default() },
             backends: BackendTable::new(&settings),
             latency_baselines: settings.classes.iter().map(|class| initial_baseline(class, now)).collect(),
-            load_shedder: LoadShedder::new(),
             retry_budget: retry_budget(fleet_size),
             fleet_size,
             settings,
@@ -115,14 +108,26 @@
         self.quota.all_gateways_own_quotas()
     }
 
-    /// Attempts that this gateway may have in flight now.
-    pub(crate) fn concurrency_limit(&self) -> f64 {
-        self.load_shedder.concurrency_limit(self.load())
+    /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the concurrency limit.
+    pub(crate) fn record_pressure(&mut self, latency_ratio: f64) {
+        self.pressure.record(self.now, latency_ratio);
+        self.concurrency_limiter.on_answer(&self.pressure, self.load());
     }
 
-    /// Has load shedding take in how an answer compares with a normal one.
-    pub(crate) fn record_pressure(&mut self, ratio: f64) {
-        self.load_shedder.record_pressure(self.now, ratio, self.load());
+    /// Moves the shedding stage, and reduces the concurrency limit, where the pressure asks for it.
+    fn update_shedding(&mut self, actions: &mut Vec<Action>) {
+        let load = self.load();
+        if let Some(from) = self.load_shedder.update_stage(self.now, &self.pressure) {
+            let change = StageChange {
+                from,
+                to: self.load_shedder.stage(),
+                pressure: self.pressure.level(),
+                concurrency_limit: self.concurrency_limiter.limit(load),
+                in_flight: load.in_flight,
+            };
+            actions.push(Action::Log(change.to_string()));
+        }
+        self.concurrency_limiter.reduce_under_pressure(self.now, &self.pressure);
     }
 
     /// Hands an event to the concern that decides on it.
@@ -149,7 +154,7 @@
                 self.requests.queue.push_back(id);
             }
         }
-        self.load_shedder.update(now, self.load(), actions);
+        self.update_shedding(actions);
         self.dispatch(actions);
         self.peers.ready_to_send(now).into_iter().for_each(|peer| self.flush_outbox(peer, actions));
         self.sweep(actions);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: whether a request is rejected at once, waits for a quota grant, is queued or is sent.
 
 use super::gateway::WAKE_UP_TICKS;
-use super::load_shedding::epoch_draw;
+use super::load_shedding::{epoch_draw, Familiarity, SheddingFacts};
 use super::quota::CUSTOMER_IDLE_TIME;
 use super::RejectReason;
 use crate::state::{Customer, GatewaySet, RequestState};
@@ -28,11 +28,18 @@
             return self.reject(request.id, RejectReason::NoTime, Duration::ZERO, actions);
         }
         let claimed_plan = usize::from(request.plan);
-        let unseen = self.observe_customer(&mut request);
+        let familiarity = self.observe_customer(&mut request);
         if self.evades_hard_limit(&request, claimed_plan) {
             return self.reject(request.id, RejectReason::OverQuota, Duration::MAX, actions);
         }
-        if !self.load_shedder.admits(self.now, &request, &self.settings.plans, unseen) {
+        let shedding = SheddingFacts {
+            now: self.now,
+            customer: request.customer,
+            familiarity,
+            plan: self.plan_of(&request),
+            plans: &self.settings.plans,
+        };
+        if !self.load_shedder.admits(&shedding) {
             return self.reject(request.id, RejectReason::Shed, Duration::MAX, actions);
         }
         let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
@@ -109,7 +116,7 @@
         }
         // The fuller the queue, the fewer customers may join it; the same ones for a shedding epoch.
         tracing::debug!(target: "policy", request = id.0, awaited, ?seconds, "quota decided");
-        let limit = self.concurrency_limit();
+        let limit = self.concurrency_limiter.limit(self.load());
         let queue_fill = self.requests.queue.len() as f64 / (limit * MAX_QUEUE_SHARE);
         let saturated = f64::from(self.requests.in_flight) >= limit;
         if seconds.is_none() && !(saturated && epoch_draw(self.now, request.customer) >= 1.0 - queue_fill) {
@@ -149,8 +156,8 @@
         self.expire_if_overdue(request.id, actions);
     }
 
-    /// Notes the customer, whose plan the request is judged by; true if it was unseen for its idle time.
-    fn observe_customer(&mut self, request: &mut Request) -> bool {
+    /// Notes the customer, whose plan the request is judged by, and returns whether it was seen of late.
+    fn observe_customer(&mut self, request: &mut Request) -> Familiarity {
         let now = self.now;
         let plan = self.plan_of(request);
         let set = GatewaySet::of(request, self.settings.gateway_count);
@@ -163,12 +170,18 @@
         let remote_rate = plan.rate * (1.0 - 1.0 / set.size);
         let new = Customer { remote_rate, ..Customer::new(usize::from(request.plan), plan, tokens, now) };
         self.record_identity(request.customer, set, new);
-        let Some(customer) = self.quota.customers.get_mut(&request.customer) else { return true };
-        let unseen = customer.last_seen_at == Instant::ZERO
+        let Some(customer) = self.quota.customers.get_mut(&request.customer) else {
+            return Familiarity::Unseen;
+        };
+        let is_unseen = customer.last_seen_at == Instant::ZERO
             || now.duration_since(customer.last_seen_at) > CUSTOMER_IDLE_TIME;
         customer.last_seen_at = now;
         request.plan = customer.plan as u16;
-        unseen
+        if is_unseen {
+            Familiarity::Unseen
+        } else {
+            Familiarity::Known
+        }
     }
 
     /// Two wake-ups: with less time left a request cannot be held.
@@ -197,7 +210,7 @@
     pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         while let Some(id) = self.requests.queue.front().copied() {
             let waits = self.requests.get(id).is_some_and(RequestState::awaits_attempt);
-            let saturated = f64::from(self.requests.in_flight) >= self.concurrency_limit();
+            let saturated = self.concurrency_limiter.is_reached(self.load());
             if waits && (saturated || !self.send_attempt(id, actions)) {
                 return;
             }
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,7 +1,7 @@
 //! Load balancing: the choice of a backend among a subset, with slow start for those that came up lately.
 
-use super::load_shedding::PRESSURE_TIME_CONSTANT;
 use super::outlier_detection::SUSPECT_FAILURE_RATE;
+use super::pressure::PRESSURE_TIME_CONSTANT;
 use super::quota::USAGE_RATE_TIME_CONSTANT;
 use super::retry::SILENCE_SHARE;
 use crate::state::{decay, hash, Backend, RequestState, RetryScope, MICROS_PER_SECOND};
