--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -3,13 +3,13 @@
 use super::pool::MIN_IDLE_TIME;
 use super::*;
 use crate::discovery::{EndpointEntry, EndpointList};
-use ingress::{Availability, BackendId, Duration, Endpoint, Instant, Outcome, RequestId};
+use ingress::{Availability, BackendId, Duration, Endpoint, Instant, Outcome, RequestId, UnixTime};
 use mio::{Poll, Token};
 use std::io::Write;
 use std::net::TcpListener;
 
 const BACKEND: BackendId = BackendId(7);
-const START: Instant = 1_000_000_000;
+const START: Instant = Instant::from_micros(1_000_000_000);
 /// A reply whose value is `one`, with no load report.
 const REPLY_ONE: &[u8] = b"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n";
 
@@ -20,7 +20,7 @@
 
 /// A command that is encoded at a time.
 fn told(at: Instant) -> TimeTold {
-    TimeTold { at, time_left: 0 }
+    TimeTold { at, time_left: Duration::ZERO }
 }
 
 /// Connections to one backend, which the test plays; its clock is the test's as well.
@@ -35,7 +35,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut backends = Backends::new(keepalive_timeout, Token);
         let endpoint = Endpoint { backend: BACKEND, ..Endpoint::default() };
-        let entries = vec![EndpointEntry { endpoint, address: listener.local_addr().ok() }];
+        let (started_at, address) = (UnixTime::default(), listener.local_addr().ok());
+        let entries = vec![EndpointEntry { endpoint, started_at, address }];
         backends.update_endpoints(&EndpointList { index: 1, is_snapshot: true, entries });
         Rig { backends, poll: Poll::new().unwrap(), listener }
     }
@@ -72,14 +73,14 @@
 /// apart (4 ms at the most of 201 on join+brink), and a reply does not say whose it is.
 #[test]
 fn a_duplicate_reply_some_milliseconds_late_serves_nobody() {
-    for delay in [2_500, 5_000, 10_000] {
-        let mut rig = Rig::new(30_000_000);
+    for delay in [2_500, 5_000, 10_000].map(Duration::from_micros) {
+        let mut rig = Rig::new(Duration::from_secs(30));
         let first = rig.assign(1, START);
         let mut peer = rig.listener.accept().unwrap().0;
         rig.serve(&mut peer, first, START);
         let second = rig.assign(2, START + delay);
         peer.write_all(REPLY_ONE).unwrap();
-        assert_ne!(first, second, "{delay} us after a reply");
+        assert_ne!(first, second, "{} us after a reply", delay.as_micros());
         let mut other = rig.listener.accept().unwrap().0;
         other.write_all(b"*3\r\n$3\r\ntwo\r\n$-1\r\n$-1\r\n").unwrap();
         let completion = rig.completion(second, START + delay);
@@ -89,7 +90,7 @@
 
 #[test]
 fn a_connection_that_has_been_idle_long_enough_is_used_again() {
-    let mut rig = Rig::new(30_000_000);
+    let mut rig = Rig::new(Duration::from_secs(30));
     let first = rig.assign(1, START);
     let mut peer = rig.listener.accept().unwrap().0;
     rig.serve(&mut peer, first, START);
@@ -100,7 +101,7 @@
 /// nobody reads from it.
 #[test]
 fn a_command_that_is_not_written_in_time_has_not_begun() {
-    let mut rig = Rig::new(30_000_000);
+    let mut rig = Rig::new(Duration::from_secs(30));
     let encode = |command: &mut Vec<u8>| command.resize(64 << 20, b'x');
     let registry = rig.poll.registry();
     let assigned = rig.backends.assign(registry, BACKEND, attempt(1), told(START), encode).unwrap();
@@ -121,18 +122,18 @@
 /// short time only, the sweep comes too seldom to close them first.
 #[test]
 fn a_connection_that_the_backend_may_close_any_moment_is_not_used() {
-    let mut rig = Rig::new(400_000);
+    let mut rig = Rig::new(Duration::from_millis(400));
     let first = rig.assign(1, START);
     let mut peer = rig.listener.accept().unwrap().0;
     rig.serve(&mut peer, first, START);
-    assert_ne!(rig.assign(2, START + 390_000), first);
+    assert_ne!(rig.assign(2, START + Duration::from_millis(390)), first);
 }
 
 /// Guards against a timer of one attempt that ends the next one on the same connection: it was set when the connection was
 /// begun, and is due when another command has been written to it in part.
 #[test]
 fn the_timer_of_an_earlier_attempt_does_not_end_a_later_one() {
-    let mut rig = Rig::new(15_000_000);
+    let mut rig = Rig::new(Duration::from_secs(15));
     let first = rig.assign(1, START);
     let (mut peer, _) = rig.listener.accept().unwrap();
     peer.write_all(REPLY_ONE).unwrap();
@@ -151,11 +152,11 @@
 /// Guards against sending to a backend that drains or is gone, whoever asks for it.
 #[test]
 fn a_backend_that_takes_no_work_is_given_none() {
-    let mut rig = Rig::new(15_000_000);
+    let mut rig = Rig::new(Duration::from_secs(15));
     let address = rig.listener.local_addr().ok();
     for availability in [Availability::Draining, Availability::Gone] {
         let endpoint = Endpoint { backend: BACKEND, availability, ..Endpoint::default() };
-        let entries = vec![EndpointEntry { endpoint, address }];
+        let entries = vec![EndpointEntry { endpoint, started_at: UnixTime::default(), address }];
         rig.backends.update_endpoints(&EndpointList { index: 2, is_snapshot: false, entries });
         let encode = |command: &mut Vec<u8>| command.extend_from_slice(b"*1\r\n$4\r\nCALL\r\n");
         let assigned = rig.backends.assign(rig.poll.registry(), BACKEND, attempt(1), told(START), encode);
--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -5,14 +5,13 @@
 use super::*;
 use crate::command::ClassSchema;
 use crate::resp;
-use ingress::Idempotency;
+use ingress::{Duration, Idempotency};
 use mio::Poll;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::time::Duration;
 
 /// The time at which connections are accepted and requests read.
-const NOW: Instant = 1_000_000_000;
+const NOW: Instant = Instant::from_micros(1_000_000_000);
 
 /// Connections on a listener of their own.
 struct Fixture {
@@ -35,7 +34,7 @@
     /// A client whose connection was accepted.
     fn client(&mut self, capacity: Capacity) -> TcpStream {
         let client = TcpStream::connect(self.address).unwrap();
-        client.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+        client.set_read_timeout(Some(std::time::Duration::from_secs(5))).unwrap();
         let before = self.clients.len();
         while self.clients.len() == before {
             self.clients.accept(self.poll.registry(), NOW, |_| capacity);
@@ -56,7 +55,7 @@
     }
 
     /// Reads until the next request is there, and returns when it arrived.
-    fn next_arrival(&mut self, now: Instant) -> Micros {
+    fn next_arrival(&mut self, now: Instant) -> Instant {
         for _ in 0..1_000_000 {
             self.clients.read_all(now);
             if let Some(ClientEvent::Command { arrived_at, .. }) = self.clients.next_event() {
@@ -91,8 +90,8 @@
     let mut client = fixture.client(Capacity::Available);
     let reply_to = fixture.request(&mut client);
     fixture.clients.reply(reply_to, b"+late\r\n");
-    fixture.clients.close_expired(NOW + WRITE_TIMEOUT + 1_000_000);
-    fixture.clients.flush(NOW + WRITE_TIMEOUT + 1_000_000);
+    fixture.clients.close_expired(NOW + WRITE_TIMEOUT + Duration::from_secs(1));
+    fixture.clients.flush(NOW + WRITE_TIMEOUT + Duration::from_secs(1));
     expect_reply(&mut client, b"+late\r\n");
 }
 
@@ -119,8 +118,8 @@
         fixture.clients.read_all(NOW);
     }
     client.write_all(b"NG\r\n").unwrap();
-    fixture.clients.close_expired(NOW + COMMAND_TIMEOUT + 1);
-    fixture.clients.flush(NOW + COMMAND_TIMEOUT + 1);
+    fixture.clients.close_expired(NOW + COMMAND_TIMEOUT + Duration::MICROSECOND);
+    fixture.clients.flush(NOW + COMMAND_TIMEOUT + Duration::MICROSECOND);
     expect_reply(&mut client, b"+PONG\r\n");
 }
 
@@ -133,7 +132,7 @@
     fixture.clients.close_expired(NOW + LINGER_TIMEOUT);
     fixture.clients.flush(NOW + LINGER_TIMEOUT);
     expect_reply(&mut client, b"-BUSY\r\n");
-    fixture.clients.close_expired(NOW + 3 * LINGER_TIMEOUT);
+    fixture.clients.close_expired(NOW + LINGER_TIMEOUT * 3);
     assert_eq!(fixture.clients.len(), 0, "told and closed");
 }
 
@@ -145,9 +144,9 @@
     let _client = fixture.client(Capacity::Available);
     let key = fixture.clients.connections.iter().next().unwrap().0;
     fixture.clients.queue_for_read(key);
-    assert!(!fixture.clients.close_longest_idle(NOW + 1), "a command may be waiting");
-    fixture.clients.resume_reads(NOW + 1);
-    assert!(fixture.clients.close_longest_idle(NOW + 1), "nothing was");
+    assert!(!fixture.clients.close_longest_idle(NOW + Duration::MICROSECOND), "a command may be waiting");
+    fixture.clients.resume_reads(NOW + Duration::MICROSECOND);
+    assert!(fixture.clients.close_longest_idle(NOW + Duration::MICROSECOND), "nothing was");
 }
 
 /// Guards against counting a client's time from when its connection is accepted, where it waited for that: there was no
--- a/src/bin/ingress/command/tests.rs
+++ b/src/bin/ingress/command/tests.rs
@@ -5,7 +5,7 @@
 use ingress::IdempotencyScope;
 
 fn schema() -> CommandSchema {
-    let keyed = Idempotency::Keyed { scope: IdempotencyScope::Cell, window: 3_000_000 };
+    let keyed = Idempotency::Keyed { scope: IdempotencyScope::Cell, window: Duration::from_secs(3) };
     let classes = vec![
         ClassSchema { name: "quote".into(), idempotency: Idempotency::Idempotent },
         ClassSchema { name: "save".into(), idempotency: keyed },
@@ -30,12 +30,12 @@
     let request = command.request;
     assert_eq!(
         (request.class, request.plan, request.customer.0, command.timeout),
-        (1, 1, 0xb4d6_5521, 480_000)
+        (1, 1, 0xb4d6_5521, Duration::from_millis(480))
     );
     assert_eq!(command.client_request_id(), b"9b1f");
     assert_eq!((request.units, request.gateway_set_size, request.gateway_set_start), (2.0, 3.0, 1.0));
     let mut out = Vec::new();
-    command.encode(123_999, &mut out);
+    command.encode(Duration::from_micros(123_999), &mut out);
     let options = options.replace("480", "123");
     let expected = format!(
         "*5\r\n$9\r\nCALL.POST\r\n$16\r\n00000000b4d65521\r\n$4\r\n9b1f\r\n${}\r\n{options}\r\n$6\r\nBO\r\nDY\r\n",
--- a/src/bin/ingress/discovery/poll/tests.rs
+++ b/src/bin/ingress/discovery/poll/tests.rs
@@ -4,7 +4,7 @@
 use crate::discovery::max_body_bytes;
 use crate::discovery::tests::{location_names, long_list, MAX_BODY_BYTES};
 use crate::error_chain::ErrorChain;
-use ingress::Availability;
+use ingress::{Availability, UnixTime};
 
 /// Parses with the limit that small machines have.
 fn parse(received: &str, stream: StreamState) -> Result<Option<PollResponse>, PollError> {
@@ -32,7 +32,10 @@
         assert_eq!((list.index, list.is_snapshot, response.persistence), (43, false, persistence));
         let [one, two] = &list.entries[..] else { panic!("not two entries") };
         assert_eq!((one.endpoint.zone, one.endpoint.machine_type, one.endpoint.cell), (1, 1, 3));
-        assert_eq!((one.endpoint.started_at, one.endpoint.availability), (7000, Availability::Draining));
+        assert_eq!(
+            (one.started_at, one.endpoint.availability),
+            (UnixTime::from_micros(7000), Availability::Draining)
+        );
         assert_eq!((two.address, two.endpoint.availability), (None, Availability::Gone));
         for cut in 0..text.len() - 1 {
             let part = parse(&text[..cut], StreamState::Open);
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -7,6 +7,10 @@
 
 /// How soon a failed poll is to be followed by the next: 6 s, less what a response takes.
 const MAX_RETRY_GAP: Duration = Duration::from_secs(5);
+/// Within which discovery must be polled.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
+/// When the tests begin.
+const START: Instant = Instant::from_micros(1_000_000_000);
 
 /// The failure of a poll that discovery rejects.
 fn rejected() -> PollError {
@@ -17,11 +21,11 @@
 /// two seconds, and with delays of a second at most the rest kept its queue full for the whole of the day.
 #[test]
 fn a_hundred_watches_neither_start_nor_retry_in_unison() {
-    let now: Instant = 1_000_000_000;
+    let now = START;
     let watch = |seed| {
         let options = WatchOptions {
             max_body_bytes: MAX_BODY_BYTES,
-            backoff: Backoff::shared_service(10_000_000, 100),
+            backoff: Backoff::shared_service(MAX_POLL_INTERVAL, 100),
             seed,
             now,
         };
@@ -29,10 +33,13 @@
     };
     let mut watches: Vec<Watch> = (0..100).map(watch).collect();
     let most_at_once = |watches: &[Watch]| {
-        let mut times: Vec<Duration> = watches.iter().map(|watch| watch.next_timer_at).collect();
+        let mut times: Vec<Instant> = watches.iter().map(|watch| watch.next_timer_at).collect();
         times.sort_unstable();
         (0..100)
-            .map(|first| times[first..].iter().take_while(|at| **at < times[first] + 100_000).count())
+            .map(|first| {
+                let end = times[first] + Duration::from_millis(100);
+                times[first..].iter().take_while(|at| **at < end).count()
+            })
             .max()
     };
     assert!(most_at_once(&watches) <= Some(20), "first polls in a tenth of a second");
@@ -57,7 +64,7 @@
 
 impl WatchRig {
     fn new(backoff: Backoff) -> WatchRig {
-        let (listener, now) = (std::net::TcpListener::bind("127.0.0.1:0").unwrap(), 1_000_000_000);
+        let (listener, now) = (std::net::TcpListener::bind("127.0.0.1:0").unwrap(), START);
         let options = WatchOptions { max_body_bytes: MAX_BODY_BYTES, backoff, seed: 7, now };
         let watch = Watch::new(listener.local_addr().unwrap(), location_names(), 41, Token(0), options);
         let mut rig = WatchRig { watch, poll: mio::Poll::new().unwrap(), listener, now, lists: Vec::new() };
@@ -83,12 +90,13 @@
     }
 
     /// Reads the next poll from a connection. Returns its timeout.
-    fn read_poll(&mut self, stream: &mut std::net::TcpStream) -> Micros {
+    fn read_poll(&mut self, stream: &mut std::net::TcpStream) -> Duration {
         let (mut head, mut byte) = (String::new(), [0]);
         for _ in 0..100_000 {
             if head.ends_with("\r\n\r\n") {
                 let timeout_ms = head.split("timeout_ms=").nth(1).and_then(|text| text.split(' ').next());
-                return timeout_ms.map_or(0, |text| text.parse::<Micros>().unwrap() * 1000);
+                return timeout_ms
+                    .map_or(Duration::ZERO, |text| Duration::from_millis(text.parse().unwrap()));
             }
             match stream.read(&mut byte) {
                 Ok(1) => head.push(char::from(byte[0])),
@@ -118,20 +126,23 @@
 /// poll's timeout, for 6 s at least. It was detected 3 s after the timeout, and a delay came after that.
 #[test]
 fn a_watch_that_falls_silent_is_open_again_before_what_it_missed_counts_as_delivered() {
-    for backoff in
-        [Backoff::LOCAL_AGENT, Backoff::shared_service(10_000_000, 6), Backoff::shared_service(500_000, 300)]
-    {
+    for backoff in [
+        Backoff::LOCAL_AGENT,
+        Backoff::shared_service(MAX_POLL_INTERVAL, 6),
+        Backoff::shared_service(Duration::from_millis(500), 300),
+    ] {
         let mut rig = WatchRig::new(backoff);
         let mut silent = rig.accept();
         let timeout = rig.read_poll(&mut silent);
-        let delivered_at = rig.now + (timeout + 2_000_000).max(6_000_000);
+        let delivered_at = rig.now + (timeout + Duration::from_secs(2)).max(Duration::from_secs(6));
         rig.run_timer(); // the silence is detected
         let mut retried = rig.accept();
-        assert_eq!(rig.read_poll(&mut retried), 0, "what was missed is asked for at once");
-        assert!(rig.now + 1_000_000 <= delivered_at, "{} us are left", delivered_at.saturating_sub(rig.now));
+        assert_eq!(rig.read_poll(&mut retried), Duration::ZERO, "what was missed is asked for at once");
+        let left = delivered_at.duration_since(rig.now);
+        assert!(rig.now + Duration::from_secs(1) <= delivered_at, "{} us are left", left.as_micros());
         rig.respond(&mut retried, 42);
         rig.run_timer();
-        assert!(rig.read_poll(&mut retried) > 0, "from then on the watch waits for changes");
+        assert!(rig.read_poll(&mut retried) > Duration::ZERO, "from then on the watch waits for changes");
     }
 }
 
@@ -150,7 +161,8 @@
     }
     let mut third = rig.accept();
     rig.read_poll(&mut third);
-    assert!(rig.now < started_at + 6_000_000 - 500_000, "after {} us", rig.now - started_at);
+    let elapsed = rig.now.duration_since(started_at);
+    assert!(elapsed < Duration::from_millis(5500), "after {} us", elapsed.as_micros());
 }
 
 /// Guards against delays as long as a grace period between polls of an agent, whose changes count as delivered meanwhile.
@@ -164,7 +176,8 @@
             rig.run_ready();
         }
         rig.run_timer();
-        assert!(rig.now <= failed_at + 150_000, "a delay of {} us", rig.now - failed_at);
+        let delay = rig.now.duration_since(failed_at);
+        assert!(delay <= Duration::from_millis(150), "a delay of {} us", delay.as_micros());
     }
 }
 
@@ -237,14 +250,15 @@
     AfterReturn,
 }
 
-const DOWN_AT: Instant = 1_000_000_000;
-const RETURN_AT: Instant = DOWN_AT + 8_000_000;
+const DOWN_AT: Instant = START;
+// 8 s later.
+const RETURN_AT: Instant = Instant::from_micros(1_008_000_000);
 
 impl Restart {
-    fn at(self) -> Micros {
+    fn at(self) -> Instant {
         match self {
-            Restart::BeforeReturn => DOWN_AT + 5_000_000,
-            Restart::AfterReturn => RETURN_AT + 1_000_000,
+            Restart::BeforeReturn => DOWN_AT + Duration::from_secs(5),
+            Restart::AfterReturn => RETURN_AT + Duration::from_secs(1),
         }
     }
 }
@@ -260,7 +274,7 @@
 
 impl Ingress {
     /// From when on discovery could be reached, by an ingress that restarts at `restart_at` if it is killed.
-    fn reachable_since(is_killed: bool, restart_at: Instant) -> Micros {
+    fn reachable_since(is_killed: bool, restart_at: Instant) -> Instant {
         if is_killed {
             RETURN_AT.max(restart_at)
         } else {
@@ -283,8 +297,9 @@
 
 impl Fleet {
     fn new(ingress_count: u64, polls_per_second: u64, killed: u64, restart: Restart, seed: u64) -> Fleet {
-        let discovery = SharedDiscovery { service_time: 1_000_000 / polls_per_second, free_at: 0 };
-        let outage = Outage { longest_gap: 0, p95: 0, polls: 0 };
+        let service_time = Duration::from_secs(1) / polls_per_second;
+        let discovery = SharedDiscovery { service_time, free_at: Instant::ZERO };
+        let outage = Outage { longest_gap: Duration::ZERO, p95: Duration::ZERO, polls: 0 };
         let (ingresses, due, restart_at) = (Vec::new(), std::collections::BTreeSet::new(), restart.at());
         let mut fleet = Fleet { ingress_count, seed, restart_at, discovery, ingresses, due, outage };
         for number in 0..ingress_count {
@@ -293,7 +308,7 @@
             watch.fail(DOWN_AT, &PollError::ConnectionEnded);
             fleet.due.insert((watch.next_timer_at, number as usize));
             let is_killed = number % 10 < killed;
-            let (has_restarted, answered_at, last_poll_at) = (false, None, 0);
+            let (has_restarted, answered_at, last_poll_at) = (false, None, Instant::ZERO);
             fleet.ingresses.push(Ingress { watch, is_killed, has_restarted, answered_at, last_poll_at });
         }
         fleet
@@ -302,7 +317,7 @@
     fn watch(&self, number: u64, now: Instant) -> Watch {
         let options = WatchOptions {
             max_body_bytes: MAX_BODY_BYTES,
-            backoff: Backoff::shared_service(10_000_000, self.ingress_count),
+            backoff: Backoff::shared_service(MAX_POLL_INTERVAL, self.ingress_count),
             seed: self.seed * 100_000 + number,
             now,
         };
@@ -321,7 +336,7 @@
         }
         let answered_after = |ingress: &Ingress| {
             let since = Ingress::reachable_since(ingress.is_killed, self.restart_at);
-            ingress.answered_at.expect("all got a response").saturating_sub(since)
+            ingress.answered_at.expect("all got a response").duration_since(since)
         };
         let mut times: Vec<Duration> = self.ingresses.iter().map(answered_after).collect();
         times.sort_unstable();
@@ -332,14 +347,14 @@
         let watch = self.watch(number as u64 + self.ingress_count, self.restart_at);
         self.due.insert((watch.next_timer_at, number));
         let (is_killed, has_restarted) = (true, true);
-        let (answered_at, last_poll_at) = (None, 0);
+        let (answered_at, last_poll_at) = (None, Instant::ZERO);
         self.ingresses[number] = Ingress { watch, is_killed, has_restarted, answered_at, last_poll_at };
     }
 
     fn poll(&mut self, number: usize, now: Instant) {
         let ingress = &mut self.ingresses[number];
         let since = Ingress::reachable_since(ingress.has_restarted, self.restart_at);
-        let gap = now.saturating_sub(since.max(ingress.last_poll_at));
+        let gap = now.duration_since(since.max(ingress.last_poll_at));
         self.outage.longest_gap = self.outage.longest_gap.max(gap);
         ingress.last_poll_at = now;
         let end = if now < RETURN_AT {
@@ -352,7 +367,7 @@
         if end.is_answered {
             ingress.answered_at = Some(end.at);
             // Killed ones poll again at their start.
-            let next = if ingress.has_restarted { Micros::MAX } else { end.at.max(self.restart_at) };
+            let next = if ingress.has_restarted { Instant::FAR_FUTURE } else { end.at.max(self.restart_at) };
             self.due.insert((next, number));
         } else {
             ingress.watch.fail(end.at, &rejected());
@@ -374,7 +389,10 @@
             let outage = Fleet::new(ingresses, polls_per_second, 7, restart, seed).run();
             let count = ingresses as usize;
             assert!(outage.longest_gap <= MAX_RETRY_GAP, "{ingresses}: {outage:?}");
-            assert!(outage.p95 <= 6_000_000, "nineteen in twenty are in time, {ingresses}: {outage:?}");
+            assert!(
+                outage.p95 <= Duration::from_secs(6),
+                "nineteen in twenty are in time, {ingresses}: {outage:?}"
+            );
             // Each once, those killed after the return once more, and few in vain.
             let needed = match restart {
                 Restart::BeforeReturn => count,
@@ -394,9 +412,9 @@
     for seed in 0..20 {
         let options = WatchOptions {
             max_body_bytes: MAX_BODY_BYTES,
-            backoff: Backoff::shared_service(10_000_000, 300),
+            backoff: Backoff::shared_service(MAX_POLL_INTERVAL, 300),
             seed,
-            now: 1_000_000_000,
+            now: START,
         };
         let mut watch = Watch::new(([127, 0, 0, 1], 1).into(), location_names(), 41, Token(0), options);
         let mut started_at = watch.next_timer_at;
@@ -406,16 +424,13 @@
             let mut connection = Connection::open(unread, poll.registry(), Token(0)).unwrap();
             connection.set_request(b"GET".to_vec());
             watch.connection = Some(connection);
-            watch.response_due_at = started_at + 30_000_000;
+            watch.response_due_at = started_at + Duration::from_secs(30);
             watch.next_timer_at =
                 watch.response_due_at.min(started_at + watch.schedule.backoff.response_timeout);
-            assert!(watch.next_timer_at <= started_at + 3_000_000);
+            assert!(watch.next_timer_at <= started_at + Duration::from_secs(3));
             watch.fail(watch.next_timer_at, &PollError::TimedOut);
-            assert!(
-                watch.next_timer_at <= started_at + MAX_RETRY_GAP,
-                "{} us",
-                watch.next_timer_at - started_at
-            );
+            let gap = watch.next_timer_at.duration_since(started_at);
+            assert!(gap <= MAX_RETRY_GAP, "{} us", gap.as_micros());
             started_at = watch.next_timer_at;
         }
     }
@@ -433,7 +448,7 @@
         Some(b"HTTP/1.1 200 OK\r\nContent-"),
     ];
     for (kind, response) in responses.into_iter().enumerate() {
-        let mut rig = WatchRig::new(Backoff::shared_service(10_000_000, 2900));
+        let mut rig = WatchRig::new(Backoff::shared_service(MAX_POLL_INTERVAL, 2900));
         if response.is_none() {
             rig.listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             // the first one refuses from now on
@@ -465,7 +480,8 @@
             }
             // A poll that waited longer than a failed one may was a watch: what it misses has a time of its own.
             let was_watch = kind == 4 && round == 0;
-            assert!(was_watch || rig.now <= last + MAX_RETRY_GAP, "kind {kind}: {} us", rig.now - last);
+            let gap = rig.now.duration_since(last);
+            assert!(was_watch || gap <= MAX_RETRY_GAP, "kind {kind}: {} us", gap.as_micros());
             last = rig.now;
         }
     }
@@ -498,9 +514,9 @@
     rig.watch.set_address(address, rig.now);
     rig.run_timer();
     let mut snapshot = rig.accept();
-    assert_eq!(rig.read_poll(&mut snapshot), 0, "the first one asks for the whole list");
+    assert_eq!(rig.read_poll(&mut snapshot), Duration::ZERO, "the first one asks for the whole list");
     for _ in 0..3 {
-        rig.now += 100_000;
+        rig.now += Duration::from_millis(100);
         rig.watch.set_address(address, rig.now);
         rig.run_ready();
     }
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -10,7 +10,7 @@
 use crate::error_chain::ErrorChain;
 use crate::resp;
 use crate::start_retry::StartRetry;
-use ingress::{BackendId, Endpoint, EndpointUpdate};
+use ingress::{BackendId, Endpoint, EndpointUpdate, UnixTime};
 use std::io::{Read, Write};
 use std::net::{Shutdown as Direction, SocketAddr, TcpListener, TcpStream, UdpSocket};
 
@@ -36,7 +36,7 @@
     let event_loop = started_with(config, path).unwrap();
     std::fs::remove_file(&file).unwrap();
     let client = TcpStream::connect(address).unwrap();
-    client.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+    client.set_read_timeout(Some(std::time::Duration::from_secs(10))).unwrap();
     (event_loop, client)
 }
 
@@ -53,12 +53,12 @@
     while event_loop.clients.idle_count() > 0 {
         event_loop.clients.read_all(event_loop.now);
     }
-    let since = event_loop.now - MAX_DRAINING_TIME - 1;
-    event_loop.shutdown.phase = Phase::Draining { reply_deadline: Instant::MAX, since };
+    let since = event_loop.now - MAX_DRAINING_TIME - Duration::MICROSECOND;
+    event_loop.shutdown.phase = Phase::Draining { reply_deadline: Instant::FAR_FUTURE, since };
     client.write_all(b"NG\r\n").unwrap();
     event_loop.can_exit();
     let mut reply = [0; 7];
-    client.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
+    client.set_read_timeout(Some(std::time::Duration::from_millis(200))).unwrap();
     client.read_exact(&mut reply).expect("a reply before the exit");
     assert_eq!(&reply, b"+PONG\r\n");
 }
@@ -82,7 +82,7 @@
     event_loop.clients.flush(event_loop.now);
     for (index, client) in clients.iter_mut().enumerate() {
         let mut reply = [0; 7];
-        client.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+        client.set_read_timeout(Some(std::time::Duration::from_secs(10))).unwrap();
         client.read_exact(&mut reply).unwrap_or_else(|error| panic!("client {index}: {error}"));
         assert_eq!(&reply, b"+PONG\r\n");
     }
@@ -184,7 +184,7 @@
     fn poll_until(&mut self, condition: impl Fn(&[ReadySocket]) -> bool) -> Vec<ReadySocket> {
         let (mut events, mut ready) = (Events::with_capacity(1024), Vec::new());
         for _ in 0..10_000 {
-            self.event_loop.poll.poll(&mut events, Some(Duration::from_millis(1))).unwrap();
+            self.event_loop.poll.poll(&mut events, Some(std::time::Duration::from_millis(1))).unwrap();
             ready.extend(events.iter().map(ReadySocket::from));
             if condition(&ready) {
                 return ready;
@@ -327,7 +327,7 @@
         let mut testbed = Testbed::new("gone-hedge", cancellation);
         let (client, first) = testbed.client_in_flight();
         let mut ready = testbed.disconnect(vec![client], Disconnect::Full);
-        testbed.event_loop.now += 300_000; // past the time after which a request is hedged
+        testbed.event_loop.now += Duration::from_millis(300); // past the time after which a request is hedged
         testbed.event_loop.process_ready(&mut ready);
         assert_eq!((first, testbed.take_commands_of(100)), (1, 0), "{cancellation:?}");
     }
@@ -371,7 +371,7 @@
     let mut testbed = Testbed::new("late-connection", Cancellation::Allowed);
     let backend_id = BackendId(7);
     let endpoint = Endpoint { backend: backend_id, ..Endpoint::default() };
-    let entries = vec![EndpointEntry { endpoint, address: Some(address) }];
+    let entries = vec![EndpointEntry { endpoint, started_at: UnixTime::default(), address: Some(address) }];
     let list = EndpointList { index: 2, is_snapshot: true, entries };
     testbed.event_loop.apply_endpoints(list, EndpointUpdate::Snapshot);
     testbed.event_loop.run_policy();
@@ -396,7 +396,7 @@
     testbed.event_loop.process_ready(&mut ready);
     accept_all();
     for (mut connection, _) in accepted {
-        connection.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
+        connection.set_read_timeout(Some(std::time::Duration::from_millis(100))).unwrap();
         let received = connection.read(&mut [0; 4096]);
         assert!(!matches!(received, Ok(1..)), "a command came {received:?}");
     }
@@ -418,7 +418,7 @@
         event_loop.clients.read_all(event_loop.now);
     }
     (0..5).for_each(|_| assert_eq!(event_loop.accept(), AcceptOutcome::NoDescriptor));
-    let due = event_loop.timers.take_due(Micros::MAX);
+    let due = event_loop.timers.take_due(Instant::FAR_FUTURE);
     assert_eq!(due.iter().filter(|timer| **timer == Timer::RetryAccept).count(), 1);
 }
 
--- a/src/bin/ingress/event_loop/timer_queue/tests.rs
+++ b/src/bin/ingress/event_loop/timer_queue/tests.rs
@@ -2,19 +2,23 @@
 
 use super::*;
 
+fn at(micros: u64) -> Instant {
+    Instant::from_micros(micros)
+}
+
 /// The order decides which of two things happens first: it must not change with the names.
 #[test]
 fn timers_due_at_once_run_in_the_order_of_their_variants() {
     let mut timers = TimerQueue::default();
-    timers.schedule(5, Timer::ReplyDeadline);
-    timers.schedule(5, Timer::Sweep);
-    timers.schedule(5, Timer::ClientDeadline(RequestId(1)));
-    timers.schedule(5, Timer::AttemptTimeout(RequestId(2), 0));
-    timers.schedule(5, Timer::Policy(9));
-    timers.schedule(4, Timer::StopAccepting);
-    timers.schedule(6, Timer::Policy(1));
-    assert_eq!(timers.next_due_at(), Some(4));
-    let due = timers.take_due(5);
+    timers.schedule(at(5), Timer::ReplyDeadline);
+    timers.schedule(at(5), Timer::Sweep);
+    timers.schedule(at(5), Timer::ClientDeadline(RequestId(1)));
+    timers.schedule(at(5), Timer::AttemptTimeout(RequestId(2), 0));
+    timers.schedule(at(5), Timer::Policy(9));
+    timers.schedule(at(4), Timer::StopAccepting);
+    timers.schedule(at(6), Timer::Policy(1));
+    assert_eq!(timers.next_due_at(), Some(at(4)));
+    let due = timers.take_due(at(5));
     let expected = [
         Timer::StopAccepting,
         Timer::Policy(9),
@@ -23,5 +27,5 @@
         Timer::Sweep,
         Timer::ReplyDeadline,
     ];
-    assert_eq!((due.as_slice(), timers.next_due_at()), (expected.as_slice(), Some(6)));
+    assert_eq!((due.as_slice(), timers.next_due_at()), (expected.as_slice(), Some(at(6))));
 }
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -5,19 +5,27 @@
 use super::reply::{ACTION_SIZE, REPLY_HEADER_SIZE};
 use super::*;
 use ingress::{
-    Action, AttemptEnded, Availability, BackendId, CustomerId, Endpoint, EndpointUpdate, Event, GatewayId,
-    LoadReport, Outcome, Request, RequestId,
+    Action, AttemptEnded, Availability, BackendId, CustomerId, Duration, Endpoint, EndpointUpdate, Event,
+    GatewayId, Instant, LoadReport, Outcome, Request, RequestId,
 };
 
 #[test]
 fn every_action_has_its_code_and_its_fields_in_place() {
     let (id, backend) = (RequestId(0x0a_0b0c), BackendId(0x0605_0403_0201));
     let actions = [
-        (10, Action::Send { id, backend, expires_at: 77 }, vec![(3, 0x0c), (11, 77), (19, 1), (24, 6)]),
-        (20, Action::Reject { id, retry_after: 300 }, vec![(3, 0x0c), (11, 44), (12, 1)]),
+        (
+            10,
+            Action::Send { id, backend, expires_at: Some(Instant::from_micros(77)) },
+            vec![(3, 0x0c), (11, 77), (19, 1), (24, 6)],
+        ),
+        (
+            20,
+            Action::Reject { id, retry_after: Duration::from_micros(300) },
+            vec![(3, 0x0c), (11, 44), (12, 1)],
+        ),
         (30, Action::Fail(id), vec![(3, 0x0c), (4, 0x0b)]),
         (40, Action::Cancel { id, attempt: 258 }, vec![(3, 0x0c), (11, 2), (12, 1)]),
-        (50, Action::SetTimer { delay: 5, token: 9 }, vec![(3, 5), (7, 9)]),
+        (50, Action::SetTimer { delay: Duration::from_micros(5), token: 9 }, vec![(3, 5), (7, 9)]),
         (60, Action::CheckHealth(backend), vec![(3, 1), (8, 6)]),
         (70, Action::CloseIdleConnections(backend), vec![(3, 1), (8, 6)]),
         (80, Action::SendToPeer { to: Some(GatewayId(2)), bytes: vec![8, 9] }, vec![(3, 2), (5, 0), (9, 2)]),
@@ -27,7 +35,7 @@
         (120, Action::FetchEndpoints, vec![(3, 0)]),
         (
             130,
-            Action::IncrementCounter { name: 6, delta: 4.0, lifetime: 8 },
+            Action::IncrementCounter { name: 6, delta: 4.0, lifetime: Duration::from_micros(8) },
             vec![(3, 8), (9, 0x80), (10, 0x40), (11, 6)],
         ),
     ];
@@ -87,7 +95,8 @@
     );
     let Event::Request(request) = read_event(request) else { panic!("not a request") };
     let Request { id, class, plan, customer, deadline, units, gateway_set_size, gateway_set_start } = request;
-    assert_eq!((id, class, plan, customer, deadline), (RequestId(9), 2, 3, CustomerId(4), 5));
+    assert_eq!((id, class, plan, customer), (RequestId(9), 2, 3, CustomerId(4)));
+    assert_eq!(deadline, Instant::from_micros(5));
     assert_eq!((units, gateway_set_size, gateway_set_start), (2.0, 3.0, 7.0));
 }
 
@@ -123,7 +132,7 @@
         panic!("not the end of an attempt")
     };
     assert_eq!((id, attempt, backend), (RequestId(9), 2, BackendId(8)));
-    assert_eq!((outcome, answered, elapsed), (Outcome::Ok, true, 7));
+    assert_eq!((outcome, answered, elapsed), (Outcome::Ok, true, Duration::from_micros(7)));
     assert_eq!((metered, charged_units), (Some(0.5), Some(3.0)));
     assert_eq!(load_report, Some(LoadReport { queue_depth: Some(6.0), ..LoadReport::default() }));
 }
@@ -141,7 +150,8 @@
     let Event::HealthCheckEnded { backend, outcome, elapsed, load_report } = health_check else {
         panic!("not the end of a health check")
     };
-    assert_eq!((backend, outcome, elapsed, load_report), (BackendId(8), Outcome::NotSent, 7, None));
+    assert_eq!((backend, outcome, load_report), (BackendId(8), Outcome::NotSent, None));
+    assert_eq!(elapsed, Duration::from_micros(7));
     let counter = read_event(event_record(40, &[(3, &[5]), (11, &[200]), (13, &float(38.0))]));
     let Event::CounterUpdated { name, outcome, total } = counter else { panic!("not a counter's update") };
     assert_eq!((name, outcome, total), (5, Outcome::Ok, 38.0));
@@ -165,5 +175,5 @@
     assert_eq!((update, endpoints.len()), (EndpointUpdate::Snapshot, 1));
     let Endpoint { backend, zone, cell, machine_type, availability, size, started_at } = endpoints[0];
     assert_eq!((backend, zone, machine_type, cell), (BackendId(7), 2, 3, 4));
-    assert_eq!((availability, size, started_at), (Availability::Ready, 1.5, 9));
+    assert_eq!((availability, size, started_at), (Availability::Ready, 1.5, Some(Instant::from_micros(9))));
 }
--- a/src/policy/permissions/tests.rs
+++ b/src/policy/permissions/tests.rs
@@ -14,6 +14,10 @@
     answered: false,
 };
 
+fn at(micros: u64) -> Instant {
+    Instant::from_micros(micros)
+}
+
 #[test]
 fn attempts_are_named_by_those_before_them() {
     let hedge = AttemptFacts { in_flight: 1, hedging: true, ..FAILED_ONCE };
@@ -24,7 +28,7 @@
 
 #[test]
 fn attempts_are_refused_with_a_reason() {
-    let window = 1000;
+    let window = Duration::from_micros(1000);
     let keyed = Idempotency::Keyed { scope: IdempotencyScope::Fleet, window };
     let executed = AttemptFacts { may_have_executed: true, ..FAILED_ONCE };
     for (facts, expected) in [
@@ -39,16 +43,16 @@
         assert_eq!(may_start_attempt(&facts), Err(expected), "{facts:?}");
     }
     assert_eq!(may_start_attempt(&AttemptFacts { idempotency: keyed, ..executed }), Ok(AttemptKind::Retry));
-    assert_eq!(may_repeat_key(window, 50, 1049), Ok(()));
-    assert_eq!(may_repeat_key(window, 50, 1050), Err(AttemptRefusal::KeyExpired));
+    assert_eq!(may_repeat_key(window, at(50), at(1049)), Ok(()));
+    assert_eq!(may_repeat_key(window, at(50), at(1050)), Err(AttemptRefusal::KeyExpired));
 }
 
 #[test]
 fn an_attempt_begins_while_somebody_waits_and_its_time_lasts() {
-    let facts = WriteFacts { now: 100, expires_at: 200, begins_by: 150, answered: false };
-    let at = |now| may_begin_writing(&WriteFacts { now, ..facts });
-    assert_eq!((at(150), at(151)), (Ok(()), Err(WriteRefusal::ConnectedTooLate)));
-    assert_eq!(at(200), Err(WriteRefusal::Expired));
+    let facts = WriteFacts { now: at(100), expires_at: at(200), begins_by: at(150), answered: false };
+    let begin_at = |micros| may_begin_writing(&WriteFacts { now: at(micros), ..facts });
+    assert_eq!((begin_at(150), begin_at(151)), (Ok(()), Err(WriteRefusal::ConnectedTooLate)));
+    assert_eq!(begin_at(200), Err(WriteRefusal::Expired));
     assert_eq!(may_begin_writing(&WriteFacts { answered: true, ..facts }), Err(WriteRefusal::Answered));
 }
 
@@ -62,8 +66,9 @@
 
 #[test]
 fn connections_rest_and_are_not_kept_for_too_long() {
-    let limits = ReuseLimits { min_idle_time: 20, max_idle_time: 100 };
-    let after = |idle_time| may_reuse_connection(idle_time, limits);
+    let limits =
+        ReuseLimits { min_idle_time: Duration::from_micros(20), max_idle_time: Duration::from_micros(100) };
+    let after = |micros| may_reuse_connection(Duration::from_micros(micros), limits);
     assert_eq!((after(19), after(20)), (Err(ReuseRefusal::TooFresh), Ok(())));
     assert_eq!((after(99), after(100)), (Ok(()), Err(ReuseRefusal::TooOld)));
 }
--- a/src/state/peer/tests.rs
+++ b/src/state/peer/tests.rs
@@ -2,24 +2,28 @@
 
 use super::*;
 
+fn at(micros: u64) -> Instant {
+    Instant::from_micros(micros)
+}
+
 #[test]
 fn repeats_and_overtaken_messages_are_outdated() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5, 65_535, 10), Receipt::NewIncarnation { restarted: false });
-    assert_eq!(peer.receive(5, 65_535, 20), Receipt::Outdated, "a repeat");
-    assert_eq!(peer.receive(5, 65_534, 30), Receipt::Outdated, "overtaken");
-    assert_eq!(peer.last_heard_at, 10);
-    assert_eq!(peer.receive(5, 0, 40), Receipt::Current, "the sequence number wrapped");
-    assert_eq!(peer.last_heard_at, 40);
+    assert_eq!(peer.receive(5, 65_535, at(10)), Receipt::NewIncarnation { restarted: false });
+    assert_eq!(peer.receive(5, 65_535, at(20)), Receipt::Outdated, "a repeat");
+    assert_eq!(peer.receive(5, 65_534, at(30)), Receipt::Outdated, "overtaken");
+    assert_eq!(peer.last_heard_at, at(10));
+    assert_eq!(peer.receive(5, 0, at(40)), Receipt::Current, "the sequence number wrapped");
+    assert_eq!(peer.last_heard_at, at(40));
 }
 
 #[test]
 fn a_restarted_peer_counts_its_messages_anew() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5, 100, 10), Receipt::NewIncarnation { restarted: false });
-    assert_eq!(peer.receive(6, 1, 20), Receipt::NewIncarnation { restarted: true });
-    assert_eq!(peer.receive(5, 101, 30), Receipt::Outdated, "from before the restart");
-    assert_eq!(peer.receive(6, 2, 40), Receipt::Current);
+    assert_eq!(peer.receive(5, 100, at(10)), Receipt::NewIncarnation { restarted: false });
+    assert_eq!(peer.receive(6, 1, at(20)), Receipt::NewIncarnation { restarted: true });
+    assert_eq!(peer.receive(5, 101, at(30)), Receipt::Outdated, "from before the restart");
+    assert_eq!(peer.receive(6, 2, at(40)), Receipt::Current);
 }
 
 #[test]
@@ -42,10 +46,10 @@
 #[test]
 fn a_peer_that_restarts_with_its_clock_set_back_is_heard() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5_000_000, 100, 10), Receipt::NewIncarnation { restarted: false });
-    assert_eq!(peer.receive(5, 1, 20), Receipt::NewIncarnation { restarted: true });
-    assert_eq!(peer.receive(5_000_000, 101, 30), Receipt::Outdated, "from before the restart");
-    assert_eq!(peer.receive(5, 2, 40), Receipt::Current);
+    assert_eq!(peer.receive(5_000_000, 100, at(10)), Receipt::NewIncarnation { restarted: false });
+    assert_eq!(peer.receive(5, 1, at(20)), Receipt::NewIncarnation { restarted: true });
+    assert_eq!(peer.receive(5_000_000, 101, at(30)), Receipt::Outdated, "from before the restart");
+    assert_eq!(peer.receive(5, 2, at(40)), Receipt::Current);
 }
 
 /// Guards against taking messages for outdated behind a long cut: by then the peer has sent so many that the sequence
@@ -53,9 +57,13 @@
 #[test]
 fn a_peer_that_was_cut_off_for_long_is_heard_at_once() {
     let mut peer = Peer::default();
-    peer.receive(5, 100, 10);
-    let after_the_cut = 10 + 40 * 60 * 1_000_000;
+    peer.receive(5, 100, at(10));
+    let after_the_cut = at(10) + Duration::from_secs(40 * 60);
     assert_eq!(peer.receive(5, 100 + 40_000, after_the_cut), Receipt::Current);
-    assert_eq!(peer.receive(5, 100 + 39_999, after_the_cut + 10), Receipt::Outdated, "overtaken");
-    assert_eq!(peer.receive(5, 100 + 40_001, after_the_cut + 20), Receipt::Current);
+    assert_eq!(
+        peer.receive(5, 100 + 39_999, after_the_cut + Duration::from_micros(10)),
+        Receipt::Outdated,
+        "overtaken"
+    );
+    assert_eq!(peer.receive(5, 100 + 40_001, after_the_cut + Duration::from_micros(20)), Receipt::Current);
 }
