--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,10 +1,12 @@
 //! A gateway: the parts that own its state, and the bookkeeping that needs several of them. Nothing is
 //! decided here: that is the work of `crate::policy`.
 
-use crate::policy::{initial_baseline, report_interval, retry_budget};
-use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
+mod backend_health;
+
+use crate::policy::{report_interval, retry_budget};
+use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, OutlierDetector, Pressure, StageChange};
 use crate::policy::{RejectReason, MAX_REPORTED_QUEUE_DEPTH};
-use crate::state::{BackendTable, DecayingRate, LatencyBaseline, PeerTable, QuotaTable};
+use crate::state::{BackendTable, DecayingRate, PeerTable, QuotaTable};
 use crate::state::{RequestTable, RetryBudget};
 use crate::{Action, AttemptEnded, BackendId, Class, CustomerId, Endpoint, EndpointUpdate, Event};
 use crate::{Duration, Instant, Outcome, Plan, Request, RequestId, Settings};
@@ -36,8 +38,8 @@
     pub(crate) peers: PeerTable,
     /// Backends, their health and the index of the ready ones.
     pub(crate) backends: BackendTable,
-    /// By class.
-    pub(crate) latency_baselines: Vec<LatencyBaseline>,
+    /// Finds backends and zones that fail, and latencies that are not normal.
+    pub(crate) outlier_detector: OutlierDetector,
     /// How far recent latencies are from the highest that pass for normal.
     pub(crate) pressure: Pressure,
     /// Decides which customers are shed.
@@ -75,7 +77,7 @@
             started_at: now,
             quota: QuotaTable { usage_known_since: Some(now), report_interval, ..QuotaTable::default() },
             backends: BackendTable::new(&settings),
-            latency_baselines: settings.classes.iter().map(|class| initial_baseline(class, now)).collect(),
+            outlier_detector: OutlierDetector::new(&settings.classes, now),
             retry_budget: retry_budget(fleet_size),
             fleet_size,
             settings,
--- /dev/null
+++ b/src/gateway/backend_health.rs
@@ -0,0 +1,77 @@
+//! How a gateway follows the health of its backends: it hands what it sees to the outlier detector, logs what changes,
+//! and tells its peers.
+
+use crate::policy::REJECTION_LATENCY_RATIO;
+use crate::policy::{AnswerFacts, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, Source};
+use crate::{AttemptEnded, BackendId, Gateway};
+
+impl Gateway {
+    /// Takes note of how an attempt of a class ended.
+    pub(crate) fn record_outcome(&mut self, ended: &AttemptEnded, class: usize) {
+        let now = self.now;
+        let Some(evidence) = Evidence::of(ended.outcome) else { return };
+        let Some(backend) = self.backends.get_mut(ended.backend) else { return };
+        let facts = OutcomeFacts { now, class, zone: backend.endpoint.zone, evidence };
+        let change = self.outlier_detector.record_outcome(&mut backend.health, &facts);
+        if let Some(change) = change {
+            log_health_change(ended.backend, class, change);
+        }
+        if evidence == Evidence::Rejection {
+            backend.reported_queue_depth += self.fleet_size as f64;
+            return self.record_pressure(REJECTION_LATENCY_RATIO);
+        }
+        let latency_micros = (evidence == Evidence::Success).then_some(ended.elapsed.as_micros_f64());
+        let observation = Observation { backend: ended.backend, class, latency_micros, source: Source::Own };
+        self.queue_sample(&observation);
+        self.record_latency(&observation);
+    }
+
+    /// A backend was ejected for its silence to an attempt of a class.
+    pub(crate) fn on_silence_ejection(&mut self, backend: BackendId, class: usize, ejection: Ejection) {
+        log_health_change(backend, class, HealthChange::Ejected(ejection));
+        self.queue_sample(&Observation { backend, class, latency_micros: None, source: Source::Own });
+    }
+
+    /// Takes note of how a peer's attempt went.
+    pub(crate) fn record_peer_observation(&mut self, observation: &Observation) {
+        let Some(backend) = self.backends.get_mut(observation.backend) else { return };
+        backend.health.record_peer_attempt(self.now, observation.is_failure());
+        self.record_latency(observation);
+    }
+
+    /// Takes note of an answer's latency, unless it was measured while the host stood still.
+    fn record_latency(&mut self, observation: &Observation) {
+        let Observation { backend, class, latency_micros, source } = *observation;
+        let Some(latency_micros) = latency_micros.filter(|_| self.now != self.resumed_at) else { return };
+        let Some(backend) = self.backends.get_mut(backend) else { return };
+        let facts = AnswerFacts { now: self.now, class, latency_micros, source };
+        let latency_ratio = self.outlier_detector.record_answer(&mut backend.health, &facts);
+        self.record_pressure(latency_ratio);
+    }
+
+    /// Has peers told of an observation, in a large fleet: there most gateways learn of a failing backend from others
+    /// before they send to it.
+    fn queue_sample(&mut self, observation: &Observation) {
+        if self.all_gateways_own_quotas() {
+            return;
+        }
+        let objective = self.settings.classes[observation.class].latency_objective;
+        if let Some(sample) = observation.to_sample(objective) {
+            self.peers.queue_sample(sample, observation.retransmissions());
+        }
+    }
+}
+
+/// Logs that a backend was ejected or is back in service.
+fn log_health_change(backend: BackendId, class: usize, change: HealthChange) {
+    let backend = backend.0;
+    match change {
+        HealthChange::Ejected(Ejection { reason, failure_rate, until }) => {
+            let until_micros = until.as_micros();
+            tracing::debug!(target: "policy", backend, class, ?reason, failure_rate, until_micros, "ejected");
+        }
+        HealthChange::Returned { failure_rate } => {
+            tracing::debug!(target: "policy", backend, class, failure_rate, "returned to service");
+        }
+    }
+}
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -2,7 +2,8 @@
 //! its form and order, and latency samples are recorded.
 
 use super::{incarnation_of, Body, LatencySample, Message, QuotaGrant};
-use crate::state::{Observation, Receipt, Source};
+use crate::policy::{Observation, Source};
+use crate::state::Receipt;
 use crate::{Action, Gateway, GatewayId};
 
 impl Gateway {
@@ -41,8 +42,13 @@
             let Some(backend) = self.backends.by_tag(sample.backend_tag) else { continue };
             let Some(settings) = self.settings.classes.get(class) else { continue };
             let objective = settings.latency_objective.as_micros_f64();
-            let latency = sample.relative_latency.map(|relative| relative * objective);
-            self.record_observation(Observation { backend, class, latency, source: Source::Peer });
+            let latency_micros = sample.relative_latency.map(|relative| relative * objective);
+            self.record_peer_observation(&Observation {
+                backend,
+                class,
+                latency_micros,
+                source: Source::Peer,
+            });
         }
     }
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -19,7 +19,10 @@
 pub(crate) use gateway::report_interval;
 pub(crate) use load_balancing::MAX_REPORTED_QUEUE_DEPTH;
 pub(crate) use load_shedding::{LoadShedder, StageChange};
-pub(crate) use outlier_detection::initial_baseline;
+pub(crate) use outlier_detection::{
+    AnswerFacts, BackendHealth, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, OutlierDetector,
+    Source, REJECTION_LATENCY_RATIO,
+};
 pub(crate) use pressure::Pressure;
 pub(crate) use quota::{MAX_REFILL_SECONDS, ROUNDING_MARGIN};
 pub(crate) use reasons::{EjectionReason, RejectReason};
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,6 +1,5 @@
 //! Load balancing: the choice of a backend among a subset, with slow start for those that came up lately.
 
-use super::outlier_detection::SUSPECT_FAILURE_RATE;
 use super::pressure::PRESSURE_TIME_CONSTANT;
 use super::quota::USAGE_RATE_TIME_CONSTANT;
 use super::retry::SILENCE_SHARE;
@@ -58,6 +57,9 @@
     }
 }
 
+/// Failure rate from which a backend is looked past in the choice.
+const SUSPECT_FAILURE_RATE: f64 = 0.4;
+
 /// A backend that may take an attempt.
 struct Candidate {
     cost: f64,
@@ -128,19 +130,16 @@
     ) -> Option<Candidate> {
         let now = self.now;
         let capacity = backend.size * backend.slow_start_share(now, &self.settings.rules);
-        let weight = capacity / backend.relative_latency * subset.ready as f64;
+        let weight = capacity / backend.health.relative_latency() * subset.ready as f64;
         let weight = weight / self.backends.ready_capacity / 2.0;
         let passed_over = subset.is_sampled() && hash(self.random_state ^ (step as u64) << 40) > weight;
         if passed_over || !self.slow_start_allows(backend) {
             return None;
         }
-        let health = &backend.health[usize::from(state.request.class)];
-        // Failing connections count for the zone as well: it may be cut off, with all that is in it.
-        let zone = self.backends.zone_health.get(&backend.endpoint.zone);
-        let zone_failure_rate = zone.map_or(0.0, |zone| zone.failure_rate(now));
-        let failure_rate = health.failure_rate(now).max(zone_failure_rate);
-        let ejected =
-            health.consecutive_ejections > 0 && (now < health.ejected_until || backend.in_flight > 0);
+        let class = usize::from(state.request.class);
+        let failure_rate =
+            self.outlier_detector.failure_rate(&backend.health, class, backend.endpoint.zone, now);
+        let ejected = backend.health.is_ejected(class, backend.in_flight, now);
         let tried = state.attempts.iter().any(|attempt| attempt.endpoint.backend == backend.endpoint.backend);
         let jitter = 1.0 + 0.1 * ((hash(self.random_state) + step as f64 * 0.618_034) % 1.0);
         let distance = if backend.endpoint.zone == self.settings.zone { 1.0 } else { 1.05 };
--- /dev/null
+++ b/src/policy/outlier_detection/evidence.rs
@@ -0,0 +1,39 @@
+//! What the end of an attempt says of the backend that it went to.
+
+use crate::Outcome;
+
+/// What the end of an attempt says of its backend.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Evidence {
+    /// It served the attempt.
+    Success,
+    /// It rejected the attempt unseen: it is overloaded, not faulty.
+    Rejection,
+    /// It answered with an error, or broke the connection.
+    Failure,
+    /// No connection to it could be made.
+    ConnectFailure,
+}
+
+impl Evidence {
+    /// What an outcome says; none where the backend did not determine it. A timeout is among these: it may be the
+    /// client's deadline, and [`check_silence`](super::BackendHealth::check_silence) finds backends that do not answer.
+    pub(crate) fn of(outcome: Outcome) -> Option<Evidence> {
+        match outcome {
+            Outcome::Ok => Some(Evidence::Success),
+            Outcome::Rejected => Some(Evidence::Rejection),
+            Outcome::Error | Outcome::Reset => Some(Evidence::Failure),
+            Outcome::ConnectFailed => Some(Evidence::ConnectFailure),
+            Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut => None,
+        }
+    }
+
+    /// Whether the attempt counts as failed in the failure rate; none if it does not count.
+    pub(super) fn is_failure(self) -> Option<bool> {
+        match self {
+            Evidence::Success => Some(false),
+            Evidence::Failure | Evidence::ConnectFailure => Some(true),
+            Evidence::Rejection => None,
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/outlier_detection/tests.rs
@@ -0,0 +1,201 @@
+//! Tests of [`super`].
+
+use super::*;
+use crate::policy::EjectionReason;
+use crate::{Duration, Idempotency};
+
+/// Some time after the start of the clock.
+const START: Instant = Instant::from_micros(100_000_000);
+/// The latency objective of the classes.
+const OBJECTIVE: Duration = Duration::from_millis(400);
+/// The class that the tests send requests of, unless they say otherwise.
+const CLASS: usize = 0;
+/// Another class.
+const OTHER_CLASS: usize = 1;
+/// The zone of the backends.
+const ZONE: u8 = 3;
+
+/// A time so long after [`START`].
+fn after_millis(millis: u64) -> Instant {
+    START + Duration::from_millis(millis)
+}
+
+/// A detector for two classes.
+fn detector() -> OutlierDetector {
+    let class = Class {
+        latency_objective: OBJECTIVE,
+        latency_objective_stretch: 0.0,
+        deadline: OBJECTIVE,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
+        streaming: false,
+    };
+    OutlierDetector::new(&[class.clone(), class], START)
+}
+
+/// A backend of which nothing is known.
+fn backend() -> BackendHealth {
+    BackendHealth::new(2)
+}
+
+/// An attempt of [`CLASS`] that ended.
+fn ended(evidence: Evidence, now: Instant) -> OutcomeFacts {
+    OutcomeFacts { now, class: CLASS, zone: ZONE, evidence }
+}
+
+/// The ejection in a change of health.
+fn ejection(change: Option<HealthChange>) -> Ejection {
+    match change {
+        Some(HealthChange::Ejected(ejection)) => ejection,
+        other => panic!("no ejection: {other:?}"),
+    }
+}
+
+/// A backend answers with an error once: that may be chance. With the second error in a row more than a quarter of its
+/// recent attempts have failed, and it is ejected, for the class that failed alone.
+#[test]
+fn repeated_failures_eject_a_backend_for_their_class() {
+    let (mut detector, mut health) = (detector(), backend());
+    assert_eq!(detector.record_outcome(&mut health, &ended(Evidence::Failure, START)), None);
+    let change = detector.record_outcome(&mut health, &ended(Evidence::Failure, START));
+    let Ejection { reason, failure_rate, until } = ejection(change);
+    assert_eq!((reason, until), (EjectionReason::Failures, after_millis(500)));
+    assert!((0.25..0.3).contains(&failure_rate), "{failure_rate}");
+    assert!(health.is_ejected(CLASS, 0, START));
+    assert!(!health.is_ejected(OTHER_CLASS, 0, START));
+}
+
+/// An overloaded backend rejects every attempt unseen. It answers, so it is neither ejected nor silent: it only needs
+/// less load.
+#[test]
+fn rejections_by_a_backend_eject_nothing() {
+    let (mut detector, mut health) = (detector(), backend());
+    for _ in 0..20 {
+        assert_eq!(detector.record_outcome(&mut health, &ended(Evidence::Rejection, START)), None);
+    }
+    assert_eq!(health.check_silence(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
+    assert_eq!(detector.failure_rate(&health, CLASS, ZONE, START), 0.0);
+}
+
+/// An attempt was sent, and for a good while its backend has answered nothing of its class. One such attempt ejects the
+/// backend. Those that were sent with it find it ejected already: the ejection is not made longer by each of them.
+#[test]
+fn silence_ejects_a_backend_once_for_all_its_attempts() {
+    let mut health = backend();
+    let silence = health.check_silence(CLASS, START, after_millis(100));
+    let SilenceVerdict::Silent { ejection: Some(ejection) } = silence else { panic!("{silence:?}") };
+    assert_eq!((ejection.reason, ejection.until), (EjectionReason::Silence, after_millis(600)));
+    let next = health.check_silence(CLASS, START, after_millis(110));
+    assert_eq!(next, SilenceVerdict::Silent { ejection: None });
+}
+
+/// A request is late, but its backend has answered another one since: the request is slow, and the backend is not
+/// silent.
+#[test]
+fn an_answer_after_the_send_is_proof_against_silence() {
+    let (mut detector, mut health) = (detector(), backend());
+    detector.record_outcome(&mut health, &ended(Evidence::Success, after_millis(50)));
+    assert_eq!(health.check_silence(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
+    assert!(health.check_silence(CLASS, after_millis(60), after_millis(100)).is_silent());
+}
+
+/// A backend fails whenever it is tried again after its ejection. Each ejection lasts twice as long as the one before,
+/// up to eight times the first one: it costs fewer and fewer attempts, and is still found once it has recovered.
+#[test]
+fn the_ejection_time_doubles_up_to_a_limit() {
+    let (mut detector, mut health) = (detector(), backend());
+    detector.record_outcome(&mut health, &ended(Evidence::Failure, START));
+    let mut now = START;
+    for expected_millis in [500, 1000, 2000, 4000, 4000] {
+        let change = detector.record_outcome(&mut health, &ended(Evidence::Failure, now));
+        let until = ejection(change).until;
+        assert_eq!(until.duration_since(now), Duration::from_millis(expected_millis));
+        assert!(health.is_ejected(CLASS, 0, until - Duration::MICROSECOND));
+        now = until;
+    }
+}
+
+/// The ejection time is over. One attempt at a time tries the backend; it succeeds, and as few of the recent attempts
+/// had failed, the backend is in service again. The next ejection is as short as a first one.
+#[test]
+fn a_success_after_the_ejection_time_returns_a_backend_to_service() {
+    let (mut detector, mut health) = (detector(), backend());
+    (0..2).for_each(|_| drop(detector.record_outcome(&mut health, &ended(Evidence::Failure, START))));
+    let later = after_millis(2000);
+    assert!(!health.is_ejected(CLASS, 0, later), "it may be tried");
+    assert!(health.is_ejected(CLASS, 1, later), "but by one attempt only");
+    let change = detector.record_outcome(&mut health, &ended(Evidence::Success, later));
+    assert!(
+        matches!(change, Some(HealthChange::Returned { failure_rate }) if failure_rate < 0.25),
+        "{change:?}"
+    );
+    assert!(!health.is_ejected(CLASS, 1, later));
+    let silence = health.check_silence(CLASS, after_millis(3000), after_millis(3100));
+    let SilenceVerdict::Silent { ejection: Some(ejection) } = silence else { panic!("{silence:?}") };
+    assert_eq!(ejection.until, after_millis(3600));
+}
+
+/// A backend has failed so often that one success proves little: it stays ejected until successes are the rule again.
+#[test]
+fn a_backend_returns_only_once_its_failure_rate_is_low() {
+    let (mut detector, mut health) = (detector(), backend());
+    (0..10).for_each(|_| drop(detector.record_outcome(&mut health, &ended(Evidence::Failure, START))));
+    assert_eq!(detector.record_outcome(&mut health, &ended(Evidence::Success, START)), None);
+    let successes = (1..).find(|_| {
+        let change = detector.record_outcome(&mut health, &ended(Evidence::Success, START));
+        matches!(change, Some(HealthChange::Returned { .. }))
+    });
+    assert!((3..12).contains(&successes.unwrap_or(0)), "{successes:?}");
+}
+
+/// Peers report that a backend fails. It is known as failing for every class, before this gateway has lost a request
+/// to it, but only this gateway's own attempts eject it.
+#[test]
+fn failures_seen_by_peers_count_for_all_classes_but_eject_nothing() {
+    let (detector, mut health) = (detector(), backend());
+    (0..20).for_each(|_| health.record_peer_attempt(START, true));
+    for class in [CLASS, OTHER_CLASS] {
+        assert!(detector.failure_rate(&health, class, ZONE, START) > 0.9);
+        assert!(!health.is_ejected(class, 1, START));
+    }
+}
+
+/// A zone is cut off. After a few failed connections all its backends are avoided, those too that were not tried yet.
+/// One connection that is made proves that the zone can be reached again.
+#[test]
+fn failed_connections_count_for_all_backends_of_the_zone() {
+    let (mut detector, mut tried, untried) = (detector(), backend(), backend());
+    (0..3).for_each(|_| drop(detector.record_outcome(&mut tried, &ended(Evidence::ConnectFailure, START))));
+    assert!(detector.failure_rate(&untried, CLASS, ZONE, START) > 0.6);
+    assert_eq!(detector.failure_rate(&untried, CLASS, ZONE + 1, START), 0.0);
+    detector.record_outcome(&mut tried, &ended(Evidence::Failure, START));
+    assert_eq!(detector.failure_rate(&untried, CLASS, ZONE, START), 0.0);
+}
+
+/// A backend that failed is left alone. Its failure rate falls by itself: else nothing would ever try it again.
+#[test]
+fn the_failure_rate_falls_with_time_alone() {
+    let (mut detector, mut health) = (detector(), backend());
+    (0..10).for_each(|_| drop(detector.record_outcome(&mut health, &ended(Evidence::Failure, START))));
+    let then = detector.failure_rate(&health, CLASS, ZONE, START);
+    let later = detector.failure_rate(&health, CLASS, ZONE, after_millis(4000));
+    assert!((later / then - (-1f64).exp()).abs() < 1e-9, "{then} fell to {later} within one time constant");
+}
+
+/// All answers take 40 ms but those of one backend, which take 80 ms: it is known as twice as slow as usual, and a
+/// latency far beyond the unloaded one is above the highest normal one although the objective is met.
+#[test]
+fn latencies_are_compared_with_those_of_all_backends() {
+    let (mut detector, mut usual, mut slow) = (detector(), backend(), backend());
+    let answer =
+        |latency_micros| AnswerFacts { now: START, class: CLASS, latency_micros, source: Source::Own };
+    for _ in 0..200 {
+        (0..10).for_each(|_| drop(detector.record_answer(&mut usual, &answer(40_000.0))));
+        detector.record_answer(&mut slow, &answer(80_000.0));
+    }
+    assert!((0.8..1.0).contains(&usual.relative_latency()), "{}", usual.relative_latency());
+    assert!((1.7..2.1).contains(&slow.relative_latency()), "{}", slow.relative_latency());
+    assert!(detector.record_answer(&mut usual, &answer(40_000.0)) < 0.5);
+    assert!(detector.record_answer(&mut usual, &answer(200_000.0)) > 1.0);
+}
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -156,7 +156,7 @@
             self.presumes_owners_overloaded(customer, plan, request)
         };
         let concurrency_wait = (plan.concurrency_quota > 0 && at_concurrency_quota).then(|| {
-            let answer_time = self.latency_baselines[usize::from(request.class)].unloaded / MICROS_PER_SECOND;
+            let answer_time = self.outlier_detector.unloaded_micros(request.class.into()) / MICROS_PER_SECOND;
             rate_wait.unwrap_or(0.0).max(answer_time)
         });
         TokenWait {
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,8 +1,8 @@
 //! Further attempts: the retry budget, idempotency, and hedged requests.
 
+use super::outlier_detection::SilenceVerdict;
 use super::permissions::{may_repeat_key, may_start_attempt, AttemptFacts};
-use super::EjectionReason;
-use crate::state::{Observation, RequestState, RetryBudget, RetryScope, Source};
+use crate::state::{RequestState, RetryBudget, RetryScope};
 use crate::{Action, Gateway, Idempotency, RequestId};
 
 /// Share of the useful duration after which an attempt at a silent backend is retried elsewhere.
@@ -82,8 +82,8 @@
         let Some(attempt) = state.latest_attempt_in_flight() else { return };
         let (backend_id, sent_at) = (attempt.endpoint.backend, attempt.sent_at);
         let Some(backend) = self.backends.get_mut(backend_id) else { return };
-        let health = &mut backend.health[class_index];
-        let silent = health.last_heard_at < sent_at;
+        let silence = backend.health.check_silence(class_index, sent_at, now);
+        let silent = silence.is_silent();
         let hedge_at = sent_at + useful_duration.mul_f64(HEDGE_SHARE);
         if !silent && now < hedge_at {
             return self.requests.check_at(hedge_at, id);
@@ -94,12 +94,8 @@
         if resend && instead {
             state.cancel_attempts(None, true, actions);
         }
-        if silent && now >= health.ejected_until {
-            health.eject(now);
-            let (backend, class, reason) = (backend_id.0, class_index, EjectionReason::Silence);
-            tracing::debug!(target: "policy", backend, class, ?reason, "ejected");
-            let (class, source) = (class_index, Source::Own);
-            self.record_observation(Observation { backend: backend_id, class, latency: None, source });
+        if let SilenceVerdict::Silent { ejection: Some(ejection) } = silence {
+            self.on_silence_ejection(backend_id, class_index, ejection);
         }
         if resend && self.settings.limits.hedging {
             self.retry(id, actions);
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -1,22 +1,9 @@
 //! What a gateway knows of a backend.
 
-use super::DecayingAverage;
+use crate::policy::BackendHealth;
 use crate::{Duration, Endpoint, Instant, Rules};
 use std::collections::VecDeque;
 
-/// How a backend does with one class of requests: it may be an outlier for that one alone.
-#[derive(Clone, Default)]
-pub struct Health {
-    /// Share of recent answers that were failures.
-    pub failures: DecayingAverage,
-    /// When it last answered, with whatever outcome.
-    pub last_heard_at: Instant,
-    /// Until then it is chosen last.
-    pub ejected_until: Instant,
-    /// Ejections since the last good answer.
-    pub consecutive_ejections: u32,
-}
-
 /// A backend that is ready, or that attempts are still in flight at.
 #[derive(Default)]
 pub struct Backend {
@@ -28,10 +15,8 @@
     pub ready: bool,
     /// Attempts of this gateway in flight there.
     pub in_flight: u32,
-    /// Mean latency over what the class usually takes; 1 is normal.
-    pub relative_latency: f64,
-    /// By class.
-    pub health: Vec<Health>,
+    /// How it does, by class.
+    pub health: BackendHealth,
     /// Requests waiting there as last reported.
     pub reported_queue_depth: f64,
     /// When that was reported.
--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -1,9 +1,10 @@
 //! The backends that a gateway knows, kept up to date with the endpoint list.
 
-use super::{hash, Backend, EndpointIndex, Health};
+use super::{hash, Backend, EndpointIndex};
 use crate::gossip::backend_tag;
+use crate::policy::BackendHealth;
 use crate::{Availability, BackendId, Endpoint, GatewayId, Settings, SizeMeaning};
-use std::collections::BTreeMap;
+use std::collections::btree_map::{BTreeMap, Entry};
 
 /// The backends of a gateway, and what is made from their list.
 #[derive(Default)]
@@ -16,8 +17,6 @@
     pub ready: EndpointIndex,
     /// The sizes of the ready ones together.
     pub ready_capacity: f64,
-    /// Whether backends of a zone could be connected to.
-    pub zone_health: BTreeMap<u8, Health>,
     /// The gateway whose table this is.
     own_id: GatewayId,
     /// How many request classes there are.
@@ -88,12 +87,17 @@
 
     /// Takes an entry of the list into the backend's record; a process that started anew has a new record.
     fn upsert(&mut self, endpoint: Endpoint) {
-        let backend = self.backends.entry(endpoint.backend).or_default();
-        if backend.health.is_empty() || endpoint.started_at != backend.endpoint.started_at {
-            backend.relative_latency = 1.0;
-            backend.reported_queue_depth = 0.0;
-            backend.health = vec![Health::default(); self.classes];
-        }
+        let backend = match self.backends.entry(endpoint.backend) {
+            Entry::Occupied(known) if known.get().endpoint.started_at == endpoint.started_at => {
+                known.into_mut()
+            }
+            entry => {
+                let backend = entry.or_default();
+                backend.health = BackendHealth::new(self.classes);
+                backend.reported_queue_depth = 0.0;
+                backend
+            }
+        };
         backend.endpoint = endpoint;
         let has_size = self.sizes_are_capacities && endpoint.size.is_finite() && endpoint.size > 0.0;
         backend.size = if has_size { endpoint.size } else { 1.0 };
