--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -1,5 +1,5 @@
-//! How a gateway follows the health of its backends: it hands what it sees to the outlier detector, logs what changes,
-//! and tells its peers.
+//! How a gateway follows the health of its backends: it hands what it sees to the outlier detector, logs what
+//! changes, and tells its peers.
 
 use crate::policy::REJECTION_LATENCY_RATIO;
 use crate::policy::{AnswerFacts, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, Source};
@@ -49,8 +49,8 @@
         self.record_pressure(latency_ratio);
     }
 
-    /// Has peers told of an observation, in a large fleet: there most gateways learn of a failing backend from others
-    /// before they send to it.
+    /// Has peers told of an observation, in a large fleet: there most gateways learn of a failing backend
+    /// from others before they send to it.
     fn queue_sample(&mut self, observation: &Observation) {
         if self.all_gateways_own_quotas() {
             return;
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,7 +1,8 @@
-//! Outlier detection: which backends and zones fail or stay silent, and how latencies compare with the usual ones.
+//! Outlier detection: which backends and zones fail or stay silent, and how latencies compare with the usual
+//! ones.
 //!
-//! [`BackendHealth`] has the rules for one backend: when it is ejected and when it returns to service. Each backend's
-//! record holds its own. [`OutlierDetector`] has the rules that concern several backends.
+//! [`BackendHealth`] has the rules for one backend: when it is ejected and when it returns to service. Each
+//! backend's record holds its own. [`OutlierDetector`] has the rules that concern several backends.
 
 mod evidence;
 mod failure_rate;
@@ -18,11 +19,13 @@
 pub(crate) use observation::{Observation, Source};
 use std::collections::BTreeMap;
 
-/// Weight of a connection that was made in the failure rate of its zone: it proves that the zone can be reached.
+/// Weight of a connection that was made in the failure rate of its zone: it proves that the zone can be
+/// reached.
 const ZONE_SUCCESS_WEIGHT: f64 = 1.0;
 /// Weight of a connection that failed in the failure rate of its zone.
 const ZONE_FAILURE_WEIGHT: f64 = 0.3;
-/// What a rejection by a backend counts as in the pressure: a latency of so many times the highest normal one.
+/// What a rejection by a backend counts as in the pressure: a latency of so many times the highest normal
+/// one.
 pub(crate) const REJECTION_LATENCY_RATIO: f64 = 2.0;
 
 /// The end of an attempt of this gateway.
@@ -67,8 +70,8 @@
         OutlierDetector { zones: BTreeMap::new(), baselines: baselines.collect() }
     }
 
-    /// The share of recent attempts of a class that failed at a backend, or of recent connections that failed in its
-    /// zone if that is more: a zone that is cut off cannot be reached at any of its backends.
+    /// The share of recent attempts of a class that failed at a backend, or of recent connections that failed
+    /// in its zone if that is more: a zone that is cut off cannot be reached at any of its backends.
     pub(crate) fn failure_rate(&self, health: &BackendHealth, class: usize, zone: u8, now: Instant) -> f64 {
         let zone_failure_rate = self.zones.get(&zone).map_or(0.0, |zone| zone.at(now));
         health.failure_rate(class, now).max(zone_failure_rate)
--- a/src/policy/outlier_detection/evidence.rs
+++ b/src/policy/outlier_detection/evidence.rs
@@ -16,8 +16,9 @@
 }
 
 impl Evidence {
-    /// What an outcome says; none where the backend did not determine it. A timeout is among these: it may be the
-    /// client's deadline, and [`check_silence`](super::BackendHealth::check_silence) finds backends that do not answer.
+    /// What an outcome says; none where the backend did not determine it. A timeout is among these: it may be
+    /// the client's deadline, and [`check_silence`](super::BackendHealth::check_silence) finds backends that
+    /// do not answer.
     pub(crate) fn of(outcome: Outcome) -> Option<Evidence> {
         match outcome {
             Outcome::Ok => Some(Evidence::Success),
--- a/src/policy/outlier_detection/failure_rate.rs
+++ b/src/policy/outlier_detection/failure_rate.rs
@@ -3,7 +3,8 @@
 use crate::state::DecayingAverage;
 use crate::{Duration, Instant};
 
-/// Time constant with which the rate falls while no attempts are made: what was ejected or avoided is tried again.
+/// Time constant with which the rate falls while no attempts are made: what was ejected or avoided is tried
+/// again.
 const TIME_CONSTANT: Duration = Duration::from_secs(4);
 
 /// The share of recent attempts that failed, from 0 to 1.
--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -135,20 +135,21 @@
         self.relative_latency.get()
     }
 
-    /// Whether it is to be chosen last for a class. Once the ejection time is over it may be tried, by one attempt at
-    /// a time: `in_flight` counts those of this gateway there.
+    /// Whether it is to be chosen last for a class. Once the ejection time is over it may be tried, by one
+    /// attempt at a time: `in_flight` counts those of this gateway there.
     pub(crate) fn is_ejected(&self, class: usize, in_flight: u32, now: Instant) -> bool {
         let health = &self.classes[class];
         health.consecutive_ejections > 0 && (now < health.ejected_until || in_flight > 0)
     }
 
-    /// Whether an attempt of a class that was sent at a time and has not ended is silent, which ejects the backend.
+    /// Whether an attempt of a class that was sent at a time and has not ended is silent, which ejects the
+    /// backend.
     pub(crate) fn check_silence(&mut self, class: usize, sent_at: Instant, now: Instant) -> SilenceVerdict {
         self.classes[class].check_silence(sent_at, now)
     }
 
-    /// Counts an attempt that a peer reported. It counts for all classes, since reports on a class with few requests
-    /// would come too late for it, and it ejects nothing.
+    /// Counts an attempt that a peer reported. It counts for all classes, since reports on a class with few
+    /// requests would come too late for it, and it ejects nothing.
     pub(crate) fn record_peer_attempt(&mut self, now: Instant, failed: bool) {
         self.classes.iter_mut().for_each(|health| health.failure_rate.record(now, failed, PEER_WEIGHT));
     }
@@ -158,7 +159,8 @@
         self.classes[class].failure_rate.at(now)
     }
 
-    /// Takes note that an attempt of this gateway ended; a rejection counts as an answer, but not in the failure rate.
+    /// Takes note that an attempt of this gateway ended; a rejection counts as an answer, but not in the
+    /// failure rate.
     pub(super) fn record_outcome(
         &mut self,
         class: usize,
--- a/src/policy/outlier_detection/latency_baseline.rs
+++ b/src/policy/outlier_detection/latency_baseline.rs
@@ -12,8 +12,8 @@
 const UNLOADED_LATENCY_GROWTH: f64 = 0.01;
 /// The highest normal latency, as a multiple of the unloaded one ...
 const UNLOADED_LATENCY_MULTIPLE: f64 = 3.5;
-/// ... and as a share of the latency objective; the lesser of the two holds. Beyond it backends lose throughput before
-/// objectives are missed.
+/// ... and as a share of the latency objective; the lesser of the two holds. Beyond it backends lose
+/// throughput before objectives are missed.
 const OBJECTIVE_SHARE: f64 = 0.6;
 /// The highest ratio to the recent latency that one answer counts with.
 const MAX_RELATIVE_LATENCY: f64 = 4.0;
@@ -72,8 +72,8 @@
         self.updated_at = now;
     }
 
-    /// The most that the unloaded latency may be now, in microseconds. It falls at once and rises slowly: the latencies
-    /// of an overload must not pass for those of unloaded backends.
+    /// The most that the unloaded latency may be now, in microseconds. It falls at once and rises slowly: the
+    /// latencies of an overload must not pass for those of unloaded backends.
     fn highest_unloaded_micros(&self, now: Instant) -> f64 {
         if self.answers <= RECENT_ANSWERS {
             return self.objective_micros * MAX_INITIAL_UNLOADED_SHARE;
--- a/src/policy/outlier_detection/observation.rs
+++ b/src/policy/outlier_detection/observation.rs
@@ -36,7 +36,8 @@
         self.latency_micros.is_none()
     }
 
-    /// What peers are told of it, by the latency objective of its class; none for a class that messages cannot name.
+    /// What peers are told of it, by the latency objective of its class; none for a class that messages
+    /// cannot name.
     pub(crate) fn to_sample(self, objective: Duration) -> Option<LatencySample> {
         if self.class > MAX_CLASS {
             return None;
--- a/src/policy/outlier_detection/relative_latency.rs
+++ b/src/policy/outlier_detection/relative_latency.rs
@@ -6,7 +6,8 @@
 const OWN_WEIGHT: f64 = 0.1;
 /// Weight of an answer that a peer reported.
 const PEER_WEIGHT: f64 = 0.2;
-/// The least that it falls to: it is a divisor, and a backend whose answers are fast must not draw all the load.
+/// The least that it falls to: it is a divisor, and a backend whose answers are fast must not draw all the
+/// load.
 const MIN_RELATIVE_LATENCY: f64 = 0.3;
 
 /// The mean over a backend's answers of their latency, relative to what answers of their class usually take.
--- a/src/policy/outlier_detection/tests.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// A backend answers with an error once: that may be chance. With the second error in a row more than a quarter of its
-/// recent attempts have failed, and it is ejected, for the class that failed alone.
+/// A backend answers with an error once: that may be chance. With the second error in a row more than a
+/// quarter of its recent attempts have failed, and it is ejected, for the class that failed alone.
 #[test]
 fn repeated_failures_eject_a_backend_for_their_class() {
     let (mut detector, mut health) = (detector(), backend());
@@ -66,8 +66,8 @@
     assert!(!health.is_ejected(OTHER_CLASS, 0, START));
 }
 
-/// An overloaded backend rejects every attempt unseen. It answers, so it is neither ejected nor silent: it only needs
-/// less load.
+/// An overloaded backend rejects every attempt unseen. It answers, so it is neither ejected nor silent: it
+/// only needs less load.
 #[test]
 fn rejections_by_a_backend_eject_nothing() {
     let (mut detector, mut health) = (detector(), backend());
@@ -78,8 +78,9 @@
     assert_eq!(detector.failure_rate(&health, CLASS, ZONE, START), 0.0);
 }
 
-/// An attempt was sent, and for a good while its backend has answered nothing of its class. One such attempt ejects the
-/// backend. Those that were sent with it find it ejected already: the ejection is not made longer by each of them.
+/// An attempt was sent, and for a good while its backend has answered nothing of its class. One such attempt
+/// ejects the backend. Those that were sent with it find it ejected already: the ejection is not made longer
+/// by each of them.
 #[test]
 fn silence_ejects_a_backend_once_for_all_its_attempts() {
     let mut health = backend();
@@ -90,8 +91,8 @@
     assert_eq!(next, SilenceVerdict::Silent { ejection: None });
 }
 
-/// A request is late, but its backend has answered another one since: the request is slow, and the backend is not
-/// silent.
+/// A request is late, but its backend has answered another one since: the request is slow, and the backend is
+/// not silent.
 #[test]
 fn an_answer_after_the_send_is_proof_against_silence() {
     let (mut detector, mut health) = (detector(), backend());
@@ -100,8 +101,9 @@
     assert!(health.check_silence(CLASS, after_millis(60), after_millis(100)).is_silent());
 }
 
-/// A backend fails whenever it is tried again after its ejection. Each ejection lasts twice as long as the one before,
-/// up to eight times the first one: it costs fewer and fewer attempts, and is still found once it has recovered.
+/// A backend fails whenever it is tried again after its ejection. Each ejection lasts twice as long as the
+/// one before, up to eight times the first one: it costs fewer and fewer attempts, and is still found once it
+/// has recovered.
 #[test]
 fn the_ejection_time_doubles_up_to_a_limit() {
     let (mut detector, mut health) = (detector(), backend());
@@ -116,8 +118,8 @@
     }
 }
 
-/// The ejection time is over. One attempt at a time tries the backend; it succeeds, and as few of the recent attempts
-/// had failed, the backend is in service again. The next ejection is as short as a first one.
+/// The ejection time is over. One attempt at a time tries the backend; it succeeds, and as few of the recent
+/// attempts had failed, the backend is in service again. The next ejection is as short as a first one.
 #[test]
 fn a_success_after_the_ejection_time_returns_a_backend_to_service() {
     let (mut detector, mut health) = (detector(), backend());
@@ -136,7 +138,8 @@
     assert_eq!(ejection.until, after_millis(3600));
 }
 
-/// A backend has failed so often that one success proves little: it stays ejected until successes are the rule again.
+/// A backend has failed so often that one success proves little: it stays ejected until successes are the
+/// rule again.
 #[test]
 fn a_backend_returns_only_once_its_failure_rate_is_low() {
     let (mut detector, mut health) = (detector(), backend());
@@ -149,8 +152,8 @@
     assert!((3..12).contains(&successes.unwrap_or(0)), "{successes:?}");
 }
 
-/// Peers report that a backend fails. It is known as failing for every class, before this gateway has lost a request
-/// to it, but only this gateway's own attempts eject it.
+/// Peers report that a backend fails. It is known as failing for every class, before this gateway has lost a
+/// request to it, but only this gateway's own attempts eject it.
 #[test]
 fn failures_seen_by_peers_count_for_all_classes_but_eject_nothing() {
     let (detector, mut health) = (detector(), backend());
@@ -161,8 +164,8 @@
     }
 }
 
-/// A zone is cut off. After a few failed connections all its backends are avoided, those too that were not tried yet.
-/// One connection that is made proves that the zone can be reached again.
+/// A zone is cut off. After a few failed connections all its backends are avoided, those too that were not
+/// tried yet. One connection that is made proves that the zone can be reached again.
 #[test]
 fn failed_connections_count_for_all_backends_of_the_zone() {
     let (mut detector, mut tried, untried) = (detector(), backend(), backend());
@@ -173,7 +176,8 @@
     assert_eq!(detector.failure_rate(&untried, CLASS, ZONE, START), 0.0);
 }
 
-/// A backend that failed is left alone. Its failure rate falls by itself: else nothing would ever try it again.
+/// A backend that failed is left alone. Its failure rate falls by itself: else nothing would ever try it
+/// again.
 #[test]
 fn the_failure_rate_falls_with_time_alone() {
     let (mut detector, mut health) = (detector(), backend());
@@ -183,8 +187,8 @@
     assert!((later / then - (-1f64).exp()).abs() < 1e-9, "{then} fell to {later} within one time constant");
 }
 
-/// All answers take 40 ms but those of one backend, which take 80 ms: it is known as twice as slow as usual, and a
-/// latency far beyond the unloaded one is above the highest normal one although the objective is met.
+/// All answers take 40 ms but those of one backend, which take 80 ms: it is known as twice as slow as usual,
+/// and a latency far beyond the unloaded one is above the highest normal one although the objective is met.
 #[test]
 fn latencies_are_compared_with_those_of_all_backends() {
     let (mut detector, mut usual, mut slow) = (detector(), backend(), backend());
