--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -2,11 +2,12 @@
 //! decided here: that is the work of `crate::policy`.
 
 mod backend_health;
+mod forwarding;
 
-use crate::policy::{report_interval, retry_budget};
-use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, OutlierDetector, Pressure, StageChange};
-use crate::policy::{RejectReason, MAX_REPORTED_QUEUE_DEPTH};
-use crate::state::{BackendTable, DecayingRate, PeerTable, QuotaTable};
+use crate::policy::{report_interval, retry_budget, RejectReason};
+use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
+use crate::policy::{LoadBalancer, OutlierDetector};
+use crate::state::{BackendTable, PeerTable, QuotaTable};
 use crate::state::{RequestTable, RetryBudget};
 use crate::{Action, AttemptEnded, BackendId, Class, CustomerId, Endpoint, EndpointUpdate, Event};
 use crate::{Duration, Instant, Outcome, Plan, Request, RequestId, Settings};
@@ -40,6 +41,8 @@
     pub(crate) backends: BackendTable,
     /// Finds backends and zones that fail, and latencies that are not normal.
     pub(crate) outlier_detector: OutlierDetector,
+    /// Chooses backends for attempts.
+    pub(crate) load_balancer: LoadBalancer,
     /// How far recent latencies are from the highest that pass for normal.
     pub(crate) pressure: Pressure,
     /// Decides which customers are shed.
@@ -48,8 +51,6 @@
     pub(crate) concurrency_limiter: ConcurrencyLimiter,
     /// Retries that may still be sent.
     pub(crate) retry_budget: RetryBudget,
-    /// Attempts sent by this gateway.
-    pub(crate) send_rate: DecayingRate,
 }
 
 /// What the end of an attempt means for others.
@@ -78,6 +79,7 @@
             quota: QuotaTable { usage_known_since: Some(now), report_interval, ..QuotaTable::default() },
             backends: BackendTable::new(&settings),
             outlier_detector: OutlierDetector::new(&settings.classes, now),
+            load_balancer: LoadBalancer::new(&settings, fleet_size),
             retry_budget: retry_budget(fleet_size),
             fleet_size,
             settings,
@@ -236,8 +238,7 @@
     pub(crate) fn record_queue_depth(&mut self, ended: &AttemptEnded) {
         let Some(depth) = ended.load_report.and_then(|report| report.queue_depth) else { return };
         let Some(backend) = self.backends.get_mut(ended.backend) else { return };
-        backend.reported_queue_depth = depth.clamp(0.0, MAX_REPORTED_QUEUE_DEPTH);
-        backend.reported_at = self.now;
+        backend.reported_queue.report(depth, self.now);
     }
 
     /// Notes the end of an attempt with its request, backend and customer; none if it was not in flight.
--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -17,7 +17,7 @@
             log_health_change(ended.backend, class, change);
         }
         if evidence == Evidence::Rejection {
-            backend.reported_queue_depth += self.fleet_size as f64;
+            backend.reported_queue.record_rejection(self.fleet_size);
             return self.record_pressure(REJECTION_LATENCY_RATIO);
         }
         let latency_micros = (evidence == Evidence::Success).then_some(ended.elapsed.as_micros_f64());
--- /dev/null
+++ b/src/gateway/forwarding.rs
@@ -0,0 +1,57 @@
+//! How a gateway sends attempts: it has the load balancer choose a backend, and takes note of what it sends.
+
+use crate::policy::{attempt_expiry, ChoiceFacts, ExpiryFacts, NoBackend, SILENCE_SHARE};
+use crate::state::RequestState;
+use crate::{Action, BackendId, Gateway, Instant, RequestId};
+
+impl Gateway {
+    /// Sends a request's next attempt; false if no backend may take it now.
+    pub(crate) fn send_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        self.random_state = self.random_state.wrapping_add(1);
+        let Some(state) = self.requests.get(id) else { return false };
+        let backend = match self.choose_backend(state) {
+            Ok(backend) => backend,
+            Err(reason) => {
+                tracing::debug!(target: "policy", request = id.0, ?reason, "no backend chosen");
+                return false;
+            }
+        };
+        let objective = self.class_of(&state.request).latency_objective;
+        let silent_at = self.now + state.useful_duration(objective).mul_f64(SILENCE_SHARE);
+        let expires_at = self.attempt_expiry(state);
+        if state.attempts.is_empty() {
+            self.retry_budget.deposit();
+        }
+        self.requests.check_at(silent_at, id);
+        self.load_balancer.record_send(self.now);
+        self.begin_attempt(id, backend);
+        actions.push(Action::Send { id, backend, expires_at });
+        true
+    }
+
+    /// Chooses a backend for a request's next attempt.
+    fn choose_backend(&self, state: &RequestState) -> Result<BackendId, NoBackend> {
+        let scope = self.retry_scope(state).ok_or(NoBackend::KeyExpired)?;
+        self.load_balancer.choose(&ChoiceFacts {
+            now: self.now,
+            seed: self.random_state,
+            class: state.request.class.into(),
+            attempts: &state.attempts,
+            scope: &scope,
+            backends: &self.backends,
+            outlier_detector: &self.outlier_detector,
+        })
+    }
+
+    /// When an attempt of a request that is sent now is given up; none for the client's deadline.
+    fn attempt_expiry(&self, state: &RequestState) -> Option<Instant> {
+        attempt_expiry(&ExpiryFacts {
+            now: self.now,
+            arrived_at: state.arrived_at,
+            class: self.class_of(&state.request),
+            has_concurrency_quota: self.plan_of(&state.request).concurrency_quota > 0,
+            is_small_fleet: self.all_gateways_own_quotas(),
+            tick: self.settings.tick,
+        })
+    }
+}
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -2,6 +2,7 @@
 //! from the seed alone.
 
 mod admission;
+mod attempt_expiry;
 mod concurrency_limit;
 mod gateway;
 mod load_balancing;
@@ -15,9 +16,10 @@
 mod start_times;
 mod usage_reports;
 
+pub(crate) use attempt_expiry::{attempt_expiry, ExpiryFacts};
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
 pub(crate) use gateway::report_interval;
-pub(crate) use load_balancing::MAX_REPORTED_QUEUE_DEPTH;
+pub(crate) use load_balancing::{ChoiceFacts, LoadBalancer, NoBackend, RecentSends, ReportedQueue};
 pub(crate) use load_shedding::{LoadShedder, StageChange};
 pub(crate) use outlier_detection::{
     AnswerFacts, BackendHealth, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, OutlierDetector,
@@ -26,5 +28,5 @@
 pub(crate) use pressure::Pressure;
 pub(crate) use quota::{MAX_REFILL_SECONDS, ROUNDING_MARGIN};
 pub(crate) use reasons::{EjectionReason, RejectReason};
-pub(crate) use retry::retry_budget;
+pub(crate) use retry::{retry_budget, SILENCE_SHARE};
 pub use start_times::StartTimes;
--- /dev/null
+++ b/src/policy/attempt_expiry.rs
@@ -0,0 +1,37 @@
+//! When an attempt is given up before its client's deadline.
+
+use crate::{Class, Duration, Instant};
+
+/// What the expiry of an attempt depends on.
+#[derive(Clone, Copy)]
+pub(crate) struct ExpiryFacts<'a> {
+    /// The time.
+    pub now: Instant,
+    /// When its request arrived.
+    pub arrived_at: Instant,
+    /// The class of its request.
+    pub class: &'a Class,
+    /// Whether its customer may have a limited number of attempts in flight.
+    pub has_concurrency_quota: bool,
+    /// Whether the fleet is so small that all gateways of a customer own its quota.
+    pub is_small_fleet: bool,
+    /// The least time between two events with a new clock: an attempt has at least as long.
+    pub tick: Duration,
+}
+
+/// When an attempt is given up; none for its client's deadline.
+///
+/// Past its latency objective an attempt may be worth nothing, but still counts towards its customer's
+/// concurrency quota: giving it up makes room for another. In a small fleet that would cost more than it
+/// gains, since the clients retry.
+pub(crate) fn attempt_expiry(facts: &ExpiryFacts<'_>) -> Option<Instant> {
+    let ExpiryFacts { now, arrived_at, class, tick, .. } = *facts;
+    let is_worthless_when_late = class.late_weight == 0.0 && class.latency_objective_stretch == 0.0;
+    if facts.is_small_fleet || !facts.has_concurrency_quota || !is_worthless_when_late {
+        return None;
+    }
+    Some((arrived_at + class.latency_objective).max(now + tick))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/attempt_expiry/tests.rs
@@ -0,0 +1,57 @@
+//! Tests of [`super`].
+
+use super::*;
+use crate::Idempotency;
+
+const ARRIVAL: Instant = Instant::from_micros(1_000_000);
+const OBJECTIVE: Duration = Duration::from_millis(400);
+const TICK: Duration = Duration::from_millis(5);
+
+/// A class whose late answers are worth this share of its weight.
+fn class(late_weight: f64) -> Class {
+    Class {
+        latency_objective: OBJECTIVE,
+        latency_objective_stretch: 0.0,
+        deadline: Duration::from_secs(2),
+        priority_weight: 1.0,
+        late_weight,
+        idempotency: Idempotency::Idempotent,
+        streaming: false,
+    }
+}
+
+/// An attempt in a large fleet, sent at once, whose customer has a concurrency quota.
+fn facts(class: &Class) -> ExpiryFacts<'_> {
+    ExpiryFacts {
+        now: ARRIVAL,
+        arrived_at: ARRIVAL,
+        class,
+        has_concurrency_quota: true,
+        is_small_fleet: false,
+        tick: TICK,
+    }
+}
+
+/// A late answer would be worth nothing, but hold a place of the customer's concurrency quota: the attempt
+/// ends with its latency objective.
+#[test]
+fn an_attempt_that_is_worthless_when_late_ends_with_its_objective() {
+    assert_eq!(attempt_expiry(&facts(&class(0.0))), Some(ARRIVAL + OBJECTIVE));
+}
+
+/// A retry is sent just before the objective, or after it: it has a tick to be answered in.
+#[test]
+fn an_attempt_has_a_tick_at_least() {
+    let (class, late) = (class(0.0), ARRIVAL + OBJECTIVE * 2);
+    assert_eq!(attempt_expiry(&ExpiryFacts { now: late, ..facts(&class) }), Some(late + TICK));
+}
+
+/// A late answer is worth something, or holds nobody up, or the fleet is small: the attempt goes on until the
+/// client's deadline.
+#[test]
+fn other_attempts_go_on_until_the_deadline() {
+    let worthless = class(0.0);
+    assert_eq!(attempt_expiry(&facts(&class(0.2))), None);
+    assert_eq!(attempt_expiry(&ExpiryFacts { has_concurrency_quota: false, ..facts(&worthless) }), None);
+    assert_eq!(attempt_expiry(&ExpiryFacts { is_small_fleet: true, ..facts(&worthless) }), None);
+}
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,185 +1,182 @@
-//! Load balancing: the choice of a backend among a subset, with slow start for those that came up lately.
+//! Load balancing: which backend gets an attempt.
+//!
+//! A choice goes through a [`Subset`] of the ready backends, draws candidates by their weight, and takes the
+//! one with the least cost ([`CandidateFacts`]). [`SlowStart`] says whether a backend that came up a short
+//! time ago may be sent an attempt.
 
-use super::pressure::PRESSURE_TIME_CONSTANT;
-use super::quota::USAGE_RATE_TIME_CONSTANT;
-use super::retry::SILENCE_SHARE;
-use crate::state::{decay, hash, Backend, RequestState, RetryScope, MICROS_PER_SECOND};
-use crate::{Action, BackendId, Duration, Gateway, Instant, RequestId};
+mod candidate;
+mod reported_queue;
+mod slow_start;
+mod subset;
 
-/// Part of the rule's budget spent on a backend in slow start. The budget is computed from what is sent,
-/// which may be two and a half times what backends bear before answers show it; the rest is for chance.
-const SLOW_START_MARGIN: f64 = 0.35;
-/// Windows of the rule for which it stays drawn who may send a backend in slow start one more.
-const LOTTERY_WINDOWS: u64 = 4;
-/// Backends that a sliver of the load goes to: each once in a few seconds.
-const MIN_SUBSET_SIZE: usize = 32;
-/// Gateways that have a backend in their subsets, where the list is long: the part of the backends that are
-/// in no subset is e to the minus this.
-const GATEWAYS_PER_BACKEND: usize = 8;
-/// Candidates looked at before such a subset: more find hardly better ones.
-const MAX_CANDIDATES: usize = 8;
+use super::OutlierDetector;
+use crate::state::{hash, Attempt, Backend, BackendTable, RetryScope, Salt};
+use crate::{BackendId, Instant, Settings};
+use candidate::CandidateFacts;
+pub(crate) use reported_queue::ReportedQueue;
+pub(crate) use slow_start::RecentSends;
+use slow_start::SlowStart;
+use subset::Subset;
 
-/// The part of the ready backends that one choice looks at.
-struct Subset {
-    /// All backends that take work.
-    ready: usize,
-    /// Healthy candidates to compare.
-    wanted: usize,
-    /// Backends that the candidates come from.
-    size: usize,
+/// The weight of a backend that is neither larger nor faster than others. A candidate is drawn with its
+/// weight as the probability: below 1 a backend that is better than most is drawn more often than they are.
+const MEAN_WEIGHT: f64 = 0.5;
+/// Mixes the step of a choice into the seed of its draws.
+const STEP_SALT: Salt = Salt::from_bit(40);
+
+/// Why no backend was chosen. Where several reasons hold, it is the last of them in this order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum NoBackend {
+    /// The idempotency key may be forgotten before an attempt could begin.
+    KeyExpired,
+    /// No backend takes work.
+    NoneReady,
+    /// No backend that takes work is known to remember the idempotency key.
+    OutOfScope,
+    /// None was drawn, by chance.
+    NotDrawn,
+    /// Those that were drawn are in slow start, and have been sent as much as they can bear.
+    SlowStart,
 }
 
-impl Subset {
-    /// Two candidates drawn by their weight, and more the more of the load is this gateway's own: what many
-    /// see as the least loaded would be so for all of them at once. They come from the same few backends at
-    /// every choice: connections seldom used are closed, and made anew for each request.
-    fn new(ready: usize, fleet_size: u64, scope: &RetryScope) -> Subset {
-        let covering = GATEWAYS_PER_BACKEND * ready / fleet_size as usize;
-        let wanted = 2 + 3 * ready / fleet_size as usize;
-        let wanted = if covering > MIN_SUBSET_SIZE { wanted.min(MAX_CANDIDATES) } else { wanted };
-        let whole = wanted >= ready || matches!(scope, RetryScope::Within(..));
-        let size = if whole { ready } else { ready.min(MIN_SUBSET_SIZE.max(covering)) };
-        Subset { ready, wanted, size }
-    }
+/// What a choice depends on.
+#[derive(Clone, Copy)]
+pub(crate) struct ChoiceFacts<'a> {
+    /// The time.
+    pub now: Instant,
+    /// Another number for each choice, by which its draws are made.
+    pub seed: u64,
+    /// The class of the request.
+    pub class: usize,
+    /// The request's attempts so far.
+    pub attempts: &'a [Attempt],
+    /// Where the attempt may go.
+    pub scope: &'a RetryScope,
+    /// The backends, with their load and health.
+    pub backends: &'a BackendTable,
+    /// Knows how the health of a backend and of its zone is to be read.
+    pub outlier_detector: &'a OutlierDetector,
+}
 
-    /// Whether candidates are drawn by their weight.
-    fn is_sampled(&self) -> bool {
-        self.wanted < self.ready
-    }
+/// Chooses backends for attempts.
+#[derive(Default)]
+pub(crate) struct LoadBalancer {
+    /// The zone of this gateway.
+    zone: u8,
+    /// Gateways that share the backends.
+    fleet_size: u64,
+    /// Limits what is sent to backends that came up a short time ago.
+    slow_start: SlowStart,
+}
 
-    /// Backends looked at before the choice gives up: those not drawn count, too.
-    fn steps(&self) -> usize {
-        if self.is_sampled() {
-            4 * self.size
-        } else {
-            self.size
-        }
-    }
+/// What a choice has found so far.
+struct Search {
+    /// The cheapest candidate.
+    best: Option<BackendId>,
+    /// Its cost.
+    best_cost: f64,
+    /// Candidates that are not suspect.
+    healthy: usize,
+    /// Candidates that are.
+    suspect: usize,
+    /// Why backends were not candidates.
+    skipped: NoBackend,
 }
 
-/// Failure rate from which a backend is looked past in the choice.
-const SUSPECT_FAILURE_RATE: f64 = 0.4;
+impl Search {
+    /// Nothing is found yet.
+    fn new() -> Search {
+        Search { best: None, best_cost: f64::MAX, healthy: 0, suspect: 0, skipped: NoBackend::NoneReady }
+    }
 
-/// A backend that may take an attempt.
-struct Candidate {
-    cost: f64,
-    suspect: bool,
+    /// Takes a candidate, or the reason why a backend is none.
+    fn record(&mut self, backend: BackendId, candidate: Result<CandidateFacts, NoBackend>) {
+        let candidate = match candidate {
+            Ok(candidate) => candidate,
+            Err(reason) => return self.skipped = self.skipped.max(reason),
+        };
+        let cost = candidate.cost();
+        if cost < self.best_cost {
+            (self.best, self.best_cost) = (Some(backend), cost);
+        }
+        let is_suspect = candidate.is_suspect();
+        self.suspect += usize::from(is_suspect);
+        self.healthy += usize::from(!is_suspect);
+    }
 }
 
-/// The deepest queue that a backend's report is believed.
-pub(crate) const MAX_REPORTED_QUEUE_DEPTH: f64 = 1000.0;
+impl LoadBalancer {
+    /// The balancer of a gateway that has sent nothing yet.
+    pub(crate) fn new(settings: &Settings, fleet_size: u64) -> LoadBalancer {
+        LoadBalancer { zone: settings.zone, fleet_size, slow_start: SlowStart::new(settings, fleet_size) }
+    }
 
-impl Gateway {
-    /// Whether this gateway alone may send a backend in slow start one more in the rule's window. Where its
-    /// part is less than a request, it is drawn who may: one from each would be a hundred.
-    fn slow_start_allows(&self, backend: &Backend) -> bool {
-        let rules = &self.settings.rules;
-        if !backend.in_slow_start(self.now, rules) {
-            return true;
-        }
-        let window = rules.overload_window.max(Duration::MICROSECOND);
-        let rate = self.send_rate.at(self.now, USAGE_RATE_TIME_CONSTANT);
-        let fair_share = rate * backend.size / self.backends.ready_capacity.max(backend.size);
-        let fair_sends = fair_share * window.as_micros_f64() / MICROS_PER_SECOND;
-        let share = backend.slow_start_share(self.now, rules);
-        let budget = rules.overload_factor * share * fair_sends * SLOW_START_MARGIN;
-        let budget = budget.max(1.0 / self.fleet_size as f64);
-        // Drawn by each gateway at its own times, and for longer than the window, since the window slides.
-        let own_id = u64::from(self.settings.own_id.0);
-        let period = window * LOTTERY_WINDOWS;
-        let round = (self.now + period.mul_f64(hash(own_id))).period_index(period);
-        let draw = hash(backend.endpoint.backend.0 ^ round << 48 ^ own_id << 32);
-        backend.recent_sends(self.now, window) as f64 + draw < budget
+    /// Takes note that an attempt is sent, to whichever backend.
+    pub(crate) fn record_send(&mut self, now: Instant) {
+        self.slow_start.record_send(now);
     }
 
-    /// Chooses a backend for a request's next attempt; none if none may take it now.
-    fn choose_backend(&mut self, id: RequestId) -> Option<BackendId> {
-        self.random_state = self.random_state.wrapping_add(1);
-        let state = self.requests.get(id)?;
-        let scope = self.retry_scope(state)?;
-        let subset = Subset::new(self.backends.ready.len(), self.fleet_size, &scope);
-        let start = (hash(self.random_state) * subset.size as f64) as usize;
-        let (mut healthy, mut suspect) = (0, 0);
-        let (mut best, mut best_cost) = (None, f64::MAX);
+    /// Chooses the backend for a request's next attempt.
+    pub(crate) fn choose(&self, facts: &ChoiceFacts<'_>) -> Result<BackendId, NoBackend> {
+        let subset = Subset::new(facts.backends.ready.len(), self.fleet_size, facts.scope);
+        let draw = hash(facts.seed);
+        let start = subset.start(draw);
+        let mut search = Search::new();
         for step in 0..subset.steps() {
-            let backend = self.backends.ready.get((start + step) % subset.size);
-            let Some(backend) = backend.and_then(|id| self.backends.get(id)) else { continue };
-            if !scope.includes(&backend.endpoint) {
-                continue;
-            }
-            let Some(candidate) = self.candidate(backend, state, &subset, step) else { continue };
-            if candidate.cost < best_cost {
-                (best, best_cost) = (Some(backend.endpoint.backend), candidate.cost);
-            }
-            suspect += usize::from(candidate.suspect);
-            healthy += usize::from(!candidate.suspect);
-            if healthy >= subset.wanted || suspect > 4 * subset.wanted {
+            let position = subset.position(start, step);
+            let Some(backend) = facts.backends.ready_at(position) else { continue };
+            search.record(backend.endpoint.backend, self.candidate(backend, facts, &subset, draw, step));
+            if subset.has_enough(search.healthy, search.suspect) {
                 break;
             }
         }
-        best
+        search.best.ok_or(search.skipped)
     }
 
-    /// What it would cost to send a backend the next attempt; none if it may not take it, or is not drawn.
+    /// What decides on a backend as a candidate, or why it is none.
     fn candidate(
         &self,
         backend: &Backend,
-        state: &RequestState,
+        facts: &ChoiceFacts<'_>,
         subset: &Subset,
+        draw: f64,
         step: usize,
-    ) -> Option<Candidate> {
-        let now = self.now;
-        let capacity = backend.size * backend.slow_start_share(now, &self.settings.rules);
-        let weight = capacity / backend.health.relative_latency() * subset.ready as f64;
-        let weight = weight / self.backends.ready_capacity / 2.0;
-        let passed_over = subset.is_sampled() && hash(self.random_state ^ (step as u64) << 40) > weight;
-        if passed_over || !self.slow_start_allows(backend) {
-            return None;
+    ) -> Result<CandidateFacts, NoBackend> {
+        let ChoiceFacts { now, class, .. } = *facts;
+        let Backend { endpoint, health, in_flight, .. } = backend;
+        if !facts.scope.includes(endpoint) {
+            return Err(NoBackend::OutOfScope);
         }
-        let class = usize::from(state.request.class);
-        let failure_rate =
-            self.outlier_detector.failure_rate(&backend.health, class, backend.endpoint.zone, now);
-        let ejected = backend.health.is_ejected(class, backend.in_flight, now);
-        let tried = state.attempts.iter().any(|attempt| attempt.endpoint.backend == backend.endpoint.backend);
-        let jitter = 1.0 + 0.1 * ((hash(self.random_state) + step as f64 * 0.618_034) % 1.0);
-        let distance = if backend.endpoint.zone == self.settings.zone { 1.0 } else { 1.05 };
-        let queue_depth =
-            backend.reported_queue_depth * decay(backend.reported_at, now, PRESSURE_TIME_CONSTANT);
-        let load = f64::from(backend.in_flight) + 1.0 + queue_depth / self.fleet_size.min(4) as f64;
-        let risk = (1.0 + 10.0 * failure_rate) * if tried { 8.0 } else { 1.0 };
-        let cost = load * jitter * distance * risk / if subset.is_sampled() { 1.0 } else { weight };
-        // The ejected come last, but none is shut out: else where most are ejected the rest are pushed over.
-        let cost = cost * if ejected { 10.0 } else { 1.0 };
-        Some(Candidate { cost, suspect: ejected || failure_rate > SUSPECT_FAILURE_RATE })
-    }
-
-    /// Sends a request's next attempt; false if no backend may take it now.
-    pub(crate) fn send_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(backend) = self.choose_backend(id) else { return false };
-        let Some(state) = self.requests.get(id) else { return false };
-        if state.attempts.is_empty() {
-            self.retry_budget.deposit();
+        let weight = self.weight(backend, facts, subset);
+        let is_sampled = subset.is_sampled();
+        if is_sampled && hash(facts.seed ^ STEP_SALT.of(step as u64)) > weight {
+            return Err(NoBackend::NotDrawn);
+        }
+        if !self.slow_start.allows(backend, facts.backends.ready_capacity, now) {
+            return Err(NoBackend::SlowStart);
         }
-        let objective = self.class_of(&state.request).latency_objective;
-        let silent_at = self.now + state.useful_duration(objective).mul_f64(SILENCE_SHARE);
-        self.requests.check_at(silent_at, id);
-        self.send_rate.record(self.now, USAGE_RATE_TIME_CONSTANT);
-        self.begin_attempt(id, backend);
-        actions.push(Action::Send { id, backend, expires_at: self.attempt_expiry(id) });
-        true
+        Ok(CandidateFacts {
+            in_flight: *in_flight,
+            queue_depth: backend.reported_queue.depth_at(now),
+            fleet_size: self.fleet_size,
+            in_own_zone: endpoint.zone == self.zone,
+            failure_rate: facts.outlier_detector.failure_rate(health, class, endpoint.zone, now),
+            was_tried: facts.attempts.iter().any(|attempt| attempt.endpoint.backend == endpoint.backend),
+            is_ejected: health.is_ejected(class, *in_flight, now),
+            weight: if is_sampled { 1.0 } else { weight },
+            draw,
+            step,
+        })
     }
 
-    /// When an attempt is given up; none for the client's deadline. Past its objective an attempt may earn
-    /// nothing, but still counts towards its customer's concurrency quota. In a small fleet clients that come
-    /// again would cost more.
-    fn attempt_expiry(&self, id: RequestId) -> Option<Instant> {
-        let state = self.requests.get(id)?;
-        let class = self.class_of(&state.request);
-        let worthless_when_late = class.late_weight == 0.0 && class.latency_objective_stretch == 0.0;
-        let capped = self.plan_of(&state.request).concurrency_quota > 0;
-        if self.all_gateways_own_quotas() || !capped || !worthless_when_late {
-            return None;
-        }
-        Some((state.arrived_at + class.latency_objective).max(self.now + self.settings.tick))
+    /// How much of the load a backend should get: its present capacity over its latency, relative to the mean
+    /// capacity of the ready backends. A backend that is as large and fast as the mean has [`MEAN_WEIGHT`].
+    fn weight(&self, backend: &Backend, facts: &ChoiceFacts<'_>, subset: &Subset) -> f64 {
+        let capacity = backend.size * self.slow_start.capacity_share(backend, facts.now);
+        let throughput = capacity / backend.health.relative_latency();
+        throughput * subset.ready() as f64 / facts.backends.ready_capacity * MEAN_WEIGHT
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/load_balancing/candidate/tests.rs
@@ -0,0 +1,55 @@
+//! Tests of [`super`].
+
+use super::*;
+
+/// An idle backend without a fault in the gateway's own zone.
+const IDLE: CandidateFacts = CandidateFacts {
+    in_flight: 0,
+    queue_depth: 0.0,
+    fleet_size: 2,
+    in_own_zone: true,
+    failure_rate: 0.0,
+    was_tried: false,
+    is_ejected: false,
+    weight: 1.0,
+    draw: 0.0,
+    step: 0,
+};
+
+/// Backends differ in one thing each. The costs are those that the factors of the rule give.
+#[test]
+fn each_fault_has_its_factor() {
+    assert_eq!(IDLE.cost(), 1.0);
+    assert_eq!(CandidateFacts { in_flight: 3, ..IDLE }.cost(), 4.0);
+    assert_eq!(CandidateFacts { in_own_zone: false, ..IDLE }.cost(), 1.05);
+    assert_eq!(CandidateFacts { failure_rate: 0.5, ..IDLE }.cost(), 6.0);
+    assert_eq!(CandidateFacts { was_tried: true, ..IDLE }.cost(), 8.0);
+    assert_eq!(CandidateFacts { is_ejected: true, ..IDLE }.cost(), 10.0);
+    assert_eq!(CandidateFacts { weight: 0.25, ..IDLE }.cost(), 4.0);
+}
+
+/// Nothing else tells the candidates of a choice apart. Chance does, by a tenth at most: it never outweighs
+/// one more attempt in flight at a backend with few.
+#[test]
+fn chance_moves_the_cost_by_a_tenth_at_most() {
+    let costs = (0..1000).map(|step| CandidateFacts { draw: 0.7, step, ..IDLE }.cost());
+    let (least, most) = costs.fold((f64::MAX, 0.0), |(least, most), cost| (cost.min(least), cost.max(most)));
+    assert!((1.0..1.01).contains(&least) && (1.09..1.1).contains(&most), "{least} to {most}");
+}
+
+/// A backend reports a queue of twelve requests. Three gateways take a third of it each as their own load; of
+/// a hundred each takes a quarter, since a queue is a bad sign however many share it.
+#[test]
+fn a_reported_queue_is_divided_among_four_gateways_at_most() {
+    let queueing = CandidateFacts { queue_depth: 12.0, ..IDLE };
+    assert_eq!(CandidateFacts { fleet_size: 3, ..queueing }.cost(), 5.0);
+    assert_eq!(CandidateFacts { fleet_size: 100, ..queueing }.cost(), 4.0);
+}
+
+/// A candidate is looked past, in search of better ones, if it is ejected or fails often.
+#[test]
+fn candidates_that_are_ejected_or_fail_often_are_suspect() {
+    assert!(!CandidateFacts { failure_rate: 0.4, ..IDLE }.is_suspect());
+    assert!(CandidateFacts { failure_rate: 0.41, ..IDLE }.is_suspect());
+    assert!(CandidateFacts { is_ejected: true, ..IDLE }.is_suspect());
+}
--- a/src/policy/outlier_detection/tests.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -44,6 +44,19 @@
     OutcomeFacts { now, class: CLASS, zone: ZONE, evidence }
 }
 
+/// Has so many attempts end with the same evidence at one moment.
+fn end_attempts(
+    detector: &mut OutlierDetector,
+    health: &mut BackendHealth,
+    count: usize,
+    evidence: Evidence,
+    now: Instant,
+) {
+    for _ in 0..count {
+        detector.record_outcome(health, &ended(evidence, now));
+    }
+}
+
 /// The ejection in a change of health.
 fn ejection(change: Option<HealthChange>) -> Ejection {
     match change {
@@ -123,7 +136,7 @@
 #[test]
 fn a_success_after_the_ejection_time_returns_a_backend_to_service() {
     let (mut detector, mut health) = (detector(), backend());
-    (0..2).for_each(|_| drop(detector.record_outcome(&mut health, &ended(Evidence::Failure, START))));
+    end_attempts(&mut detector, &mut health, 2, Evidence::Failure, START);
     let later = after_millis(2000);
     assert!(!health.is_ejected(CLASS, 0, later), "it may be tried");
     assert!(health.is_ejected(CLASS, 1, later), "but by one attempt only");
@@ -143,7 +156,7 @@
 #[test]
 fn a_backend_returns_only_once_its_failure_rate_is_low() {
     let (mut detector, mut health) = (detector(), backend());
-    (0..10).for_each(|_| drop(detector.record_outcome(&mut health, &ended(Evidence::Failure, START))));
+    end_attempts(&mut detector, &mut health, 10, Evidence::Failure, START);
     assert_eq!(detector.record_outcome(&mut health, &ended(Evidence::Success, START)), None);
     let successes = (1..).find(|_| {
         let change = detector.record_outcome(&mut health, &ended(Evidence::Success, START));
@@ -169,7 +182,7 @@
 #[test]
 fn failed_connections_count_for_all_backends_of_the_zone() {
     let (mut detector, mut tried, untried) = (detector(), backend(), backend());
-    (0..3).for_each(|_| drop(detector.record_outcome(&mut tried, &ended(Evidence::ConnectFailure, START))));
+    end_attempts(&mut detector, &mut tried, 3, Evidence::ConnectFailure, START);
     assert!(detector.failure_rate(&untried, CLASS, ZONE, START) > 0.6);
     assert_eq!(detector.failure_rate(&untried, CLASS, ZONE + 1, START), 0.0);
     detector.record_outcome(&mut tried, &ended(Evidence::Failure, START));
@@ -181,7 +194,7 @@
 #[test]
 fn the_failure_rate_falls_with_time_alone() {
     let (mut detector, mut health) = (detector(), backend());
-    (0..10).for_each(|_| drop(detector.record_outcome(&mut health, &ended(Evidence::Failure, START))));
+    end_attempts(&mut detector, &mut health, 10, Evidence::Failure, START);
     let then = detector.failure_rate(&health, CLASS, ZONE, START);
     let later = detector.failure_rate(&health, CLASS, ZONE, after_millis(4000));
     assert!((later / then - (-1f64).exp()).abs() < 1e-9, "{then} fell to {later} within one time constant");
@@ -195,7 +208,9 @@
     let answer =
         |latency_micros| AnswerFacts { now: START, class: CLASS, latency_micros, source: Source::Own };
     for _ in 0..200 {
-        (0..10).for_each(|_| drop(detector.record_answer(&mut usual, &answer(40_000.0))));
+        for _ in 0..10 {
+            detector.record_answer(&mut usual, &answer(40_000.0));
+        }
         detector.record_answer(&mut slow, &answer(80_000.0));
     }
     assert!((0.8..1.0).contains(&usual.relative_latency()), "{}", usual.relative_latency());
--- a/src/state.rs
+++ b/src/state.rs
@@ -18,7 +18,7 @@
 mod token_bucket;
 mod token_wait;
 
-pub use arithmetic::{decay, hash, DecayingAverage, DecayingRate, MICROS_PER_SECOND};
+pub use arithmetic::{decay, hash, DecayingAverage, DecayingRate, Salt, MICROS_PER_SECOND};
 pub use backend::Backend;
 pub use backend_table::BackendTable;
 pub use customer::{Customer, GatewayUsage, MAX_REPORTED_IN_FLIGHT};
@@ -29,7 +29,7 @@
 pub use peer::{OutboxEntry, Peer, QueuedSample, Receipt};
 pub use peer_table::PeerTable;
 pub use quota_table::QuotaTable;
-pub use request::RequestState;
+pub use request::{Attempt, RequestState};
 pub use request_table::RequestTable;
 pub use retry_budget::RetryBudget;
 pub use retry_scope::RetryScope;
--- a/src/state/arithmetic.rs
+++ b/src/state/arithmetic.rs
@@ -5,8 +5,8 @@
 /// Microseconds in a second, for sums with fractions.
 pub const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What is left at one time of a value of 1 at another that decays exponentially: 1/e after the time constant.
-/// Nothing has decayed where the times are in the wrong order.
+/// What is left at one time of a value of 1 at another that decays exponentially: 1/e after the time
+/// constant. Nothing has decayed where the times are in the wrong order.
 pub fn decay(from: Instant, to: Instant, time_constant: Duration) -> f64 {
     if from >= to {
         1.0
@@ -23,6 +23,26 @@
     ((bits ^ (bits >> 31)) >> 11) as f64 / (1u64 << 53) as f64
 }
 
+/// Mixes a further number into the seed of a [`hash`], by exclusive or: draws that differ in it are
+/// independent.
+#[derive(Clone, Copy)]
+pub struct Salt {
+    /// The bit of the seed at which the number begins.
+    first_bit: u32,
+}
+
+impl Salt {
+    /// A salt that puts the number at this bit of the seed, from 0 to 63.
+    pub const fn from_bit(first_bit: u32) -> Salt {
+        Salt { first_bit }
+    }
+
+    /// What is mixed into the seed for a number; bits beyond the 64th are lost.
+    pub const fn of(self, number: u64) -> u64 {
+        number << self.first_bit
+    }
+}
+
 /// Events a second, of which old ones count less and less.
 #[derive(Default)]
 pub struct DecayingRate {
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -1,8 +1,7 @@
 //! What a gateway knows of a backend.
 
-use crate::policy::BackendHealth;
-use crate::{Duration, Endpoint, Instant, Rules};
-use std::collections::VecDeque;
+use crate::policy::{BackendHealth, RecentSends, ReportedQueue};
+use crate::{Duration, Endpoint, Instant};
 
 /// A backend that is ready, or that attempts are still in flight at.
 #[derive(Default)]
@@ -15,48 +14,23 @@
     pub ready: bool,
     /// Attempts of this gateway in flight there.
     pub in_flight: u32,
-    /// How it does, by class.
-    pub health: BackendHealth,
+    /// Failures, ejections and latencies, by class.
+    pub(crate) health: BackendHealth,
     /// Requests waiting there as last reported.
-    pub reported_queue_depth: f64,
-    /// When that was reported.
-    pub reported_at: Instant,
+    pub(crate) reported_queue: ReportedQueue,
     /// When attempts were sent there, within the overload window.
-    recent_sends: VecDeque<Instant>,
+    pub(crate) recent_sends: RecentSends,
 }
 
 impl Backend {
-    /// Whether it came up so lately that it has a part of its capacity only.
-    pub fn in_slow_start(&self, now: Instant, rules: &Rules) -> bool {
-        self.age(now).is_some_and(|age| age < rules.slow_start_duration)
-    }
-
-    /// The part of its capacity that it has for sure.
-    pub fn slow_start_share(&self, now: Instant, rules: &Rules) -> f64 {
-        let Some(age) = self.age(now).filter(|age| *age < rules.slow_start_duration) else { return 1.0 };
-        let floor = rules.slow_start_floor;
-        floor + (1.0 - floor) * age.as_micros_f64() / rules.slow_start_duration.as_micros_f64()
-    }
-
-    /// The time since its process started; none for long ago.
-    fn age(&self, now: Instant) -> Option<Duration> {
-        self.endpoint.started_at.map(|started_at| now.duration_since(started_at))
-    }
-
-    /// Notes that an attempt is sent there; sends older than `window` are forgotten.
+    /// Takes note that an attempt is sent there; sends older than `window` are forgotten.
     pub fn begin_attempt(&mut self, now: Instant, window: Duration) {
         self.in_flight += 1;
-        self.recent_sends.retain(|sent_at| *sent_at + window > now);
-        self.recent_sends.push_back(now);
+        self.recent_sends.record(now, window);
     }
 
-    /// Notes that an attempt there has ended.
+    /// Takes note that an attempt there has ended.
     pub fn end_attempt(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
-
-    /// Attempts sent there in the last `window`.
-    pub fn recent_sends(&self, now: Instant, window: Duration) -> usize {
-        self.recent_sends.iter().filter(|sent_at| **sent_at + window > now).count()
-    }
 }
--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -1,11 +1,14 @@
 //! The backends that a gateway knows, kept up to date with the endpoint list.
 
-use super::{hash, Backend, EndpointIndex};
+use super::{hash, Backend, EndpointIndex, Salt};
 use crate::gossip::backend_tag;
 use crate::policy::BackendHealth;
 use crate::{Availability, BackendId, Endpoint, GatewayId, Settings, SizeMeaning};
 use std::collections::btree_map::{BTreeMap, Entry};
 
+/// Mixes the gateway into the seed of the order of its backends.
+const GATEWAY_SALT: Salt = Salt::from_bit(48);
+
 /// The backends of a gateway, and what is made from their list.
 #[derive(Default)]
 pub struct BackendTable {
@@ -46,12 +49,18 @@
         self.backends.get_mut(&id)
     }
 
+    /// The ready backend at a position in this gateway's own order, counted from 0.
+    pub fn ready_at(&self, position: usize) -> Option<&Backend> {
+        self.get(self.ready.get(position)?)
+    }
+
     /// The ready backend with a tag, as messages between gateways name it.
     pub fn by_tag(&self, tag: u32) -> Option<BackendId> {
         self.by_tag.get(&tag).copied()
     }
 
-    /// Takes a whole list: what is absent from it is gone, and remembered only while attempts are in flight there.
+    /// Takes a whole list: what is absent from it is gone, and remembered only while attempts are in flight
+    /// there.
     pub fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
         self.backends.values_mut().for_each(|backend| backend.ready = false);
         endpoints.into_iter().for_each(|endpoint| self.upsert(endpoint));
@@ -59,7 +68,8 @@
         self.rebuild_index();
     }
 
-    /// Takes a changed entry of the list. The index is kept up to date in time that hardly grows with the list.
+    /// Takes a changed entry of the list. The index is kept up to date in time that hardly grows with the
+    /// list.
     pub fn apply_change(&mut self, endpoint: Endpoint) {
         let id = endpoint.backend;
         let size_before =
@@ -94,7 +104,7 @@
             entry => {
                 let backend = entry.or_default();
                 backend.health = BackendHealth::new(self.classes);
-                backend.reported_queue_depth = 0.0;
+                backend.reported_queue.clear();
                 backend
             }
         };
@@ -127,6 +137,6 @@
 
     /// Where a backend stands in this gateway's own order; a float from 0 up is ordered as its bits are.
     fn index_key(&self, id: BackendId) -> u64 {
-        hash(id.0 ^ u64::from(self.own_id.0) << 48).to_bits()
+        hash(id.0 ^ GATEWAY_SALT.of(self.own_id.0.into())).to_bits()
     }
 }
