--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -91,7 +91,7 @@
     pub(crate) fn load(&self) -> GatewayLoad {
         GatewayLoad {
             in_flight: self.requests.in_flight,
-            ready_backends: self.backends.ready.len(),
+            ready_backends: self.backends.ready_count(),
             fleet_size: self.fleet_size,
         }
     }
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -118,7 +118,7 @@
 
     /// Chooses the backend for a request's next attempt.
     pub(crate) fn choose(&self, facts: &ChoiceFacts<'_>) -> Result<BackendId, NoBackend> {
-        let subset = Subset::new(facts.backends.ready.len(), self.fleet_size, facts.scope);
+        let subset = Subset::new(facts.backends.ready_count(), self.fleet_size, facts.scope);
         let draw = hash(facts.seed);
         let start = subset.start(draw);
         let mut search = Search::new();
@@ -152,7 +152,7 @@
         if is_sampled && hash(facts.seed ^ STEP_SALT.of(step as u64)) > weight {
             return Err(NoBackend::NotDrawn);
         }
-        if !self.slow_start.allows(backend, facts.backends.ready_capacity, now) {
+        if !self.slow_start.allows(backend, facts.backends.ready_capacity(), now) {
             return Err(NoBackend::SlowStart);
         }
         Ok(CandidateFacts {
@@ -174,7 +174,7 @@
     fn weight(&self, backend: &Backend, facts: &ChoiceFacts<'_>, subset: &Subset) -> f64 {
         let capacity = backend.size * self.slow_start.capacity_share(backend, facts.now);
         let throughput = capacity / backend.health.relative_latency();
-        throughput * subset.ready() as f64 / facts.backends.ready_capacity * MEAN_WEIGHT
+        throughput * subset.ready() as f64 / facts.backends.ready_capacity() * MEAN_WEIGHT
     }
 }
 
--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -9,22 +9,22 @@
 /// Mixes the gateway into the seed of the order of its backends.
 const GATEWAY_SALT: Salt = Salt::from_bit(48);
 
-/// The backends of a gateway, and what is made from their list.
+/// The backends of a gateway, with indexes of those that are ready.
 #[derive(Default)]
 pub struct BackendTable {
-    /// Those that are ready, and those with attempts in flight.
+    /// Those that are ready, and those with attempts of this gateway in flight.
     backends: BTreeMap<BackendId, Backend>,
-    /// The ready ones by the short names that messages use.
+    /// The ready ones by the tags that messages between gateways use.
     by_tag: BTreeMap<u32, BackendId>,
-    /// The ready ones, in an order of this gateway's own.
-    pub ready: EndpointIndex,
+    /// The ready ones, in this gateway's own order: gateways prefer different backends.
+    ready: EndpointIndex,
     /// The sizes of the ready ones together.
-    pub ready_capacity: f64,
+    ready_capacity: f64,
     /// The gateway whose table this is.
     own_id: GatewayId,
-    /// How many request classes there are.
-    classes: usize,
-    /// Whether the sizes of endpoints count.
+    /// The number of request classes.
+    class_count: usize,
+    /// Whether the list gives capacities as sizes; otherwise all have the size 1.
     sizes_are_capacities: bool,
 }
 
@@ -33,7 +33,7 @@
     pub fn new(settings: &Settings) -> Self {
         BackendTable {
             own_id: settings.own_id,
-            classes: settings.classes.len(),
+            class_count: settings.classes.len(),
             sizes_are_capacities: settings.size_meaning == SizeMeaning::Capacity,
             ..BackendTable::default()
         }
@@ -49,6 +49,16 @@
         self.backends.get_mut(&id)
     }
 
+    /// The number of ready backends.
+    pub fn ready_count(&self) -> usize {
+        self.ready.len()
+    }
+
+    /// The capacity of the ready backends together, in sizes.
+    pub fn ready_capacity(&self) -> f64 {
+        self.ready_capacity
+    }
+
     /// The ready backend at a position in this gateway's own order, counted from 0.
     pub fn ready_at(&self, position: usize) -> Option<&Backend> {
         self.get(self.ready.get(position)?)
@@ -59,8 +69,8 @@
         self.by_tag.get(&tag).copied()
     }
 
-    /// Takes a whole list: what is absent from it is gone, and remembered only while attempts are in flight
-    /// there.
+    /// Replaces the endpoint list. Backends that are not on the new one are forgotten once no attempt is in
+    /// flight there.
     pub fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
         self.backends.values_mut().for_each(|backend| backend.ready = false);
         endpoints.into_iter().for_each(|endpoint| self.upsert(endpoint));
@@ -68,18 +78,14 @@
         self.rebuild_index();
     }
 
-    /// Takes a changed entry of the list. The index is kept up to date in time that hardly grows with the
-    /// list.
+    /// Applies a changed entry of the endpoint list, in time that hardly grows with the list.
     pub fn apply_change(&mut self, endpoint: Endpoint) {
         let id = endpoint.backend;
-        let size_before =
-            self.backends.get(&id).filter(|backend| backend.ready).map_or(0.0, |backend| backend.size);
+        let ready_size_before = self.ready_size(id);
         self.upsert(endpoint);
-        let Some(backend) = self.backends.get(&id) else { return };
-        let ready = backend.ready;
-        let size = if ready { backend.size } else { 0.0 };
-        self.ready_capacity += size - size_before;
-        if ready {
+        let ready_size = self.ready_size(id);
+        self.ready_capacity += ready_size.unwrap_or(0.0) - ready_size_before.unwrap_or(0.0);
+        if ready_size.is_some() {
             self.ready.insert(self.index_key(id), id);
             self.by_tag.insert(backend_tag(id.0), id);
         } else {
@@ -95,7 +101,13 @@
         }
     }
 
-    /// Takes an entry of the list into the backend's record; a process that started anew has a new record.
+    /// The size of a backend that is ready.
+    fn ready_size(&self, id: BackendId) -> Option<f64> {
+        self.backends.get(&id).filter(|backend| backend.ready).map(|backend| backend.size)
+    }
+
+    /// Writes an entry of the endpoint list to the backend's record. What is known of an earlier process of
+    /// the backend is forgotten.
     fn upsert(&mut self, endpoint: Endpoint) {
         let backend = match self.backends.entry(endpoint.backend) {
             Entry::Occupied(known) if known.get().endpoint.started_at == endpoint.started_at => {
@@ -103,7 +115,7 @@
             }
             entry => {
                 let backend = entry.or_default();
-                backend.health = BackendHealth::new(self.classes);
+                backend.health = BackendHealth::new(self.class_count);
                 backend.reported_queue.clear();
                 backend
             }
@@ -114,7 +126,7 @@
         backend.ready = endpoint.availability == Availability::Ready;
     }
 
-    /// Indexes all that is ready.
+    /// Builds the indexes of the ready backends anew.
     fn rebuild_index(&mut self) {
         let ready = || self.backends.values().filter(|backend| backend.ready);
         let ready_ids = || ready().map(|backend| backend.endpoint.backend);
@@ -123,7 +135,7 @@
         self.ready = EndpointIndex::of(ready_ids().map(|id| (self.index_key(id), id)).collect());
     }
 
-    /// Takes a backend that is no longer ready out of the index.
+    /// Removes a backend that is not ready from the indexes.
     fn remove_from_index(&mut self, id: BackendId) {
         self.ready.remove(self.index_key(id), id);
         let tag = backend_tag(id.0);
@@ -131,11 +143,12 @@
             self.by_tag.remove(&tag);
         }
         if self.ready.len() == 0 {
-            self.ready_capacity = 0.0; // what rounding left of it
+            self.ready_capacity = 0.0; // without what rounding left of it
         }
     }
 
-    /// Where a backend stands in this gateway's own order; a float from 0 up is ordered as its bits are.
+    /// The key of a backend in this gateway's own order. Floats that are not negative are ordered as their
+    /// bits are.
     fn index_key(&self, id: BackendId) -> u64 {
         hash(id.0 ^ GATEWAY_SALT.of(self.own_id.0.into())).to_bits()
     }
--- a/src/state/endpoint_index.rs
+++ b/src/state/endpoint_index.rs
@@ -1,12 +1,14 @@
-//! The endpoint list as the decisions use it: an index that a change touches in time that hardly grows with the list. No
-//! decision lives here.
+//! An index of backends by their position in a sorted list.
 
 use crate::BackendId;
 
-/// Entries of a part from which it is split in two.
+/// Entries of a part above which it is split in two.
 const MAX_PART_LEN: usize = 512;
 
-/// Backends in the order of a key each, kept in parts: a change moves the entries of one part only.
+/// Backends sorted by a key, in parts of limited length.
+///
+/// A change moves the entries of one part only, so that its cost hardly grows with the list; a position is
+/// found by counting through the parts.
 #[derive(Default)]
 pub struct EndpointIndex {
     /// Each sorted and not empty; the entries of one come before those of the next.
@@ -16,62 +18,63 @@
 }
 
 impl EndpointIndex {
-    /// All of a list at once.
-    pub fn of(mut all: Vec<(u64, BackendId)>) -> EndpointIndex {
-        all.sort_unstable();
-        all.dedup();
-        let parts = all.chunks(MAX_PART_LEN / 2).map(<[_]>::to_vec).collect();
-        EndpointIndex { parts, len: all.len() }
+    /// An index of these entries, in any order.
+    pub fn of(mut entries: Vec<(u64, BackendId)>) -> EndpointIndex {
+        entries.sort_unstable();
+        entries.dedup();
+        let parts = entries.chunks(MAX_PART_LEN / 2).map(<[_]>::to_vec).collect();
+        EndpointIndex { parts, len: entries.len() }
     }
 
-    /// How many there are.
+    /// The number of backends.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// The one at a position, counted from 0.
-    pub fn get(&self, mut place: usize) -> Option<BackendId> {
+    /// The backend at a position, counted from 0.
+    pub fn get(&self, position: usize) -> Option<BackendId> {
+        let mut position_in_part = position;
         for part in &self.parts {
-            if let Some((_, id)) = part.get(place) {
+            if let Some((_, id)) = part.get(position_in_part) {
                 return Some(*id);
             }
-            place -= part.len();
+            position_in_part -= part.len();
         }
         None
     }
 
-    /// The part that an entry is in, or belongs in.
-    fn part(&self, entry: &(u64, BackendId)) -> usize {
+    /// The number of the part that an entry is in, or belongs in.
+    fn part_of(&self, entry: &(u64, BackendId)) -> usize {
         self.parts.partition_point(|part| part.first().is_some_and(|first| first <= entry)).saturating_sub(1)
     }
 
-    /// Inserts one, if it is not there.
+    /// Inserts a backend, if it is not there.
     pub fn insert(&mut self, key: u64, id: BackendId) {
         let entry = (key, id);
-        let at = self.part(&entry);
-        let Some(part) = self.parts.get_mut(at) else {
+        let part_number = self.part_of(&entry);
+        let Some(part) = self.parts.get_mut(part_number) else {
             self.len = 1;
             return self.parts.push(vec![entry]);
         };
-        let Err(place) = part.binary_search(&entry) else { return };
-        part.insert(place, entry);
+        let Err(position) = part.binary_search(&entry) else { return };
+        part.insert(position, entry);
         self.len += 1;
         if part.len() > MAX_PART_LEN {
             let rest = part.split_off(MAX_PART_LEN / 2);
-            self.parts.insert(at + 1, rest);
+            self.parts.insert(part_number + 1, rest);
         }
     }
 
-    /// Takes one out, if it is there.
+    /// Removes a backend, if it is there.
     pub fn remove(&mut self, key: u64, id: BackendId) {
         let entry = (key, id);
-        let at = self.part(&entry);
-        let Some(part) = self.parts.get_mut(at) else { return };
-        let Ok(place) = part.binary_search(&entry) else { return };
-        part.remove(place);
+        let part_number = self.part_of(&entry);
+        let Some(part) = self.parts.get_mut(part_number) else { return };
+        let Ok(position) = part.binary_search(&entry) else { return };
+        part.remove(position);
         self.len -= 1;
         if part.is_empty() {
-            self.parts.remove(at);
+            self.parts.remove(part_number);
         }
     }
 }
