--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,11 +1,13 @@
 //! A gateway: the parts that own its state, and the bookkeeping that needs several of them. Nothing is
 //! decided here: that is the work of `crate::policy`.
 
-use crate::policy::{initial_baseline, report_interval, retry_budget};
+mod attempts;
+
+use crate::policy::{initial_baseline, report_interval, RetryPolicy};
 use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
 use crate::policy::{RejectReason, MAX_REPORTED_QUEUE_DEPTH};
+use crate::state::RequestTable;
 use crate::state::{BackendTable, DecayingRate, LatencyBaseline, PeerTable, QuotaTable};
-use crate::state::{RequestTable, RetryBudget};
 use crate::{Action, AttemptEnded, BackendId, Class, CustomerId, Endpoint, EndpointUpdate, Event};
 use crate::{Duration, Instant, Outcome, Plan, Request, RequestId, Settings};
 
@@ -44,8 +46,8 @@
     pub(crate) load_shedder: LoadShedder,
     /// Limits the attempts in flight.
     pub(crate) concurrency_limiter: ConcurrencyLimiter,
-    /// Retries that may still be sent.
-    pub(crate) retry_budget: RetryBudget,
+    /// Decides on further attempts.
+    pub(crate) retry_policy: RetryPolicy,
     /// Attempts sent by this gateway.
     pub(crate) send_rate: DecayingRate,
 }
@@ -76,7 +78,7 @@
             quota: QuotaTable { usage_known_since: Some(now), report_interval, ..QuotaTable::default() },
             backends: BackendTable::new(&settings),
             latency_baselines: settings.classes.iter().map(|class| initial_baseline(class, now)).collect(),
-            retry_budget: retry_budget(fleet_size),
+            retry_policy: RetryPolicy::new(&settings, fleet_size),
             fleet_size,
             settings,
             ..Gateway::default()
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -18,10 +18,12 @@
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
 pub(crate) use gateway::report_interval;
 pub(crate) use load_balancing::MAX_REPORTED_QUEUE_DEPTH;
-pub(crate) use load_shedding::{LoadShedder, StageChange};
+pub(crate) use load_shedding::{LoadShedder, StageChange, NOT_SERVED_RETRY_AFTER};
 pub(crate) use outlier_detection::initial_baseline;
 pub(crate) use pressure::Pressure;
 pub(crate) use quota::{MAX_REFILL_SECONDS, ROUNDING_MARGIN};
 pub(crate) use reasons::{EjectionReason, RejectReason};
-pub(crate) use retry::retry_budget;
+pub(crate) use retry::{
+    AttemptCheck, AttemptCheckFacts, ExecutedAttempt, FinalAnswer, RetryFacts, RetryPolicy, RetryScope,
+};
 pub use start_times::StartTimes;
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -1,9 +1,7 @@
 //! The dispatch of events, and the life of a request from its arrival to its final answer.
 
-use super::load_shedding::MIN_STAGE_TIME_UP;
-use super::RejectReason;
 use crate::{Action, AttemptEnded, Discovery, Duration, Event, Gateway, Instant};
-use crate::{Idempotency, IdempotencyScope, RequestId, Settings};
+use crate::{RequestId, Settings};
 
 /// Ticks between wake-ups, which look at deadlines and messages to peers; more of them save processor time.
 pub(crate) const WAKE_UP_TICKS: u64 = 5;
@@ -78,21 +76,6 @@
         self.dispatch(actions);
     }
 
-    /// The final answer of a request that is not served: rejected where that is harmless, else failed.
-    pub(crate) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(state) = self.requests.get(id) else { return };
-        let harmless = match self.class_of(&state.request).idempotency {
-            Idempotency::Idempotent | Idempotency::Keyed { scope: IdempotencyScope::Fleet, .. } => true,
-            _ => state.first_possibly_executed().is_none(),
-        };
-        if harmless {
-            self.reject(id, RejectReason::NotServed, MIN_STAGE_TIME_UP, actions);
-        } else {
-            actions.push(Action::Fail(id));
-        }
-        self.close_request(id, actions);
-    }
-
     /// Goes on after the host stood still: what is overdue is answered first, and no latency counts.
     pub(crate) fn resume(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let unsent = self.requests.iter().filter(|state| state.attempts.is_empty());
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -3,8 +3,8 @@
 use super::outlier_detection::SUSPECT_FAILURE_RATE;
 use super::pressure::PRESSURE_TIME_CONSTANT;
 use super::quota::USAGE_RATE_TIME_CONSTANT;
-use super::retry::SILENCE_SHARE;
-use crate::state::{decay, hash, Backend, RequestState, RetryScope, MICROS_PER_SECOND};
+use super::RetryScope;
+use crate::state::{decay, hash, Backend, RequestState, MICROS_PER_SECOND};
 use crate::{Action, BackendId, Duration, Gateway, Instant, RequestId};
 
 /// Part of the rule's budget spent on a backend in slow start. The budget is computed from what is sent,
@@ -159,11 +159,11 @@
         let Some(backend) = self.choose_backend(id) else { return false };
         let Some(state) = self.requests.get(id) else { return false };
         if state.attempts.is_empty() {
-            self.retry_budget.deposit();
+            self.retry_policy.record_first_attempt();
         }
         let objective = self.class_of(&state.request).latency_objective;
-        let silent_at = self.now + state.useful_duration(objective).mul_f64(SILENCE_SHARE);
-        self.requests.check_at(silent_at, id);
+        let check_at = self.retry_policy.first_check_at(self.now, state.useful_duration(objective));
+        self.requests.check_at(check_at, id);
         self.send_rate.record(self.now, USAGE_RATE_TIME_CONSTANT);
         self.begin_attempt(id, backend);
         actions.push(Action::Send { id, backend, expires_at: self.attempt_expiry(id) });
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -12,7 +12,9 @@
 /// The stage from which customers that were not seen of late are shed like others.
 const FIRST_STAGE_FOR_UNSEEN: usize = 2;
 /// The least time on a stage before a higher one: the effect of a stage has to show first.
-pub(crate) const MIN_STAGE_TIME_UP: Duration = Duration::from_millis(1500);
+const MIN_STAGE_TIME_UP: Duration = Duration::from_millis(1500);
+/// How long a client whose request was not served is asked to stay away: the stage may have risen by then.
+pub(crate) const NOT_SERVED_RETRY_AFTER: Duration = MIN_STAGE_TIME_UP;
 /// The least time on a stage before a lower one.
 const MIN_STAGE_TIME_DOWN: Duration = Duration::from_secs(2);
 /// How long the same customers are shed: longer than their clients retry.
--- a/src/policy/permissions/tests.rs
+++ b/src/policy/permissions/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`].
 
 use super::*;
-use crate::IdempotencyScope;
+use crate::{Idempotency, IdempotencyScope};
 
 /// A request whose first attempt failed and was never executed.
 const FAILED_ONCE: AttemptFacts = AttemptFacts {
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,120 +1,212 @@
-//! Further attempts: the retry budget, idempotency, and hedged requests.
-
-use super::permissions::{may_repeat_key, may_start_attempt, AttemptFacts};
-use super::EjectionReason;
-use crate::state::{Observation, RequestState, RetryBudget, RetryScope, Source};
-use crate::{Action, Gateway, Idempotency, RequestId};
-
-/// Share of the useful duration after which an attempt at a silent backend is retried elsewhere.
-pub(crate) const SILENCE_SHARE: f64 = 0.35;
-/// The same at a backend that answers others.
-const HEDGE_SHARE: f64 = 0.6;
-/// Further attempts per first attempt: retries cannot feed an overload.
-const RETRY_RATIO: f64 = 0.1;
-/// Retries that may be saved up, over all gateways.
-const FLEET_RETRY_BURST: f64 = 40.0;
-/// The least of them at one gateway.
-const MIN_RETRY_BURST: f64 = 2.0;
-/// The most of them at one gateway.
-const MAX_RETRY_BURST: f64 = 10.0;
-
-/// Retries that one gateway may save up: what all save up comes at once when backends slow down.
-pub(crate) fn retry_budget(fleet_size: u64) -> RetryBudget {
-    let burst = (FLEET_RETRY_BURST / fleet_size as f64).clamp(MIN_RETRY_BURST, MAX_RETRY_BURST);
-    RetryBudget::new(burst, RETRY_RATIO)
+//! The retry policy: whether a request is attempted again, hedged or cancelled, where that may go, and how a request that
+//! is not served is answered.
+//!
+//! What is safe is decided by [`permission`]; what is of use, and what the retry budget allows, is decided here.
+
+mod budget;
+pub(crate) mod permission;
+mod scope;
+
+pub(crate) use scope::RetryScope;
+
+use crate::{Duration, Endpoint, Idempotency, IdempotencyScope, Instant, Limits, Settings};
+use budget::RetryBudget;
+use permission::{may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal};
+use thiserror::Error;
+
+/// Share of a request's latency budget after which an attempt at a silent backend is given up on.
+const SILENCE_SHARE: f64 = 0.35;
+/// Share of a request's latency budget after which an attempt is late at a backend that answers others.
+const LATE_SHARE: f64 = 0.6;
+
+/// What decides on a further attempt of a request.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RetryFacts {
+    /// The time.
+    pub now: Instant,
+    /// When the latency objective or the client's time ends, whichever comes first.
+    pub in_time_until: Instant,
+    /// Whether the request may be executed again.
+    pub idempotency: Idempotency,
+    /// Its attempts so far.
+    pub attempts: usize,
+    /// Those of them that are in flight.
+    pub in_flight: usize,
+    /// Whether one of them was or may have been executed.
+    pub may_have_executed: bool,
+    /// It has its final answer, or its client has gone.
+    pub answered: bool,
+}
+
+/// Why a request is not attempted again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(crate) enum RetryRefusal {
+    /// An answer could not be in time any more.
+    #[error("an answer would come too late")]
+    TooLate,
+    /// Another attempt is not safe, or not allowed.
+    #[error(transparent)]
+    NotPermitted(#[from] AttemptRefusal),
+    /// The gateway has sent as many retries as it may.
+    #[error("the retry budget is used up")]
+    BudgetExhausted,
+}
+
+/// What decides on an attempt that is in flight for a while.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct AttemptCheckFacts {
+    /// The time.
+    pub now: Instant,
+    /// When the attempt was sent.
+    pub sent_at: Instant,
+    /// How long the request's answer is in time, from its arrival.
+    pub latency_budget: Duration,
+    /// Whether the backend has answered nobody since the attempt was sent.
+    pub is_silent: bool,
+    /// Whether load is shed: an attempt that is merely late is then not repeated.
+    pub is_shedding: bool,
+    /// Whether the request may be executed again.
+    pub idempotency: Idempotency,
+}
+
+/// What is done about an attempt that is in flight for a while.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AttemptCheck {
+    /// It is not late yet: it is checked again at this time.
+    CheckAt(Instant),
+    /// Another attempt is sent beside it, if [`RetryPolicy::may_retry`] allows one.
+    Hedge,
+    /// It is cancelled; its end has the request attempted again.
+    CancelAndRetry,
+    /// It is left alone to the end.
+    KeepWaiting,
+}
+
+/// How a request that is not served is answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum FinalAnswer {
+    /// Rejected: sending it again has no further effect.
+    Rejected,
+    /// Failed: it may have been executed.
+    Failed,
+}
+
+/// The first attempt of a request that was or may have been executed.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ExecutedAttempt {
+    /// When it was sent.
+    pub sent_at: Instant,
+    /// Where it went.
+    pub endpoint: Endpoint,
+}
+
+/// Decides on further attempts. It owns the retry budget.
+#[derive(Default)]
+pub(crate) struct RetryPolicy {
+    /// What the deployment permits.
+    limits: Limits,
+    /// The least time between two looks at a request.
+    tick: Duration,
+    /// Retries that may still be sent.
+    budget: RetryBudget,
 }
 
-impl Gateway {
-    /// Sends a further attempt, where the class, the time and the budget allow one.
-    pub(crate) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let allowed = self.may_retry(id) && self.retry_budget.allows_retry();
-        let sent = allowed && self.send_attempt(id, actions);
-        if sent {
-            self.retry_budget.withdraw();
+impl RetryPolicy {
+    /// The policy of one of so many gateways.
+    pub(crate) fn new(settings: &Settings, fleet_size: u64) -> Self {
+        RetryPolicy {
+            limits: settings.limits.clone(),
+            tick: settings.tick,
+            budget: RetryBudget::new(fleet_size),
         }
-        sent
     }
 
-    /// Whether a further attempt is safe, could still be in time, and is within the limits.
-    fn may_retry(&self, id: RequestId) -> bool {
-        let Some(state) = self.requests.get(id) else { return false };
-        let class = self.class_of(&state.request);
-        let objective_ends_at = state.arrived_at + class.latency_objective;
-        let useful = self.now + self.settings.tick < objective_ends_at.min(state.request.deadline);
-        let permission = may_start_attempt(&self.attempt_facts(state));
-        tracing::debug!(target: "policy", request = id.0, useful, ?permission, "retry considered");
-        useful && permission.is_ok()
+    /// Records that a request's first attempt was sent.
+    pub(crate) fn record_first_attempt(&mut self) {
+        self.budget.deposit();
     }
 
-    /// What permissions are asked by for a request.
-    fn attempt_facts(&self, state: &RequestState) -> AttemptFacts {
-        AttemptFacts {
-            idempotency: self.class_of(&state.request).idempotency,
-            hedging: self.settings.limits.hedging,
-            max_attempts: self.settings.limits.max_attempts as usize,
-            attempts: state.attempts.len(),
-            in_flight: state.attempts_in_flight(),
-            may_have_executed: state.first_possibly_executed().is_some(),
-            answered: state.answered,
-        }
+    /// Records that a retry or a hedged request was sent.
+    pub(crate) fn record_retry(&mut self) {
+        self.budget.withdraw();
     }
 
-    /// Looks again at a request that awaits a grant, or whose attempt may be silent or late.
-    pub(crate) fn check_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if self.requests.get(id).is_some_and(|state| state.awaiting_grant) {
-            self.check_awaited_grant(id, actions);
-        } else {
-            self.check_attempt(id, actions);
+    /// Whether a request may be attempted again: safely, in time, and within the retry budget.
+    pub(crate) fn may_retry(&self, facts: &RetryFacts) -> Result<AttemptKind, RetryRefusal> {
+        if facts.now + self.tick >= facts.in_time_until {
+            return Err(RetryRefusal::TooLate);
+        }
+        let kind = may_start_attempt(&AttemptFacts {
+            idempotency: facts.idempotency,
+            hedging: self.limits.hedging,
+            max_attempts: self.limits.max_attempts as usize,
+            attempts: facts.attempts,
+            in_flight: facts.in_flight,
+            may_have_executed: facts.may_have_executed,
+            answered: facts.answered,
+        })?;
+        if !self.budget.allows_retry() {
+            return Err(RetryRefusal::BudgetExhausted);
         }
+        Ok(kind)
     }
 
-    /// Retries where an attempt's backend is silent, or hedges where an answer is late.
-    fn check_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let now = self.now;
-        let limits = &self.settings.limits;
-        let Some(state) = self.requests.get_mut(id) else { return };
-        if state.answered || state.streaming {
-            return;
-        }
-        let class_index = usize::from(state.request.class);
-        let class = &self.settings.classes[class_index];
-        let useful_duration = state.useful_duration(class.latency_objective);
-        let Some(attempt) = state.latest_attempt_in_flight() else { return };
-        let (backend_id, sent_at) = (attempt.endpoint.backend, attempt.sent_at);
-        let Some(backend) = self.backends.get_mut(backend_id) else { return };
-        let health = &mut backend.health[class_index];
-        let silent = health.last_heard_at < sent_at;
-        let hedge_at = sent_at + useful_duration.mul_f64(HEDGE_SHARE);
-        if !silent && now < hedge_at {
-            return self.requests.check_at(hedge_at, id);
+    /// When an attempt that is sent now is checked for the first time.
+    pub(crate) fn first_check_at(&self, sent_at: Instant, latency_budget: Duration) -> Instant {
+        sent_at + latency_budget.mul_f64(SILENCE_SHARE)
+    }
+
+    /// What is done about an attempt that has no answer yet.
+    pub(crate) fn check_attempt(&self, facts: &AttemptCheckFacts) -> AttemptCheck {
+        let late_at = facts.sent_at + facts.latency_budget.mul_f64(LATE_SHARE);
+        if !facts.is_silent && facts.now < late_at {
+            return AttemptCheck::CheckAt(late_at);
         }
-        let may_repeat = class.idempotency != Idempotency::NonIdempotent;
-        let resend = may_repeat && (silent || self.load_shedder.is_idle());
-        let instead = silent && !limits.hedging && limits.cancellation && self.retry_budget.allows_retry();
-        if resend && instead {
-            state.cancel_attempts(None, true, actions);
+        // Under overload many answers are late: retries of them would add to it.
+        let is_repeated = facts.is_silent || !facts.is_shedding;
+        if facts.idempotency == Idempotency::NonIdempotent || !is_repeated {
+            return AttemptCheck::KeepWaiting;
         }
-        if silent && now >= health.ejected_until {
-            health.eject(now);
-            let (backend, class, reason) = (backend_id.0, class_index, EjectionReason::Silence);
-            tracing::debug!(target: "policy", backend, class, ?reason, "ejected");
-            let (class, source) = (class_index, Source::Own);
-            self.record_observation(Observation { backend: backend_id, class, latency: None, source });
+        if self.limits.hedging {
+            return AttemptCheck::Hedge;
         }
-        if resend && self.settings.limits.hedging {
-            self.retry(id, actions);
+        let may_cancel = self.limits.cancellation && self.budget.allows_retry();
+        if facts.is_silent && may_cancel {
+            AttemptCheck::CancelAndRetry
+        } else {
+            AttemptCheck::KeepWaiting
         }
     }
 
-    /// Where the next attempt of a request may go; none if an idempotency key may be forgotten by then.
-    pub(crate) fn retry_scope(&self, state: &RequestState) -> Option<RetryScope> {
-        let Idempotency::Keyed { scope, window } = self.class_of(&state.request).idempotency else {
-            return Some(RetryScope::Anywhere);
+    /// Where a request's next attempt may go, if it is sent now; `executed` is its first attempt that was or may have
+    /// been executed.
+    pub(crate) fn scope(
+        &self,
+        now: Instant,
+        idempotency: Idempotency,
+        executed: Option<ExecutedAttempt>,
+    ) -> Result<RetryScope, AttemptRefusal> {
+        let (Idempotency::Keyed { scope, window }, Some(executed)) = (idempotency, executed) else {
+            return Ok(RetryScope::Anywhere);
         };
-        let Some(first) = state.first_possibly_executed() else { return Some(RetryScope::Anywhere) };
-        // An attempt begins once its connection is up: by then, too, the window has to be open.
-        let latest = self.now + self.settings.tick + self.settings.limits.connect_timeout;
-        may_repeat_key(window, first.sent_at, latest).ok()?;
-        Some(RetryScope::Within(scope, first.endpoint))
+        // An attempt begins once its connection is up: by then, too, the key has to be known.
+        let begins_by = now + self.tick + self.limits.connect_timeout;
+        may_repeat_key(window, executed.sent_at, begins_by)?;
+        Ok(RetryScope::Within(scope, executed.endpoint))
+    }
+
+    /// How a request that is not served is answered: rejected where its client may send it again without a second
+    /// effect, else failed.
+    pub(crate) fn final_answer(idempotency: Idempotency, may_have_executed: bool) -> FinalAnswer {
+        match idempotency {
+            Idempotency::Idempotent => FinalAnswer::Rejected,
+            // Every backend that the client's next request may reach knows the key.
+            Idempotency::Keyed { scope: IdempotencyScope::Fleet, .. } => FinalAnswer::Rejected,
+            _ if may_have_executed => FinalAnswer::Failed,
+            _ => FinalAnswer::Rejected,
+        }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/retry/permission.rs
@@ -0,0 +1,90 @@
+//! Whether an attempt of a request may be started, and whether its idempotency key may be used again.
+//!
+//! These rules are about safety alone: what may be executed twice, and how often. Whether a retry is of any use is the
+//! matter of [`RetryPolicy`](super::RetryPolicy).
+
+use crate::{Duration, Idempotency, Instant};
+use thiserror::Error;
+
+/// What kind of attempt may be started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptKind {
+    /// The request's first one.
+    First,
+    /// A further one, with none in flight.
+    Retry,
+    /// A further one beside one in flight.
+    Hedge,
+}
+
+/// Why an attempt may not be started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum AttemptRefusal {
+    /// No answer is owed any more.
+    #[error("the request is answered, or its client has gone")]
+    Answered,
+    /// The settings allow no further attempt.
+    #[error("there were as many attempts as are allowed")]
+    AttemptLimit,
+    /// An earlier attempt may have been executed, and the class may not be executed again.
+    #[error("an earlier attempt may have been executed")]
+    MayHaveExecuted,
+    /// An earlier attempt is in flight, and the settings allow no second one beside it.
+    #[error("an attempt is in flight")]
+    InFlight,
+    /// The backends may have forgotten the idempotency key by the time the attempt begins.
+    #[error("the idempotency key may be forgotten")]
+    KeyExpired,
+}
+
+/// What is known of a request that wants an attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptFacts {
+    /// Whether it may be executed again.
+    pub idempotency: Idempotency,
+    /// Whether the settings allow two attempts in flight together.
+    pub hedging: bool,
+    /// The most attempts of a request.
+    pub max_attempts: usize,
+    /// Its attempts so far.
+    pub attempts: usize,
+    /// Those of them that are in flight.
+    pub in_flight: usize,
+    /// Whether one of them was or may have been executed.
+    pub may_have_executed: bool,
+    /// It has its final answer, or its client has gone.
+    pub answered: bool,
+}
+
+/// Whether a request may have an attempt now.
+pub fn may_start_attempt(facts: &AttemptFacts) -> Result<AttemptKind, AttemptRefusal> {
+    if facts.answered {
+        return Err(AttemptRefusal::Answered);
+    }
+    if facts.attempts >= facts.max_attempts {
+        return Err(AttemptRefusal::AttemptLimit);
+    }
+    if facts.idempotency == Idempotency::NonIdempotent && facts.may_have_executed {
+        return Err(AttemptRefusal::MayHaveExecuted);
+    }
+    match (facts.attempts, facts.in_flight) {
+        (0, _) => Ok(AttemptKind::First),
+        (_, 0) => Ok(AttemptKind::Retry),
+        _ if facts.hedging => Ok(AttemptKind::Hedge),
+        _ => Err(AttemptRefusal::InFlight),
+    }
+}
+
+/// Whether an attempt that begins at `begins_by` at the latest meets backends that know the key of the
+/// attempt that was first sent, at `first_sent_at`.
+pub fn may_repeat_key(
+    window: Duration,
+    first_sent_at: Instant,
+    begins_by: Instant,
+) -> Result<(), AttemptRefusal> {
+    if begins_by < first_sent_at + window {
+        Ok(())
+    } else {
+        Err(AttemptRefusal::KeyExpired)
+    }
+}
--- a/src/state/retry_scope.rs
+++ b/src/policy/retry/scope.rs
@@ -3,7 +3,8 @@
 use crate::{Endpoint, IdempotencyScope};
 
 /// Where the next attempt of a request may go.
-pub enum RetryScope {
+#[derive(Clone, Copy, Debug)]
+pub(crate) enum RetryScope {
     /// To any backend.
     Anywhere,
     /// Where the idempotency key is known from the attempt that went to an endpoint.
@@ -12,7 +13,7 @@
 
 impl RetryScope {
     /// Whether an attempt may go to a backend.
-    pub fn includes(&self, endpoint: &Endpoint) -> bool {
+    pub(crate) fn includes(&self, endpoint: &Endpoint) -> bool {
         match self {
             RetryScope::Anywhere | RetryScope::Within(IdempotencyScope::Fleet, _) => true,
             RetryScope::Within(IdempotencyScope::Zone, first) => endpoint.zone == first.zone,
--- /dev/null
+++ b/src/policy/retry/tests.rs
@@ -0,0 +1,133 @@
+//! Tests of [`super`].
+
+use super::*;
+
+const SENT_AT: Instant = Instant::from_micros(10_000_000);
+const LATENCY_BUDGET: Duration = Duration::from_millis(100);
+/// When an attempt is late.
+const LATE_AT: Instant = Instant::from_micros(10_060_000);
+const KEYED: Idempotency =
+    Idempotency::Keyed { scope: IdempotencyScope::Zone, window: Duration::from_secs(2) };
+
+/// A deployment that allows three attempts, one after the other, and no cancellation.
+fn limits() -> Limits {
+    Limits { max_attempts: 3, connect_timeout: Duration::from_millis(250), ..Limits::default() }
+}
+
+/// A policy under these limits, of one of ten gateways.
+fn policy(limits: Limits) -> RetryPolicy {
+    RetryPolicy::new(&Settings { limits, tick: Duration::from_millis(4), ..Settings::default() }, 10)
+}
+
+/// An attempt of an idempotent request that has become late, at a backend that answers others.
+fn late() -> AttemptCheckFacts {
+    AttemptCheckFacts {
+        now: LATE_AT,
+        sent_at: SENT_AT,
+        latency_budget: LATENCY_BUDGET,
+        is_silent: false,
+        is_shedding: false,
+        idempotency: Idempotency::Idempotent,
+    }
+}
+
+/// A request whose only attempt has failed without being executed.
+fn failed_once() -> RetryFacts {
+    RetryFacts {
+        now: SENT_AT,
+        in_time_until: SENT_AT + LATENCY_BUDGET,
+        idempotency: Idempotency::Idempotent,
+        attempts: 1,
+        in_flight: 0,
+        may_have_executed: false,
+        answered: false,
+    }
+}
+
+/// An attempt fails when the time is nearly over. A retry could not be answered in time any more and would only load the
+/// backends: the client gets its rejection at once instead.
+#[test]
+fn a_retry_that_would_come_too_late_is_refused() {
+    let (policy, facts) = (policy(limits()), failed_once());
+    let last_moment = facts.in_time_until - Duration::from_millis(4) - Duration::MICROSECOND;
+    assert_eq!(policy.may_retry(&RetryFacts { now: last_moment, ..facts }), Ok(AttemptKind::Retry));
+    let too_late = last_moment + Duration::MICROSECOND;
+    assert_eq!(policy.may_retry(&RetryFacts { now: too_late, ..facts }), Err(RetryRefusal::TooLate));
+}
+
+/// A backend reset the connection after it got the command of a payout. Another attempt might pay twice: it is refused,
+/// and the client is told that the request failed, not that it may safely try again.
+#[test]
+fn a_non_idempotent_request_that_may_have_been_executed_is_neither_retried_nor_rejected() {
+    let idempotency = Idempotency::NonIdempotent;
+    let facts = RetryFacts { idempotency, may_have_executed: true, ..failed_once() };
+    let refusal = RetryRefusal::NotPermitted(AttemptRefusal::MayHaveExecuted);
+    assert_eq!(
+        policy(Limits { hedging: true, cancellation: true, ..limits() }).may_retry(&facts),
+        Err(refusal)
+    );
+    assert_eq!(RetryPolicy::final_answer(idempotency, true), FinalAnswer::Failed);
+    assert_eq!(RetryPolicy::final_answer(idempotency, false), FinalAnswer::Rejected);
+}
+
+/// All backends fail at once. Each first attempt earns a tenth of a retry, so that retries cannot multiply the load:
+/// once the budget is used up they are refused, until ten further requests have been sent.
+#[test]
+fn retries_are_bounded_by_the_first_attempts() {
+    let mut policy = policy(limits());
+    let mut sent = 0;
+    while policy.may_retry(&failed_once()).is_ok() {
+        policy.record_retry();
+        sent += 1;
+    }
+    assert_eq!(sent, 4);
+    assert_eq!(policy.may_retry(&failed_once()), Err(RetryRefusal::BudgetExhausted));
+    (0..11).for_each(|_| policy.record_first_attempt());
+    assert_eq!(policy.may_retry(&failed_once()), Ok(AttemptKind::Retry));
+}
+
+/// An answer takes long though its backend answers others. Where the settings allow two attempts at once, a hedged
+/// request is sent once it is late; while load is shed it is not, since many answers are late then, and each hedged
+/// request would add to the overload.
+#[test]
+fn a_late_answer_is_hedged_unless_load_is_shed() {
+    let policy = policy(Limits { hedging: true, cancellation: true, ..limits() });
+    let early = AttemptCheckFacts { now: LATE_AT - Duration::MICROSECOND, ..late() };
+    assert_eq!(policy.check_attempt(&early), AttemptCheck::CheckAt(LATE_AT));
+    assert_eq!(policy.check_attempt(&late()), AttemptCheck::Hedge);
+    let shedding = AttemptCheckFacts { is_shedding: true, ..late() };
+    assert_eq!(policy.check_attempt(&shedding), AttemptCheck::KeepWaiting);
+    let silent = AttemptCheckFacts { is_silent: true, ..shedding };
+    assert_eq!(policy.check_attempt(&silent), AttemptCheck::Hedge);
+}
+
+/// A backend falls silent with an attempt in flight, and the settings forbid a second attempt beside it. The attempt is
+/// cancelled, so that its end has the request tried elsewhere while the client still waits. One that is late at a
+/// backend which answers others is left alone: its answer is likely on its way.
+#[test]
+fn an_attempt_at_a_silent_backend_is_cancelled_where_hedging_is_forbidden() {
+    let silent = AttemptCheckFacts { is_silent: true, ..late() };
+    let cancelling = policy(Limits { cancellation: true, ..limits() });
+    assert_eq!(cancelling.check_attempt(&silent), AttemptCheck::CancelAndRetry);
+    assert_eq!(cancelling.check_attempt(&late()), AttemptCheck::KeepWaiting);
+    assert_eq!(policy(limits()).check_attempt(&silent), AttemptCheck::KeepWaiting);
+    let non_idempotent = AttemptCheckFacts { idempotency: Idempotency::NonIdempotent, ..silent };
+    assert_eq!(cancelling.check_attempt(&non_idempotent), AttemptCheck::KeepWaiting);
+}
+
+/// A keyed request may have been executed in one zone. Its next attempt has to stay where the key is known, and has to
+/// begin before the key is forgotten: counted to when its connection may come up at the latest, not to when it is sent.
+#[test]
+fn a_keyed_retry_stays_in_its_scope_and_window() {
+    let policy = policy(limits());
+    let endpoint = Endpoint { zone: 3, ..Endpoint::default() };
+    let executed = Some(ExecutedAttempt { sent_at: SENT_AT, endpoint });
+    let begins_after = Duration::from_millis(254);
+    let last_moment = SENT_AT + Duration::from_secs(2) - begins_after - Duration::MICROSECOND;
+    let scope = policy.scope(last_moment, KEYED, executed).expect("inside the window");
+    assert!(scope.includes(&endpoint) && !scope.includes(&Endpoint::default()));
+    let refused = policy.scope(last_moment + Duration::MICROSECOND, KEYED, executed).err();
+    assert_eq!(refused, Some(AttemptRefusal::KeyExpired));
+    let anywhere = policy.scope(last_moment + Duration::from_secs(9), KEYED, None);
+    assert!(matches!(anywhere, Ok(RetryScope::Anywhere)), "it was never executed");
+}
--- a/src/state.rs
+++ b/src/state.rs
@@ -15,8 +15,6 @@
 mod quota_table;
 mod request;
 mod request_table;
-mod retry_budget;
-mod retry_scope;
 mod token_bucket;
 mod token_wait;
 
@@ -35,7 +33,5 @@
 pub use quota_table::QuotaTable;
 pub use request::RequestState;
 pub use request_table::RequestTable;
-pub use retry_budget::RetryBudget;
-pub use retry_scope::RetryScope;
 pub use token_bucket::{refill_time, time_to_refill};
 pub use token_wait::TokenWait;
