--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -4,7 +4,7 @@
 use crate::report::Report;
 use crate::simulation::{EventQueue, SECOND, START};
 use crate::statistics::quantile;
-use ingress::backoff::{Backoff, FailedPoll, PollSchedule};
+use ingress::discovery_schedule::{Backoff, FailedPoll, PollSchedule};
 
 use serde::{Deserialize, Serialize};
 
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -6,7 +6,7 @@
 use super::poll::{parse_response, PollRequest, PollResponse};
 use super::{EndpointList, LocationNames, PollError};
 use crate::error_chain::ErrorChain;
-use ingress::backoff::{Backoff, FailedPoll, NextPoll, PollSchedule};
+use ingress::discovery_schedule::{Backoff, FailedPoll, NextPoll, PollSchedule};
 use ingress::{Duration, Instant};
 use mio::{Registry, Token};
 use std::net::SocketAddr;
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -18,7 +18,7 @@
 use crate::reload::Reload;
 use crate::start_retry::StartRetry;
 use ingress::audit::{AuditRules, Auditor};
-use ingress::backoff::Backoff;
+use ingress::discovery_schedule::Backoff;
 use ingress::{Discovery, Duration, EndpointUpdate, Gateway, Instant, Settings, StartTimes};
 use mio::net::TcpListener;
 use mio::{Interest, Poll, Registry, Token};
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -3,6 +3,7 @@
 
 mod attempts;
 
+use crate::policy::discovery_schedule::PeriodicPoll;
 use crate::policy::{initial_baseline, report_interval, RetryPolicy};
 use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
 use crate::policy::{RejectReason, MAX_REPORTED_QUEUE_DEPTH};
@@ -28,8 +29,8 @@
     pub(crate) next_wake_up_at: Instant,
     /// When the host last went on after it had stood still: latencies found with that event say nothing.
     pub(crate) resumed_at: Instant,
-    /// When discovery is to be polled next, where it has to be.
-    pub(crate) next_poll_at: Instant,
+    /// When discovery is polled, where the endpoint list does not come by itself.
+    pub(crate) periodic_poll: PeriodicPoll,
     /// Requests that are not finished, and their queue.
     pub(crate) requests: RequestTable,
     /// Customers and their token buckets.
@@ -166,7 +167,9 @@
     /// Takes an endpoint list or a change of it; queued requests may then find a backend.
     fn on_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>, actions: &mut Vec<Action>) {
         match update {
-            EndpointUpdate::PollFailed => return self.on_poll_failed(),
+            EndpointUpdate::PollFailed => {
+                return self.periodic_poll.on_failure(self.now, self.settings.rules.max_poll_interval);
+            }
             EndpointUpdate::Delta => endpoints.into_iter().for_each(|one| self.backends.apply_change(one)),
             EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot => self.backends.replace_all(endpoints),
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -47,7 +47,6 @@
 
 mod action;
 pub mod audit;
-pub mod backoff;
 
 mod endpoint;
 
@@ -66,7 +65,7 @@
 pub use event::{AttemptEnded, Event, LoadReport, Outcome, Request};
 pub use gateway::Gateway;
 pub use identifiers::{BackendId, CustomerId, GatewayId, RequestId};
-pub use policy::{permissions, StartTimes};
+pub use policy::{discovery_schedule, permissions, StartTimes};
 pub use settings::{
     Class, Discovery, Idempotency, IdempotencyScope, Limits, Plan, Rules, Settings, SettingsError,
     SettingsReader, SizeMeaning,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -3,6 +3,7 @@
 
 mod admission;
 mod concurrency_limit;
+pub mod discovery_schedule;
 mod gateway;
 mod load_balancing;
 mod load_shedding;
--- a/src/backoff.rs
+++ b/src/policy/discovery_schedule.rs
@@ -1,5 +1,9 @@
-//! The schedule of polls of discovery: exponential backoff with jitter, bounded by the rule that a change counts as
-//! delivered a fixed time after discovery could be reached. No I/O and no clock; the caller passes the time.
+//! When discovery is polled, and polled again after a failure.
+//!
+//! There are two schedules, for two kinds of host. The ingress itself watches discovery by long polls and follows
+//! [`PollSchedule`]: exponential backoff with jitter, bounded by the rule that a change counts as delivered a fixed time
+//! after discovery could be reached. A host that polls when the gateway asks it to, as the simulator does, follows
+//! [`PeriodicPoll`]. No I/O and no clock; the caller passes the time.
 
 use crate::{Duration, Instant};
 use std::ops::RangeInclusive;
@@ -15,6 +19,11 @@
 /// discovery had it and could be reached, which may be the moment after the poll, and the rest is for the response.
 const MAX_POLL_GAP: RangeInclusive<u64> = 4_500_000..=5_000_000;
 
+/// Periodic polls in the time within which one is due: two, so that one may fail.
+const POLLS_PER_INTERVAL: u64 = 2;
+/// The part of that time after which a failed periodic poll is repeated.
+const RETRIES_PER_INTERVAL: u64 = 8;
+
 /// The delays before a retry, each drawn between half of it and half as much again.
 #[derive(Clone, Copy, Debug)]
 struct RetryDelays {
@@ -163,3 +172,31 @@
         Duration::from_micros(self.random.u64(0..=self.backoff.spread.as_micros()))
     }
 }
+
+/// When a gateway asks its host to poll discovery, where the endpoint list does not come by itself.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct PeriodicPoll {
+    /// When the next poll is due.
+    due_at: Instant,
+}
+
+impl PeriodicPoll {
+    /// Whether a poll is due; if so, the next one is scheduled. `max_interval` is the time of the settings within which
+    /// discovery must be polled.
+    pub(crate) fn take_due(&mut self, now: Instant, max_interval: Duration) -> bool {
+        let is_due = now >= self.due_at;
+        if is_due {
+            self.due_at = now + (max_interval / POLLS_PER_INTERVAL).max(Duration::MICROSECOND);
+        }
+        is_due
+    }
+
+    /// Has the next poll come sooner, since the last one failed.
+    pub(crate) fn on_failure(&mut self, now: Instant, max_interval: Duration) {
+        let retry_at = now + (max_interval / RETRIES_PER_INTERVAL).max(Duration::MICROSECOND);
+        self.due_at = self.due_at.min(retry_at);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -42,21 +42,15 @@
         }
     }
 
-    /// Polls discovery in time, where it has to be polled.
+    /// Asks the host to poll discovery when that is due, where the list does not come by itself.
     pub(crate) fn poll_discovery(&mut self, actions: &mut Vec<Action>) {
-        if self.settings.discovery == Discovery::Poll && self.now >= self.next_poll_at {
-            self.next_poll_at =
-                self.now + (self.settings.rules.max_poll_interval / 2).max(Duration::MICROSECOND);
+        let max_interval = self.settings.rules.max_poll_interval;
+        let is_polled = self.settings.discovery == Discovery::Poll;
+        if is_polled && self.periodic_poll.take_due(self.now, max_interval) {
             actions.push(Action::WatchEndpoints(true));
         }
     }
 
-    /// A poll of discovery failed: the next one comes sooner.
-    pub(crate) fn on_poll_failed(&mut self) {
-        let retry_at = self.now + (self.settings.rules.max_poll_interval / 8).max(Duration::MICROSECOND);
-        self.next_poll_at = self.next_poll_at.min(retry_at);
-    }
-
     /// Takes in how an attempt ended, and retries or answers a request that has none left in flight.
     pub(crate) fn on_attempt_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
         if let Some(class) = self.requests.get(ended.id).map(|state| usize::from(state.request.class)) {
