--- a/src/time.rs
+++ b/src/time.rs
@@ -127,6 +127,11 @@
         self.0.div_ceil(MICROS_PER_MILLI)
     }
 
+    /// In whole seconds, cut.
+    pub const fn as_secs(self) -> u64 {
+        self.0 / MICROS_PER_SECOND
+    }
+
     /// In seconds.
     pub const fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND as f64
--- a/tests/decision_digest/deployment.rs
+++ b/tests/decision_digest/deployment.rs
@@ -3,7 +3,7 @@
 use crate::support::settings::{class, limits, plan, rules, SECOND, START};
 use ingress::*;
 
-/// A millisecond, in the unit of [`Micros`].
+/// A millisecond.
 pub const MILLISECOND: Duration = Duration::from_millis(1);
 
 /// How many gateways the settings name, how many of them run, and what they run with.
@@ -36,16 +36,16 @@
 
 /// Idempotent, keyed by cell and by zone, non-idempotent, streamed.
 fn classes() -> Vec<Class> {
-    let keyed = |scope| Idempotency::Keyed { scope, window: 2 * SECOND };
+    let keyed = |scope| Idempotency::Keyed { scope, window: SECOND * 2 };
     vec![
         class(Idempotency::Idempotent),
         class(keyed(IdempotencyScope::Cell)),
-        Class { latency_objective: 2 * SECOND, ..class(keyed(IdempotencyScope::Zone)) },
+        Class { latency_objective: SECOND * 2, ..class(keyed(IdempotencyScope::Zone)) },
         class(Idempotency::NonIdempotent),
         Class {
             streaming: true,
             late_weight: 0.2,
-            latency_objective: 2 * SECOND,
+            latency_objective: SECOND * 2,
             latency_objective_stretch: 0.5,
             ..class(Idempotency::Idempotent)
         },
@@ -77,7 +77,7 @@
         gateway_count: size.gateway_count,
         own_id: GatewayId(own_id),
         zone: (own_id % 2) as u8,
-        tick: 4 * MILLISECOND,
+        tick: MILLISECOND * 4,
         classes: classes(),
         plans: plans(),
         limits: Limits {
@@ -88,19 +88,19 @@
         rules: rules(),
         discovery: if single { Discovery::Poll } else { Discovery::Push },
         size_meaning: if single { SizeMeaning::Capacity } else { SizeMeaning::None },
-        meter_period: 0,
+        meter_period: Duration::ZERO,
         postpaid: single,
     }
 }
 
 /// The entry of a backend in the endpoint list at a time of the run; none while it is not on the list.
-fn endpoint_at(backend: u64, time: Instant, size: FleetSize) -> Option<Endpoint> {
-    let is_away = (18 * SECOND..22 * SECOND).contains(&time) && backend + 2 >= size.backends;
-    let (availability, started_at) = match (backend, time / SECOND) {
-        (2, 5) => (Availability::Draining, 0),
-        (2, 6) | (3, 23..) => (Availability::Gone, 0),
-        (2, 7..) => (Availability::Ready, START + 7 * SECOND),
-        _ => (Availability::Ready, 0),
+fn endpoint_at(backend: u64, elapsed: Duration, size: FleetSize) -> Option<Endpoint> {
+    let is_away = (SECOND * 18..SECOND * 22).contains(&elapsed) && backend + 2 >= size.backends;
+    let (availability, started_at) = match (backend, elapsed.as_secs()) {
+        (2, 5) => (Availability::Draining, None),
+        (2, 6) | (3, 23..) => (Availability::Gone, None),
+        (2, 7..) => (Availability::Ready, Some(START + SECOND * 7)),
+        _ => (Availability::Ready, None),
     };
     let entry = Endpoint {
         backend: BackendId(backend),
@@ -115,11 +115,11 @@
 }
 
 /// The event by which a gateway gets the endpoint list.
-pub fn endpoint_event(kind: EndpointUpdate, time: Instant, size: FleetSize) -> Event {
+pub fn endpoint_event(kind: EndpointUpdate, elapsed: Duration, size: FleetSize) -> Event {
     let backends = match kind {
         EndpointUpdate::Delta => 2..4,
         EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot => 0..size.backends,
         EndpointUpdate::PollFailed => 0..0,
     };
-    Event::Endpoints(kind, backends.filter_map(|backend| endpoint_at(backend, time, size)).collect())
+    Event::Endpoints(kind, backends.filter_map(|backend| endpoint_at(backend, elapsed, size)).collect())
 }
--- a/tests/decision_digest/digest.rs
+++ b/tests/decision_digest/digest.rs
@@ -24,7 +24,7 @@
     fn add(&mut self, action: &Action) {
         match action {
             Action::Send { .. } => self.sends += 1,
-            Action::Reject { retry_after: 0, .. } => self.rejections_without_retry_after += 1,
+            Action::Reject { retry_after: Duration::ZERO, .. } => self.rejections_without_retry_after += 1,
             Action::Reject { .. } => self.rejections_with_retry_after += 1,
             Action::Fail(_) => self.failures += 1,
             Action::Cancel { .. } => self.cancels += 1,
@@ -72,9 +72,9 @@
         numbers.iter().for_each(|number| self.fold_bytes(&number.to_le_bytes()));
     }
 
-    /// A span or time that was computed with `exp`, whose last bit may differ between processors.
-    fn rounded(time: Instant) -> u64 {
-        (time + MILLISECOND / 2) / MILLISECOND
+    /// A span that was computed with `exp`, whose last bit may differ between processors, in milliseconds.
+    fn rounded(span: Duration) -> u64 {
+        (span + MILLISECOND / 2).as_millis()
     }
 
     /// Folds an action in. The numbers of the kinds are of this file only and never change.
@@ -82,15 +82,18 @@
         self.counts.add(action);
         match action {
             Action::Send { id, backend, expires_at } => {
-                self.fold_numbers(&[1, id.0, backend.0, Self::rounded(*expires_at)]);
+                let expiry = expires_at.map_or(Duration::ZERO, |at| at.duration_since(Instant::ZERO));
+                self.fold_numbers(&[1, id.0, backend.0, Self::rounded(expiry)]);
             }
             Action::Reject { id, retry_after } => {
-                let has_retry_after = u64::from(*retry_after > 0);
+                let has_retry_after = u64::from(!retry_after.is_zero());
                 self.fold_numbers(&[2, id.0, has_retry_after, Self::rounded(*retry_after)]);
             }
             Action::Fail(id) => self.fold_numbers(&[3, id.0]),
             Action::Cancel { id, attempt } => self.fold_numbers(&[4, id.0, u64::from(*attempt)]),
-            Action::SetTimer { delay, token } => self.fold_numbers(&[5, *delay, u64::from(*token)]),
+            Action::SetTimer { delay, token } => {
+                self.fold_numbers(&[5, delay.as_micros(), u64::from(*token)]);
+            }
             Action::SendToPeer { to, bytes } => self.fold_message(to.map(|peer| peer.0), bytes),
             Action::WatchEndpoints(on) => self.fold_numbers(&[7, u64::from(*on)]),
             Action::Log(_) => self.fold_numbers(&[8]),
--- a/tests/decision_digest/fleet.rs
+++ b/tests/decision_digest/fleet.rs
@@ -7,36 +7,36 @@
 use ingress::*;
 use std::collections::BTreeMap;
 
-const RUN_LENGTH: Duration = 28 * SECOND;
+const RUN_LENGTH: Duration = Duration::from_secs(28);
 
 const EVENT_SEED: u64 = 41;
 
 /// Backends are slower and more requests come between these times of the run.
-const OVERLOAD: std::ops::Range<Micros> = 10 * SECOND..17 * SECOND;
+const OVERLOAD: std::ops::Range<Duration> = Duration::from_secs(10)..Duration::from_secs(17);
 
-const RESTART_AT: Duration = 14 * SECOND;
+const RESTART_AT: Duration = Duration::from_secs(14);
 
 /// When discovery sends an endpoint list or a change of it.
 const ENDPOINT_UPDATES: [ScheduledUpdate; 8] = [
-    ScheduledUpdate { at: 5 * SECOND, kind: EndpointUpdate::Delta },
-    ScheduledUpdate { at: 6 * SECOND, kind: EndpointUpdate::Delta },
-    ScheduledUpdate { at: 7 * SECOND, kind: EndpointUpdate::Delta },
-    ScheduledUpdate { at: 9 * SECOND, kind: EndpointUpdate::PollFailed },
-    ScheduledUpdate { at: 18 * SECOND, kind: EndpointUpdate::Snapshot },
-    ScheduledUpdate { at: 22 * SECOND, kind: EndpointUpdate::Snapshot },
-    ScheduledUpdate { at: 23 * SECOND, kind: EndpointUpdate::Delta },
-    ScheduledUpdate { at: 25 * SECOND, kind: EndpointUpdate::CachedSnapshot },
+    ScheduledUpdate { at: Duration::from_secs(5), kind: EndpointUpdate::Delta },
+    ScheduledUpdate { at: Duration::from_secs(6), kind: EndpointUpdate::Delta },
+    ScheduledUpdate { at: Duration::from_secs(7), kind: EndpointUpdate::Delta },
+    ScheduledUpdate { at: Duration::from_secs(9), kind: EndpointUpdate::PollFailed },
+    ScheduledUpdate { at: Duration::from_secs(18), kind: EndpointUpdate::Snapshot },
+    ScheduledUpdate { at: Duration::from_secs(22), kind: EndpointUpdate::Snapshot },
+    ScheduledUpdate { at: Duration::from_secs(23), kind: EndpointUpdate::Delta },
+    ScheduledUpdate { at: Duration::from_secs(25), kind: EndpointUpdate::CachedSnapshot },
 ];
 
 struct ScheduledUpdate {
-    at: Instant,
+    at: Duration,
     kind: EndpointUpdate,
 }
 
 /// An attempt, as the host sees it.
 struct Attempt {
     backend: BackendId,
-    sent: Duration,
+    sent_at: Instant,
     in_flight: bool,
 }
 
@@ -118,9 +118,9 @@
             let host = Host { gateway: fleet.start(own_id, 0), restarts: 0, pending: BTreeMap::new() };
             fleet.hosts.push(host);
             fleet.schedule(
-                0,
+                Duration::ZERO,
                 own_id,
-                HostEvent::GatewayEvent(endpoint_event(EndpointUpdate::CachedSnapshot, 0, size)),
+                HostEvent::GatewayEvent(endpoint_event(EndpointUpdate::CachedSnapshot, Duration::ZERO, size)),
             );
             fleet.schedule(MILLISECOND, own_id, HostEvent::RequestArrival);
             for update in &ENDPOINT_UPDATES {
@@ -147,8 +147,8 @@
     }
 
     /// The time of the run.
-    fn elapsed(&self) -> Micros {
-        self.now - START
+    fn elapsed(&self) -> Duration {
+        self.now.duration_since(START)
     }
 
     fn overloaded(&self) -> bool {
@@ -207,7 +207,7 @@
         let mut actions = Vec::new();
         self.hosts[usize::from(gateway)].gateway.handle(self.now, event, &mut actions);
         for action in actions {
-            self.digest.fold_numbers(&[u64::from(gateway), self.elapsed()]);
+            self.digest.fold_numbers(&[u64::from(gateway), self.elapsed().as_micros()]);
             self.digest.fold_action(&action);
             self.execute(gateway, action);
         }
@@ -233,7 +233,7 @@
                     EndpointUpdate::Snapshot
                 };
                 let event = endpoint_event(kind, self.elapsed(), self.size);
-                self.schedule(30 * MILLISECOND, gateway, HostEvent::GatewayEvent(event));
+                self.schedule(MILLISECOND * 30, gateway, HostEvent::GatewayEvent(event));
             }
             _ => {}
         }
@@ -241,15 +241,15 @@
 
     /// A client's request arrives, and the next one is scheduled.
     fn receive_request(&mut self, gateway: u16) {
-        let mean = if self.overloaded() { 7 * MILLISECOND } else { 16 * MILLISECOND };
-        let gap = self.random.between(1, 2 * mean);
+        let mean = if self.overloaded() { MILLISECOND * 7 } else { MILLISECOND * 16 };
+        let gap = self.random.between(Duration::MICROSECOND, mean * 2);
         self.schedule(gap, gateway, HostEvent::RequestArrival);
         let request = self.next_request();
         let pending =
             Pending { class: request.class, units: request.units, attempts: Vec::new(), answered: false };
         self.hosts[usize::from(gateway)].pending.insert(request.id, pending);
         if self.random.percent(3) {
-            let delay = self.random.between(MILLISECOND, 400 * MILLISECOND);
+            let delay = self.random.between(MILLISECOND, MILLISECOND * 400);
             self.schedule(delay, gateway, HostEvent::ClientDisconnect(request.id));
         }
         self.handle(gateway, Event::Request(request));
@@ -262,7 +262,7 @@
         let customer =
             if self.random.percent(60) { self.random.below(200) * 4 } else { self.random.below(24) };
         let plan = if self.random.percent(1) { 1 } else { (customer % 4) as u16 };
-        let wait = if self.random.percent(1) { 5 * MILLISECOND } else { 4 * SECOND };
+        let wait = if self.random.percent(1) { MILLISECOND * 5 } else { SECOND * 4 };
         let class = if self.random.percent(1) { 9 } else { self.random.below(5) as u8 };
         let live_gateways = f64::from(self.size.live_gateways);
         let first = if customer % 3 == 0 { 1.0 } else { 0.0 };
@@ -279,18 +279,18 @@
     }
 
     /// How long a backend takes, and how the attempt ends there.
-    fn backend_reply(&mut self, backend: BackendId) -> (Micros, Outcome) {
+    fn backend_reply(&mut self, backend: BackendId) -> (Duration, Outcome) {
         let slow = if self.overloaded() { 8 } else { 1 };
-        let duration = slow * self.random.between(50 * MILLISECOND, 160 * MILLISECOND);
+        let duration = self.random.between(MILLISECOND * 50, MILLISECOND * 160) * slow;
         let silent = backend.0 % 15 == 4 && self.random.percent(50);
         let failing = backend.0 % 15 == 1 && self.random.percent(60);
         match self.random.below(100) {
-            _ if silent => (3 * SECOND, Outcome::TimedOut),
-            _ if failing => (20 * MILLISECOND, Outcome::Error),
+            _ if silent => (SECOND * 3, Outcome::TimedOut),
+            _ if failing => (MILLISECOND * 20, Outcome::Error),
             0..=1 => (duration, Outcome::Error),
-            2..=3 => (5 * MILLISECOND, Outcome::Rejected),
-            4 => (2 * SECOND, Outcome::TimedOut),
-            5 => (250 * MILLISECOND, Outcome::ConnectFailed),
+            2..=3 => (MILLISECOND * 5, Outcome::Rejected),
+            4 => (SECOND * 2, Outcome::TimedOut),
+            5 => (MILLISECOND * 250, Outcome::ConnectFailed),
             6 => (duration / 2, Outcome::Reset),
             7 => (MILLISECOND, Outcome::NotSent),
             _ => (duration, Outcome::Ok),
@@ -304,7 +304,7 @@
         let pending = pending.expect("only requests without a final answer are sent");
         let attempt = pending.attempts.len() as u16;
         let streamed = pending.class == 4;
-        pending.attempts.push(Attempt { backend, sent: now, in_flight: true });
+        pending.attempts.push(Attempt { backend, sent_at: now, in_flight: true });
         if streamed && outcome == Outcome::Ok {
             self.schedule(duration / 2, gateway, HostEvent::FirstByte { id, attempt });
         }
@@ -317,7 +317,8 @@
         if !std::mem::replace(&mut ended.in_flight, false) {
             return;
         }
-        let (backend, elapsed, units) = (ended.backend, self.now - ended.sent, pending.units);
+        let (backend, elapsed, units) =
+            (ended.backend, self.now.duration_since(ended.sent_at), pending.units);
         pending.answered |= outcome == Outcome::Ok;
         let complete = pending.answered;
         let queue_depth = self.random.percent(30).then(|| self.random.below(4) as f64);
@@ -367,12 +368,15 @@
             return;
         }
         let is_late = self.random.percent(5);
-        let delay =
-            if is_late { self.random.between(300_000, 900_000) } else { self.random.between(2_000, 20_000) };
+        let delay = if is_late {
+            self.random.between(MILLISECOND * 300, MILLISECOND * 900)
+        } else {
+            self.random.between(MILLISECOND * 2, MILLISECOND * 20)
+        };
         let from = GatewayId(from);
         if self.random.percent(5) {
             let event = Event::PeerMessage { from, bytes: bytes.clone() };
-            self.schedule(delay + 7 * MILLISECOND, to, HostEvent::GatewayEvent(event));
+            self.schedule(delay + MILLISECOND * 7, to, HostEvent::GatewayEvent(event));
         }
         if self.random.percent(2) {
             let event = Event::PeerMessage { from, bytes: self.corrupted(&bytes) };
--- a/tests/decision_digest/random.rs
+++ b/tests/decision_digest/random.rs
@@ -31,7 +31,7 @@
     }
 
     /// A time from `least` to just below `most`.
-    pub fn between(&mut self, least: Duration, most: Duration) -> Micros {
-        least + self.below(most - least)
+    pub fn between(&mut self, least: Duration, most: Duration) -> Duration {
+        least + Duration::from_micros(self.below((most - least).as_micros()))
     }
 }
--- a/tests/fleet_quota.rs
+++ b/tests/fleet_quota.rs
@@ -12,7 +12,7 @@
 const GATEWAYS: u16 = 60;
 const CUSTOMERS: u64 = 160;
 const BACKENDS: u64 = 200;
-const RUN_LENGTH: Duration = 8 * SECOND;
+const RUN_LENGTH: Duration = Duration::from_secs(8);
 /// How long an attempt takes at a backend that is not busy.
 const SERVICE_TIME: Duration = Duration::from_millis(110);
 /// How late the policy to compare with knows the true state: a tick, the least that a real one could have.
@@ -26,7 +26,7 @@
     Settings {
         gateway_count: GATEWAYS,
         own_id: GatewayId(own_id),
-        tick: 4_000,
+        tick: Duration::from_millis(4),
         classes: vec![class(Idempotency::Idempotent)],
         plans: vec![rate_quota, concurrency_quota],
         limits: Limits {
@@ -38,14 +38,14 @@
             retry_after: true,
             max_retry_after: SECOND,
             max_open_requests: 20_000,
-            connect_timeout: 250_000,
+            connect_timeout: Duration::from_millis(250),
             ..Limits::default()
         },
         rules: Rules {
             slow_start_floor: 0.2,
-            slow_start_duration: 10 * SECOND,
+            slow_start_duration: SECOND * 10,
             overload_factor: 4.0,
-            overload_window: 3 * SECOND,
+            overload_window: SECOND * 3,
             ..Rules::default()
         },
         ..Settings::default()
@@ -64,6 +64,11 @@
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % bound
     }
+
+    /// A span shorter than a bound.
+    fn shorter_than(&mut self, bound: Duration) -> Duration {
+        Duration::from_micros(self.below(bound.as_micros()))
+    }
 }
 
 /// A request of one unit.
@@ -79,11 +84,11 @@
     for customer in 0..CUSTOMERS {
         let allowed = if plan_of(customer) == 0 { 2.0 } else { 12.0 };
         let usage = if customer / 2 % 10 == 9 { 8.0 } else { 0.35 };
-        let gap = (1e6 / (allowed * usage)) as u64;
-        let mut at = START + SECOND / 2 + random.below(gap);
+        let gap = Duration::from_micros((1e6 / (allowed * usage)) as u64);
+        let mut at = START + SECOND / 2 + random.shorter_than(gap);
         while at < START + RUN_LENGTH {
             all.push(Arrival { at, customer });
-            at += gap / 2 + random.below(gap);
+            at += gap / 2 + random.shorter_than(gap);
         }
     }
     all.sort_unstable();
@@ -126,16 +131,16 @@
     }
 
     fn refilled(&self, level: BucketLevel, elapsed: Duration) -> f64 {
-        (level.tokens + self.plan.rate * elapsed as f64 / 1e6).min(self.plan.burst)
+        (level.tokens + self.plan.rate * elapsed.as_micros_f64() / 1e6).min(self.plan.burst)
     }
 
     /// Whether a request is within the quota by the true state at a time.
     fn has_room(&self, at: Instant) -> bool {
-        let is_in_flight = |sent_at: &&Micros| **sent_at <= at && **sent_at + SERVICE_TIME > at;
+        let is_in_flight = |sent_at: &&Instant| **sent_at <= at && **sent_at + SERVICE_TIME > at;
         let in_flight = self.sent_at.iter().filter(is_in_flight).count();
         let full = BucketLevel { at: START, tokens: self.plan.burst };
         let level = self.history.iter().rev().find(|level| level.at <= at).copied().unwrap_or(full);
-        let tokens = self.refilled(level, at.saturating_sub(level.at));
+        let tokens = self.refilled(level, at.duration_since(level.at));
         (self.plan.rate == 0.0 || tokens >= 1.0)
             && (self.plan.concurrency_quota == 0 || in_flight < self.plan.concurrency_quota as usize)
     }
@@ -143,7 +148,7 @@
     /// Records that a request is sent.
     fn send(&mut self, now: Instant, totals: &mut Totals) {
         let has_room = self.has_room(now);
-        self.bucket.tokens = self.refilled(self.bucket, now - self.bucket.at);
+        self.bucket.tokens = self.refilled(self.bucket, now.duration_since(self.bucket.at));
         self.bucket.at = now;
         if has_room {
             self.bucket.tokens -= if self.plan.rate > 0.0 { 1.0 } else { 0.0 };
@@ -189,7 +194,7 @@
         self.events.push(Some(event));
     }
 
-    fn pop(&mut self) -> Option<(Micros, u16, HostEvent)> {
+    fn pop(&mut self) -> Option<(Instant, u16, HostEvent)> {
         let Reverse((at, index, gateway)) = self.order.pop()?;
         Some((at, gateway, self.events[index].take()?))
     }
@@ -258,7 +263,7 @@
                 Some(Event::Request(self.open_request(now, gateway, customer)))
             }
             HostEvent::PeerMessage { from, bytes } => {
-                let received = self.messages_received.entry((gateway, now / SECOND)).or_default();
+                let received = self.messages_received.entry((gateway, now.period_index(SECOND))).or_default();
                 *received += 1;
                 let event = Event::PeerMessage { from: GatewayId(from), bytes };
                 (*received <= PEER_MESSAGES_PER_SECOND).then_some(event)
@@ -279,7 +284,7 @@
             class: 0,
             plan: plan_of(customer),
             customer: CustomerId(customer),
-            deadline: now + 3 * SECOND,
+            deadline: now + SECOND * 3,
             units: 1.0,
             gateway_set_size: f64::from(GATEWAYS),
             gateway_set_start: 0.0,
@@ -308,11 +313,12 @@
                 self.queue.push(now + SERVICE_TIME, gateway, end);
             }
             Action::SendToPeer { to: Some(to), bytes } if self.random.below(100) >= MESSAGE_LOSS_PERCENT => {
-                let at = now + 1_300 + self.random.below(32_000);
-                self.queue.push(at, to.0, HostEvent::PeerMessage { from: gateway, bytes });
+                let delay =
+                    Duration::from_micros(1_300) + self.random.shorter_than(Duration::from_millis(32));
+                self.queue.push(now + delay, to.0, HostEvent::PeerMessage { from: gateway, bytes });
             }
             Action::SetTimer { delay, .. } => {
-                self.queue.push(now + delay.max(1), gateway, HostEvent::Timer);
+                self.queue.push(now + delay.max(Duration::MICROSECOND), gateway, HostEvent::Timer);
             }
             _ => {}
         }
@@ -327,7 +333,7 @@
     for seed in 1..=3 {
         let mut random = Random(seed);
         let arrivals = arrivals(&mut random);
-        let offered = run_with_delayed_state(&arrivals, 0);
+        let offered = run_with_delayed_state(&arrivals, Duration::ZERO);
         assert_eq!(offered.cost_over_quota, 0.0, "who knows the true state sends nothing beyond a quota");
         let delayed = run_with_delayed_state(&arrivals, OBSERVATION_DELAY);
         let fleet = Fleet::new(&arrivals, &mut random).run();
--- a/tests/gateway/admission.rs
+++ b/tests/gateway/admission.rs
@@ -11,10 +11,14 @@
     let mut harness = GatewayHarness::new(settings(), 1);
     harness.handle(Event::Endpoints(EndpointUpdate::Snapshot, vec![]));
     let base = Request { id: RequestId(1), units: 1.0, gateway_set_size: 3.0, ..Request::default() };
-    assert!(is_rejected(&harness.handle(Event::Request(Request { deadline: harness.now + 10_000, ..base }))));
-    let waiting = Request { id: RequestId(2), deadline: harness.now + 100_000, ..base };
+    let late = Request { deadline: harness.now + Duration::from_millis(10), ..base };
+    assert!(is_rejected(&harness.handle(Event::Request(late))));
+    let waiting = Request { id: RequestId(2), deadline: harness.now + Duration::from_millis(100), ..base };
     assert!(!is_rejected(&harness.handle(Event::Request(waiting))));
-    assert!(is_rejected(&harness.advance(80_000)), "it waits, and is answered before its deadline");
+    assert!(
+        is_rejected(&harness.advance(Duration::from_millis(80))),
+        "it waits, and is answered before its deadline"
+    );
 }
 
 /// Found on simulated days whose gateways stall: a request that waited when the stall began was past its
@@ -33,7 +37,7 @@
         ..Request::default()
     };
     assert!(!is_rejected(&harness.handle(Event::Request(waiting))));
-    harness.now += SECOND + 12_000;
+    harness.now += SECOND + Duration::from_millis(12);
     assert!(is_rejected(&harness.handle(Event::ClientDisconnected(RequestId(99)))));
 }
 
@@ -129,7 +133,7 @@
         Request { class: 99, ..base },
         Request { plan: 99, id: RequestId(501), ..base },
         Request { units: f64::NAN, id: RequestId(502), ..base },
-        Request { deadline: 0, id: RequestId(503), ..base },
+        Request { deadline: Instant::ZERO, id: RequestId(503), ..base },
     ];
     for request in malformed {
         let actions = harness.handle(Event::Request(request));
--- a/tests/gateway/concurrency_quota.rs
+++ b/tests/gateway/concurrency_quota.rs
@@ -41,13 +41,13 @@
     };
     let SubmittedRequest { id, actions } =
         harness.request_from_set(NON_IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0, 1.0);
-    assert_eq!(expires_at(&actions), Some(START + SECOND), "a quota of two, an objective of a second");
+    assert_eq!(expires_at(&actions), Some(Some(START + SECOND)), "a quota of two, an objective of a second");
     assert_eq!(
         expires_at(&harness.request_from_set(NON_IDEMPOTENT, UNLIMITED, 6, 1.0, 1.0).actions),
-        Some(0),
+        Some(None),
         "without a quota it lasts as long as the client waits"
     );
-    harness.advance(SECOND + 20_000);
+    harness.advance(SECOND + Duration::from_millis(20));
     let ended = harness.end_attempt(id, 0, sent_to(&actions)[0], Outcome::TimedOut);
     assert!(is_failed(&ended), "it fails at once, not at the deadline");
     assert_eq!(
@@ -73,7 +73,7 @@
                 continue; // this gateway is the quota owner
             }
             waited += 1;
-            let later = harness.advance(120_000);
+            let later = harness.advance(Duration::from_millis(120));
             for backend in sent_to(&later) {
                 sent += 1;
                 harness.end_attempt(id, 0, backend, Outcome::Ok);
@@ -101,8 +101,12 @@
             .first()
             .expect("its quota owner is asked")
             .0;
-    assert_eq!(sent_to(&harness.advance(200_000)).len(), 1, "its quota owner was never heard");
-    harness.now += 3 * SECOND;
+    assert_eq!(
+        sent_to(&harness.advance(Duration::from_millis(200))).len(),
+        1,
+        "its quota owner was never heard"
+    );
+    harness.now += SECOND * 3;
     // Another customer with the same quota owner, and its answer for that one.
     let mut other_customers = 100..;
     let grant_request = loop {
@@ -121,9 +125,9 @@
         sent_messages(&owner_harness.handle(Event::PeerMessage { from: GatewayId(0), bytes: grant_request }));
     let (_, bytes) = answers.into_iter().next().expect("its answer");
     harness.handle(Event::PeerMessage { from: owner, bytes });
-    harness.advance(300_000);
+    harness.advance(Duration::from_millis(300));
     let id = harness.request_from_set(IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0, 100.0).id;
-    let later = harness.advance(300_000);
+    let later = harness.advance(Duration::from_millis(300));
     assert!(later
         .iter()
         .any(|action| matches!(action, Action::Reject { id: rejected, .. } if *rejected == id)));
--- a/tests/gateway/gossip.rs
+++ b/tests/gateway/gossip.rs
@@ -8,13 +8,13 @@
 fn usage_reports_converge_despite_loss_and_duplicates() {
     let mut other = GatewayHarness::new(settings_of(1, 3), 4);
     let mut harness = GatewayHarness::new(settings(), 4);
-    harness.advance(4 * SECOND);
-    other.advance(4 * SECOND);
+    harness.advance(SECOND * 4);
+    other.advance(SECOND * 4);
     harness.request(IDEMPOTENT, RATE_QUOTA, 9, 0.5);
     other.request(IDEMPOTENT, RATE_QUOTA, 9, 2.0);
-    other.advance(200_000); // these messages are lost
+    other.advance(Duration::from_millis(200)); // these messages are lost
     other.request(IDEMPOTENT, RATE_QUOTA, 9, 3.0);
-    let messages = sent_messages(&other.advance(300_000));
+    let messages = sent_messages(&other.advance(Duration::from_millis(300)));
     for (_, bytes) in messages.iter().chain(messages.iter().rev()) {
         harness.handle(Event::PeerMessage { from: GatewayId(1), bytes: bytes.clone() });
     }
@@ -33,7 +33,7 @@
                 harness.end_attempt(id, 0, backend, Outcome::Ok);
             }
         }
-        for (_, bytes) in sent_messages(&harness.advance(100_000)) {
+        for (_, bytes) in sent_messages(&harness.advance(Duration::from_millis(100))) {
             let has_customer =
                 |customer: &u8| bytes.windows(5).any(|window| window == [*customer, 0, 0, 0, 0]);
             reported.extend((0..100u8).filter(has_customer));
--- a/tests/gateway/hard_limit.rs
+++ b/tests/gateway/hard_limit.rs
@@ -18,7 +18,7 @@
                     for _ in 0..10 {
                         let SubmittedRequest { id, mut actions } =
                             harness.request_from_set(IDEMPOTENT, HARD_LIMIT, 5, 1.0, f64::from(gateways));
-                        actions.extend(harness.advance(100_000));
+                        actions.extend(harness.advance(Duration::from_millis(100)));
                         for backend in sent_to(&actions) {
                             sent += 1;
                             harness.end_attempt(id, 0, backend, Outcome::Ok);
@@ -53,7 +53,7 @@
 #[test]
 fn a_hard_limit_does_not_begin_full_again_behind_requests_with_a_forged_plan() {
     let mut harness = GatewayHarness::new(settings_of(0, 1), 4);
-    harness.advance(30 * SECOND);
+    harness.advance(SECOND * 30);
     let send = |harness: &mut GatewayHarness, plan, count: usize| {
         let mut sent = 0;
         for _ in 0..count {
--- a/tests/gateway/load_balancing.rs
+++ b/tests/gateway/load_balancing.rs
@@ -31,13 +31,13 @@
         let mut harness = GatewayHarness::new(settings_of(own_id, 150), 1);
         harness.handle(Event::Endpoints(
             EndpointUpdate::Snapshot,
-            vec![Endpoint { started_at: START, ..endpoint(0) }],
+            vec![Endpoint { started_at: Some(START), ..endpoint(0) }],
         ));
         for customer in 0..20 {
             sent_at_once += sent_to(&harness.request(IDEMPOTENT, UNLIMITED, customer, 1.0).actions).len();
         }
         for customer in 0..200 {
-            sent_later += sent_to(&harness.advance(100_000)).len()
+            sent_later += sent_to(&harness.advance(Duration::from_millis(100))).len()
                 + sent_to(&harness.request(IDEMPOTENT, UNLIMITED, customer, 1.0).actions).len();
         }
     }
@@ -55,7 +55,7 @@
     for own_id in 0..gateways {
         let mut harness = GatewayHarness::new(settings_of(own_id, gateways), backends);
         for customer in 0..2_000 {
-            harness.now += 1_000;
+            harness.now += Duration::from_millis(1);
             let SubmittedRequest { id, actions } = harness.request(IDEMPOTENT, UNLIMITED, customer, 1.0);
             for backend in sent_to(&actions) {
                 *attempts_by_backend.entry(backend).or_insert(0u64) += 1;
--- a/tests/gateway/load_shedding.rs
+++ b/tests/gateway/load_shedding.rs
@@ -12,10 +12,10 @@
         let is_slow = (100..300).contains(&step);
         let SubmittedRequest { id, actions } = harness.request(IDEMPOTENT, UNLIMITED, step, 1.0);
         if let Some(backend) = sent_to(&actions).first() {
-            let elapsed = if is_slow { 900_000 } else { 100_000 };
+            let elapsed = if is_slow { Duration::from_millis(900) } else { Duration::from_millis(100) };
             harness.end_attempt_after(elapsed, id, 0, *backend, Outcome::Ok);
         }
-        let actions = harness.advance(20_000);
+        let actions = harness.advance(Duration::from_millis(20));
         log.extend(actions.into_iter().filter_map(|action| match action {
             Action::Log(line) => Some((step, line)),
             _ => None,
@@ -39,10 +39,10 @@
         for step in 0..400u64 {
             let SubmittedRequest { id, actions } = harness.request(IDEMPOTENT, UNLIMITED, step % 40, 1.0);
             for backend in sent_to(&actions) {
-                let elapsed = if step < 40 { 100_000 } else { 900_000 };
+                let elapsed = if step < 40 { Duration::from_millis(100) } else { Duration::from_millis(900) };
                 harness.end_attempt_after(elapsed, id, 0, backend, Outcome::Ok);
             }
-            harness.advance(20_000);
+            harness.advance(Duration::from_millis(20));
         }
         (0..40)
             .map(|customer| is_rejected(&harness.request(IDEMPOTENT, UNLIMITED, customer, 1.0).actions))
--- a/tests/gateway/outlier_detection.rs
+++ b/tests/gateway/outlier_detection.rs
@@ -12,13 +12,13 @@
     let mut harness = GatewayHarness::new(settings(), 1);
     let SubmittedRequest { id, actions } = harness.request(IDEMPOTENT, UNLIMITED, 1, 1.0);
     assert_eq!(sent_to(&actions).len(), 1);
-    harness.now += 2 * SECOND;
+    harness.now += SECOND * 2;
     let actions_after_stall = harness.handle(Event::ClientDisconnected(RequestId(99)));
     assert!(!actions_after_stall
         .iter()
         .any(|action| matches!(action, Action::Cancel { .. } | Action::Reject { .. } | Action::Send { .. })));
     harness.end_attempt(id, 0, BackendId(0), Outcome::Ok);
-    harness.advance(100_000);
+    harness.advance(Duration::from_millis(100));
     assert_eq!(
         sent_to(&harness.request(IDEMPOTENT, UNLIMITED, 2, 1.0).actions).len(),
         1,
@@ -37,7 +37,7 @@
         for backend in sent_to(&actions).into_iter().filter(|_| !is_silent) {
             harness.end_attempt(id, 0, backend, Outcome::Ok);
         }
-        harness.advance(400_000);
+        harness.advance(Duration::from_millis(400));
         if is_silent {
             harness.end_attempt(id, 0, BackendId(0), Outcome::TimedOut);
         }
@@ -107,7 +107,7 @@
             let harness = &mut fleet.gateways[at];
             let customer = 7000 + step as u64 * 31 % 400;
             let mut actions = harness.request_from_set(IDEMPOTENT, UNLIMITED, customer, 1.0, 100.0).actions;
-            actions.extend(harness.advance(20_000)); // its timers, too
+            actions.extend(harness.advance(Duration::from_millis(20))); // its timers, too
             let counts = execute_with_silent_backend(&mut fleet, at, actions);
             // In the first five seconds the gateways observe it.
             if step >= 500 {
@@ -115,7 +115,7 @@
                 silent += counts.at_silent_backend;
             }
         }
-        let now = START + (step as u64 + 1) * 10_000;
+        let now = START + Duration::from_millis(10) * (step as u64 + 1);
         fleet.gateways.iter_mut().for_each(|harness| harness.now = harness.now.max(now));
     }
     assert!(
--- a/tests/gateway/rate_quota.rs
+++ b/tests/gateway/rate_quota.rs
@@ -17,7 +17,7 @@
         is_rejected(&second) && sent_to(&second).is_empty(),
         "a new customer starts with this gateway's share"
     );
-    harness.advance(2 * SECOND); // and by then no more usage of others is assumed
+    harness.advance(SECOND * 2); // and by then no more usage of others is assumed
     assert_eq!(
         sent_to(&harness.request(IDEMPOTENT, RATE_QUOTA, 9, 1.0).actions).len(),
         1,
@@ -51,7 +51,7 @@
         }
         let mut sent: usize = (0..4).map(|_| send_genuine(&mut harness)).sum();
         for _ in 0..3 {
-            harness.advance(20_000);
+            harness.advance(Duration::from_millis(20));
             send_forged(&mut harness);
             sent += (0..4).map(|_| send_genuine(&mut harness)).sum::<usize>();
         }
@@ -91,7 +91,7 @@
             let (at, customer) = (number * 37 % 100, 1000 + number as u64 % 20);
             let actions = fleet.gateways[at].request_from_set(IDEMPOTENT, plan, customer, 1.0, 100.0).actions;
             sent += fleet.execute(at, actions, 0);
-            sent += fleet.advance(20_000, 0);
+            sent += fleet.advance(Duration::from_millis(20), 0);
         }
         assert_eq!(sent, 100, "five requests of each customer, far apart: plan {plan}");
         // Ends are sent as well where attempts in flight are counted.
@@ -132,7 +132,7 @@
         (5..=7).contains(&sent_for_new_customer(&mut fleet, 6)),
         "a customer that comes later has its whole bucket"
     );
-    fleet.advance(2 * SECOND, 0);
+    fleet.advance(SECOND * 2, 0);
     fleet.gateways[2].restart(settings_of(2, 3), 9, 6);
     for at in 0..3 {
         fleet.request(at, UNLIMITED, 1.0, 3.0, 0);
@@ -166,12 +166,13 @@
 }
 
 /// How far back a wall clock is set.
-const CLOCK_STEP: Duration = 600 * SECOND;
+const CLOCK_STEP: Duration = Duration::from_secs(600);
 
 /// Restarts gateway 2 of three on a machine whose wall clock was set back.
 fn restart_with_clock_set_back(fleet: &mut Fleet) {
-    fleet.gateways[2].now -= CLOCK_STEP;
-    fleet.gateways[2].restart(settings_of(2, 3), 9, 6);
+    let harness = &mut fleet.gateways[2];
+    harness.now = harness.now - CLOCK_STEP;
+    harness.restart(settings_of(2, 3), 9, 6);
 }
 
 /// Guards against taking all messages of a process for outdated that has restarted on a machine whose wall clock was set
@@ -182,12 +183,12 @@
     (0..3).for_each(|at| _ = fleet.request(at, UNLIMITED, 1.0, 3.0, 0));
     restart_with_clock_set_back(&mut fleet);
     (0..3).for_each(|at| _ = fleet.request(at, UNLIMITED, 1.0, 3.0, 0));
-    fleet.advance(10 * SECOND, 0);
+    fleet.advance(SECOND * 10, 0);
     let mut sent_at = |at: usize| {
         let mut sent = 0;
         for _ in 0..8 {
             let actions = fleet.gateways[at].request_from_set(IDEMPOTENT, RATE_QUOTA, 6, 1.0, 3.0).actions;
-            sent += fleet.execute(at, actions, 0) + fleet.advance(60_000, 0);
+            sent += fleet.execute(at, actions, 0) + fleet.advance(Duration::from_millis(60), 0);
         }
         sent
     };
@@ -209,7 +210,7 @@
     };
     let before: usize = (0..30).map(|_| request_once(&mut fleet, 0)).sum();
     assert!(before >= 29);
-    fleet.advance(5 * SECOND, 0);
+    fleet.advance(SECOND * 5, 0);
     restart_with_clock_set_back(&mut fleet);
     request_once(&mut fleet, 0);
     let after: usize = (0..3).map(|_| request_once(&mut fleet, 2)).sum();
@@ -231,12 +232,12 @@
             GatewayHarness::new(settings, 6)
         };
         let mut fleet = Fleet { gateways: (0..100).map(gateway).collect(), messages_sent: 0 };
-        fleet.advance(30 * SECOND, 0);
+        fleet.advance(SECOND * 30, 0);
         let send = |fleet: &mut Fleet, at, count| {
             (0..count).map(|_| fleet.request(at, RATE_QUOTA, 1.0, 3.0, 0)).sum::<usize>()
         };
         assert_eq!(send(&mut fleet, at, 18), 18, "gateway {at}: the bucket is full at first");
-        fleet.advance(quiet_seconds * SECOND, 0);
+        fleet.advance(SECOND * quiet_seconds, 0);
         let sent = send(&mut fleet, (at + 1) % 3, 12) + send(&mut fleet, at, 40);
         assert!((18..=21).contains(&sent), "gateway {at}, {quiet_seconds} s: {sent} sent of a full bucket");
     }
--- a/tests/gateway/retry.rs
+++ b/tests/gateway/retry.rs
@@ -11,7 +11,7 @@
     let mut harness = GatewayHarness::new(settings(), 4);
     let SubmittedRequest { id, actions } = harness.request(NON_IDEMPOTENT, UNLIMITED, 1, 1.0);
     let backend = sent_to(&actions)[0];
-    let later = harness.advance(2 * SECOND);
+    let later = harness.advance(SECOND * 2);
     assert!(sent_to(&later).is_empty(), "a non-idempotent request is not hedged");
     let end = harness.end_attempt(id, 0, backend, Outcome::TimedOut);
     assert!(is_failed(&end) && !is_rejected(&end) && sent_to(&end).is_empty());
@@ -37,12 +37,12 @@
     assert_eq!(sent_to(&retry)[0].0 % 2, first.0 % 2, "same cell");
 
     let mut settings = settings();
-    settings.classes[usize::from(KEYED)].latency_objective = 4 * SECOND;
+    settings.classes[usize::from(KEYED)].latency_objective = SECOND * 4;
     settings.limits.hedging = false;
     settings.limits.cancellation = false;
     let mut harness = GatewayHarness::new(settings, 6);
     let SubmittedRequest { id, actions } = harness.request(KEYED, UNLIMITED, 1, 1.0);
-    harness.advance(2 * SECOND);
+    harness.advance(SECOND * 2);
     let end = harness.end_attempt(id, 0, sent_to(&actions)[0], Outcome::Reset);
     assert!(sent_to(&end).is_empty() && is_failed(&end) && !is_rejected(&end), "outside the window");
 }
@@ -51,9 +51,9 @@
 /// attempt begins only then.
 #[test]
 fn a_keyed_retry_needs_time_to_connect_within_its_window() {
-    for (delay, expected_retries) in [(1_600_000, 1), (1_800_000, 0)] {
+    for (delay, expected_retries) in [(Duration::from_millis(1600), 1), (Duration::from_millis(1800), 0)] {
         let mut settings = settings();
-        settings.classes[usize::from(KEYED)].latency_objective = 4 * SECOND;
+        settings.classes[usize::from(KEYED)].latency_objective = SECOND * 4;
         settings.limits.hedging = false;
         settings.limits.cancellation = false;
         let mut harness = GatewayHarness::new(settings, 6);
@@ -63,7 +63,8 @@
         assert_eq!(
             sent_to(&end).len(),
             expected_retries,
-            "{delay} us after the first attempt, in a window of 2 s"
+            "{} us after the first attempt, in a window of 2 s",
+            delay.as_micros()
         );
         assert_eq!(is_failed(&end), expected_retries == 0);
     }
@@ -94,7 +95,7 @@
             first_attempts +=
                 sent_to(&harness.request_from_set(IDEMPOTENT, UNLIMITED, 6 + number, 1.0, 1.0).actions).len();
         }
-        first_attempts += sent_to(&harness.advance(200_000)).len(); // waited for a grant that does not come
+        first_attempts += sent_to(&harness.advance(Duration::from_millis(200))).len(); // waited for a grant that does not come
         hedges += sent_to(&harness.advance(SECOND / 2)).len();
     }
     assert!(first_attempts >= 1500, "{first_attempts} sent");
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -9,7 +9,7 @@
 use support::gateway::attempt_ended;
 use support::settings::{class, plan};
 
-const START: Instant = 50_000_000;
+const START: Instant = Instant::from_micros(50_000_000);
 const TICK: Duration = Duration::from_millis(20);
 const MAX_ATTEMPTS: u16 = 3;
 /// Indices of the classes and of the plan that the rules treat in their own way.
@@ -21,17 +21,21 @@
 const HARD_LIMIT_BURST: f64 = 60.0;
 
 fn settings() -> Settings {
-    let class = |idempotency| Class { latency_objective: 500_000, deadline: 2_000_000, ..class(idempotency) };
+    let class = |idempotency| Class {
+        latency_objective: Duration::from_millis(500),
+        deadline: Duration::from_secs(2),
+        ..class(idempotency)
+    };
     let plan = |hard_limit_rate, hard_limit_burst| Plan {
         hard_limit_rate,
         hard_limit_burst,
         hard_limit_slack: 1.0,
         ..plan(20.0, 40.0)
     };
-    let keyed = Idempotency::Keyed { scope: IdempotencyScope::Cell, window: 1_000_000 };
+    let keyed = Idempotency::Keyed { scope: IdempotencyScope::Cell, window: Duration::from_secs(1) };
     Settings {
         gateway_count: 3,
-        tick: 4_000,
+        tick: Duration::from_millis(4),
         classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NonIdempotent)],
         plans: vec![plan(0.0, 0.0), plan(HARD_LIMIT_RATE, HARD_LIMIT_BURST)],
         limits: Limits {
@@ -41,14 +45,14 @@
             peer_messages: true,
             peer_messages_per_second: 50.0,
             retry_after: true,
-            max_retry_after: 1_000_000,
+            max_retry_after: Duration::from_secs(1),
             ..Limits::default()
         },
         rules: Rules {
             slow_start_floor: 0.2,
-            slow_start_duration: 5_000_000,
+            slow_start_duration: Duration::from_secs(5),
             overload_factor: 3.0,
-            overload_window: 1_000_000,
+            overload_window: Duration::from_secs(1),
             ..Rules::default()
         },
         ..Settings::default()
@@ -76,7 +80,8 @@
 fn step() -> impl Strategy<Value = Step> {
     let units = prop_oneof![Just(1.0), Just(4.0), Just(0.0), Just(f64::NAN), Just(-3.0), Just(1e300)];
     let set_size = prop_oneof![Just(3.0), Just(2.0), Just(0.0), Just(f64::INFINITY)];
-    let request = (0u8..4, 0u16..3, 0u64..6, units, set_size, 0u64..2_000_000);
+    let time_left = (0u64..2_000_000).prop_map(Duration::from_micros);
+    let request = (0u8..4, 0u16..3, 0u64..6, units, set_size, time_left);
     prop_oneof![
         8 => request.prop_map(|(class, plan, customer, units, set_size, time_left)| {
             Step::Request { class, plan, customer, units, set_size, time_left }
@@ -131,7 +136,7 @@
 impl Host {
     fn check(&mut self, now: Instant, actions: &[Action]) {
         for action in actions {
-            self.log.push(format!("{now} {action:?}"));
+            self.log.push(format!("{now:?} {action:?}"));
             match action {
                 Action::Send { id, backend, .. } => self.check_send(*id, *backend),
                 Action::Reject { id, .. } => {
@@ -146,7 +151,7 @@
             }
         }
         // A third of the hard limit is this gateway's, from nothing at its start; sets of 2 allow a half.
-        let seconds = (now - START) as f64 / 1e6;
+        let seconds = now.duration_since(START).as_secs_f64();
         for used in self.hard_limit_usage.values() {
             let allowed = HARD_LIMIT_RATE * seconds + HARD_LIMIT_BURST + 1e-6;
             assert!(*used <= allowed, "the share of the hard limit is overdrawn");
@@ -198,7 +203,7 @@
     }
 }
 
-fn endpoint(backend: u64, availability: Availability, started_at: Instant) -> Endpoint {
+fn endpoint(backend: u64, availability: Availability, started_at: Option<Instant>) -> Endpoint {
     Endpoint {
         backend: BackendId(backend),
         zone: (backend % 2) as u8,
@@ -222,7 +227,7 @@
     fn new() -> Run {
         let gateway = Gateway::new(settings(), 3, START);
         let mut run = Run { gateway, host: Host::default(), now: START, next_request_id: 0 };
-        let endpoints = (0..5).map(|backend| endpoint(backend, Availability::Ready, 0)).collect();
+        let endpoints = (0..5).map(|backend| endpoint(backend, Availability::Ready, None)).collect();
         run.handle(Event::Endpoints(EndpointUpdate::CachedSnapshot, endpoints));
         run
     }
@@ -302,7 +307,7 @@
         if outcome == Outcome::Ok {
             self.host.ended.insert(id);
         }
-        self.handle_attempt_ended(50_000, id, number, backend, outcome);
+        self.handle_attempt_ended(Duration::from_millis(50), id, number, backend, outcome);
     }
 
     fn handle_attempt_ended(
@@ -327,7 +332,7 @@
             EndpointUpdate::CachedSnapshot,
             EndpointUpdate::PollFailed,
         ][usize::from(update)];
-        let started_at = if in_slow_start { self.now } else { 0 };
+        let started_at = in_slow_start.then_some(self.now);
         let all = [Availability::Ready, Availability::Draining, Availability::Gone];
         let endpoints: Vec<_> = (0..)
             .zip(availabilities)
@@ -342,7 +347,8 @@
         self.handle(Event::FirstByte { id: RequestId(number), attempt: number as u16 });
         let load_report = Some(LoadReport { queue_depth: Some(f64::NAN), ..LoadReport::default() });
         let (backend, outcome) = (BackendId(number), Outcome::Ok);
-        self.handle(Event::HealthCheckEnded { backend, outcome, elapsed: number, load_report });
+        let elapsed = Duration::from_micros(number);
+        self.handle(Event::HealthCheckEnded { backend, outcome, elapsed, load_report });
         self.handle(Event::CounterUpdated { name: number, outcome, total: f64::NAN });
     }
 
@@ -351,7 +357,7 @@
         for _ in 0..150 {
             self.tick();
             for Attempt { id, number, backend } in std::mem::take(&mut self.host.in_flight) {
-                self.handle_attempt_ended(1, id, number, backend, Outcome::TimedOut);
+                self.handle_attempt_ended(Duration::MICROSECOND, id, number, backend, Outcome::TimedOut);
             }
         }
         for id in self.host.requests.keys() {
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -27,7 +27,7 @@
             let (to, event) = match action {
                 Action::Send { id, backend, .. } => {
                     sent += 1;
-                    (at, attempt_ended(100_000, id, 0, backend, Outcome::Ok))
+                    (at, attempt_ended(Duration::from_millis(100), id, 0, backend, Outcome::Ok))
                 }
                 Action::SendToPeer { to: Some(to), bytes } => {
                     self.messages_sent += 1;
@@ -48,7 +48,7 @@
     pub fn request(&mut self, at: usize, plan: u16, units: f64, set_size: f64, lose_every: u64) -> usize {
         let actions = self.gateways[at].request_from_set(IDEMPOTENT, plan, 5, units, set_size).actions;
         let sent = self.execute(at, actions, lose_every);
-        sent + self.advance(20_000, lose_every)
+        sent + self.advance(Duration::from_millis(20), lose_every)
     }
 
     /// Lets time pass at one gateway after the other. Returns how many attempts were sent.
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -3,6 +3,9 @@
 use super::settings::{endpoint, SECOND, START};
 use ingress::*;
 
+/// The time from a timer to the next one.
+const TIMER_INTERVAL: Duration = Duration::from_millis(20);
+
 /// A request that a gateway got, and what it asked for at once.
 pub struct SubmittedRequest {
     pub id: RequestId,
@@ -48,7 +51,7 @@
     pub fn advance(&mut self, span: Duration) -> Vec<Action> {
         let (mut actions, end) = (Vec::new(), self.now + span);
         while self.now < end {
-            self.now += 20_000;
+            self.now += TIMER_INTERVAL;
             actions.extend(self.handle(Event::Timer(0)));
         }
         actions
@@ -70,7 +73,7 @@
     ) -> SubmittedRequest {
         let id = RequestId(self.next_request_id);
         self.next_request_id += 1;
-        let deadline = self.now + 4 * SECOND;
+        let deadline = self.now + SECOND * 4;
         let customer = CustomerId(customer);
         let gateway_set_start = if set_size == 6.0 { 15.0 } else { 0.0 };
         let request = Request {
@@ -94,7 +97,7 @@
         backend: BackendId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.end_attempt_after(100_000, id, attempt, backend, outcome)
+        self.end_attempt_after(Duration::from_millis(100), id, attempt, backend, outcome)
     }
 
     /// Ends an attempt that took this long.
--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -3,9 +3,9 @@
 use ingress::*;
 
 /// When gateways under test start.
-pub const START: Instant = 1_000_000_000;
+pub const START: Instant = Instant::from_micros(1_000_000_000);
 
-/// A second, in the unit of [`Micros`].
+/// A second.
 pub const SECOND: Duration = Duration::from_secs(1);
 
 /// Index of a class of [`settings`], retried at will.
@@ -29,7 +29,7 @@
     Class {
         latency_objective: SECOND,
         latency_objective_stretch: 0.0,
-        deadline: 4 * SECOND,
+        deadline: SECOND * 4,
         priority_weight: 1.0,
         late_weight: 0.0,
         idempotency,
@@ -62,35 +62,35 @@
         peer_messages: true,
         peer_messages_per_second: 60.0,
         retry_after: true,
-        max_retry_after: 2 * SECOND,
+        max_retry_after: SECOND * 2,
         shared_counter: false,
         max_open_requests: 20_000,
-        connect_timeout: 250_000,
+        connect_timeout: Duration::from_millis(250),
     }
 }
 
 /// The figures of the rules.
 pub fn rules() -> Rules {
     Rules {
-        answer_slack: 16_000,
-        drain_grace: 250_000,
+        answer_slack: Duration::from_millis(16),
+        drain_grace: Duration::from_millis(250),
         slow_start_floor: 0.2,
-        slow_start_duration: 10 * SECOND,
+        slow_start_duration: SECOND * 10,
         overload_factor: 3.0,
         overload_window: SECOND,
-        max_poll_interval: 10 * SECOND,
+        max_poll_interval: SECOND * 10,
     }
 }
 
 /// Gateway 0 of three, with the classes and plans that the constants name.
 pub fn settings() -> Settings {
-    let keyed = Idempotency::Keyed { scope: IdempotencyScope::Cell, window: 2 * SECOND };
+    let keyed = Idempotency::Keyed { scope: IdempotencyScope::Cell, window: SECOND * 2 };
     let hard_limit = Plan { hard_limit_rate: 6.0, hard_limit_burst: 12.0, ..plan(100.0, 100.0) };
     Settings {
         gateway_count: 3,
         own_id: GatewayId(0),
         zone: 0,
-        tick: 4_000,
+        tick: Duration::from_millis(4),
         classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NonIdempotent)],
         plans: vec![
             plan(1e6, 1e6),
@@ -118,6 +118,6 @@
         machine_type: 0,
         availability: Availability::Ready,
         size: 1.0,
-        started_at: 0,
+        started_at: None,
     }
 }
