--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -5,18 +5,18 @@
 use crate::simulation::{EventQueue, SECOND, START};
 use crate::statistics::quantile;
 use ingress::backoff::{Backoff, FailedPoll, PollSchedule};
-
+use ingress::{Duration, Instant};
 use serde::{Deserialize, Serialize};
 
 /// How long a poll may wait in discovery's queue until it is rejected, though discovery works on it all the
 /// same.
-const MAX_QUEUEING: Micros = 2 * SECOND;
+const MAX_QUEUEING: Duration = Duration::from_secs(2);
 /// Ingresses that were killed start anew so long before discovery is back.
-const RESTART_LEAD: Micros = 2 * SECOND;
+const RESTART_LEAD: Duration = Duration::from_secs(2);
 /// For how long the fleet is watched after discovery is back.
-const WATCHED: Micros = 60 * SECOND;
+const WATCHED: Duration = Duration::from_secs(60);
 /// The time of the settings within which ingresses poll discovery.
-const MAX_POLL_INTERVAL: Micros = 10 * SECOND;
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Sizes of the fleet, and how strong discovery is.
 #[derive(Debug, PartialEq, Deserialize)]
@@ -45,7 +45,7 @@
     /// How many of ten ingresses are killed during the outage.
     pub killed_of_ten: u64,
     /// For how long discovery is down.
-    pub duration: Micros,
+    pub duration: Duration,
     /// Seed of all random draws.
     pub seed: u64,
 }
@@ -59,13 +59,13 @@
     pub rejected_polls: u64,
     /// The longest time in which an ingress without an answer made no poll after the return (or its own
     /// start).
-    pub longest_gap: Micros,
+    pub longest_gap: Duration,
     /// Time from the return to the first answer, the median over all ingresses.
-    pub median: Micros,
+    pub median: Duration,
     /// The same, the 95th percentile.
-    pub p95: Micros,
+    pub p95: Duration,
     /// The same, the last; none if some ingress had no answer within a minute.
-    pub last: Option<Micros>,
+    pub last: Option<Duration>,
 }
 
 /// How a fleet came through an outage: times in seconds.
@@ -118,21 +118,20 @@
     fn measure(&self, ingresses: u64, fleet_poll_s: f64, seed: u64) -> Point {
         let recovery = simulate(&Outage {
             ingresses,
-            poll_work: fleet_poll_s * SECOND as f64 / ingresses as f64,
+            poll_work: fleet_poll_s * SECOND.as_micros_f64() / ingresses as f64,
             killed_of_ten: self.killed_of_ten,
-            duration: self.outage_s * SECOND,
+            duration: Duration::from_secs(self.outage_s),
             seed,
         });
-        let seconds = |span: Micros| span as f64 / SECOND as f64;
         Point {
             ingresses,
             fleet_poll_s,
             polls: recovery.polls,
             rejected_polls: recovery.rejected_polls,
-            longest_gap_s: seconds(recovery.longest_gap),
-            median_s: seconds(recovery.median),
-            p95_s: seconds(recovery.p95),
-            last_s: recovery.last.map(seconds),
+            longest_gap_s: recovery.longest_gap.as_secs_f64(),
+            median_s: recovery.median.as_secs_f64(),
+            p95_s: recovery.p95.as_secs_f64(),
+            last_s: recovery.last.map(Duration::as_secs_f64),
         }
     }
 }
@@ -148,24 +147,24 @@
 struct Poller {
     /// When it polls.
     schedule: PollSchedule,
-    /// When it polled last; 0 before its first poll.
-    last_poll: Micros,
+    /// When it polled last; none before its first poll.
+    last_poll_at: Option<Instant>,
 }
 
 /// A fleet that is simulated.
 struct Simulation {
     /// When discovery is back.
-    back_at: Micros,
+    back_at: Instant,
     /// How long discovery works on a poll, in microseconds.
     poll_work: f64,
     /// The ingresses of the fleet.
     pollers: Vec<Poller>,
     /// The next poll of each ingress, by its index.
     queue: EventQueue<usize>,
-    /// When discovery has worked on all polls that reached it.
+    /// When discovery has worked on all polls that reached it, in microseconds.
     idle_at: f64,
     /// When ingresses had their answers, from the return.
-    answered: Vec<Micros>,
+    answered: Vec<Duration>,
     /// What happened so far.
     recovery: Recovery,
 }
@@ -174,7 +173,7 @@
     /// A fleet with its first polls to come.
     fn new(outage: &Outage) -> Simulation {
         let back_at = START + outage.duration;
-        let restarted_at = back_at.saturating_sub(RESTART_LEAD).max(START);
+        let restarted_at = (back_at - RESTART_LEAD).max(START);
         let mut simulation = Simulation {
             back_at,
             poll_work: outage.poll_work,
@@ -193,7 +192,7 @@
                 schedule.on_failure(START, None).at
             };
             simulation.queue.schedule(first_poll, number as usize);
-            simulation.pollers.push(Poller { schedule, last_poll: 0 });
+            simulation.pollers.push(Poller { schedule, last_poll_at: None });
         }
         simulation
     }
@@ -216,20 +215,20 @@
     }
 
     /// Notes how long an ingress that polls now has not.
-    fn record_gap(&mut self, index: usize, now: Micros) {
+    fn record_gap(&mut self, index: usize, now: Instant) {
         let poller = &mut self.pollers[index];
-        let gap = now.saturating_sub(self.back_at.max(poller.last_poll));
-        poller.last_poll = now;
+        let last_poll_at = poller.last_poll_at.replace(now);
+        let gap = now.duration_since(last_poll_at.map_or(self.back_at, |at| at.max(self.back_at)));
         self.recovery.longest_gap = self.recovery.longest_gap.max(gap);
     }
 
     /// A poll that reaches discovery now; when it is rejected, if it is.
-    fn poll(&mut self, now: Micros) -> Option<Micros> {
+    fn poll(&mut self, now: Instant) -> Option<Instant> {
         self.recovery.polls += 1;
-        let served_from = f64::max(self.idle_at, now as f64);
+        let served_from = f64::max(self.idle_at, now.as_micros() as f64);
         self.idle_at = served_from + self.poll_work;
-        if served_from <= (now + MAX_QUEUEING) as f64 {
-            self.answered.push(self.idle_at as Micros - self.back_at);
+        if served_from <= (now + MAX_QUEUEING).as_micros() as f64 {
+            self.answered.push(Instant::from_micros(self.idle_at as u64).duration_since(self.back_at));
             return None;
         }
         self.recovery.rejected_polls += 1;
@@ -239,7 +238,7 @@
     /// Sums up when the ingresses had their answers.
     fn finish(mut self) -> Recovery {
         self.answered.sort_unstable();
-        let answered_by = |share: f64| quantile(&self.answered, share).unwrap_or(0);
+        let answered_by = |share: f64| quantile(&self.answered, share).unwrap_or(Duration::ZERO);
         let all_answered = self.answered.len() == self.pollers.len();
         Recovery {
             median: answered_by(0.5),
--- a/fleet-experiments/src/experiments/endpoint_list.rs
+++ b/fleet-experiments/src/experiments/endpoint_list.rs
@@ -7,12 +7,11 @@
 use crate::simulation::{endpoint, ingress_settings, ready_endpoints, START, ZONES};
 use crate::statistics::{p50, p99};
 use hdrhistogram::Histogram;
-use ingress::{Action, Availability, Endpoint, EndpointUpdate, Event, Gateway, Instant};
+use ingress::{Action, Availability, Duration, Endpoint, EndpointUpdate, Event, Gateway, Instant};
 use serde::{Deserialize, Serialize};
-use std::time::Instant;
 
 /// Time on the driven clock between two updates.
-const UPDATE_INTERVAL: Micros = 4_000;
+const UPDATE_INTERVAL: Duration = Duration::from_millis(4);
 /// Changes go to backends this far apart in the list.
 const CHANGE_STRIDE: u64 = 7919;
 
@@ -92,8 +91,8 @@
         let memory_bytes = procfs::own_resident_memory().saturating_sub(memory_before);
         let repeated_snapshot_us = ingress.update(EndpointUpdate::Snapshot, ready_endpoints(backends));
         let change_ns = self.changes_in_ns(ingress, backends)?;
-        let zone_lost_us = ingress.update(EndpointUpdate::Delta, zone(backends, Availability::Gone, 0));
-        let returned = zone(backends, Availability::Ready, START);
+        let zone_lost_us = ingress.update(EndpointUpdate::Delta, zone(backends, Availability::Gone, None));
+        let returned = zone(backends, Availability::Ready, Some(START));
         Ok(Point {
             backends,
             snapshot_us,
@@ -113,7 +112,7 @@
         let mut times = Histogram::new(3)?;
         for change in 0..self.changes {
             let availability = if change % 2 == 0 { Availability::Draining } else { Availability::Ready };
-            let changed = endpoint(change / 2 * CHANGE_STRIDE % backends, availability, 0);
+            let changed = endpoint(change / 2 * CHANGE_STRIDE % backends, availability, None);
             let time_us = ingress.update(EndpointUpdate::Delta, vec![changed]);
             times.record((time_us * 1e3) as u64)?;
         }
@@ -122,7 +121,7 @@
 }
 
 /// All endpoints of the first zone.
-fn zone(backends: u64, availability: Availability, started_at: Micros) -> Vec<Endpoint> {
+fn zone(backends: u64, availability: Availability, started_at: Option<Instant>) -> Vec<Endpoint> {
     let numbers = (0..backends).step_by(ZONES as usize);
     numbers.map(|number| endpoint(number, availability, started_at)).collect()
 }
@@ -132,7 +131,7 @@
     /// The decision module.
     gateway: Gateway,
     /// The driven clock.
-    now: Micros,
+    now: Instant,
     /// Kept to reuse its memory.
     actions: Vec<Action>,
 }
@@ -147,7 +146,7 @@
     /// Hands it an update; the time that it took, in microseconds.
     fn update(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) -> f64 {
         self.now += UPDATE_INTERVAL;
-        let started_at = Instant::now();
+        let started_at = std::time::Instant::now();
         self.gateway.handle(self.now, Event::Endpoints(update, endpoints), &mut self.actions);
         self.actions.clear();
         started_at.elapsed().as_secs_f64() * 1e6
--- a/fleet-experiments/src/experiments/quota_messages/simulation.rs
+++ b/fleet-experiments/src/experiments/quota_messages/simulation.rs
@@ -2,11 +2,12 @@
 
 use super::{FleetLoad, Traffic, WARM_UP_SECONDS};
 use crate::simulation::{
-    attempt_served, ingress_settings, poisson_interval, ready_endpoints, EventQueue, FIRST_TIMER,
+    attempt_served, draw_span, ingress_settings, poisson_interval, ready_endpoints, EventQueue, FIRST_TIMER,
     REQUEST_DEADLINE, SECOND, SERVICE_TIME, START,
 };
 use ingress::{
-    Action, BackendId, CustomerId, EndpointUpdate, Event, Gateway, GatewayId, Request, RequestId, Settings,
+    Action, BackendId, CustomerId, Duration, EndpointUpdate, Event, Gateway, GatewayId, Instant, Request,
+    RequestId, Settings,
 };
 use std::collections::HashMap;
 use std::ops::Range;
@@ -20,7 +21,7 @@
 /// The smallest burst, in requests.
 const MIN_BURST: f64 = 4.0;
 /// How long messages between ingresses take: drawn from this range.
-const MESSAGE_DELAY: Range<Micros> = 500..3_000;
+const MESSAGE_DELAY: Range<Duration> = Duration::from_micros(500)..Duration::from_millis(3);
 /// A receiver's limit on messages is kept in parts of a second, since it may get a little ahead.
 const INTERVALS_PER_SECOND: u64 = 10;
 
@@ -31,7 +32,7 @@
     /// A timer of an ingress comes due.
     Timer { ingress: usize, token: u32 },
     /// A backend answers a request that an ingress sent at `sent_at`.
-    Answer { ingress: usize, id: RequestId, backend: BackendId, sent_at: Micros },
+    Answer { ingress: usize, id: RequestId, backend: BackendId, sent_at: Instant },
     /// A message arrives at an ingress.
     Message { ingress: usize, from: GatewayId, bytes: Vec<u8> },
 }
@@ -96,7 +97,7 @@
         gateway.handle(START, endpoints, &mut self.actions);
         self.actions.clear();
         self.fleet.push(gateway);
-        let first_timer = START + self.random.u64(FIRST_TIMER);
+        let first_timer = START + draw_span(&mut self.random, FIRST_TIMER);
         self.queue.schedule(first_timer, Scheduled::Timer { ingress, token: 0 });
         let first_arrival = START + poisson_interval(&mut self.random, load.rate);
         self.queue.schedule(first_arrival, Scheduled::Arrival { ingress });
@@ -104,16 +105,16 @@
 
     /// Runs until the time is over.
     pub fn run(mut self) -> Traffic {
-        let end = START + self.load.seconds * SECOND;
+        let end = START + Duration::from_secs(self.load.seconds);
         while let Some((now, scheduled)) = self.queue.pop() {
             if now > end {
                 break;
             }
-            let counted = u64::from(now > START + WARM_UP_SECONDS * SECOND);
+            let counted = u64::from(now > START + Duration::from_secs(WARM_UP_SECONDS));
             let (ingress, event) = match scheduled {
                 Scheduled::Timer { ingress, token } => (ingress, Event::Timer(token)),
                 Scheduled::Answer { ingress, id, backend, sent_at } => {
-                    (ingress, attempt_served(id, 0, backend, now - sent_at))
+                    (ingress, attempt_served(id, 0, backend, now.duration_since(sent_at)))
                 }
                 Scheduled::Message { ingress, from, bytes } => {
                     if !self.receives(ingress, now) {
@@ -134,15 +135,15 @@
     }
 
     /// Whether an ingress takes one more message now.
-    fn receives(&mut self, ingress: usize, now: Micros) -> bool {
-        let interval = ReceiveInterval { ingress, number: now / (SECOND / INTERVALS_PER_SECOND) };
+    fn receives(&mut self, ingress: usize, now: Instant) -> bool {
+        let interval = ReceiveInterval { ingress, number: now.period_index(SECOND / INTERVALS_PER_SECOND) };
         let received = self.received.entry(interval).or_default();
         *received += 1;
         *received <= self.max_received
     }
 
     /// The request that arrives at an ingress now, with the one after it scheduled.
-    fn arrive(&mut self, ingress: usize, now: Micros) -> Request {
+    fn arrive(&mut self, ingress: usize, now: Instant) -> Request {
         let next_arrival = now + poisson_interval(&mut self.random, self.load.rate);
         self.queue.schedule(next_arrival, Scheduled::Arrival { ingress });
         self.last_request += 1;
@@ -162,7 +163,7 @@
     }
 
     /// Carries out what an ingress asked for.
-    fn execute(&mut self, ingress: usize, now: Micros, counted: u64) {
+    fn execute(&mut self, ingress: usize, now: Instant, counted: u64) {
         for action in self.actions.drain(..) {
             match action {
                 Action::SetTimer { delay, token } => {
@@ -170,14 +171,14 @@
                 }
                 Action::Send { id, backend, .. } => {
                     self.traffic.sent += counted;
-                    let answered_at = now + self.random.u64(SERVICE_TIME);
+                    let answered_at = now + draw_span(&mut self.random, SERVICE_TIME);
                     let answer = Scheduled::Answer { ingress, id, backend, sent_at: now };
                     self.queue.schedule(answered_at, answer);
                 }
                 Action::SendToPeer { to: Some(to), bytes } => {
                     self.traffic.messages += counted;
                     self.traffic.bytes += counted * bytes.len() as u64;
-                    let received_at = now + self.random.u64(MESSAGE_DELAY);
+                    let received_at = now + draw_span(&mut self.random, MESSAGE_DELAY);
                     let (receiver, from) = (usize::from(to.0), GatewayId(ingress as u16));
                     self.queue.schedule(received_at, Scheduled::Message { ingress: receiver, from, bytes });
                 }
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -6,16 +6,15 @@
 use crate::simulation::{attempt_served, ingress_settings, ready_endpoints, REQUEST_DEADLINE, SECOND, START};
 use crate::statistics::{p50, p99};
 use hdrhistogram::Histogram;
-use ingress::{Action, CustomerId, EndpointUpdate, Event, Gateway, Instant, Request, RequestId};
+use ingress::{Action, CustomerId, Duration, EndpointUpdate, Event, Gateway, Instant, Request, RequestId};
 use serde::{Deserialize, Serialize};
-use std::time::Instant;
 
 /// Requests a second that an ingress gets: its part of the peak that the fleet is designed for.
 const REQUESTS_PER_SECOND: u64 = 1034;
 /// The time from a request to its answer.
-const ANSWER_DELAY: Micros = 900;
+const ANSWER_DELAY: Duration = Duration::from_micros(900);
 /// The time in flight that the answer reports.
-const REPORTED_ELAPSED: Micros = 100_000;
+const REPORTED_ELAPSED: Duration = Duration::from_millis(100);
 /// One request for so many counted ones is made before them and not counted.
 const WARM_UP_SHARE: u64 = 10;
 
@@ -129,7 +128,7 @@
     /// The decision module.
     gateway: Gateway,
     /// The driven clock.
-    now: Micros,
+    now: Instant,
     /// Draws of customers.
     random: fastrand::Rng,
     /// Customers that send requests.
@@ -159,7 +158,7 @@
             self.now += SECOND / REQUESTS_PER_SECOND;
             self.actions.clear();
             let request = self.next_request(number);
-            let started_at = Instant::now();
+            let started_at = std::time::Instant::now();
             let was_sent = self.serve(request);
             if number >= warm_up {
                 sent += u64::from(was_sent);
--- a/fleet-experiments/src/experiments/slow_start/overload_rule.rs
+++ b/fleet-experiments/src/experiments/slow_start/overload_rule.rs
@@ -1,39 +1,39 @@
 //! The overload rule: what a backend in slow start may be sent, and how much of it was used.
 
 use super::Ramp;
-use crate::simulation::{SECOND, START};
+use crate::simulation::START;
+use ingress::{Duration, Instant};
 
 /// The window in which sends are held against the rule.
-pub const WINDOW: Micros = 3 * SECOND;
+pub const WINDOW: Duration = Duration::from_secs(3);
 /// The share of its capacity that a backend serves as it starts.
 pub const SLOW_START_FLOOR: f64 = 0.23;
 /// How long a backend takes from its start until it serves its capacity.
-pub const SLOW_START_DURATION: Micros = 15 * SECOND;
+pub const SLOW_START_DURATION: Duration = Duration::from_secs(15);
 /// When half of the backends restart: the fleet has run for a while by then.
-pub const RESTART: Micros = START + 5 * SECOND;
+pub const RESTART: Instant = START.saturating_add(Duration::from_secs(5));
 /// When their slow start is over.
-pub const SLOW_START_END: Micros = RESTART + SLOW_START_DURATION;
+pub const SLOW_START_END: Instant = RESTART.saturating_add(SLOW_START_DURATION);
 
 /// What a backend that restarted may be sent from then until `until`.
-fn budget(ramp: &Ramp, until: Micros) -> f64 {
-    let seconds = |span: Micros| span as f64 / SECOND as f64;
-    let age = seconds(until.saturating_sub(RESTART).min(SLOW_START_DURATION));
-    let duration = seconds(SLOW_START_DURATION);
+fn budget(ramp: &Ramp, until: Instant) -> f64 {
+    let age = until.duration_since(RESTART).min(SLOW_START_DURATION).as_secs_f64();
+    let duration = SLOW_START_DURATION.as_secs_f64();
     let capacity_served = SLOW_START_FLOOR * age + (1.0 - SLOW_START_FLOOR) * age * age / duration / 2.0;
     ramp.overload_factor * ramp.capacity * capacity_served
 }
 
 /// Sends to a backend, in its budget over the whole slow start.
-pub fn budget_used(ramp: &Ramp, sends: &[Micros]) -> f64 {
+pub fn budget_used(ramp: &Ramp, sends: &[Instant]) -> f64 {
     sends.len() as f64 / budget(ramp, SLOW_START_END)
 }
 
 /// The fullest window within the slow start of a backend, in what the rule lets pass there. `sends` is in
 /// order.
-pub fn peak_window(ramp: &Ramp, sends: &[Micros]) -> f64 {
+pub fn peak_window(ramp: &Ramp, sends: &[Instant]) -> f64 {
     let mut peak = 0.0;
     for (first, window_start) in sends.iter().enumerate() {
-        let window_end = window_start + WINDOW;
+        let window_end = *window_start + WINDOW;
         if window_end > SLOW_START_END {
             break;
         }
--- a/fleet-experiments/src/experiments/slow_start/simulation.rs
+++ b/fleet-experiments/src/experiments/slow_start/simulation.rs
@@ -5,12 +5,12 @@
 };
 use super::{Ramp, RampOutcome};
 use crate::simulation::{
-    attempt_served, endpoint, ingress_settings, poisson_interval, EventQueue, FIRST_TIMER, REQUEST_DEADLINE,
-    SECOND, SERVICE_TIME, START,
+    attempt_served, draw_span, endpoint, ingress_settings, poisson_interval, EventQueue, FIRST_TIMER,
+    REQUEST_DEADLINE, SECOND, SERVICE_TIME, START,
 };
 use ingress::{
-    Action, Availability, BackendId, CustomerId, Endpoint, EndpointUpdate, Event, Gateway, Request,
-    RequestId, Settings,
+    Action, Availability, BackendId, CustomerId, Duration, Endpoint, EndpointUpdate, Event, Gateway, Instant,
+    Request, RequestId, Settings,
 };
 use std::collections::HashMap;
 
@@ -30,7 +30,7 @@
     /// A request arrives at an ingress.
     Arrival { ingress: usize },
     /// The backend with this index answers an attempt that an ingress sent at `sent_at`.
-    Answer { ingress: usize, id: RequestId, attempt: u16, backend: usize, sent_at: Micros },
+    Answer { ingress: usize, id: RequestId, attempt: u16, backend: usize, sent_at: Instant },
     /// A timer of an ingress comes due.
     Timer { ingress: usize, token: u32 },
     /// An ingress receives the list of the backends that have restarted.
@@ -40,10 +40,10 @@
 /// A backend of the simulation.
 #[derive(Clone, Default)]
 struct Backend {
-    /// When it has worked on all requests that were sent to it.
+    /// When it has worked on all requests that were sent to it, in microseconds.
     idle_at: f64,
     /// When it was sent requests in its slow start.
-    slow_start_sends: Vec<Micros>,
+    slow_start_sends: Vec<Instant>,
 }
 
 /// An ingress of the simulation.
@@ -117,7 +117,7 @@
         gateway.handle(START, Event::Endpoints(EndpointUpdate::CachedSnapshot, list), &mut self.actions);
         self.actions.clear();
         self.fleet.push(SimulatedIngress { gateway, rate });
-        let first_timer = START + self.random.u64(FIRST_TIMER);
+        let first_timer = START + draw_span(&mut self.random, FIRST_TIMER);
         self.queue.schedule(first_timer, Scheduled::Timer { ingress, token: 0 });
         let first_arrival = START + poisson_interval(&mut self.random, rate);
         self.queue.schedule(first_arrival, Scheduled::Arrival { ingress });
@@ -137,7 +137,7 @@
                     self.outcome.served += 1;
                     self.attempts.remove(&id);
                     let backend = endpoint_at(backend, now).backend;
-                    (ingress, attempt_served(id, attempt, backend, now - sent_at))
+                    (ingress, attempt_served(id, attempt, backend, now.duration_since(sent_at)))
                 }
                 Scheduled::Arrival { ingress } => (ingress, Event::Request(self.arrive(ingress, now))),
             };
@@ -148,14 +148,14 @@
     }
 
     /// The change of the list that reports the restart.
-    fn restarted_endpoints(&self, now: Micros) -> Event {
+    fn restarted_endpoints(&self, now: Instant) -> Event {
         let restarted = (0..self.backends.len()).step_by(RESTART_STEP);
         let list = restarted.map(|index| endpoint_at(index, now)).collect();
         Event::Endpoints(EndpointUpdate::Delta, list)
     }
 
     /// The request that arrives at an ingress now, with the one after it scheduled.
-    fn arrive(&mut self, ingress: usize, now: Micros) -> Request {
+    fn arrive(&mut self, ingress: usize, now: Instant) -> Request {
         let next_arrival = now + poisson_interval(&mut self.random, self.fleet[ingress].rate);
         self.queue.schedule(next_arrival, Scheduled::Arrival { ingress });
         self.last_request += 1;
@@ -171,7 +171,7 @@
     }
 
     /// Carries out what an ingress asked for.
-    fn execute(&mut self, ingress: usize, now: Micros) {
+    fn execute(&mut self, ingress: usize, now: Instant) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             match action {
@@ -187,17 +187,16 @@
     }
 
     /// Sends a request to a backend, whose answer is scheduled.
-    fn send(&mut self, ingress: usize, id: RequestId, index: usize, now: Micros) {
-        let mut answered_at = now + self.random.u64(SERVICE_TIME);
+    fn send(&mut self, ingress: usize, id: RequestId, index: usize, now: Instant) {
+        let mut answered_at = now + draw_span(&mut self.random, SERVICE_TIME);
         let (backend, restarted_at) = (&mut self.backends[index], started_at(index, now));
         if self.ramp.queueing {
-            let age = (now - restarted_at) as f64 / SLOW_START_DURATION as f64;
-            let capacity_share = (SLOW_START_FLOOR + (1.0 - SLOW_START_FLOOR) * age).min(1.0);
-            let work = SECOND as f64 / self.ramp.capacity / capacity_share;
-            backend.idle_at = f64::max(backend.idle_at, now as f64) + work;
-            answered_at += backend.idle_at as Micros - now;
+            let capacity_share = restarted_at.map_or(1.0, |at| capacity_share(now.duration_since(at)));
+            let work = SECOND.as_micros_f64() / self.ramp.capacity / capacity_share;
+            backend.idle_at = f64::max(backend.idle_at, now.as_micros() as f64) + work;
+            answered_at += Instant::from_micros(backend.idle_at as u64).duration_since(now);
         }
-        if restarted_at > 0 {
+        if restarted_at.is_some() {
             backend.slow_start_sends.push(now);
         }
         let attempt = self.attempts.entry(id).or_default();
@@ -228,16 +227,18 @@
     settings
 }
 
-/// When a backend last started, as seen at `now`; 0 for long ago.
-fn started_at(index: usize, now: Micros) -> Micros {
-    if index % RESTART_STEP == 0 && now >= RESTART {
-        RESTART
-    } else {
-        0
-    }
+/// The share of its capacity that a backend of this age serves.
+fn capacity_share(age: Duration) -> f64 {
+    let age_share = age.as_micros_f64() / SLOW_START_DURATION.as_micros_f64();
+    (SLOW_START_FLOOR + (1.0 - SLOW_START_FLOOR) * age_share).min(1.0)
+}
+
+/// When a backend last started, as seen at `now`; none for long ago.
+fn started_at(index: usize, now: Instant) -> Option<Instant> {
+    (index % RESTART_STEP == 0 && now >= RESTART).then_some(RESTART)
 }
 
 /// The entry of a backend in the list, as seen at `now`.
-fn endpoint_at(index: usize, now: Micros) -> Endpoint {
+fn endpoint_at(index: usize, now: Instant) -> Endpoint {
     endpoint(index as u64, Availability::Ready, started_at(index, now))
 }
--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -6,23 +6,23 @@
 pub use event_queue::EventQueue;
 
 use ingress::{
-    AttemptEnded, Availability, BackendId, Class, Endpoint, Event, GatewayId, Idempotency, Limits, Outcome,
-    Plan, RequestId, Rules, Settings,
+    AttemptEnded, Availability, BackendId, Class, Duration, Endpoint, Event, GatewayId, Idempotency, Instant,
+    Limits, Outcome, Plan, RequestId, Rules, Settings,
 };
 use std::ops::Range;
 
 /// When the driven clock starts.
-pub const START: Micros = 1_000_000_000_000;
+pub const START: Instant = Instant::from_micros(1_000_000_000_000);
 /// A second.
-pub const SECOND: Micros = 1_000_000;
+pub const SECOND: Duration = Duration::from_secs(1);
 /// Zones of the fleet that the ingress is designed for.
 pub const ZONES: u64 = 18;
 /// Clients abandon a request after this time.
-pub const REQUEST_DEADLINE: Micros = 3 * SECOND;
+pub const REQUEST_DEADLINE: Duration = Duration::from_secs(3);
 /// How long backends take to answer: drawn from this range.
-pub const SERVICE_TIME: Range<Micros> = 60_000..160_000;
+pub const SERVICE_TIME: Range<Duration> = Duration::from_millis(60)..Duration::from_millis(160);
 /// When the first timer of a simulated ingress is due, from the start: drawn from this range.
-pub const FIRST_TIMER: Range<Micros> = 1..20_000;
+pub const FIRST_TIMER: Range<Duration> = Duration::MICROSECOND..Duration::from_millis(20);
 /// Multiplier that spreads the backends' numbers over all identifiers: 2^64 by the golden ratio.
 const IDENTIFIER_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
@@ -32,7 +32,7 @@
     Settings {
         gateway_count: ingresses,
         own_id: GatewayId(number),
-        tick: 4_000,
+        tick: Duration::from_millis(4),
         classes: vec![class()],
         plans: vec![unlimited_plan()],
         limits: Limits {
@@ -43,17 +43,17 @@
             retry_after: true,
             max_retry_after: SECOND,
             max_open_requests: 20_000,
-            connect_timeout: 250_000,
+            connect_timeout: Duration::from_millis(250),
             ..Limits::default()
         },
         rules: Rules {
-            answer_slack: 16_000,
-            drain_grace: 250_000,
+            answer_slack: Duration::from_millis(16),
+            drain_grace: Duration::from_millis(250),
             slow_start_floor: 0.23,
-            slow_start_duration: 15 * SECOND,
+            slow_start_duration: SECOND * 15,
             overload_factor: 4.0,
-            overload_window: 3 * SECOND,
-            max_poll_interval: 10 * SECOND,
+            overload_window: SECOND * 3,
+            max_poll_interval: SECOND * 10,
         },
         ..Settings::default()
     }
@@ -64,7 +64,7 @@
     Class {
         latency_objective: SECOND,
         latency_objective_stretch: 0.0,
-        deadline: 4 * SECOND,
+        deadline: SECOND * 4,
         priority_weight: 1.0,
         late_weight: 0.0,
         idempotency: Idempotency::Idempotent,
@@ -87,8 +87,8 @@
     }
 }
 
-/// An endpoint of the list, in the zone that its number gives; `started_at` 0 is long ago.
-pub fn endpoint(number: u64, availability: Availability, started_at: Micros) -> Endpoint {
+/// An endpoint of the list, in the zone that its number gives; without `started_at` it started long ago.
+pub fn endpoint(number: u64, availability: Availability, started_at: Option<Instant>) -> Endpoint {
     Endpoint {
         backend: BackendId(number.wrapping_mul(IDENTIFIER_MULTIPLIER)),
         zone: (number % ZONES) as u8,
@@ -102,11 +102,11 @@
 
 /// A list of ready endpoints that started long ago.
 pub fn ready_endpoints(count: u64) -> Vec<Endpoint> {
-    (0..count).map(|number| endpoint(number, Availability::Ready, 0)).collect()
+    (0..count).map(|number| endpoint(number, Availability::Ready, None)).collect()
 }
 
 /// The end of an attempt that was served and whose answer went to the client.
-pub fn attempt_served(id: RequestId, attempt: u16, backend: BackendId, elapsed: Micros) -> Event {
+pub fn attempt_served(id: RequestId, attempt: u16, backend: BackendId, elapsed: Duration) -> Event {
     Event::AttemptEnded(AttemptEnded {
         id,
         attempt,
@@ -121,6 +121,11 @@
 }
 
 /// The time until the next arrival of a Poisson stream of `rate` a second.
-pub fn poisson_interval(random: &mut fastrand::Rng, rate: f64) -> Micros {
-    (-(1.0 - random.f64()).ln() / rate * SECOND as f64) as Micros + 1
+pub fn poisson_interval(random: &mut fastrand::Rng, rate: f64) -> Duration {
+    Duration::from_secs_f64(-(1.0 - random.f64()).ln() / rate) + Duration::MICROSECOND
+}
+
+/// A span drawn from a range.
+pub fn draw_span(random: &mut fastrand::Rng, range: Range<Duration>) -> Duration {
+    Duration::from_micros(random.u64(range.start.as_micros()..range.end.as_micros()))
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -39,6 +39,11 @@
         Duration(self.0.saturating_sub(earlier.0))
     }
 
+    /// The point a span later, as `+` gives it, also in constants.
+    pub const fn saturating_add(self, span: Duration) -> Instant {
+        Instant(self.0.saturating_add(span.0))
+    }
+
     /// The number of the period that this point lies in, where periods follow each other from the beginning of
     /// the clock.
     ///
@@ -55,7 +60,7 @@
 
     /// The point a span later; [`Instant::FAR_FUTURE`] where there is none.
     fn add(self, span: Duration) -> Instant {
-        Instant(self.0.saturating_add(span.0))
+        self.saturating_add(span)
     }
 }
 
