--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -13,9 +13,9 @@
     /// one was sent.
     pub(crate) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(state) = self.requests.get(id) else { return false };
-        let decision = self.retry_policy.may_retry(&self.retry_facts(state));
-        tracing::debug!(target: "policy", request = id.0, ?decision, "retry considered");
-        let is_sent = decision.is_ok() && self.send_attempt(id, actions);
+        let permission = self.retry_policy.may_retry(&self.retry_facts(state));
+        tracing::debug!(target: "policy", request = id.0, ?permission, "retry considered");
+        let is_sent = permission.is_ok() && self.send_attempt(id, actions);
         if is_sent {
             self.retry_policy.record_retry();
         }
