--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -111,7 +111,8 @@
         self.quota.all_gateways_own_quotas()
     }
 
-    /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the concurrency limit.
+    /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the
+    /// concurrency limit.
     pub(crate) fn record_pressure(&mut self, latency_ratio: f64) {
         self.pressure.record(self.now, latency_ratio);
         self.concurrency_limiter.on_answer(&self.pressure, self.load());
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -1,4 +1,5 @@
-//! The conductor's part in further attempts: it gathers the facts for the retry policy, and carries out its decisions.
+//! The conductor's part in further attempts: it gathers the facts for the retry policy, and carries out its
+//! decisions.
 
 use crate::gateway::Gateway;
 use crate::policy::{
@@ -9,8 +10,8 @@
 use crate::{Action, RequestId};
 
 impl Gateway {
-    /// Sends a further attempt of a request, if the retry policy allows one and a backend may take it; returns whether
-    /// one was sent.
+    /// Sends a further attempt of a request, if the retry policy allows one and a backend may take it;
+    /// returns whether one was sent.
     pub(crate) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(state) = self.requests.get(id) else { return false };
         let permission = self.retry_policy.may_retry(&self.retry_facts(state));
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -84,8 +84,8 @@
     pub body: Body,
 }
 
-/// The number that tells a gateway from the same gateway after a restart: the millisecond of its start by its wall clock,
-/// wrapping. A later one may be less, since wall clocks are stepped.
+/// The number that tells a gateway from the same gateway after a restart: the millisecond of its start by its
+/// wall clock, wrapping. A later one may be less, since wall clocks are stepped.
 pub fn incarnation_of(started_at: Instant) -> u32 {
     (started_at.as_micros() / 1000) as u32
 }
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -31,7 +31,8 @@
     pub fleet_size: u64,
 }
 
-/// Limits the attempts in flight: additive increase while answers are fast, multiplicative decrease under pressure.
+/// Limits the attempts in flight: additive increase while answers are fast, multiplicative decrease under
+/// pressure.
 pub(crate) struct ConcurrencyLimiter {
     /// Attempts that may be in flight at one backend, from all gateways, if all send alike.
     attempts_per_backend: f64,
@@ -46,8 +47,8 @@
 }
 
 impl ConcurrencyLimiter {
-    /// Attempts that the gateway may have in flight. It falls with the number of ready backends: those left when
-    /// others fail must not take over their load.
+    /// Attempts that the gateway may have in flight. It falls with the number of ready backends: those left
+    /// when others fail must not take over their load.
     pub(crate) fn limit(&self, load: GatewayLoad) -> f64 {
         let share = self.attempts_per_backend * load.ready_backends as f64 / load.fleet_size as f64;
         share.max(MIN_LIMIT)
@@ -60,8 +61,8 @@
 
     /// Raises the limit at an answer, where it is in use and the pressure leaves room for more.
     pub(crate) fn on_answer(&mut self, pressure: &Pressure, load: GatewayLoad) {
-        // A reduced limit returns to its initial value at any pressure that raises no alert: with the stricter bound
-        // one that was once reduced would stay so.
+        // A reduced limit returns to its initial value at any pressure that raises no alert: with the
+        // stricter bound one that was once reduced would stay so.
         let is_reduced = self.attempts_per_backend < INITIAL_ATTEMPTS_PER_BACKEND;
         let growth_pressure = if is_reduced { LOW_PRESSURE } else { GROWTH_PRESSURE };
         let limit = self.limit(load);
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Reduces the limit under high pressure, at most once in the pressure's time constant: answers to attempts that
-    /// were sent before a reduction must not cause the next one.
+    /// Reduces the limit under high pressure, at most once in the pressure's time constant: answers to
+    /// attempts that were sent before a reduction must not cause the next one.
     pub(crate) fn reduce_under_pressure(&mut self, now: Instant, pressure: &Pressure) {
         let has_settled = now.duration_since(self.reduced_at) > PRESSURE_TIME_CONSTANT;
         if pressure.is_high() && has_settled {
--- a/src/policy/concurrency_limit/tests.rs
+++ b/src/policy/concurrency_limit/tests.rs
@@ -13,8 +13,8 @@
     pressure
 }
 
-/// Half of the backends fail. If the limit stayed, the others would take over the load of those, and would fail next:
-/// it falls with their number, and never below one attempt.
+/// Half of the backends fail. If the limit stayed, the others would take over the load of those, and would
+/// fail next: it falls with their number, and never below one attempt.
 #[test]
 fn the_limit_falls_with_the_backends_that_are_left() {
     let limiter = ConcurrencyLimiter::default();
@@ -23,8 +23,9 @@
     assert_eq!(limiter.limit(GatewayLoad { ready_backends: 0, ..LOAD }), 1.0);
 }
 
-/// Backends slow down under too much load. The limit is reduced step by step; within a second of a reduction the slow
-/// answers to what was sent before must not reduce it again, or one overload would leave next to nothing.
+/// Backends slow down under too much load. The limit is reduced step by step; within a second of a reduction
+/// the slow answers to what was sent before must not reduce it again, or one overload would leave next to
+/// nothing.
 #[test]
 fn high_pressure_reduces_the_limit_once_in_its_time_constant() {
     let (mut limiter, pressure) = (ConcurrencyLimiter::default(), pressure_of(2.0));
@@ -36,8 +37,8 @@
     assert_eq!(limiter.limit(LOAD), 50.0 * DECREASE_FACTOR * DECREASE_FACTOR);
 }
 
-/// Traffic is low for an hour. A limit that grew with each fast answer though nobody comes near it would say nothing
-/// once the load returns: it grows only while most of it is in use.
+/// Traffic is low for an hour. A limit that grew with each fast answer though nobody comes near it would say
+/// nothing once the load returns: it grows only while most of it is in use.
 #[test]
 fn a_limit_that_is_not_in_use_does_not_grow() {
     let (mut limiter, pressure) = (ConcurrencyLimiter::default(), pressure_of(0.1));
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -1,9 +1,9 @@
 //! When discovery is polled, and polled again after a failure.
 //!
-//! There are two schedules, for two kinds of host. The ingress itself watches discovery by long polls and follows
-//! [`PollSchedule`]: exponential backoff with jitter, bounded by the rule that a change counts as delivered a fixed time
-//! after discovery could be reached. A host that polls when the gateway asks it to, as the simulator does, follows
-//! [`PeriodicPoll`]. No I/O and no clock; the caller passes the time.
+//! There are two schedules, for two kinds of host. The ingress itself watches discovery by long polls and
+//! follows [`PollSchedule`]: exponential backoff with jitter, bounded by the rule that a change counts as
+//! delivered a fixed time after discovery could be reached. A host that polls when the gateway asks it to, as
+//! the simulator does, follows [`PeriodicPoll`]. No I/O and no clock; the caller passes the time.
 
 use crate::{Duration, Instant};
 use std::ops::RangeInclusive;
@@ -12,11 +12,12 @@
 const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(60);
 /// The part of one ingress in the time over which first polls are spread.
 const SPREAD_PER_INGRESS: Duration = Duration::from_millis(20);
-/// The most of that time: a process that starts counts as informed after 6 s like any other, and the response takes its
-/// time.
+/// The most of that time: a process that starts counts as informed after 6 s like any other, and the response
+/// takes its time.
 const MAX_SPREAD: Duration = Duration::from_secs(4);
-/// The longest time from a failed poll to the next one, in microseconds, drawn from this range: a change counts as delivered 6 s after
-/// discovery had it and could be reached, which may be the moment after the poll, and the rest is for the response.
+/// The longest time from a failed poll to the next one, in microseconds, drawn from this range: a change
+/// counts as delivered 6 s after discovery had it and could be reached, which may be the moment after the
+/// poll, and the rest is for the response.
 const MAX_POLL_GAP: RangeInclusive<u64> = 4_500_000..=5_000_000;
 
 /// Periodic polls in the time within which one is due: two, so that one may fail.
@@ -38,20 +39,21 @@
 pub struct Backoff {
     /// How long one poll waits for a change.
     pub poll_timeout: Duration,
-    /// How long a connection may take to be established, and the response to a poll that does not wait, until the
-    /// connection counts as dead.
+    /// How long a connection may take to be established, and the response to a poll that does not wait, until
+    /// the connection counts as dead.
     pub response_timeout: Duration,
     /// The delays after a failure.
     retry_delays: RetryDelays,
-    /// Over how long the first polls of ingresses that start, or lose their watches, at one moment are spread.
+    /// Over how long the first polls of ingresses that start, or lose their watches, at one moment are
+    /// spread.
     spread: Duration,
 }
 
 impl Backoff {
-    /// Polls of an agent on the same host, which knows every change already. They wait for a short time, since a
-    /// silent connection can only be detected once this is over.
-    /// What the agent has counts as delivered whether or not a poll is pending, so no delay may last as long as the
-    /// grace period of a change.
+    /// Polls of an agent on the same host, which knows every change already. They wait for a short time,
+    /// since a silent connection can only be detected once this is over. What the agent has counts as
+    /// delivered whether or not a poll is pending, so no delay may last as long as the grace period of a
+    /// change.
     pub const LOCAL_AGENT: Backoff = Backoff {
         poll_timeout: Duration::from_secs(2),
         response_timeout: Duration::from_secs(1),
@@ -59,10 +61,10 @@
         spread: Duration::ZERO,
     };
 
-    /// Polls of a service that all ingresses share, with a queue in front of it. It also works on polls that have
-    /// been given up, so a queue that is full after a mass restart empties only if rejected ingresses stay away as
-    /// long as the rule lets them. `max_poll_interval` is the time of the settings within which discovery must be
-    /// polled.
+    /// Polls of a service that all ingresses share, with a queue in front of it. It also works on polls that
+    /// have been given up, so a queue that is full after a mass restart empties only if rejected ingresses
+    /// stay away as long as the rule lets them. `max_poll_interval` is the time of the settings within which
+    /// discovery must be polled.
     pub fn shared_service(max_poll_interval: Duration, ingress_count: u64) -> Backoff {
         Backoff {
             poll_timeout: (max_poll_interval * 2).clamp(Self::LOCAL_AGENT.poll_timeout, MAX_POLL_TIMEOUT),
@@ -136,8 +138,8 @@
         NextPoll { at, is_first_failure }
     }
 
-    /// Since when changes may have been missed. An established watch received every change until now; a poll that
-    /// failed before it was one may have missed them from its start.
+    /// Since when changes may have been missed. An established watch received every change until now; a poll
+    /// that failed before it was one may have missed them from its start.
     fn unobserved_since(&self, now: Instant, pending: Option<FailedPoll>) -> Instant {
         let Some(poll) = pending else { return now };
         let failed_early = now <= poll.started_at + self.backoff.response_timeout;
@@ -159,8 +161,8 @@
         self.next_delay = self.backoff.retry_delays.initial;
     }
 
-    /// A time drawn between half of `middle` and half as much again: many ingresses start, fail and reach the end of
-    /// a poll at one moment, and would otherwise retry, and fail again, at one moment.
+    /// A time drawn between half of `middle` and half as much again: many ingresses start, fail and reach the
+    /// end of a poll at one moment, and would otherwise retry, and fail again, at one moment.
     fn jittered(&mut self, middle: Duration) -> Duration {
         let shortest = middle / 2;
         let longest = middle * 3 / 2;
@@ -181,8 +183,8 @@
 }
 
 impl PeriodicPoll {
-    /// Whether a poll is due; if so, the next one is scheduled. `max_interval` is the time of the settings within which
-    /// discovery must be polled.
+    /// Whether a poll is due; if so, the next one is scheduled. `max_interval` is the time of the settings
+    /// within which discovery must be polled.
     pub(crate) fn take_due(&mut self, now: Instant, max_interval: Duration) -> bool {
         let is_due = now >= self.due_at;
         if is_due {
--- a/src/policy/discovery_schedule/tests.rs
+++ b/src/policy/discovery_schedule/tests.rs
@@ -5,8 +5,8 @@
 const MAX_INTERVAL: Duration = Duration::from_secs(10);
 const NOW: Instant = Instant::from_micros(1_000_000_000);
 
-/// Discovery has to be polled within ten seconds. Polls come every five, so that one that is lost breaks no rule; after one
-/// that failed the next comes sooner, but never later than it was due anyway.
+/// Discovery has to be polled within ten seconds. Polls come every five, so that one that is lost breaks no
+/// rule; after one that failed the next comes sooner, but never later than it was due anyway.
 #[test]
 fn periodic_polls_come_twice_in_the_interval_and_sooner_after_a_failure() {
     let mut poll = PeriodicPoll::default();
@@ -20,8 +20,9 @@
     assert!(poll.take_due(retry_at, MAX_INTERVAL));
 }
 
-/// Discovery is down for a minute, and a poll fails each time. The delays grow, but no ingress stays away for so long that
-/// a change would count as delivered before the ingress had asked: at the latest five seconds after the failed poll began.
+/// Discovery is down for a minute, and a poll fails each time. The delays grow, but no ingress stays away for
+/// so long that a change would count as delivered before the ingress had asked: at the latest five seconds
+/// after the failed poll began.
 #[test]
 fn failed_polls_are_repeated_within_the_rule() {
     let mut schedule = PollSchedule::new(Backoff::shared_service(MAX_INTERVAL, 300), 7);
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -78,8 +78,8 @@
 
 /// Decides which customers are shed.
 ///
-/// The stage rises by one while the pressure is high or many requests are rejected for want of capacity, and falls by
-/// one while the pressure is low.
+/// The stage rises by one while the pressure is high or many requests are rejected for want of capacity, and
+/// falls by one while the pressure is low.
 #[derive(Default)]
 pub(crate) struct LoadShedder {
     /// 0 sheds nobody; each higher one sheds more.
@@ -96,9 +96,9 @@
         self.stage == 0
     }
 
-    /// Whether a customer's request is admitted at the present stage. The customers that are shed stay the same for
-    /// an epoch, at all gateways: if each request were drawn for, the retries of shed clients would be admitted, too
-    /// late to be of use, and cause the next overload.
+    /// Whether a customer's request is admitted at the present stage. The customers that are shed stay the
+    /// same for an epoch, at all gateways: if each request were drawn for, the retries of shed clients would
+    /// be admitted, too late to be of use, and cause the next overload.
     pub(crate) fn admits(&self, facts: &SheddingFacts<'_>) -> bool {
         let is_exempt = facts.familiarity == Familiarity::Unseen && self.stage < FIRST_STAGE_FOR_UNSEEN;
         if self.stage == 0 || is_exempt {
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Whether more has to be shed. Rejections alone raise no alert: shedding causes them, and backends may be idle
-    /// meanwhile.
+    /// Whether more has to be shed. Rejections alone raise no alert: shedding causes them, and backends may
+    /// be idle meanwhile.
     fn is_alert(&self, pressure: &Pressure) -> bool {
         let is_rejecting = pressure.level() > LOW_PRESSURE && self.rejection_rate > ALERT_REJECTION_RATE;
         pressure.is_high() || is_rejecting
--- a/src/policy/load_shedding/tests.rs
+++ b/src/policy/load_shedding/tests.rs
@@ -42,8 +42,8 @@
         .count()
 }
 
-/// Backends are overloaded. With each stage fewer customers on the ordinary plan are served, while those on the dearest
-/// plan are served at each; at the last stage they alone are.
+/// Backends are overloaded. With each stage fewer customers on the ordinary plan are served, while those on
+/// the dearest plan are served at each; at the last stage they alone are.
 #[test]
 fn each_stage_sheds_more_customers_on_ordinary_plans_and_none_on_the_dearest() {
     let plans = [plan(1.0), plan(3.0)];
@@ -55,8 +55,8 @@
     }
 }
 
-/// A customer comes for the first time in a while, just as the lightest stage begins. It is served: only from the next
-/// stage on do newcomers count like others.
+/// A customer comes for the first time in a while, just as the lightest stage begins. It is served: only from
+/// the next stage on do newcomers count like others.
 #[test]
 fn customers_unseen_of_late_are_exempt_at_the_first_stage() {
     let plans = [plan(1.0)];
@@ -64,8 +64,8 @@
     assert!(admitted(&at_stage(2), Familiarity::Unseen, &plans[0], &plans) < 800);
 }
 
-/// The pressure stays high. The stage rises by one at a time, and only once the one before has had the time to show its
-/// effect: else a short overload would end at the last stage, with all ordinary customers shed.
+/// The pressure stays high. The stage rises by one at a time, and only once the one before has had the time
+/// to show its effect: else a short overload would end at the last stage, with all ordinary customers shed.
 #[test]
 fn the_stage_rises_by_one_at_a_time() {
     let (mut shedder, pressure) = (at_stage(0), pressure_of(2.0));
@@ -74,8 +74,8 @@
     assert_eq!((shedder.stage(), shedder.update_stage(START + MIN_STAGE_TIME_UP * 3, &pressure)), (1, None));
 }
 
-/// Shedding has relieved the backends, but still rejects many requests. Those rejections must not keep the stage up:
-/// with the pressure low it falls.
+/// Shedding has relieved the backends, but still rejects many requests. Those rejections must not keep the
+/// stage up: with the pressure low it falls.
 #[test]
 fn rejections_alone_hold_no_stage() {
     let (mut shedder, pressure) = (at_stage(2), pressure_of(0.5));
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,7 +1,8 @@
-//! The retry policy: whether a request is attempted again, hedged or cancelled, where that may go, and how a request that
-//! is not served is answered.
+//! The retry policy: whether a request is attempted again, hedged or cancelled, where that may go, and how a
+//! request that is not served is answered.
 //!
-//! What is safe is decided by [`permission`]; what is of use, and what the retry budget allows, is decided here.
+//! What is safe is decided by [`permission`]; what is of use, and what the retry budget allows, is decided
+//! here.
 
 mod budget;
 pub(crate) mod permission;
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Where a request's next attempt may go, if it is sent now; `executed` is its first attempt that was or may have
-    /// been executed.
+    /// Where a request's next attempt may go, if it is sent now; `executed` is its first attempt that was or
+    /// may have been executed.
     pub(crate) fn scope(
         &self,
         now: Instant,
@@ -195,8 +196,8 @@
         Ok(RetryScope::Within(scope, executed.endpoint))
     }
 
-    /// How a request that is not served is answered: rejected where its client may send it again without a second
-    /// effect, else failed.
+    /// How a request that is not served is answered: rejected where its client may send it again without a
+    /// second effect, else failed.
     pub(crate) fn final_answer(idempotency: Idempotency, may_have_executed: bool) -> FinalAnswer {
         match idempotency {
             Idempotency::Idempotent => FinalAnswer::Rejected,
--- a/src/policy/retry/permission.rs
+++ b/src/policy/retry/permission.rs
@@ -1,7 +1,7 @@
 //! Whether an attempt of a request may be started, and whether its idempotency key may be used again.
 //!
-//! These rules are about safety alone: what may be executed twice, and how often. Whether a retry is of any use is the
-//! matter of [`RetryPolicy`](super::RetryPolicy).
+//! These rules are about safety alone: what may be executed twice, and how often. Whether a retry is of any
+//! use is the matter of [`RetryPolicy`](super::RetryPolicy).
 
 use crate::{Duration, Idempotency, Instant};
 use thiserror::Error;
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// An attempt fails when the time is nearly over. A retry could not be answered in time any more and would only load the
-/// backends: the client gets its rejection at once instead.
+/// An attempt fails when the time is nearly over. A retry could not be answered in time any more and would
+/// only load the backends: the client gets its rejection at once instead.
 #[test]
 fn a_retry_that_would_come_too_late_is_refused() {
     let (policy, facts) = (policy(limits()), failed_once());
@@ -55,8 +55,8 @@
     assert_eq!(policy.may_retry(&RetryFacts { now: too_late, ..facts }), Err(RetryRefusal::TooLate));
 }
 
-/// A backend reset the connection after it got the command of a payout. Another attempt might pay twice: it is refused,
-/// and the client is told that the request failed, not that it may safely try again.
+/// A backend reset the connection after it got the command of a payout. Another attempt might pay twice: it
+/// is refused, and the client is told that the request failed, not that it may safely try again.
 #[test]
 fn a_non_idempotent_request_that_may_have_been_executed_is_neither_retried_nor_rejected() {
     let idempotency = Idempotency::NonIdempotent;
@@ -70,8 +70,8 @@
     assert_eq!(RetryPolicy::final_answer(idempotency, false), FinalAnswer::Rejected);
 }
 
-/// All backends fail at once. Each first attempt earns a tenth of a retry, so that retries cannot multiply the load:
-/// once the budget is used up they are refused, until ten further requests have been sent.
+/// All backends fail at once. Each first attempt earns a tenth of a retry, so that retries cannot multiply
+/// the load: once the budget is used up they are refused, until ten further requests have been sent.
 #[test]
 fn retries_are_bounded_by_the_first_attempts() {
     let mut policy = policy(limits());
@@ -86,9 +86,9 @@
     assert_eq!(policy.may_retry(&failed_once()), Ok(AttemptKind::Retry));
 }
 
-/// An answer takes long though its backend answers others. Where the settings allow two attempts at once, a hedged
-/// request is sent once it is late; while load is shed it is not, since many answers are late then, and each hedged
-/// request would add to the overload.
+/// An answer takes long though its backend answers others. Where the settings allow two attempts at once, a
+/// hedged request is sent once it is late; while load is shed it is not, since many answers are late then,
+/// and each hedged request would add to the overload.
 #[test]
 fn a_late_answer_is_hedged_unless_load_is_shed() {
     let policy = policy(Limits { hedging: true, cancellation: true, ..limits() });
@@ -101,9 +101,9 @@
     assert_eq!(policy.check_attempt(&silent), AttemptCheck::Hedge);
 }
 
-/// A backend falls silent with an attempt in flight, and the settings forbid a second attempt beside it. The attempt is
-/// cancelled, so that its end has the request tried elsewhere while the client still waits. One that is late at a
-/// backend which answers others is left alone: its answer is likely on its way.
+/// A backend falls silent with an attempt in flight, and the settings forbid a second attempt beside it. The
+/// attempt is cancelled, so that its end has the request tried elsewhere while the client still waits. One
+/// that is late at a backend which answers others is left alone: its answer is likely on its way.
 #[test]
 fn an_attempt_at_a_silent_backend_is_cancelled_where_hedging_is_forbidden() {
     let silent = AttemptCheckFacts { is_silent: true, ..late() };
@@ -115,8 +115,9 @@
     assert_eq!(cancelling.check_attempt(&non_idempotent), AttemptCheck::KeepWaiting);
 }
 
-/// A keyed request may have been executed in one zone. Its next attempt has to stay where the key is known, and has to
-/// begin before the key is forgotten: counted to when its connection may come up at the latest, not to when it is sent.
+/// A keyed request may have been executed in one zone. Its next attempt has to stay where the key is known,
+/// and has to begin before the key is forgotten: counted to when its connection may come up at the latest,
+/// not to when it is sent.
 #[test]
 fn a_keyed_retry_stays_in_its_scope_and_window() {
     let policy = policy(limits());
--- a/src/policy/start_times.rs
+++ b/src/policy/start_times.rs
@@ -71,8 +71,8 @@
         self.last_listed_at = Some(now);
     }
 
-    /// When a backend started, in the host's time, by the Unix time that it is listed with; none for long ago, which a Unix
-    /// time of zero says.
+    /// When a backend started, in the host's time, by the Unix time that it is listed with; none for long
+    /// ago, which a Unix time of zero says.
     pub fn host_time(&mut self, backend: BackendId, unix_time: UnixTime, now: Instant) -> Option<Instant> {
         let known = self.starts.get(&backend).copied();
         if let Some(known) = known.filter(|known| known.unix_time == unix_time) {
--- a/src/policy/start_times/tests.rs
+++ b/src/policy/start_times/tests.rs
@@ -31,8 +31,8 @@
     UnixTime::from_micros(at.as_micros())
 }
 
-/// The age of a backend that is listed with a Unix time, first heard of `elapsed` after the start, where the wall clock
-/// was read after steps to these offsets.
+/// The age of a backend that is listed with a Unix time, first heard of `elapsed` after the start, where the
+/// wall clock was read after steps to these offsets.
 fn age(offsets: &[Offset], unix_time: UnixTime, elapsed: Duration) -> Duration {
     let mut times = StartTimes::default();
     for offset in offsets {
@@ -102,8 +102,8 @@
     assert_ne!(times.host_time(BACKEND, unix_time, START + SECOND * 3), Some(started_at));
 }
 
-/// Guards against taking a backend for old that was listed with another start a moment ago: its clock was set back while
-/// the one here was not read, or not stepped.
+/// Guards against taking a backend for old that was listed with another start a moment ago: its clock was set
+/// back while the one here was not read, or not stepped.
 #[test]
 fn a_new_start_is_no_older_than_the_last_list_with_the_earlier_one() {
     let mut times = StartTimes::default();
--- a/src/state/arithmetic.rs
+++ b/src/state/arithmetic.rs
@@ -5,8 +5,8 @@
 /// Microseconds in a second, for sums with fractions.
 pub const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What is left at one time of a value of 1 at another that decays exponentially: 1/e after the time constant.
-/// Nothing has decayed where the times are in the wrong order.
+/// What is left at one time of a value of 1 at another that decays exponentially: 1/e after the time
+/// constant. Nothing has decayed where the times are in the wrong order.
 pub fn decay(from: Instant, to: Instant, time_constant: Duration) -> f64 {
     if from >= to {
         1.0
--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -52,7 +52,8 @@
         self.by_tag.get(&tag).copied()
     }
 
-    /// Takes a whole list: what is absent from it is gone, and remembered only while attempts are in flight there.
+    /// Takes a whole list: what is absent from it is gone, and remembered only while attempts are in flight
+    /// there.
     pub fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
         self.backends.values_mut().for_each(|backend| backend.ready = false);
         endpoints.into_iter().for_each(|endpoint| self.upsert(endpoint));
@@ -60,7 +61,8 @@
         self.rebuild_index();
     }
 
-    /// Takes a changed entry of the list. The index is kept up to date in time that hardly grows with the list.
+    /// Takes a changed entry of the list. The index is kept up to date in time that hardly grows with the
+    /// list.
     pub fn apply_change(&mut self, endpoint: Endpoint) {
         let id = endpoint.backend;
         let size_before =
--- a/src/state/endpoint_index.rs
+++ b/src/state/endpoint_index.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as the decisions use it: an index that a change touches in time that hardly grows with the list. No
-//! decision lives here.
+//! The endpoint list as the decisions use it: an index that a change touches in time that hardly grows with
+//! the list. No decision lives here.
 
 use crate::BackendId;
 
--- a/src/state/endpoint_index/tests.rs
+++ b/src/state/endpoint_index/tests.rs
@@ -7,8 +7,8 @@
     (0..index.len()).map(|place| index.get(place).expect("one at each place")).collect()
 }
 
-/// Against a list that is sorted anew behind each change: many, few and none, keys that are alike, what is there already and
-/// what is not.
+/// Against a list that is sorted anew behind each change: many, few and none, keys that are alike, what is
+/// there already and what is not.
 #[test]
 fn it_is_the_sorted_list_after_any_changes() {
     let mut random = fastrand::Rng::with_seed(7);
--- a/src/state/peer.rs
+++ b/src/state/peer.rs
@@ -35,11 +35,11 @@
     },
 }
 
-/// How long a message may be on its way. After this, one of an earlier incarnation says that it still runs, and one whose
-/// sequence number seems to have gone back says that the numbers have wrapped meanwhile.
+/// How long a message may be on its way. After this, one of an earlier incarnation says that it still runs,
+/// and one whose sequence number seems to have gone back says that the numbers have wrapped meanwhile.
 const MAX_MESSAGE_DELAY: Duration = Duration::from_secs(1);
-/// Messages that a peer sent before the first one that came here, from which on it has run for longer than this gateway: a
-/// process that starts is heard within its first few, whatever is lost.
+/// Messages that a peer sent before the first one that came here, from which on it has run for longer than
+/// this gateway: a process that starts is heard within its first few, whatever is lost.
 const MESSAGES_OF_AN_OLDER_PEER: u16 = 16;
 
 /// An incarnation in whose place there is another one.
@@ -54,8 +54,8 @@
 /// A peer's record.
 #[derive(Default)]
 pub struct Peer {
-    /// The latest incarnation known; 0 for none. It tells processes apart and does not order them: it is read from a
-    /// wall clock, which may be stepped.
+    /// The latest incarnation known; 0 for none. It tells processes apart and does not order them: it is read
+    /// from a wall clock, which may be stepped.
     pub incarnation: u32,
     /// The one before.
     pub superseded: Option<SupersededIncarnation>,
@@ -101,8 +101,8 @@
         superseded.is_some_and(|superseded| now < superseded.at + MAX_MESSAGE_DELAY)
     }
 
-    /// Whether the peer's process started before the one here, as far as messages tell; wall clocks decide only where they
-    /// do not.
+    /// Whether the peer's process started before the one here, as far as messages tell; wall clocks decide
+    /// only where they do not.
     pub fn started_before(&self, own_incarnation: u32) -> bool {
         let restarted_since = self.superseded.is_some();
         let is_older = self.first_sequence >= MESSAGES_OF_AN_OLDER_PEER;
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -78,7 +78,8 @@
         self.attempts.iter().find(|attempt| !attempt.never_executed)
     }
 
-    /// How long an answer is worth something: the latency objective, or what the client waits if that is less.
+    /// How long an answer is worth something: the latency objective, or what the client waits if that is
+    /// less.
     pub fn useful_duration(&self, latency_objective: Duration) -> Duration {
         latency_objective.min(self.request.deadline.duration_since(self.arrived_at))
     }
--- a/src/state/request_table.rs
+++ b/src/state/request_table.rs
@@ -1,4 +1,5 @@
-//! All requests that are not finished, the queue of those that wait for a backend, and the times to look at them again.
+//! All requests that are not finished, the queue of those that wait for a backend, and the times to look at
+//! them again.
 
 use super::RequestState;
 use crate::{Instant, RequestId};
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,9 +1,9 @@
 //! Points in time and spans of time, in whole microseconds.
 //!
-//! The decisions never read a clock: the host passes the time with each event. These types are used in place of
-//! those of the standard library because the host may simulate its clock, and because the sums that decide are
-//! exact in microseconds. Arithmetic saturates: what would lie before zero is zero, and what would lie beyond
-//! the greatest value is that value.
+//! The decisions never read a clock: the host passes the time with each event. These types are used in place
+//! of those of the standard library because the host may simulate its clock, and because the sums that decide
+//! are exact in microseconds. Arithmetic saturates: what would lie before zero is zero, and what would lie
+//! beyond the greatest value is that value.
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
@@ -44,8 +44,8 @@
         Instant(self.0.saturating_add(span.0))
     }
 
-    /// The number of the period that this point lies in, where periods follow each other from the beginning of
-    /// the clock.
+    /// The number of the period that this point lies in, where periods follow each other from the beginning
+    /// of the clock.
     ///
     /// # Panics
     ///
@@ -106,8 +106,8 @@
         Duration(seconds.saturating_mul(MICROS_PER_SECOND))
     }
 
-    /// So many seconds, cut to whole microseconds; zero for a negative number or none, [`Duration::MAX`] for one
-    /// that is too large.
+    /// So many seconds, cut to whole microseconds; zero for a negative number or none, [`Duration::MAX`] for
+    /// one that is too large.
     pub fn from_secs_f64(seconds: f64) -> Duration {
         Duration((seconds * MICROS_PER_SECOND as f64) as u64)
     }
@@ -191,8 +191,8 @@
 
 /// A point in time on a wall clock: the time since 1970-01-01 00:00 UTC.
 ///
-/// Wall clocks are stepped and differ between machines; [`StartTimes`](crate::StartTimes) alone compares their
-/// times with the host's clock.
+/// Wall clocks are stepped and differ between machines; [`StartTimes`](crate::StartTimes) alone compares
+/// their times with the host's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UnixTime(u64);
 
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 
-/// A peer's or a backend's time may lie behind one that was noted before. The difference of the two is no time, not
-/// the hundreds of thousands of years that a wrapped number would make of it, by which every record would be old.
+/// A peer's or a backend's time may lie behind one that was noted before. The difference of the two is no
+/// time, not the hundreds of thousands of years that a wrapped number would make of it, by which every record
+/// would be old.
 #[test]
 fn a_difference_in_the_wrong_order_is_no_time() {
     let (early, late) = (Instant::from_micros(5), Instant::from_micros(8));
@@ -13,8 +14,8 @@
     assert_eq!(early - Duration::from_micros(8), Instant::ZERO);
 }
 
-/// A limit that never applies is the greatest span. Added to a time, or multiplied, it has to stay beyond every time:
-/// wrapped, it would apply at once.
+/// A limit that never applies is the greatest span. Added to a time, or multiplied, it has to stay beyond
+/// every time: wrapped, it would apply at once.
 #[test]
 fn sums_stay_at_the_greatest_value() {
     let now = Instant::from_micros(5);
