--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -3,7 +3,7 @@
 //! There are two schedules, for two kinds of host. The ingress itself watches discovery by long polls and
 //! follows [`PollSchedule`]: exponential backoff with jitter, bounded by the rule that a change counts as
 //! delivered a fixed time after discovery could be reached. A host that polls when the gateway asks it to, as
-//! the simulator does, follows [`PeriodicPoll`]. No I/O and no clock; the caller passes the time.
+//! the simulator does, follows `PeriodicPoll`. No I/O and no clock; the caller passes the time.
 
 use crate::{Duration, Instant};
 use std::ops::RangeInclusive;
