--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,12 +1,16 @@
 //! A gateway: the parts that own its state, and the bookkeeping that needs several of them. Nothing is
 //! decided here: that is the work of `crate::policy`.
 
-use crate::policy::{initial_baseline, report_interval, retry_budget};
+mod attempts;
+
+use crate::policy::discovery_schedule::PeriodicPoll;
+use crate::policy::{initial_baseline, report_interval, RetryPolicy};
+use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
 use crate::policy::{RejectReason, MAX_REPORTED_QUEUE_DEPTH};
-use crate::state::{BackendTable, DecayingRate, LatencyBaseline, LoadShedder, PeerTable, QuotaTable};
-use crate::state::{RequestTable, RetryBudget};
+use crate::state::RequestTable;
+use crate::state::{BackendTable, DecayingRate, LatencyBaseline, PeerTable, QuotaTable};
 use crate::{Action, AttemptEnded, BackendId, Class, CustomerId, Endpoint, EndpointUpdate, Event};
-use crate::{Micros, Outcome, Plan, Request, RequestId, Settings};
+use crate::{Duration, Instant, Outcome, Plan, Request, RequestId, Settings};
 
 /// One gateway's decisions. Feed it events with [`Gateway::handle`], and do what it asks.
 #[derive(Default)]
@@ -18,15 +22,15 @@
     /// Counted up for each draw; the seed is its first value.
     pub(crate) random_state: u64,
     /// The host's clock at the latest event; it never goes back.
-    pub(crate) now: Micros,
+    pub(crate) now: Instant,
     /// When this process started; peers tell it from earlier ones by the incarnation made from this.
-    pub(crate) started_at: Micros,
+    pub(crate) started_at: Instant,
     /// When the timer that was last set is due.
-    pub(crate) next_wake_up_at: Micros,
+    pub(crate) next_wake_up_at: Instant,
     /// When the host last went on after it had stood still: latencies found with that event say nothing.
-    pub(crate) resumed_at: Micros,
-    /// When discovery is to be polled next, where it has to be.
-    pub(crate) next_poll_at: Micros,
+    pub(crate) resumed_at: Instant,
+    /// When discovery is polled, where the endpoint list does not come by itself.
+    pub(crate) periodic_poll: PeriodicPoll,
     /// Requests that are not finished, and their queue.
     pub(crate) requests: RequestTable,
     /// Customers and their token buckets.
@@ -37,25 +41,18 @@
     pub(crate) backends: BackendTable,
     /// By class.
     pub(crate) latency_baselines: Vec<LatencyBaseline>,
-    /// Pressure, shedding stage and concurrency limit.
+    /// How far recent latencies are from the highest that pass for normal.
+    pub(crate) pressure: Pressure,
+    /// Decides which customers are shed.
     pub(crate) load_shedder: LoadShedder,
-    /// Retries that may still be sent.
-    pub(crate) retry_budget: RetryBudget,
+    /// Limits the attempts in flight.
+    pub(crate) concurrency_limiter: ConcurrencyLimiter,
+    /// Decides on further attempts.
+    pub(crate) retry_policy: RetryPolicy,
     /// Attempts sent by this gateway.
     pub(crate) send_rate: DecayingRate,
 }
 
-/// What the concurrency limit of a gateway is computed from.
-#[derive(Clone, Copy)]
-pub(crate) struct GatewayLoad {
-    /// Attempts of this gateway in flight.
-    pub in_flight: u32,
-    /// Backends that take work.
-    pub ready_backends: usize,
-    /// Gateways that share them.
-    pub fleet_size: u64,
-}
-
 /// What the end of an attempt means for others.
 pub(crate) struct SettledAttempt {
     /// Where the attempt went.
@@ -72,7 +69,7 @@
 
 impl Gateway {
     /// A gateway that starts now and knows nothing yet.
-    pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
+    pub fn new(settings: Settings, seed: u64, now: Instant) -> Self {
         let fleet_size = u64::from(settings.gateway_count.max(1));
         let report_interval = report_interval(&settings, fleet_size);
         Gateway {
@@ -82,8 +79,7 @@
             quota: QuotaTable { usage_known_since: Some(now), report_interval, ..QuotaTable::default() },
             backends: BackendTable::new(&settings),
             latency_baselines: settings.classes.iter().map(|class| initial_baseline(class, now)).collect(),
-            load_shedder: LoadShedder::new(),
-            retry_budget: retry_budget(fleet_size),
+            retry_policy: RetryPolicy::new(&settings, fleet_size),
             fleet_size,
             settings,
             ..Gateway::default()
@@ -115,14 +111,27 @@
         self.quota.all_gateways_own_quotas()
     }
 
-    /// Attempts that this gateway may have in flight now.
-    pub(crate) fn concurrency_limit(&self) -> f64 {
-        self.load_shedder.concurrency_limit(self.load())
+    /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the
+    /// concurrency limit.
+    pub(crate) fn record_pressure(&mut self, latency_ratio: f64) {
+        self.pressure.record(self.now, latency_ratio);
+        self.concurrency_limiter.on_answer(&self.pressure, self.load());
     }
 
-    /// Has load shedding take in how an answer compares with a normal one.
-    pub(crate) fn record_pressure(&mut self, ratio: f64) {
-        self.load_shedder.record_pressure(self.now, ratio, self.load());
+    /// Moves the shedding stage, and reduces the concurrency limit, where the pressure asks for it.
+    fn update_shedding(&mut self, actions: &mut Vec<Action>) {
+        let load = self.load();
+        if let Some(from) = self.load_shedder.update_stage(self.now, &self.pressure) {
+            let change = StageChange {
+                from,
+                to: self.load_shedder.stage(),
+                pressure: self.pressure.level(),
+                concurrency_limit: self.concurrency_limiter.limit(load),
+                in_flight: load.in_flight,
+            };
+            actions.push(Action::Log(change.to_string()));
+        }
+        self.concurrency_limiter.reduce_under_pressure(self.now, &self.pressure);
     }
 
     /// Hands an event to the concern that decides on it.
@@ -149,7 +158,7 @@
                 self.requests.queue.push_back(id);
             }
         }
-        self.load_shedder.update(now, self.load(), actions);
+        self.update_shedding(actions);
         self.dispatch(actions);
         self.peers.ready_to_send(now).into_iter().for_each(|peer| self.flush_outbox(peer, actions));
         self.sweep(actions);
@@ -159,7 +168,9 @@
     /// Takes an endpoint list or a change of it; queued requests may then find a backend.
     fn on_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>, actions: &mut Vec<Action>) {
         match update {
-            EndpointUpdate::PollFailed => return self.on_poll_failed(),
+            EndpointUpdate::PollFailed => {
+                return self.periodic_poll.on_failure(self.now, self.settings.rules.max_poll_interval);
+            }
             EndpointUpdate::Delta => endpoints.into_iter().for_each(|one| self.backends.apply_change(one)),
             EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot => self.backends.replace_all(endpoints),
         }
@@ -175,7 +186,7 @@
     }
 
     /// Asks the host to wake this gateway after an interval.
-    pub(crate) fn schedule_wake_up(&mut self, now: Micros, interval: Micros, actions: &mut Vec<Action>) {
+    pub(crate) fn schedule_wake_up(&mut self, now: Instant, interval: Duration, actions: &mut Vec<Action>) {
         self.next_wake_up_at = now + interval;
         actions.push(Action::SetTimer { delay: interval, token: 0 });
     }
@@ -185,12 +196,12 @@
         &self,
         id: RequestId,
         reason: RejectReason,
-        retry_after: Micros,
+        retry_after: Duration,
         actions: &mut Vec<Action>,
     ) {
         tracing::debug!(target: "policy", request = id.0, ?reason, "rejected");
         let limits = &self.settings.limits;
-        let most = if limits.retry_after { limits.max_retry_after } else { 0 };
+        let most = if limits.retry_after { limits.max_retry_after } else { Duration::ZERO };
         actions.push(Action::Reject { id, retry_after: retry_after.min(most) });
     }
 
