--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,14 +1,15 @@
 //! A gateway: the parts that own its state, and the bookkeeping that needs several of them. Nothing is
 //! decided here: that is the work of `crate::policy`.
 
+mod attempts;
 mod backend_health;
 mod forwarding;
 
-use crate::policy::{report_interval, retry_budget, RejectReason};
+use crate::policy::discovery_schedule::PeriodicPoll;
+use crate::policy::{report_interval, RejectReason};
 use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
-use crate::policy::{LoadBalancer, OutlierDetector};
-use crate::state::{BackendTable, PeerTable, QuotaTable};
-use crate::state::{RequestTable, RetryBudget};
+use crate::policy::{LoadBalancer, OutlierDetector, RetryPolicy};
+use crate::state::{BackendTable, PeerTable, QuotaTable, RequestTable};
 use crate::{Action, AttemptEnded, BackendId, Class, CustomerId, Endpoint, EndpointUpdate, Event};
 use crate::{Duration, Instant, Outcome, Plan, Request, RequestId, Settings};
 
@@ -29,8 +30,8 @@
     pub(crate) next_wake_up_at: Instant,
     /// When the host last went on after it had stood still: latencies found with that event say nothing.
     pub(crate) resumed_at: Instant,
-    /// When discovery is to be polled next, where it has to be.
-    pub(crate) next_poll_at: Instant,
+    /// When discovery is polled, where the endpoint list does not come by itself.
+    pub(crate) periodic_poll: PeriodicPoll,
     /// Requests that are not finished, and their queue.
     pub(crate) requests: RequestTable,
     /// Customers and their token buckets.
@@ -49,8 +50,8 @@
     pub(crate) load_shedder: LoadShedder,
     /// Limits the attempts in flight.
     pub(crate) concurrency_limiter: ConcurrencyLimiter,
-    /// Retries that may still be sent.
-    pub(crate) retry_budget: RetryBudget,
+    /// Decides on further attempts.
+    pub(crate) retry_policy: RetryPolicy,
 }
 
 /// What the end of an attempt means for others.
@@ -80,7 +81,7 @@
             backends: BackendTable::new(&settings),
             outlier_detector: OutlierDetector::new(&settings.classes, now),
             load_balancer: LoadBalancer::new(&settings, fleet_size),
-            retry_budget: retry_budget(fleet_size),
+            retry_policy: RetryPolicy::new(&settings, fleet_size),
             fleet_size,
             settings,
             ..Gateway::default()
@@ -112,7 +113,8 @@
         self.quota.all_gateways_own_quotas()
     }
 
-    /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the concurrency limit.
+    /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the
+    /// concurrency limit.
     pub(crate) fn record_pressure(&mut self, latency_ratio: f64) {
         self.pressure.record(self.now, latency_ratio);
         self.concurrency_limiter.on_answer(&self.pressure, self.load());
@@ -168,7 +170,9 @@
     /// Takes an endpoint list or a change of it; queued requests may then find a backend.
     fn on_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>, actions: &mut Vec<Action>) {
         match update {
-            EndpointUpdate::PollFailed => return self.on_poll_failed(),
+            EndpointUpdate::PollFailed => {
+                return self.periodic_poll.on_failure(self.now, self.settings.rules.max_poll_interval);
+            }
             EndpointUpdate::Delta => endpoints.into_iter().for_each(|one| self.backends.apply_change(one)),
             EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot => self.backends.replace_all(endpoints),
         }
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -1,6 +1,6 @@
 //! How a gateway sends attempts: it has the load balancer choose a backend, and takes note of what it sends.
 
-use crate::policy::{attempt_expiry, ChoiceFacts, ExpiryFacts, NoBackend, SILENCE_SHARE};
+use crate::policy::{attempt_expiry, ChoiceFacts, ExpiryFacts, NoBackend};
 use crate::state::RequestState;
 use crate::{Action, BackendId, Gateway, Instant, RequestId};
 
@@ -17,12 +17,12 @@
             }
         };
         let objective = self.class_of(&state.request).latency_objective;
-        let silent_at = self.now + state.useful_duration(objective).mul_f64(SILENCE_SHARE);
+        let check_at = self.retry_policy.first_check_at(self.now, state.useful_duration(objective));
         let expires_at = self.attempt_expiry(state);
         if state.attempts.is_empty() {
-            self.retry_budget.deposit();
+            self.retry_policy.record_first_attempt();
         }
-        self.requests.check_at(silent_at, id);
+        self.requests.check_at(check_at, id);
         self.load_balancer.record_send(self.now);
         self.begin_attempt(id, backend);
         actions.push(Action::Send { id, backend, expires_at });
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -4,6 +4,7 @@
 mod admission;
 mod attempt_expiry;
 mod concurrency_limit;
+pub mod discovery_schedule;
 mod gateway;
 mod load_balancing;
 mod load_shedding;
@@ -20,13 +21,15 @@
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
 pub(crate) use gateway::report_interval;
 pub(crate) use load_balancing::{ChoiceFacts, LoadBalancer, NoBackend, RecentSends, ReportedQueue};
-pub(crate) use load_shedding::{LoadShedder, StageChange};
+pub(crate) use load_shedding::{LoadShedder, StageChange, NOT_SERVED_RETRY_AFTER};
 pub(crate) use outlier_detection::{
     AnswerFacts, BackendHealth, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, OutlierDetector,
-    Source, REJECTION_LATENCY_RATIO,
+    SilenceVerdict, Source, REJECTION_LATENCY_RATIO,
 };
 pub(crate) use pressure::Pressure;
 pub(crate) use quota::{MAX_REFILL_SECONDS, ROUNDING_MARGIN};
 pub(crate) use reasons::{EjectionReason, RejectReason};
-pub(crate) use retry::{retry_budget, SILENCE_SHARE};
+pub(crate) use retry::{
+    AttemptCheck, AttemptCheckFacts, ExecutedAttempt, FinalAnswer, RetryFacts, RetryPolicy, RetryScope,
+};
 pub use start_times::StartTimes;
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -1,9 +1,7 @@
 //! The dispatch of events, and the life of a request from its arrival to its final answer.
 
-use super::load_shedding::MIN_STAGE_TIME_UP;
-use super::RejectReason;
 use crate::{Action, AttemptEnded, Discovery, Duration, Event, Gateway, Instant};
-use crate::{Idempotency, IdempotencyScope, RequestId, Settings};
+use crate::{RequestId, Settings};
 
 /// Ticks between wake-ups, which look at deadlines and messages to peers; more of them save processor time.
 pub(crate) const WAKE_UP_TICKS: u64 = 5;
@@ -44,21 +42,15 @@
         }
     }
 
-    /// Polls discovery in time, where it has to be polled.
+    /// Asks the host to poll discovery when that is due, where the list does not come by itself.
     pub(crate) fn poll_discovery(&mut self, actions: &mut Vec<Action>) {
-        if self.settings.discovery == Discovery::Poll && self.now >= self.next_poll_at {
-            self.next_poll_at =
-                self.now + (self.settings.rules.max_poll_interval / 2).max(Duration::MICROSECOND);
+        let max_interval = self.settings.rules.max_poll_interval;
+        let is_polled = self.settings.discovery == Discovery::Poll;
+        if is_polled && self.periodic_poll.take_due(self.now, max_interval) {
             actions.push(Action::WatchEndpoints(true));
         }
     }
 
-    /// A poll of discovery failed: the next one comes sooner.
-    pub(crate) fn on_poll_failed(&mut self) {
-        let retry_at = self.now + (self.settings.rules.max_poll_interval / 8).max(Duration::MICROSECOND);
-        self.next_poll_at = self.next_poll_at.min(retry_at);
-    }
-
     /// Takes in how an attempt ended, and retries or answers a request that has none left in flight.
     pub(crate) fn on_attempt_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
         if let Some(class) = self.requests.get(ended.id).map(|state| usize::from(state.request.class)) {
@@ -78,21 +70,6 @@
         self.dispatch(actions);
     }
 
-    /// The final answer of a request that is not served: rejected where that is harmless, else failed.
-    pub(crate) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(state) = self.requests.get(id) else { return };
-        let harmless = match self.class_of(&state.request).idempotency {
-            Idempotency::Idempotent | Idempotency::Keyed { scope: IdempotencyScope::Fleet, .. } => true,
-            _ => state.first_possibly_executed().is_none(),
-        };
-        if harmless {
-            self.reject(id, RejectReason::NotServed, MIN_STAGE_TIME_UP, actions);
-        } else {
-            actions.push(Action::Fail(id));
-        }
-        self.close_request(id, actions);
-    }
-
     /// Goes on after the host stood still: what is overdue is answered first, and no latency counts.
     pub(crate) fn resume(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let unsent = self.requests.iter().filter(|state| state.attempts.is_empty());
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -9,8 +9,8 @@
 mod slow_start;
 mod subset;
 
-use super::OutlierDetector;
-use crate::state::{hash, Attempt, Backend, BackendTable, RetryScope, Salt};
+use super::{OutlierDetector, RetryScope};
+use crate::state::{hash, Attempt, Backend, BackendTable, Salt};
 use crate::{BackendId, Instant, Settings};
 use candidate::CandidateFacts;
 pub(crate) use reported_queue::ReportedQueue;
--- a/src/policy/load_balancing/subset.rs
+++ b/src/policy/load_balancing/subset.rs
@@ -1,6 +1,6 @@
 //! The part of the ready backends that one choice looks at.
 
-use crate::state::RetryScope;
+use crate::policy::RetryScope;
 
 /// The smallest subset, in backends, where there are more.
 const MIN_SUBSET_SIZE: usize = 32;
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -12,7 +12,9 @@
 /// The stage from which customers that were not seen of late are shed like others.
 const FIRST_STAGE_FOR_UNSEEN: usize = 2;
 /// The least time on a stage before a higher one: the effect of a stage has to show first.
-pub(crate) const MIN_STAGE_TIME_UP: Duration = Duration::from_millis(1500);
+const MIN_STAGE_TIME_UP: Duration = Duration::from_millis(1500);
+/// How long a client whose request was not served is asked to stay away: the stage may have risen by then.
+pub(crate) const NOT_SERVED_RETRY_AFTER: Duration = MIN_STAGE_TIME_UP;
 /// The least time on a stage before a lower one.
 const MIN_STAGE_TIME_DOWN: Duration = Duration::from_secs(2);
 /// How long the same customers are shed: longer than their clients retry.
@@ -76,8 +78,8 @@
 
 /// Decides which customers are shed.
 ///
-/// The stage rises by one while the pressure is high or many requests are rejected for want of capacity, and falls by
-/// one while the pressure is low.
+/// The stage rises by one while the pressure is high or many requests are rejected for want of capacity, and
+/// falls by one while the pressure is low.
 #[derive(Default)]
 pub(crate) struct LoadShedder {
     /// 0 sheds nobody; each higher one sheds more.
@@ -94,9 +96,9 @@
         self.stage == 0
     }
 
-    /// Whether a customer's request is admitted at the present stage. The customers that are shed stay the same for
-    /// an epoch, at all gateways: if each request were drawn for, the retries of shed clients would be admitted, too
-    /// late to be of use, and cause the next overload.
+    /// Whether a customer's request is admitted at the present stage. The customers that are shed stay the
+    /// same for an epoch, at all gateways: if each request were drawn for, the retries of shed clients would
+    /// be admitted, too late to be of use, and cause the next overload.
     pub(crate) fn admits(&self, facts: &SheddingFacts<'_>) -> bool {
         let is_exempt = facts.familiarity == Familiarity::Unseen && self.stage < FIRST_STAGE_FOR_UNSEEN;
         if self.stage == 0 || is_exempt {
@@ -152,8 +154,8 @@
         }
     }
 
-    /// Whether more has to be shed. Rejections alone raise no alert: shedding causes them, and backends may be idle
-    /// meanwhile.
+    /// Whether more has to be shed. Rejections alone raise no alert: shedding causes them, and backends may
+    /// be idle meanwhile.
     fn is_alert(&self, pressure: &Pressure) -> bool {
         let is_rejecting = pressure.level() > LOW_PRESSURE && self.rejection_rate > ALERT_REJECTION_RATE;
         pressure.is_high() || is_rejecting
