--- a/src/policy/load_balancing/reported_queue.rs
+++ b/src/policy/load_balancing/reported_queue.rs
@@ -41,3 +41,6 @@
         self.depth * decay(self.reported_at, now, REPORT_TIME_CONSTANT)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/outlier_detection/evidence.rs
+++ b/src/policy/outlier_detection/evidence.rs
@@ -38,3 +38,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/outlier_detection/evidence/tests.rs
@@ -0,0 +1,18 @@
+//! Tests of [`super`].
+
+use super::*;
+
+/// Attempts end in every way there is. Only those that the backend determined say something of it, and a
+/// rejection is no failure.
+#[test]
+fn outcomes_that_the_backend_did_not_determine_are_no_evidence() {
+    let is_failure = |outcome| Evidence::of(outcome).map(Evidence::is_failure);
+    assert_eq!(is_failure(Outcome::Ok), Some(Some(false)));
+    assert_eq!(is_failure(Outcome::Rejected), Some(None));
+    for outcome in [Outcome::Error, Outcome::Reset, Outcome::ConnectFailed] {
+        assert_eq!(is_failure(outcome), Some(Some(true)));
+    }
+    for outcome in [Outcome::TimedOut, Outcome::Cancelled, Outcome::NotSent] {
+        assert_eq!(is_failure(outcome), None);
+    }
+}
--- a/src/policy/outlier_detection/observation.rs
+++ b/src/policy/outlier_detection/observation.rs
@@ -59,3 +59,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -153,3 +153,6 @@
         hash(id.0 ^ GATEWAY_SALT.of(self.own_id.0.into())).to_bits()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/state/endpoint_index/tests.rs
+++ b/src/state/endpoint_index/tests.rs
@@ -2,33 +2,33 @@
 
 use super::*;
 
-/// What an index holds, by place.
+/// The backends of an index, by position.
 fn all(index: &EndpointIndex) -> Vec<BackendId> {
-    (0..index.len()).map(|place| index.get(place).expect("one at each place")).collect()
+    (0..index.len()).map(|position| index.get(position).expect("there is one at each position")).collect()
 }
 
-/// Against a list that is sorted anew behind each change: many, few and none, keys that are alike, what is
-/// there already and what is not.
+/// Backends come and go at random, with keys that are often alike, some of them twice. The index always has
+/// the order of a sorted list with the same changes, for long lists, short ones and none.
 #[test]
 fn it_is_the_sorted_list_after_any_changes() {
     let mut random = fastrand::Rng::with_seed(7);
     for size in [0u64, 1, 3, 600, 5_000] {
         let key = |number: u64| number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 52; // few keys: many are alike
-        let mut plain: std::collections::BTreeSet<(u64, BackendId)> =
+        let mut expected: std::collections::BTreeSet<(u64, BackendId)> =
             (0..size).map(|number| (key(number), BackendId(number))).collect();
-        let mut index = EndpointIndex::of(plain.iter().copied().collect());
+        let mut index = EndpointIndex::of(expected.iter().copied().collect());
         for step in 0..4_000 {
             let number = random.u64(0..size.max(1) * 2);
             // Mostly in, then mostly out, down to none.
             if random.u64(0..4) > u64::from(step > 1_500) * 2 {
                 index.insert(key(number), BackendId(number));
-                plain.insert((key(number), BackendId(number)));
+                expected.insert((key(number), BackendId(number)));
             } else {
                 index.remove(key(number), BackendId(number));
-                plain.remove(&(key(number), BackendId(number)));
+                expected.remove(&(key(number), BackendId(number)));
             }
             if step % 400 == 0 {
-                assert_eq!(all(&index), plain.iter().map(|(_, id)| *id).collect::<Vec<_>>());
+                assert_eq!(all(&index), expected.iter().map(|(_, id)| *id).collect::<Vec<_>>());
             }
         }
         for number in 0..size.max(1) * 2 {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Guards against work that grows with the list: a change touches the entries of one part.
+/// The list grows to fifty thousand backends. No part grows with it, so that a change stays cheap.
 #[test]
 fn no_part_grows_with_the_list() {
     let mut index = EndpointIndex::default();
