--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -6,7 +6,7 @@
 use crate::{AttemptEnded, BackendId, Gateway};
 
 impl Gateway {
-    /// Takes note of how an attempt of a class ended.
+    /// Records how an attempt of a class ended.
     pub(crate) fn record_outcome(&mut self, ended: &AttemptEnded, class: usize) {
         let now = self.now;
         let Some(evidence) = Evidence::of(ended.outcome) else { return };
@@ -32,14 +32,14 @@
         self.queue_sample(&Observation { backend, class, latency_micros: None, source: Source::Own });
     }
 
-    /// Takes note of how a peer's attempt went.
+    /// Records how a peer's attempt went.
     pub(crate) fn record_peer_observation(&mut self, observation: &Observation) {
         let Some(backend) = self.backends.get_mut(observation.backend) else { return };
         backend.health.record_peer_attempt(self.now, observation.is_failure());
         self.record_latency(observation);
     }
 
-    /// Takes note of an answer's latency, unless it was measured while the host stood still.
+    /// Records an answer's latency, unless it was measured while the host stood still.
     fn record_latency(&mut self, observation: &Observation) {
         let Observation { backend, class, latency_micros, source } = *observation;
         let Some(latency_micros) = latency_micros.filter(|_| self.now != self.resumed_at) else { return };
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -1,4 +1,4 @@
-//! How a gateway sends attempts: it has the load balancer choose a backend, and takes note of what it sends.
+//! How a gateway sends attempts: it has the load balancer choose a backend, and records what it sends.
 
 use crate::policy::{attempt_expiry, ChoiceFacts, ExpiryFacts, NoBackend};
 use crate::state::RequestState;
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -79,7 +79,7 @@
     healthy: usize,
     /// Candidates that are.
     suspect: usize,
-    /// Why backends were not candidates.
+    /// Why backends were not candidates; [`NoBackend::NoneReady`] while none was looked at.
     skipped: NoBackend,
 }
 
@@ -89,12 +89,8 @@
         Search { best: None, best_cost: f64::MAX, healthy: 0, suspect: 0, skipped: NoBackend::NoneReady }
     }
 
-    /// Takes a candidate, or the reason why a backend is none.
-    fn record(&mut self, backend: BackendId, candidate: Result<CandidateFacts, NoBackend>) {
-        let candidate = match candidate {
-            Ok(candidate) => candidate,
-            Err(reason) => return self.skipped = self.skipped.max(reason),
-        };
+    /// Compares a candidate with the best one so far.
+    fn add(&mut self, backend: BackendId, candidate: &CandidateFacts) {
         let cost = candidate.cost();
         if cost < self.best_cost {
             (self.best, self.best_cost) = (Some(backend), cost);
@@ -103,6 +99,11 @@
         self.suspect += usize::from(is_suspect);
         self.healthy += usize::from(!is_suspect);
     }
+
+    /// Passes over a backend that is no candidate.
+    fn skip(&mut self, reason: NoBackend) {
+        self.skipped = self.skipped.max(reason);
+    }
 }
 
 impl LoadBalancer {
@@ -111,7 +112,7 @@
         LoadBalancer { zone: settings.zone, fleet_size, slow_start: SlowStart::new(settings, fleet_size) }
     }
 
-    /// Takes note that an attempt is sent, to whichever backend.
+    /// Records that an attempt is sent, to whichever backend.
     pub(crate) fn record_send(&mut self, now: Instant) {
         self.slow_start.record_send(now);
     }
@@ -125,7 +126,10 @@
         for step in 0..subset.steps() {
             let position = subset.position(start, step);
             let Some(backend) = facts.backends.ready_at(position) else { continue };
-            search.record(backend.endpoint.backend, self.candidate(backend, facts, &subset, draw, step));
+            match self.candidate(backend, facts, &subset, draw, step) {
+                Ok(candidate) => search.add(backend.endpoint.backend, &candidate),
+                Err(reason) => search.skip(reason),
+            }
             if subset.has_enough(search.healthy, search.suspect) {
                 break;
             }
@@ -133,7 +137,7 @@
         search.best.ok_or(search.skipped)
     }
 
-    /// What decides on a backend as a candidate, or why it is none.
+    /// What the cost of a backend depends on, or why it is no candidate.
     fn candidate(
         &self,
         backend: &Backend,
--- a/src/policy/load_balancing/slow_start.rs
+++ b/src/policy/load_balancing/slow_start.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes note that this gateway sends an attempt, to whichever backend.
+    /// Records that this gateway sends an attempt, to whichever backend.
     pub(super) fn record_send(&mut self, now: Instant) {
         self.send_rate.record(now, SEND_RATE_TIME_CONSTANT);
     }
@@ -112,7 +112,7 @@
 pub(crate) struct RecentSends(VecDeque<Instant>);
 
 impl RecentSends {
-    /// Takes note of a send; those older than `window` are forgotten.
+    /// Records a send; those older than `window` are forgotten.
     pub(crate) fn record(&mut self, now: Instant, window: Duration) {
         self.0.retain(|sent_at| *sent_at + window > now);
         self.0.push_back(now);
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -82,7 +82,7 @@
         self.baselines[class].unloaded_micros()
     }
 
-    /// Takes note that an attempt of this gateway ended, and says how its backend's health changes by that.
+    /// Records the end of an attempt of this gateway, and returns the change of its backend's health.
     pub(crate) fn record_outcome(
         &mut self,
         health: &mut BackendHealth,
@@ -94,7 +94,7 @@
         health.record_outcome(facts.class, facts.evidence, facts.now)
     }
 
-    /// Takes note of an answer's latency, and gives it as a ratio of the highest normal one.
+    /// Records an answer's latency, and returns it as a ratio of the highest normal one.
     pub(crate) fn record_answer(&mut self, health: &mut BackendHealth, facts: &AnswerFacts) -> f64 {
         let baseline = &mut self.baselines[facts.class];
         health.relative_latency.record(baseline.relative(facts.latency_micros), facts.source);
--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -159,7 +159,7 @@
         self.classes[class].failure_rate.at(now)
     }
 
-    /// Takes note that an attempt of this gateway ended; a rejection counts as an answer, but not in the
+    /// Records the end of an attempt of this gateway; a rejection counts as an answer, but not in the
     /// failure rate.
     pub(super) fn record_outcome(
         &mut self,
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -23,13 +23,13 @@
 }
 
 impl Backend {
-    /// Takes note that an attempt is sent there; sends older than `window` are forgotten.
+    /// Records that an attempt is sent there; sends older than `window` are forgotten.
     pub fn begin_attempt(&mut self, now: Instant, window: Duration) {
         self.in_flight += 1;
         self.recent_sends.record(now, window);
     }
 
-    /// Takes note that an attempt there has ended.
+    /// Records that an attempt there has ended.
     pub fn end_attempt(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
