--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,10 +1,11 @@
 //! A gateway: the parts that own its state, and the bookkeeping that needs several of them. Nothing is
 //! decided here: that is the work of `crate::policy`.
 
+use crate::gossip::PeerTable;
 use crate::policy::{initial_baseline, report_interval, retry_budget};
-use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
+use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, QuotaTable, StageChange};
 use crate::policy::{RejectReason, MAX_REPORTED_QUEUE_DEPTH};
-use crate::state::{BackendTable, DecayingRate, LatencyBaseline, PeerTable, QuotaTable};
+use crate::state::{BackendTable, DecayingRate, LatencyBaseline};
 use crate::state::{RequestTable, RetryBudget};
 use crate::{Action, AttemptEnded, BackendId, Class, CustomerId, Endpoint, EndpointUpdate, Event};
 use crate::{Duration, Instant, Outcome, Plan, Request, RequestId, Settings};
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -5,8 +5,12 @@
 mod encoding;
 mod exchange;
 mod message;
+mod peer;
+mod peer_table;
 mod units;
 
 pub use encoding::{MAX_CLASS, MAX_PLAN, MAX_SAMPLES, MAX_USAGE_REPORTS};
 pub use message::{backend_tag, incarnation_of, Body, LatencySample, Message, QuotaGrant, UsageReport};
+pub use peer::{OutboxEntry, Peer, QueuedSample, Receipt};
+pub use peer_table::PeerTable;
 pub use units::{floor_to_wire_units, wrap_total, wrapping_delta, TokenLevel};
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -1,8 +1,8 @@
 //! A gateway's exchange of messages with its peers: what waits for a peer is sent, what comes is checked for
 //! its form and order, and latency samples are recorded.
 
-use super::{incarnation_of, Body, LatencySample, Message, QuotaGrant};
-use crate::state::{Observation, Receipt, Source};
+use super::{incarnation_of, Body, LatencySample, Message, QuotaGrant, Receipt};
+use crate::state::{Observation, Source};
 use crate::{Action, Gateway, GatewayId};
 
 impl Gateway {
--- a/src/state/peer.rs
+++ b/src/gossip/peer.rs
@@ -1,6 +1,6 @@
 //! What a gateway knows of a peer, and what waits to be sent to it.
 
-use crate::gossip::{LatencySample, MAX_USAGE_REPORTS};
+use super::{LatencySample, MAX_USAGE_REPORTS};
 use crate::{CustomerId, Duration, Instant};
 use std::collections::BTreeMap;
 
--- a/src/state/peer_table.rs
+++ b/src/gossip/peer_table.rs
@@ -1,7 +1,6 @@
 //! The other gateways, and what waits to be sent to them.
 
-use super::{OutboxEntry, Peer, QueuedSample};
-use crate::gossip::{LatencySample, MAX_SAMPLES};
+use super::{LatencySample, OutboxEntry, Peer, QueuedSample, MAX_SAMPLES};
 use crate::{CustomerId, Instant};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -21,7 +21,7 @@
 pub(crate) use load_shedding::{LoadShedder, StageChange};
 pub(crate) use outlier_detection::initial_baseline;
 pub(crate) use pressure::Pressure;
-pub(crate) use quota::{MAX_REFILL_SECONDS, ROUNDING_MARGIN};
+pub(crate) use quota::QuotaTable;
 pub(crate) use reasons::{EjectionReason, RejectReason};
 pub(crate) use retry::retry_budget;
 pub use start_times::StartTimes;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -2,9 +2,9 @@
 
 use super::gateway::WAKE_UP_TICKS;
 use super::load_shedding::{epoch_draw, Familiarity, SheddingFacts};
-use super::quota::CUSTOMER_IDLE_TIME;
+use super::quota::{Customer, GatewaySet, CUSTOMER_IDLE_TIME};
 use super::RejectReason;
-use crate::state::{Customer, GatewaySet, RequestState};
+use crate::state::RequestState;
 use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
 
 /// Share of the useful duration that a request may be queued for; queued longer it would fail late.
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,7 +1,25 @@
 //! The quotas of customers over all gateways together: their token buckets, the gateways that own the quota
 //! of each customer and add up its usage, and how long a request has to wait for tokens.
 
-use crate::{state::*, *};
+mod customer;
+mod gateway_set;
+mod grant_request;
+mod hard_limit;
+mod quota_table;
+mod token_bucket;
+mod token_wait;
+
+pub(crate) use customer::{Customer, GatewayUsage, MAX_REPORTED_IN_FLIGHT};
+pub(crate) use gateway_set::GatewaySet;
+pub(crate) use grant_request::GrantRequest;
+pub(crate) use hard_limit::HardLimitShare;
+pub(crate) use quota_table::QuotaTable;
+pub(crate) use token_bucket::{refill_time, time_to_refill};
+pub(crate) use token_wait::TokenWait;
+
+use crate::gossip::Peer;
+use crate::state::{decay, hash, MICROS_PER_SECOND};
+use crate::*;
 
 /// How long a grant holds where no newer one comes. After that a customer is admitted: most are inside their
 /// quota, and a large fleet whose messages are lost would otherwise reject them all.
@@ -27,11 +45,6 @@
 /// Attempts of a peer that reports nothing count as in flight for so long.
 const REPORTED_IN_FLIGHT_LIFETIME: Duration = Duration::from_millis(1500);
 
-/// Tokens that a bucket may lack because sums were rounded.
-pub(crate) const ROUNDING_MARGIN: f64 = 1e-9;
-/// The longest time, in seconds, that buckets are taken to need to refill.
-pub(crate) const MAX_REFILL_SECONDS: f64 = 1e6;
-
 impl Customer {
     /// This gateway's share of the customer's usage, with a floor for a gateway that sees little of it.
     fn own_share(&self, plan: &Plan) -> f64 {
--- a/src/state/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -1,7 +1,8 @@
 //! What a gateway knows of a customer: its token buckets, its owners and the usage that gateways reported.
 
-use super::{decay, GatewaySet, GrantRequest, HardLimitShare};
+use super::{GatewaySet, GrantRequest, HardLimitShare};
 use crate::gossip::{wrap_total, TokenLevel, UsageReport, MAX_PLAN};
+use crate::state::decay;
 use crate::{CustomerId, Duration, Instant, Plan};
 use std::collections::BTreeMap;
 
--- a/src/state/token_bucket.rs
+++ b/src/policy/quota/token_bucket.rs
@@ -1,8 +1,12 @@
 //! Times in which the token buckets of a plan refill.
 
-use crate::policy::{MAX_REFILL_SECONDS, ROUNDING_MARGIN};
 use crate::{Duration, Plan};
 
+/// Tokens that a bucket may lack because sums were rounded.
+const ROUNDING_MARGIN: f64 = 1e-9;
+/// The longest time, in seconds, that buckets are taken to need to refill.
+const MAX_REFILL_SECONDS: f64 = 1e6;
+
 /// Seconds until a bucket with so many tokens has those for `units`; none if it has them now.
 pub fn time_to_refill(tokens: f64, units: f64, refill_rate: f64) -> Option<f64> {
     let is_lacking = tokens + ROUNDING_MARGIN < units;
--- a/src/policy/usage_reports.rs
+++ b/src/policy/usage_reports.rs
@@ -1,8 +1,8 @@
 //! Usage reports to the gateways that own the quotas of customers, the owners' answers with grants, and what
 //! a gateway makes of both.
 
-use super::quota::{record_lifetime, CUSTOMER_IDLE_TIME, USAGE_RATE_TIME_CONSTANT};
-use crate::{gossip::*, state::*, *};
+use super::quota::*;
+use crate::{gossip::*, state::hash, *};
 
 /// Gateways that start within so many milliseconds of each other have started together, as a fleet.
 const FLEET_START_WINDOW_MS: u32 = 1500;
