--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -2,8 +2,10 @@
 //! decided here: that is the work of `crate::policy`.
 
 use crate::gossip::PeerTable;
-use crate::policy::{initial_baseline, report_interval, retry_budget};
-use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, QuotaTable, StageChange};
+use crate::policy::{initial_baseline, retry_budget};
+use crate::policy::{
+    ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, QuotaOwnership, QuotaTable, StageChange,
+};
 use crate::policy::{RejectReason, MAX_REPORTED_QUEUE_DEPTH};
 use crate::state::{BackendTable, DecayingRate, LatencyBaseline};
 use crate::state::{RequestTable, RetryBudget};
@@ -69,12 +71,12 @@
     /// A gateway that starts now and knows nothing yet.
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Self {
         let fleet_size = u64::from(settings.gateway_count.max(1));
-        let report_interval = report_interval(&settings, fleet_size);
+        let ownership = QuotaOwnership::new(&settings.limits, fleet_size);
         Gateway {
             random_state: seed,
             now,
             started_at: now,
-            quota: QuotaTable { usage_known_since: Some(now), report_interval, ..QuotaTable::default() },
+            quota: QuotaTable { usage_known_since: Some(now), ownership, ..QuotaTable::default() },
             backends: BackendTable::new(&settings),
             latency_baselines: settings.classes.iter().map(|class| initial_baseline(class, now)).collect(),
             retry_budget: retry_budget(fleet_size),
@@ -103,12 +105,6 @@
         &self.settings.plans[usize::from(request.plan)]
     }
 
-    /// Whether every gateway of a customer owns its quota, and is sent reports; in a large fleet only one or
-    /// two do, which are asked for grants.
-    pub(crate) fn all_gateways_own_quotas(&self) -> bool {
-        self.quota.all_gateways_own_quotas()
-    }
-
     /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the concurrency limit.
     pub(crate) fn record_pressure(&mut self, latency_ratio: f64) {
         self.pressure.record(self.now, latency_ratio);
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -11,7 +11,7 @@
         let samples = self.peers.take_samples();
         let peer = self.peers.entry(to);
         peer.sent_messages = peer.sent_messages.wrapping_add(1);
-        peer.next_send_at = self.now + self.quota.report_interval;
+        peer.next_send_at = self.now + self.quota.ownership.report_interval();
         let (incarnation, sequence) = (incarnation_of(self.started_at), peer.sent_messages);
         let bytes = Message { incarnation, sequence, samples, body }.encode();
         actions.push(Action::SendToPeer { to: Some(GatewayId(to)), bytes });
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -16,12 +16,11 @@
 mod usage_reports;
 
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
-pub(crate) use gateway::report_interval;
 pub(crate) use load_balancing::MAX_REPORTED_QUEUE_DEPTH;
 pub(crate) use load_shedding::{LoadShedder, StageChange};
 pub(crate) use outlier_detection::initial_baseline;
 pub(crate) use pressure::Pressure;
-pub(crate) use quota::QuotaTable;
+pub(crate) use quota::{QuotaOwnership, QuotaTable};
 pub(crate) use reasons::{EjectionReason, RejectReason};
 pub(crate) use retry::retry_budget;
 pub use start_times::StartTimes;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -9,8 +9,8 @@
 
 /// Share of the useful duration that a request may be queued for; queued longer it would fail late.
 const MAX_QUEUE_SHARE: f64 = 0.3;
-/// Age up to which a grant need not be requested again, and the longest wait for one.
-const GRANT_FRESHNESS: Duration = Duration::from_millis(100);
+/// The longest wait for a grant, and the time after which one that others wait for is requested again.
+const MAX_GRANT_WAIT: Duration = Duration::from_millis(100);
 /// The same for a grant by which there were no tokens.
 const REJECTION_FRESHNESS: Duration = Duration::from_millis(500);
 
@@ -48,7 +48,7 @@
         // A no may rest on an older grant than a yes, which was for another request: else the retries of a
         // customer over its quota would request grants without end.
         let over_rate_quota = wait.quota.is_some() && self.plan_of(&request).concurrency_quota == 0;
-        let yes_freshness = if self.all_gateways_own_quotas() { GRANT_FRESHNESS } else { Duration::ZERO };
+        let yes_freshness = self.quota.ownership.grant_freshness();
         let freshness = if over_rate_quota { REJECTION_FRESHNESS } else { yes_freshness };
         let granted_ago = self.now.duration_since(customer.granted_at);
         let known = customer.is_quota_owner || granted_ago < freshness;
@@ -76,13 +76,12 @@
     fn await_grant(&mut self, request: &Request, hard_limit: bool, at_once: bool, actions: &mut Vec<Action>) {
         let now = self.now;
         tracing::debug!(target: "policy", request = request.id.0, hard_limit, "awaits a quota grant");
-        // In a large fleet it is requested twice: one lost message must not admit what is over its quota.
-        let requests = if self.all_gateways_own_quotas() { 1 } else { 2 };
+        let requests = self.quota.ownership.grant_attempts();
         self.requests.check_at(now + self.grant_wait(request, now) / requests, request.id);
         let Some(customer) = self.quota.customers.get_mut(&request.customer) else { return };
         customer.grant_request.waiting.push(request.id);
         let first = customer.grant_request.waiting.len() == 1;
-        if first || now.duration_since(customer.grant_request.requested_at) > GRANT_FRESHNESS || at_once {
+        if first || now.duration_since(customer.grant_request.requested_at) > MAX_GRANT_WAIT || at_once {
             customer.grant_request.start(now, request.units, hard_limit);
             self.queue_usage_report(request.customer, true, actions);
         }
@@ -91,7 +90,7 @@
     /// How long a request that arrived at a time may be held for a grant.
     fn grant_wait(&self, request: &Request, arrived_at: Instant) -> Duration {
         let left = request.deadline.duration_since(arrived_at).min(self.class_of(request).latency_objective);
-        GRANT_FRESHNESS.min(left / 5)
+        MAX_GRANT_WAIT.min(left / 5)
     }
 
     /// Requests a grant once more, or decides by what is known here if the owners said nothing in time.
@@ -131,7 +130,7 @@
         let reason = if seconds.is_none() { RejectReason::Saturated } else { RejectReason::OverQuota };
         self.reject(id, reason, retry_after, actions);
         let charged_by_owner = self.quota.take_owner_charge(request.customer);
-        if awaited && (charged_by_owner || self.all_gateways_own_quotas()) {
+        if awaited && (charged_by_owner || self.quota.ownership.reports_granted_units()) {
             self.queue_usage_report(request.customer, false, actions);
         }
     }
@@ -144,11 +143,12 @@
             state.awaiting_grant = false;
         }
         self.quota.stop_awaiting_grant(request.customer, request.id, awaited);
-        let owned_by_all = self.all_gateways_own_quotas();
+        let ownership = self.quota.ownership;
         let charged_by_owner = self.quota.take_owner_charge(request.customer);
         let Some(customer) = self.quota.customers.get(&request.customer) else { return };
-        if !(charged_by_owner && awaited) || owned_by_all {
-            let requests_grant = !awaited && !customer.is_quota_owner && owned_by_all;
+        if !(charged_by_owner && awaited) || ownership.reports_granted_units() {
+            let requests_grant =
+                !awaited && !customer.is_quota_owner && ownership.renews_grants_after_admission();
             self.queue_usage_report(request.customer, requests_grant, actions);
         }
         self.requests.queue.push_back(request.id);
@@ -161,12 +161,10 @@
         let now = self.now;
         let plan = self.plan_of(request);
         let set = GatewaySet::of(request, self.settings.gateway_count);
-        // A customer unseen here: its share, or one request, and what was refilled since this start. In a
-        // large fleet a start says little: most customers have all but full buckets, and one owner counts.
+        // Of a customer unseen here: its share, or one request, and what was refilled since this start.
         let share = (plan.burst / set.size).max(request.units);
         let refilled = plan.rate * self.quota.seconds_of_known_usage(now);
-        let known = (share + refilled).min(plan.burst);
-        let tokens = if self.all_gateways_own_quotas() { known } else { plan.burst };
+        let tokens = self.quota.ownership.initial_tokens(plan, share + refilled);
         let remote_rate = plan.rate * (1.0 - 1.0 / set.size);
         let new = Customer { remote_rate, ..Customer::new(usize::from(request.plan), plan, tokens, now) };
         self.record_identity(request.customer, set, new);
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -3,27 +3,12 @@
 use super::load_shedding::MIN_STAGE_TIME_UP;
 use super::RejectReason;
 use crate::{Action, AttemptEnded, Discovery, Duration, Event, Gateway, Instant};
-use crate::{Idempotency, IdempotencyScope, RequestId, Settings};
+use crate::{Idempotency, IdempotencyScope, RequestId};
 
 /// Ticks between wake-ups, which look at deadlines and messages to peers; more of them save processor time.
 pub(crate) const WAKE_UP_TICKS: u64 = 5;
 /// Wake-ups missed from which the host is taken to have stood still.
 const MISSED_WAKE_UPS: u64 = 4;
-/// Seconds between reports up to which every gateway of a customer is an owner of its quota.
-const MAX_SHARED_REPORT_INTERVAL: f64 = 0.35;
-/// No more than 20 reports a second: bytes cost.
-const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
-
-/// Time between reports where all of a customer's gateways own its quota, most of what a receiver takes in
-/// over all senders; 0 in a fleet too large for that.
-pub(crate) fn report_interval(settings: &Settings, fleet_size: u64) -> Duration {
-    let messages_per_second = settings.limits.peer_messages_per_second.max(1.0);
-    let seconds = 1.5 * (fleet_size as f64 - 1.0) / messages_per_second;
-    if seconds > MAX_SHARED_REPORT_INTERVAL {
-        return Duration::ZERO;
-    }
-    Duration::from_secs_f64(seconds).max(MIN_REPORT_INTERVAL)
-}
 
 impl Gateway {
     /// Takes one event and appends what the host is to do.
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -5,6 +5,7 @@
 mod gateway_set;
 mod grant_request;
 mod hard_limit;
+mod ownership;
 mod quota_table;
 mod token_bucket;
 mod token_wait;
@@ -13,6 +14,7 @@
 pub(crate) use gateway_set::GatewaySet;
 pub(crate) use grant_request::GrantRequest;
 pub(crate) use hard_limit::HardLimitShare;
+pub(crate) use ownership::QuotaOwnership;
 pub(crate) use quota_table::QuotaTable;
 pub(crate) use token_bucket::{refill_time, time_to_refill};
 pub(crate) use token_wait::TokenWait;
@@ -26,8 +28,6 @@
 const GRANT_LIFETIME: Duration = Duration::from_secs(2);
 /// Share of an owner's messages that requests for grants on one capped customer may be; others are skipped.
 const MAX_GRANT_REQUEST_SHARE: f64 = 0.25;
-/// Delay of a peer's report, lost ones included, in addition to the report interval.
-const REPORT_PROPAGATION_TIME: Duration = Duration::from_millis(350);
 /// Least own rate of a gateway, as a part of its even share, where the usage of others is known.
 const MIN_OWN_RATE: f64 = 0.1;
 /// Least share of a hard limit that a wait is reckoned with.
@@ -122,7 +122,7 @@
     fn assign_owners(&mut self, id: CustomerId, set: GatewaySet, max_tokens: f64) {
         let (own_id, gateway_count) = (self.settings.own_id.0, self.settings.gateway_count);
         let age = self.now.duration_since(self.started_at).as_micros_f64();
-        let owned_by_all = self.all_gateways_own_quotas();
+        let ownership = self.quota.ownership;
         let unassigned = |customer: &&mut Customer| customer.quota_owners.is_empty();
         let Some(customer) = self.quota.customers.get_mut(&id).filter(unassigned) else { return };
         let plan = &self.settings.plans[customer.plan];
@@ -131,13 +131,7 @@
         customer.gateway_set = set;
         customer.hard_limit.owners =
             [first, first + distance].map(|position| set.member(position, gateway_count));
-        customer.quota_owners = if owned_by_all {
-            set.members(gateway_count)
-        } else {
-            // In a large fleet messages are scarce: one gateway owns the quota, two a hard limit.
-            let owner_count = if plan.hard_limit_rate > 0.0 { 2 } else { 1 };
-            customer.hard_limit.owners[..owner_count].to_vec()
-        };
+        customer.quota_owners = ownership.owners(set, gateway_count, customer.hard_limit.owners, plan);
         customer.quota_owners.dedup();
         customer.is_quota_owner = customer.quota_owners.contains(&own_id);
         // Each gateway has some of the hard limit for when no owner answers; the owners hold the rest.
@@ -153,12 +147,13 @@
         self.quota.refill(request.customer, self.now, &self.settings.plans);
         let customer = &self.quota.customers[&request.customer];
         let plan = &self.settings.plans[customer.plan];
-        let owned_by_all = self.all_gateways_own_quotas();
-        let usage_known = owned_by_all || customer.is_quota_owner || self.is_recent(customer.granted_at);
+        let ownership = self.quota.ownership;
+        let usage_known = ownership.knows_usage_without_grant()
+            || customer.is_quota_owner
+            || self.is_recent(customer.granted_at);
         // A small fleet asks no owner first: peers have used some units since their last reports.
-        let report_age = self.quota.report_interval + REPORT_PROPAGATION_TIME;
-        let report_age = if owned_by_all { report_age } else { Duration::ZERO };
-        let unreported_units = customer.remote_rate * report_age.as_micros_f64() / MICROS_PER_SECOND;
+        let unreported_units =
+            customer.remote_rate * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND;
         let rate_wait = customer.wait_for_rate(plan, unreported_units, request.units).filter(|_| usage_known);
         // Heavy users wait at every gateway for the same attempt to end: those that peers likely began count.
         let unreported_attempts = (unreported_units / request.units.max(0.1)) as u32;
@@ -201,7 +196,7 @@
         let customer = &self.quota.customers[&request.customer];
         let has_concurrency_quota = self.settings.plans[customer.plan].concurrency_quota > 0;
         let max_request_rate = MAX_GRANT_REQUEST_SHARE * self.settings.limits.peer_messages_per_second;
-        !self.all_gateways_own_quotas()
+        self.quota.ownership.rations_grant_requests()
             && has_concurrency_quota
             && !customer.is_quota_owner
             && self.is_recent(customer.granted_at)
@@ -217,7 +212,7 @@
 
     /// Once a second: reports customers with attempts in flight again, and forgets what is old.
     pub(crate) fn sweep(&mut self, actions: &mut Vec<Action>) {
-        let (now, owned_by_all) = (self.now, self.all_gateways_own_quotas());
+        let (now, ownership) = (self.now, self.quota.ownership);
         if now < self.quota.next_sweep_at {
             return;
         }
@@ -231,10 +226,9 @@
             if plan.concurrency_quota > 0 && customer.in_flight > 0 {
                 with_attempts.push(*id);
             }
-            // A small fleet keeps old totals: without one all that a gateway ever sent would seem new.
             let is_kept =
                 |usage: &GatewayUsage| now.duration_since(usage.reported_at) <= record_lifetime(plan, true);
-            customer.usage_by_gateway.retain(|_, usage| owned_by_all || is_kept(usage));
+            customer.usage_by_gateway.retain(|_, usage| ownership.keeps_old_totals() || is_kept(usage));
             customer.must_be_kept(plan, now)
         });
         with_attempts.into_iter().for_each(|id| self.queue_usage_report(id, false, actions));
--- a/src/policy/quota/quota_table.rs
+++ b/src/policy/quota/quota_table.rs
@@ -1,7 +1,7 @@
 //! The customers that a gateway knows, and since when it knows what they use.
 
-use super::Customer;
-use crate::{CustomerId, Duration, Instant, Plan, RequestId};
+use super::{Customer, QuotaOwnership};
+use crate::{CustomerId, Instant, Plan, RequestId};
 use std::collections::BTreeMap;
 
 /// The quotas of all customers, as far as one gateway knows them.
@@ -11,20 +11,13 @@
     pub customers: BTreeMap<CustomerId, Customer>,
     /// Since when all usage of customers is known: this start; none where all gateways started with this one.
     pub usage_known_since: Option<Instant>,
-    /// Time between usage reports where every gateway of a customer owns its quota; 0 in a fleet too large
-    /// for that.
-    pub report_interval: Duration,
+    /// Which gateways own the quota of a customer.
+    pub ownership: QuotaOwnership,
     /// When old records are next removed.
     pub next_sweep_at: Instant,
 }
 
 impl QuotaTable {
-    /// Whether each gateway of a customer's set owns its quota, as in a fleet small enough for all of them to
-    /// report to each other. In a larger one an owner or two are asked for grants.
-    pub fn all_gateways_own_quotas(&self) -> bool {
-        !self.report_interval.is_zero()
-    }
-
     /// Seconds for which all usage has been known here.
     pub fn seconds_of_known_usage(&self, now: Instant) -> f64 {
         self.usage_known_since.map_or(f64::MAX, |since| now.duration_since(since).as_secs_f64())
--- a/src/policy/usage_reports.rs
+++ b/src/policy/usage_reports.rs
@@ -84,13 +84,14 @@
         }
         let own_id = self.settings.own_id.0;
         let hard_limit_owners = customer.hard_limit.owners;
-        let owned_by_all = self.all_gateways_own_quotas();
-        // Sent twice: a lost report leaves an attempt in flight for long. A large fleet cannot afford it.
-        let retransmissions = if owned_by_all { 2 } else { 1 };
+        let ownership = self.quota.ownership;
+        let retransmissions = ownership.report_copies();
         for owner in customer.quota_owners.clone().into_iter().filter(|owner| *owner != own_id) {
             let requests_grant = grant && hard_limit_owners.contains(&owner);
             self.peers.queue(owner, id, OutboxEntry { retransmissions, requests_grant });
-            if requests_grant && (owned_by_all || self.peers.entry(owner).next_send_at <= self.now) {
+            let may_send =
+                ownership.sends_grant_requests_at_once() || self.peers.entry(owner).next_send_at <= self.now;
+            if requests_grant && may_send {
                 self.flush_outbox(owner, actions);
             }
         }
@@ -117,8 +118,7 @@
 
     /// A peer that starts counts its usage anew, and knows nothing as an owner: it gets one report each.
     pub(crate) fn on_new_incarnation(&mut self, peer: u16, restarted: bool) {
-        // In a large fleet every peer is unknown to begin with.
-        let reports_again = restarted || self.all_gateways_own_quotas();
+        let reports_again = restarted || self.quota.ownership.reports_to_new_peers();
         let mut unreported = Vec::new();
         for (id, customer) in &mut self.quota.customers {
             customer.forget_usage_of(peer);
@@ -155,7 +155,7 @@
         report: &UsageReport,
     ) -> Option<QuotaGrant> {
         self.observe_reported_customer(report)?;
-        let (now, owned_by_all) = (self.now, self.all_gateways_own_quotas());
+        let (now, ownership) = (self.now, self.quota.ownership);
         let may_count_more = is_older && !self.fleet_just_started();
         let plan = &self.settings.plans[usize::from(report.plan)];
         let customer = self.quota.refill(report.customer, now, &self.settings.plans)?;
@@ -172,11 +172,9 @@
             usage.reported_total = 0; // The gateway has forgotten the customer meanwhile, and counts anew.
         }
         let units = customer.new_units(plan, usage.reported_total, may_count_more, report);
-        // Usage beyond the quota leaves no debt at an owner whose grant is requested before each request.
-        let min_tokens = if owned_by_all { -plan.burst } else { customer.tokens.min(0.0) };
+        let min_tokens = ownership.lowest_tokens(plan, customer.tokens);
         customer.tokens = (customer.tokens + usage.granted_units - units).clamp(min_tokens, plan.burst);
-        // With a concurrency quota in a large fleet requests for grants are counted, the sender's included.
-        let counts_requests = !owned_by_all && plan.concurrency_quota > 0;
+        let counts_requests = ownership.counts_grant_requests(plan);
         let counted = if counts_requests { f64::from(u8::from(report.requests_grant)) } else { units };
         let counted_for_sender = if counts_requests { 0.0 } else { units };
         usage.record(report.total_units, counted_for_sender, now, USAGE_RATE_TIME_CONSTANT);
@@ -192,7 +190,7 @@
     fn observe_reported_customer(&mut self, report: &UsageReport) -> Option<()> {
         let plan = self.settings.plans.get(usize::from(report.plan))?;
         let refilled = plan.rate * self.quota.seconds_of_known_usage(self.now);
-        let presumed = if self.all_gateways_own_quotas() { refilled.min(plan.burst) } else { plan.burst };
+        let presumed = self.quota.ownership.initial_tokens(plan, refilled);
         let reported = report.tokens_level.tokens(plan.burst).filter(|_| !self.fleet_just_started());
         let tokens = reported.unwrap_or(presumed);
         let claimed = Customer::new(usize::from(report.plan), plan, tokens, self.now);
