--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,11 +1,13 @@
 //! A gateway: the parts that own its state, and the bookkeeping that needs several of them. Nothing is
 //! decided here: that is the work of `crate::policy`.
 
-use crate::gossip::PeerTable;
+mod admission;
+mod peers;
+
+use crate::gossip::PeerExchange;
+use crate::policy::quota::{QuotaManager, ReportPurpose};
 use crate::policy::{initial_baseline, retry_budget};
-use crate::policy::{
-    ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, QuotaOwnership, QuotaTable, StageChange,
-};
+use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
 use crate::policy::{RejectReason, MAX_REPORTED_QUEUE_DEPTH};
 use crate::state::{BackendTable, DecayingRate, LatencyBaseline};
 use crate::state::{RequestTable, RetryBudget};
@@ -23,8 +25,6 @@
     pub(crate) random_state: u64,
     /// The host's clock at the latest event; it never goes back.
     pub(crate) now: Instant,
-    /// When this process started; peers tell it from earlier ones by the incarnation made from this.
-    pub(crate) started_at: Instant,
     /// When the timer that was last set is due.
     pub(crate) next_wake_up_at: Instant,
     /// When the host last went on after it had stood still: latencies found with that event say nothing.
@@ -34,9 +34,9 @@
     /// Requests that are not finished, and their queue.
     pub(crate) requests: RequestTable,
     /// Customers and their token buckets.
-    pub(crate) quota: QuotaTable,
+    pub(crate) quota: QuotaManager,
     /// Other gateways, and what waits to be sent to them.
-    pub(crate) peers: PeerTable,
+    pub(crate) peers: PeerExchange,
     /// Backends, their health and the index of the ready ones.
     pub(crate) backends: BackendTable,
     /// By class.
@@ -71,12 +71,13 @@
     /// A gateway that starts now and knows nothing yet.
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Self {
         let fleet_size = u64::from(settings.gateway_count.max(1));
-        let ownership = QuotaOwnership::new(&settings.limits, fleet_size);
+        let quota = QuotaManager::new(&settings, now);
+        let send_interval = quota.ownership().report_interval();
         Gateway {
             random_state: seed,
             now,
-            started_at: now,
-            quota: QuotaTable { usage_known_since: Some(now), ownership, ..QuotaTable::default() },
+            quota,
+            peers: PeerExchange::new(&settings, now, send_interval),
             backends: BackendTable::new(&settings),
             latency_baselines: settings.classes.iter().map(|class| initial_baseline(class, now)).collect(),
             retry_budget: retry_budget(fleet_size),
@@ -154,7 +155,7 @@
         self.update_shedding(actions);
         self.dispatch(actions);
         self.peers.ready_to_send(now).into_iter().for_each(|peer| self.flush_outbox(peer, actions));
-        self.sweep(actions);
+        self.sweep_customers(actions);
         self.poll_discovery(actions);
     }
 
@@ -208,10 +209,10 @@
         let (request, unsent, awaited) = (state.request, state.attempts.is_empty(), state.awaiting_grant);
         self.requests.remove(id);
         if awaited {
-            self.quota.stop_awaiting_grant(request.customer, id, true);
+            self.quota.stop_awaiting_grant(request.customer, id);
         } else if unsent {
-            self.charge(request.customer, -request.units);
-            self.queue_usage_report(request.customer, false, actions);
+            self.quota.charge(request.customer, -request.units);
+            self.queue_usage_report(request.customer, ReportPurpose::Usage, actions);
         }
     }
 
@@ -221,9 +222,7 @@
         let Some(backend) = self.backends.get_mut(backend) else { return };
         state.begin_attempt(backend.endpoint, self.now);
         backend.begin_attempt(self.now, self.settings.rules.overload_window);
-        if let Some(customer) = self.quota.customers.get_mut(&state.request.customer) {
-            customer.in_flight += 1;
-        }
+        self.quota.begin_attempt(state.request.customer);
         self.requests.in_flight += 1;
     }
 
@@ -248,11 +247,7 @@
         }
         let charged = ended.charged_units.filter(|_| self.settings.postpaid);
         let correction = charged.map_or(0.0, |units| units - request.units);
-        let mut usage_changed = correction != 0.0;
-        if let Some(customer) = self.quota.customers.get_mut(&request.customer) {
-            customer.end_attempt(correction);
-            usage_changed |= self.settings.plans[customer.plan].concurrency_quota > 0;
-        }
+        let usage_changed = self.quota.end_attempt(request.customer, correction);
         let (backend, customer) = (endpoint.backend, request.customer);
         Some(SettledAttempt { backend, customer, answered, was_last_in_flight, usage_changed })
     }
--- /dev/null
+++ b/src/gateway/admission.rs
@@ -0,0 +1,238 @@
+//! Carries out admission: asks the components about a request in order, and turns what they decide into actions.
+
+use crate::policy::admission::{evades_hard_limit, min_queue_time, AdmissionDecision, AdmissionFacts};
+use crate::policy::admission::{ArrivalDecision, ArrivalFacts, QueueFacts, ScreeningFacts};
+use crate::policy::quota::{DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantTiming};
+use crate::policy::quota::{QuotaManager, ReportPurpose, TokenFacts, TokenWait};
+use crate::policy::{Familiarity, RejectReason, SheddingFacts};
+use crate::state::{hash, RequestState, MICROS_PER_SECOND};
+use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
+
+impl Gateway {
+    /// Rejects a new request, admits it, or has it wait until its quota owners have answered.
+    pub(crate) fn on_request(&mut self, mut request: Request, actions: &mut Vec<Action>) {
+        if self.requests.contains(request.id) {
+            return; // delivered twice: the first one gets the answer
+        }
+        if let Err(reason) = self.screen(&request) {
+            return self.reject(request.id, reason, Duration::ZERO, actions);
+        }
+        let claimed_plan = request.plan;
+        let observed = self.quota.observe_request(self.now, &request);
+        request.plan = observed.plan;
+        if evades_hard_limit(&self.settings.plans, claimed_plan, observed.plan) {
+            return self.reject(request.id, RejectReason::OverQuota, Duration::MAX, actions);
+        }
+        if !self.passes_load_shedding(&request, observed.familiarity) {
+            return self.reject(request.id, RejectReason::Shed, Duration::MAX, actions);
+        }
+        let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
+        match self.decide_arrival(&request) {
+            ArrivalDecision::DecideNow => {
+                self.requests.insert(state);
+                self.admit(request.id, GrantAnswers::Complete, actions);
+            }
+            ArrivalDecision::AwaitGrant { scope, timing } => {
+                let draw = self.draw();
+                if self.quota.skips_grant_request(self.now, request.customer, draw) {
+                    tracing::debug!(target: "policy", request = request.id.0, "grant request skipped");
+                    return self.reject(request.id, RejectReason::OverQuota, Duration::MAX, actions);
+                }
+                self.requests.insert(RequestState { awaiting_grant: true, ..state });
+                self.await_grant(&request, scope, timing, actions);
+            }
+        }
+    }
+
+    /// Whether a request can be handled at all.
+    fn screen(&self, request: &Request) -> Result<(), RejectReason> {
+        let facts = ScreeningFacts {
+            now: self.now,
+            request,
+            class_count: self.settings.classes.len(),
+            plan_count: self.settings.plans.len(),
+            min_queue_time: min_queue_time(self.settings.tick),
+        };
+        facts.screen()
+    }
+
+    /// Whether load shedding admits a request.
+    fn passes_load_shedding(&self, request: &Request, familiarity: Familiarity) -> bool {
+        self.load_shedder.admits(&SheddingFacts {
+            now: self.now,
+            customer: request.customer,
+            familiarity,
+            plan: self.plan_of(request),
+            plans: &self.settings.plans,
+        })
+    }
+
+    /// Whether a new request is decided now or waits for a grant.
+    fn decide_arrival(&mut self, request: &Request) -> ArrivalDecision {
+        let wait = self.token_wait(request);
+        let facts = ArrivalFacts {
+            now: self.now,
+            deadline: request.deadline,
+            min_queue_time: min_queue_time(self.settings.tick),
+            plan: self.plan_of(request),
+            wait,
+            grant: self.quota.grant_status(self.now, request.customer),
+            ownership: self.quota.ownership(),
+        };
+        facts.decide()
+    }
+
+    /// The limits that a request has to wait for.
+    fn token_wait(&mut self, request: &Request) -> TokenWait {
+        let unloaded_micros = self.latency_baselines[usize::from(request.class)].unloaded;
+        let answer_seconds = unloaded_micros / MICROS_PER_SECOND;
+        let facts = TokenFacts { now: self.now, request, answer_seconds };
+        let peers = &self.peers;
+        self.quota.token_wait(&facts, |peer| peers.last_heard_at(peer))
+    }
+
+    /// A number from 0 to 1, by the seed.
+    fn draw(&mut self) -> f64 {
+        self.random_state = self.random_state.wrapping_add(1);
+        hash(self.random_state)
+    }
+
+    /// Has a request wait until the quota owners have answered, or for as long as that may take.
+    fn await_grant(
+        &mut self,
+        request: &Request,
+        scope: GrantScope,
+        timing: GrantTiming,
+        actions: &mut Vec<Action>,
+    ) {
+        tracing::debug!(target: "policy", request = request.id.0, ?scope, ?timing, "awaits a quota grant");
+        let wait = self.grant_wait(request, self.now) / self.quota.ownership().grant_attempts();
+        self.requests.check_at(self.now + wait, request.id);
+        if self.quota.await_grant(self.now, request, scope, timing) == GrantRequestStep::Ask {
+            self.queue_usage_report(request.customer, ReportPurpose::GrantRequest, actions);
+        }
+    }
+
+    /// How long a request that came at a time may wait for a grant.
+    fn grant_wait(&self, request: &Request, arrived_at: Instant) -> Duration {
+        QuotaManager::grant_wait(arrived_at, request.deadline, self.class_of(request).latency_objective)
+    }
+
+    /// Requests a grant once more, or decides by what is known here if the owners said nothing in time.
+    pub(crate) fn check_awaited_grant(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(state) = self.requests.get(id) else { return };
+        let customer = state.request.customer;
+        let wait_ends_at = state.arrived_at + self.grant_wait(&state.request, state.arrived_at);
+        if self.now >= wait_ends_at {
+            return self.admit(id, GrantAnswers::Complete, actions);
+        }
+        self.requests.check_at(wait_ends_at, id);
+        self.queue_usage_report(customer, ReportPurpose::GrantRequest, actions);
+    }
+
+    /// Admits a request if there are tokens and capacity; without tokens it may wait for a further answer.
+    pub(crate) fn admit(&mut self, id: RequestId, answers: GrantAnswers, actions: &mut Vec<Action>) {
+        let Some(state) = self.requests.get(id) else { return };
+        let request = state.request;
+        let point = if state.awaiting_grant { DecisionPoint::GrantWait } else { DecisionPoint::Arrival };
+        let shortage = self.token_wait(&request).longest();
+        let facts = AdmissionFacts {
+            now: self.now,
+            customer: request.customer,
+            shortage,
+            answers,
+            in_flight: self.requests.in_flight,
+            queue_length: self.requests.queue.len(),
+            concurrency_limit: self.concurrency_limiter.limit(self.load()),
+        };
+        let decision = facts.decide();
+        tracing::debug!(
+            target: "policy", request = id.0, customer = request.customer.0, ?point, ?shortage, ?decision,
+            "quota decided"
+        );
+        match decision {
+            AdmissionDecision::KeepWaiting => {}
+            AdmissionDecision::Admit => self.enqueue(&request, point, actions),
+            AdmissionDecision::Reject { reason, retry_after } => {
+                self.refuse_admission(&request, point, reason, retry_after, actions);
+            }
+        }
+    }
+
+    /// Rejects a request, and tells the owners of its quota if they count on it.
+    fn refuse_admission(
+        &mut self,
+        request: &Request,
+        point: DecisionPoint,
+        reason: RejectReason,
+        retry_after: Duration,
+        actions: &mut Vec<Action>,
+    ) {
+        self.end_grant_wait(request, point);
+        if reason == RejectReason::Saturated {
+            self.load_shedder.record_rejection();
+        }
+        self.requests.remove(request.id);
+        self.reject(request.id, reason, retry_after, actions);
+        if let Some(purpose) = self.quota.report_after_rejection(request.customer, point) {
+            self.queue_usage_report(request.customer, purpose, actions);
+        }
+    }
+
+    /// Charges an admitted request, and sends it as soon as a backend may take it.
+    fn enqueue(&mut self, request: &Request, point: DecisionPoint, actions: &mut Vec<Action>) {
+        self.load_shedder.record_admission();
+        self.quota.charge(request.customer, request.units);
+        if let Some(state) = self.requests.get_mut(request.id) {
+            state.awaiting_grant = false;
+        }
+        self.end_grant_wait(request, point);
+        if let Some(purpose) = self.quota.report_after_admission(request.customer, point) {
+            self.queue_usage_report(request.customer, purpose, actions);
+        }
+        self.requests.queue.push_back(request.id);
+        self.dispatch(actions);
+        self.expire_if_overdue(request.id, actions);
+    }
+
+    /// Ends the wait for a grant of a request that did wait.
+    fn end_grant_wait(&mut self, request: &Request, point: DecisionPoint) {
+        if point == DecisionPoint::GrantWait {
+            self.quota.stop_awaiting_grant(request.customer, request.id);
+        }
+    }
+
+    /// Whether a request has the time to be queued.
+    pub(crate) fn can_be_queued(&self, state: &RequestState, now: Instant) -> bool {
+        now + min_queue_time(self.settings.tick) <= state.request.deadline
+    }
+
+    /// Ends a request that was queued for as long as it may be; true if it need not wait.
+    pub(crate) fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else { return true };
+        let facts = QueueFacts {
+            now: self.now,
+            arrived_at: state.arrived_at,
+            deadline: state.request.deadline,
+            useful_duration: state.useful_duration(self.class_of(&state.request).latency_objective),
+            min_queue_time: min_queue_time(self.settings.tick),
+        };
+        let is_overdue = facts.is_overdue();
+        if is_overdue {
+            self.reject_or_fail(id, actions);
+        }
+        is_overdue
+    }
+
+    /// Sends queued requests, in their order, while there is capacity.
+    pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
+        while let Some(id) = self.requests.queue.front().copied() {
+            let waits = self.requests.get(id).is_some_and(RequestState::awaits_attempt);
+            let is_saturated = self.concurrency_limiter.is_reached(self.load());
+            if waits && (is_saturated || !self.send_attempt(id, actions)) {
+                return;
+            }
+            self.requests.queue.pop_front();
+        }
+    }
+}
--- /dev/null
+++ b/src/gateway/peers.rs
@@ -0,0 +1,116 @@
+//! Carries out the exchange with peers: hands what they say to the components, and sends what those want told.
+
+use crate::gossip::{Body, LatencySample, PeerAge, PeerStart, QuotaGrant, UsageReport};
+use crate::policy::quota::{ReportPurpose, FLEET_START_WINDOW};
+use crate::state::{Observation, Source};
+use crate::{Action, CustomerId, Gateway, GatewayId};
+
+impl Gateway {
+    /// Handles a message from a peer.
+    pub(crate) fn on_peer_message(&mut self, from: GatewayId, bytes: &[u8], actions: &mut Vec<Action>) {
+        let received = match self.peers.receive(self.now, from, bytes) {
+            Ok(received) => received,
+            Err(reason) => {
+                tracing::debug!(target: "policy", from = from.0, ?reason, "peer message ignored");
+                return;
+            }
+        };
+        if let Some(start) = received.start {
+            self.on_peer_start(from.0, start);
+        }
+        if self.quota.withholds_tokens() && self.peers.whole_fleet_started_within(FLEET_START_WINDOW) {
+            self.quota.release_withheld_tokens();
+        }
+        let message = received.message;
+        self.record_peer_samples(&message.samples);
+        match message.body {
+            Body::UsageReports(reports) => {
+                let grants = self.on_usage_reports(from.0, received.sender_age, &reports);
+                if !grants.is_empty() {
+                    let body = Body::QuotaGrants { receiver_incarnation: message.incarnation, grants };
+                    self.send_message(from.0, body, actions);
+                }
+            }
+            Body::QuotaGrants { receiver_incarnation, grants } => {
+                if self.peers.is_for_this_process(receiver_incarnation) {
+                    grants.iter().for_each(|grant| self.on_quota_grant(from.0, grant, actions));
+                }
+            }
+        }
+    }
+
+    /// Sends a peer that started one report of each customer whose quota it owns.
+    fn on_peer_start(&mut self, peer: u16, start: PeerStart) {
+        let unreported = self.quota.on_peer_start(self.now, peer, start);
+        tracing::debug!(target: "policy", peer, ?start, customers = unreported.len(), "peer started");
+        unreported.into_iter().for_each(|id| self.peers.queue_single_report(peer, id));
+    }
+
+    /// Records how a peer's attempts went, where the backend and the class are known here.
+    fn record_peer_samples(&mut self, samples: &[LatencySample]) {
+        for sample in samples {
+            let class = usize::from(sample.class);
+            let Some(backend) = self.backends.by_tag(sample.backend_tag) else { continue };
+            let Some(settings) = self.settings.classes.get(class) else { continue };
+            let objective_micros = settings.latency_objective.as_micros_f64();
+            let latency = sample.relative_latency.map(|relative| relative * objective_micros);
+            self.record_observation(Observation { backend, class, latency, source: Source::Peer });
+        }
+    }
+
+    /// Handles the usage reports of a peer, and returns the grants that answer them.
+    fn on_usage_reports(&mut self, from: u16, age: PeerAge, reports: &[UsageReport]) -> Vec<QuotaGrant> {
+        let now = self.now;
+        reports.iter().filter_map(|report| self.quota.on_usage_report(now, from, age, report)).collect()
+    }
+
+    /// Decides again on the requests that wait, now that an owner grants quota or says that there is none.
+    fn on_quota_grant(&mut self, from: u16, grant: &QuotaGrant, actions: &mut Vec<Action>) {
+        let Some(answered) = self.quota.on_grant(self.now, from, grant) else { return };
+        for id in answered.waiting {
+            self.admit(id, answered.answers, actions);
+        }
+    }
+
+    /// Queues a report of a customer's usage to its owners, with or without a request for a grant.
+    pub(crate) fn queue_usage_report(
+        &mut self,
+        id: CustomerId,
+        purpose: ReportPurpose,
+        actions: &mut Vec<Action>,
+    ) {
+        if !self.settings.limits.peer_messages {
+            return;
+        }
+        let at_once = self.quota.ownership().sends_grant_requests_at_once();
+        for recipient in self.quota.report_recipients(id, purpose) {
+            self.peers.queue(recipient.gateway, id, recipient.entry);
+            let may_send = at_once || self.peers.may_send(self.now, recipient.gateway);
+            if recipient.entry.requests_grant && may_send {
+                self.flush_outbox(recipient.gateway, actions);
+            }
+        }
+    }
+
+    /// Sends a peer the usage reports that wait for it, as many as a message holds.
+    pub(crate) fn flush_outbox(&mut self, to: u16, actions: &mut Vec<Action>) {
+        let Some(batch) = self.peers.next_batch(to) else { return };
+        let now = self.now;
+        let reports = batch.into_iter().filter_map(|(id, entry)| self.quota.usage_report(now, to, id, entry));
+        let body = Body::UsageReports(reports.collect());
+        self.send_message(to, body, actions);
+    }
+
+    /// Sends a peer a message.
+    fn send_message(&mut self, to: u16, body: Body, actions: &mut Vec<Action>) {
+        let bytes = self.peers.next_message(self.now, to, body);
+        actions.push(Action::SendToPeer { to: Some(GatewayId(to)), bytes });
+    }
+
+    /// Removes old records of customers, and reports those with attempts in flight again.
+    pub(crate) fn sweep_customers(&mut self, actions: &mut Vec<Action>) {
+        for id in self.quota.sweep(self.now) {
+            self.queue_usage_report(id, ReportPurpose::Usage, actions);
+        }
+    }
+}
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -1,76 +1,187 @@
-//! A gateway's exchange of messages with its peers: what waits for a peer is sent, what comes is checked for
-//! its form and order, and latency samples are recorded.
-
-use super::{incarnation_of, Body, LatencySample, Message, QuotaGrant, Receipt};
-use crate::state::{Observation, Source};
-use crate::{Action, Gateway, GatewayId};
-
-impl Gateway {
-    /// Sends a peer a message, with the latest latency samples.
-    pub(crate) fn send_message(&mut self, to: u16, body: Body, actions: &mut Vec<Action>) {
-        let samples = self.peers.take_samples();
-        let peer = self.peers.entry(to);
+//! A gateway's exchange of messages with its peers: what waits for each of them, and the form and order of what comes.
+
+use super::{incarnation_of, Body, LatencySample, Message, OutboxEntry, Peer, PeerAge, PeerStart, Receipt};
+use super::{MAX_SAMPLES, MAX_USAGE_REPORTS};
+use crate::{CustomerId, Duration, GatewayId, Instant, Settings};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use thiserror::Error;
+
+/// A message of a peer that is to be handled.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ReceivedMessage {
+    /// The message.
+    pub message: Message,
+    /// Set with the first message of a process.
+    pub start: Option<PeerStart>,
+    /// Whether the sender has run for longer than this gateway.
+    pub sender_age: PeerAge,
+}
+
+/// Why a message of a peer is ignored.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum IgnoredMessage {
+    /// It cannot be decoded.
+    #[error("malformed")]
+    Malformed,
+    /// The sender is this gateway, or none of the fleet.
+    #[error("from no peer of the fleet")]
+    UnknownSender,
+    /// It is from before the peer's restart, a repeat, or overtaken by a later one.
+    #[error("outdated")]
+    Outdated,
+}
+
+/// A latency sample on its way to the peers.
+struct QueuedSample {
+    /// How many more messages carry it.
+    retransmissions: u8,
+    /// The sample.
+    sample: LatencySample,
+}
+
+/// The peers of a gateway, their outboxes, and the latency samples that go along with any message.
+#[derive(Default)]
+pub struct PeerExchange {
+    /// The index of this gateway.
+    own_id: GatewayId,
+    /// How many gateways there are.
+    gateway_count: u16,
+    /// The number that tells this process from earlier ones of this gateway.
+    incarnation: u32,
+    /// The least time between two messages to a peer.
+    send_interval: Duration,
+    /// The record of each peer.
+    peers: BTreeMap<u16, Peer>,
+    /// Peers with something in their outbox.
+    with_outbox: BTreeSet<u16>,
+    /// Samples for the next messages, failures first, and the latest before older ones.
+    latency_samples: VecDeque<QueuedSample>,
+}
+
+impl PeerExchange {
+    /// The exchange of a gateway that started at a time, and was not heard by any peer yet.
+    pub fn new(settings: &Settings, started_at: Instant, send_interval: Duration) -> PeerExchange {
+        PeerExchange {
+            own_id: settings.own_id,
+            gateway_count: settings.gateway_count,
+            incarnation: incarnation_of(started_at),
+            send_interval,
+            ..PeerExchange::default()
+        }
+    }
+
+    /// Decodes a message and records its sender's incarnation and sequence number.
+    ///
+    /// # Errors
+    ///
+    /// Why the message has to be ignored.
+    pub fn receive(
+        &mut self,
+        now: Instant,
+        from: GatewayId,
+        bytes: &[u8],
+    ) -> Result<ReceivedMessage, IgnoredMessage> {
+        let message = Message::decode(bytes).ok_or(IgnoredMessage::Malformed)?;
+        if from == self.own_id || from.0 >= self.gateway_count {
+            return Err(IgnoredMessage::UnknownSender);
+        }
+        let own_incarnation = self.incarnation;
+        let peer = self.peer_mut(from.0);
+        let start = match peer.receive(message.incarnation, message.sequence, now) {
+            Receipt::Outdated => return Err(IgnoredMessage::Outdated),
+            Receipt::Current => None,
+            Receipt::NewIncarnation(start) => Some(start),
+        };
+        let sender_age = peer.age(own_incarnation);
+        Ok(ReceivedMessage { message, start, sender_age })
+    }
+
+    /// The bytes of the next message to a peer, with the latest latency samples.
+    pub fn next_message(&mut self, now: Instant, to: u16, body: Body) -> Vec<u8> {
+        let samples = self.take_samples();
+        let (incarnation, send_interval) = (self.incarnation, self.send_interval);
+        let peer = self.peer_mut(to);
         peer.sent_messages = peer.sent_messages.wrapping_add(1);
-        peer.next_send_at = self.now + self.quota.ownership.report_interval();
-        let (incarnation, sequence) = (incarnation_of(self.started_at), peer.sent_messages);
-        let bytes = Message { incarnation, sequence, samples, body }.encode();
-        actions.push(Action::SendToPeer { to: Some(GatewayId(to)), bytes });
+        peer.next_send_at = now + send_interval;
+        Message { incarnation, sequence: peer.sent_messages, samples, body }.encode()
     }
 
-    /// Sends a peer the usage reports that wait for it, as many as a message holds.
-    pub(crate) fn flush_outbox(&mut self, to: u16, actions: &mut Vec<Action>) {
-        let Some(batch) = self.peers.next_batch(to) else { return };
-        let reports = batch.into_iter().filter_map(|(id, entry)| self.report_to(to, id, entry)).collect();
-        self.send_message(to, Body::UsageReports(reports), actions);
+    /// Whether an answer is for this process. One for an earlier process of this gateway would count twice.
+    pub fn is_for_this_process(&self, receiver_incarnation: u32) -> bool {
+        receiver_incarnation == self.incarnation
     }
 
-    /// Decodes a peer's message; none if it is malformed, outdated, or not from another gateway of the fleet.
-    pub(crate) fn receive_message(&mut self, from: GatewayId, bytes: &[u8]) -> Option<(Message, Receipt)> {
-        let message = Message::decode(bytes)?;
-        if from == self.settings.own_id || from.0 >= self.settings.gateway_count {
-            return None;
-        }
-        let receipt = self.peers.entry(from.0).receive(message.incarnation, message.sequence, self.now);
-        (receipt != Receipt::Outdated).then_some((message, receipt))
+    /// When a message of a peer last came: [`Instant::ZERO`] for never, none for a peer that has no record.
+    pub fn last_heard_at(&self, peer: u16) -> Option<Instant> {
+        self.peers.get(&peer).map(|peer| peer.last_heard_at)
     }
 
-    /// Records how a peer's attempts went, where the backend and the class are known here.
-    pub(crate) fn record_peer_samples(&mut self, samples: &[LatencySample]) {
-        for sample in samples {
-            let class = usize::from(sample.class);
-            let Some(backend) = self.backends.by_tag(sample.backend_tag) else { continue };
-            let Some(settings) = self.settings.classes.get(class) else { continue };
-            let objective = settings.latency_objective.as_micros_f64();
-            let latency = sample.relative_latency.map(|relative| relative * objective);
-            self.record_observation(Observation { backend, class, latency, source: Source::Peer });
-        }
+    /// Whether all other gateways are known, and started within a time of this one.
+    pub fn whole_fleet_started_within(&self, window: Duration) -> bool {
+        let fleet_size = usize::from(self.gateway_count.max(1));
+        let started_together =
+            |peer: &Peer| u64::from(peer.incarnation.abs_diff(self.incarnation)) <= window.as_millis();
+        self.peers.len() + 1 == fleet_size && self.peers.values().all(started_together)
     }
 
-    /// Handles a message from a peer.
-    pub(crate) fn on_peer_message(&mut self, from: GatewayId, bytes: &[u8], actions: &mut Vec<Action>) {
-        let Some((message, receipt)) = self.receive_message(from, bytes) else { return };
-        if let Receipt::NewIncarnation { restarted } = receipt {
-            self.on_new_incarnation(from.0, restarted);
-        }
-        let own_incarnation = incarnation_of(self.started_at);
-        self.release_withheld_tokens(own_incarnation);
-        self.record_peer_samples(&message.samples);
-        match message.body {
-            Body::UsageReports(reports) => {
-                let is_older = self.peers.entry(from.0).started_before(own_incarnation);
-                let grants =
-                    reports.iter().filter_map(|report| self.on_usage_report(from.0, is_older, report));
-                let grants: Vec<QuotaGrant> = grants.collect();
-                if !grants.is_empty() {
-                    let body = Body::QuotaGrants { receiver_incarnation: message.incarnation, grants };
-                    self.send_message(from.0, body, actions);
-                }
-            }
-            // Grants for an earlier incarnation of this gateway would count twice.
-            Body::QuotaGrants { receiver_incarnation, .. } if receiver_incarnation != own_incarnation => {}
-            Body::QuotaGrants { grants, .. } => {
-                grants.iter().for_each(|grant| self.on_quota_grant(from.0, grant, actions));
-            }
+    /// Puts a customer into a peer's outbox. A request for a grant that waits there already still goes.
+    pub fn queue(&mut self, peer: u16, customer: CustomerId, entry: OutboxEntry) {
+        let queued = self.peer_mut(peer).outbox.entry(customer).or_default();
+        queued.retransmissions = entry.retransmissions;
+        queued.requests_grant |= entry.requests_grant;
+        self.with_outbox.insert(peer);
+    }
+
+    /// Puts a customer into a peer's outbox for one message, in place of what waits there.
+    pub fn queue_single_report(&mut self, peer: u16, customer: CustomerId) {
+        let entry = OutboxEntry { retransmissions: 1, requests_grant: false };
+        self.peer_mut(peer).outbox.insert(customer, entry);
+        self.with_outbox.insert(peer);
+    }
+
+    /// Takes from a peer's outbox what the next message carries; none for a peer that has no record.
+    pub fn next_batch(&mut self, peer: u16) -> Option<Vec<(CustomerId, OutboxEntry)>> {
+        let record = self.peers.get_mut(&peer)?;
+        let batch = record.next_batch(MAX_USAGE_REPORTS);
+        if record.outbox.is_empty() {
+            self.with_outbox.remove(&peer);
         }
+        Some(batch)
+    }
+
+    /// Whether the interval since the last message to a peer has passed.
+    pub fn may_send(&self, now: Instant, peer: u16) -> bool {
+        self.peers.get(&peer).is_none_or(|peer| peer.next_send_at <= now)
+    }
+
+    /// Peers with something in their outbox that may be sent a message now.
+    pub fn ready_to_send(&self, now: Instant) -> Vec<u16> {
+        let is_ready = |peer: &u16| self.peers.get(peer).is_some_and(|peer| peer.next_send_at <= now);
+        self.with_outbox.iter().copied().filter(is_ready).collect()
+    }
+
+    /// Puts a sample before older ones, failures before others; the last ones go where there are too many.
+    pub fn queue_sample(&mut self, sample: LatencySample, retransmissions: u8) {
+        let is_failure = |queued: &&QueuedSample| queued.sample.relative_latency.is_none();
+        let failures = self.latency_samples.iter().filter(is_failure).count();
+        let position = if sample.relative_latency.is_none() { 0 } else { failures };
+        self.latency_samples.insert(position, QueuedSample { retransmissions, sample });
+        self.latency_samples.truncate(MAX_SAMPLES);
+    }
+
+    /// The latency samples that the next message carries. Each goes with several messages.
+    fn take_samples(&mut self) -> Vec<LatencySample> {
+        let samples = self.latency_samples.iter().map(|queued| queued.sample).collect();
+        self.latency_samples.iter_mut().for_each(|queued| queued.retransmissions -= 1);
+        self.latency_samples.retain(|queued| queued.retransmissions > 0);
+        samples
+    }
+
+    /// The record of a peer, a new one if there was none.
+    fn peer_mut(&mut self, peer: u16) -> &mut Peer {
+        self.peers.entry(peer).or_default()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -1,6 +1,5 @@
 //! What a gateway knows of a peer, and what waits to be sent to it.
 
-use super::{LatencySample, MAX_USAGE_REPORTS};
 use crate::{CustomerId, Duration, Instant};
 use std::collections::BTreeMap;
 
@@ -13,12 +12,22 @@
     pub requests_grant: bool,
 }
 
-/// A latency sample on its way to the peers.
-pub struct QueuedSample {
-    /// How many more messages carry it.
-    pub retransmissions: u8,
-    /// The sample.
-    pub sample: LatencySample,
+/// How a process of a peer came to be heard for the first time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PeerStart {
+    /// No earlier process of the peer was known.
+    FirstHeard,
+    /// It follows another one, whose messages were heard.
+    Restarted,
+}
+
+/// Whether a peer's process has run for longer than the one here.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PeerAge {
+    /// It started before this one.
+    Older,
+    /// It started with this one or later.
+    NotOlder,
 }
 
 /// What the incarnation and the sequence number of a message say of it.
@@ -29,10 +38,7 @@
     /// It is a newer one of the incarnation that is known.
     Current,
     /// It is the first one of an incarnation.
-    NewIncarnation {
-        /// Whether an earlier incarnation was known.
-        restarted: bool,
-    },
+    NewIncarnation(PeerStart),
 }
 
 /// How long a message may be on its way. After this, one of an earlier incarnation says that it still runs, and one whose
@@ -76,7 +82,7 @@
 }
 
 impl Peer {
-    /// Takes note of a message's incarnation and sequence number.
+    /// Records a message's incarnation and sequence number, and tells whether it is to be handled.
     pub fn receive(&mut self, incarnation: u32, sequence: u16, now: Instant) -> Receipt {
         let same_incarnation = incarnation == self.incarnation;
         let is_behind = sequence.wrapping_sub(self.last_sequence) as i16 <= 0;
@@ -92,7 +98,7 @@
         let superseded = SupersededIncarnation { incarnation: self.incarnation, at: now };
         self.superseded = restarted.then_some(superseded);
         (self.incarnation, self.first_sequence) = (incarnation, sequence);
-        Receipt::NewIncarnation { restarted }
+        Receipt::NewIncarnation(if restarted { PeerStart::Restarted } else { PeerStart::FirstHeard })
     }
 
     /// Whether a message of this incarnation may have been on its way since before the peer's restart.
@@ -103,17 +109,21 @@
 
     /// Whether the peer's process started before the one here, as far as messages tell; wall clocks decide only where they
     /// do not.
-    pub fn started_before(&self, own_incarnation: u32) -> bool {
+    pub fn age(&self, own_incarnation: u32) -> PeerAge {
         let restarted_since = self.superseded.is_some();
-        let is_older = self.first_sequence >= MESSAGES_OF_AN_OLDER_PEER;
-        !restarted_since && (is_older || self.incarnation < own_incarnation)
+        let is_in_midstream = self.first_sequence >= MESSAGES_OF_AN_OLDER_PEER;
+        if !restarted_since && (is_in_midstream || self.incarnation < own_incarnation) {
+            PeerAge::Older
+        } else {
+            PeerAge::NotOlder
+        }
     }
 
-    /// Takes from the outbox what the next message carries. It goes round from where the last one ended:
-    /// otherwise the last customers would never be sent when more change than fit.
-    pub fn next_batch(&mut self) -> Vec<(CustomerId, OutboxEntry)> {
+    /// Takes from the outbox what the next message carries, `most` customers at most. It goes round from where the last
+    /// one ended: otherwise the last customers would never be sent when more change than fit.
+    pub fn next_batch(&mut self, most: usize) -> Vec<(CustomerId, OutboxEntry)> {
         let rotated = self.outbox.range(self.last_sent..).chain(self.outbox.range(..self.last_sent));
-        let batch: Vec<_> = rotated.take(MAX_USAGE_REPORTS).map(|(id, entry)| (*id, *entry)).collect();
+        let batch: Vec<_> = rotated.take(most).map(|(id, entry)| (*id, *entry)).collect();
         self.last_sent = batch.last().map_or(self.last_sent, |(id, _)| CustomerId(id.0 + 1));
         for (id, entry) in &batch {
             let retransmissions = entry.retransmissions - 1;
--- a/src/gossip/peer/tests.rs
+++ b/src/gossip/peer/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of [`super`].
 
 use super::*;
+use crate::gossip::MAX_USAGE_REPORTS;
 
 fn at(micros: u64) -> Instant {
     Instant::from_micros(micros)
@@ -9,7 +10,7 @@
 #[test]
 fn repeats_and_overtaken_messages_are_outdated() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5, 65_535, at(10)), Receipt::NewIncarnation { restarted: false });
+    assert_eq!(peer.receive(5, 65_535, at(10)), Receipt::NewIncarnation(PeerStart::FirstHeard));
     assert_eq!(peer.receive(5, 65_535, at(20)), Receipt::Outdated, "a repeat");
     assert_eq!(peer.receive(5, 65_534, at(30)), Receipt::Outdated, "overtaken");
     assert_eq!(peer.last_heard_at, at(10));
@@ -20,8 +21,8 @@
 #[test]
 fn a_restarted_peer_counts_its_messages_anew() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5, 100, at(10)), Receipt::NewIncarnation { restarted: false });
-    assert_eq!(peer.receive(6, 1, at(20)), Receipt::NewIncarnation { restarted: true });
+    assert_eq!(peer.receive(5, 100, at(10)), Receipt::NewIncarnation(PeerStart::FirstHeard));
+    assert_eq!(peer.receive(6, 1, at(20)), Receipt::NewIncarnation(PeerStart::Restarted));
     assert_eq!(peer.receive(5, 101, at(30)), Receipt::Outdated, "from before the restart");
     assert_eq!(peer.receive(6, 2, at(40)), Receipt::Current);
 }
@@ -32,10 +33,10 @@
     let entry = OutboxEntry { retransmissions: 2, requests_grant: true };
     let outbox = (0..count).map(|id| (CustomerId(id), entry)).collect();
     let mut peer = Peer { outbox, ..Peer::default() };
-    let first = peer.next_batch();
+    let first = peer.next_batch(MAX_USAGE_REPORTS);
     assert_eq!(first.len(), MAX_USAGE_REPORTS);
     assert!(first.iter().all(|(_, entry)| entry.requests_grant));
-    let second = peer.next_batch();
+    let second = peer.next_batch(MAX_USAGE_REPORTS);
     assert_eq!(second[0].0, CustomerId(count - 1), "the customer that did not fit");
     assert!(second[0].1.requests_grant);
     assert!(!second[1].1.requests_grant, "a grant is requested once");
@@ -46,8 +47,8 @@
 #[test]
 fn a_peer_that_restarts_with_its_clock_set_back_is_heard() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5_000_000, 100, at(10)), Receipt::NewIncarnation { restarted: false });
-    assert_eq!(peer.receive(5, 1, at(20)), Receipt::NewIncarnation { restarted: true });
+    assert_eq!(peer.receive(5_000_000, 100, at(10)), Receipt::NewIncarnation(PeerStart::FirstHeard));
+    assert_eq!(peer.receive(5, 1, at(20)), Receipt::NewIncarnation(PeerStart::Restarted));
     assert_eq!(peer.receive(5_000_000, 101, at(30)), Receipt::Outdated, "from before the restart");
     assert_eq!(peer.receive(5, 2, at(40)), Receipt::Current);
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,7 +1,7 @@
 //! Every decision of a gateway and every tuned constant, a file for each concern. No I/O, no clock: what is random comes
 //! from the seed alone.
 
-mod admission;
+pub(crate) mod admission;
 mod concurrency_limit;
 mod gateway;
 mod load_balancing;
@@ -9,18 +9,16 @@
 mod outlier_detection;
 pub mod permissions;
 mod pressure;
-mod quota;
+pub(crate) mod quota;
 mod reasons;
 mod retry;
 mod start_times;
-mod usage_reports;
 
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
 pub(crate) use load_balancing::MAX_REPORTED_QUEUE_DEPTH;
-pub(crate) use load_shedding::{LoadShedder, StageChange};
+pub(crate) use load_shedding::{Familiarity, LoadShedder, SheddingFacts, StageChange};
 pub(crate) use outlier_detection::initial_baseline;
 pub(crate) use pressure::Pressure;
-pub(crate) use quota::{QuotaOwnership, QuotaTable};
 pub(crate) use reasons::{EjectionReason, RejectReason};
 pub(crate) use retry::retry_budget;
 pub use start_times::StartTimes;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,225 +1,205 @@
-//! Admission: whether a request is rejected at once, waits for a quota grant, is queued or is sent.
+//! Admission: whether a request is rejected at once, waits for a quota grant, or is queued for a backend.
+//!
+//! A request is decided in three steps: [`ScreeningFacts`] when it comes, [`ArrivalFacts`] once its customer is known,
+//! and [`AdmissionFacts`] then or after its wait for a grant. [`QueueFacts`] end its time in the queue.
 
 use super::gateway::WAKE_UP_TICKS;
-use super::load_shedding::{epoch_draw, Familiarity, SheddingFacts};
-use super::quota::{Customer, GatewaySet, CUSTOMER_IDLE_TIME};
+use super::load_shedding::epoch_draw;
+use super::quota::{GrantAnswers, GrantScope, GrantStatus, GrantTiming, QuotaOwnership, Shortage, TokenWait};
 use super::RejectReason;
-use crate::state::RequestState;
-use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
+use crate::{CustomerId, Duration, Instant, Plan, Request};
 
 /// Share of the useful duration that a request may be queued for; queued longer it would fail late.
 const MAX_QUEUE_SHARE: f64 = 0.3;
-/// The longest wait for a grant, and the time after which one that others wait for is requested again.
-const MAX_GRANT_WAIT: Duration = Duration::from_millis(100);
-/// The same for a grant by which there were no tokens.
+/// Age up to which a grant by which there were no tokens stands for further requests. A no may rest on an older grant
+/// than a yes: otherwise the retries of a customer over its quota would request grants without end.
 const REJECTION_FRESHNESS: Duration = Duration::from_millis(500);
+/// Wake-ups that have to be left to a request that waits: with less it could not be answered in time.
+const MIN_WAKE_UPS: u64 = 2;
 
-impl Gateway {
-    /// Rejects a new request, admits it, or holds it until its quota owners have answered.
-    pub(crate) fn on_request(&mut self, mut request: Request, actions: &mut Vec<Action>) {
-        if self.requests.contains(request.id) {
-            return; // delivered twice: the first one gets the answer
-        }
-        // With less than two wake-ups left nothing can be held, watched or served: answered at once.
-        if !self.is_valid(&request) {
-            return self.reject(request.id, RejectReason::Invalid, Duration::ZERO, actions);
-        }
-        if request.deadline < self.now + self.min_queue_time() {
-            return self.reject(request.id, RejectReason::NoTime, Duration::ZERO, actions);
-        }
-        let claimed_plan = usize::from(request.plan);
-        let familiarity = self.observe_customer(&mut request);
-        if self.evades_hard_limit(&request, claimed_plan) {
-            return self.reject(request.id, RejectReason::OverQuota, Duration::MAX, actions);
-        }
-        let shedding = SheddingFacts {
-            now: self.now,
-            customer: request.customer,
-            familiarity,
-            plan: self.plan_of(&request),
-            plans: &self.settings.plans,
-        };
-        if !self.load_shedder.admits(&shedding) {
-            return self.reject(request.id, RejectReason::Shed, Duration::MAX, actions);
-        }
-        let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
-        let wait = self.wait_for_tokens(&request);
-        let customer = &self.quota.customers[&request.customer];
-        // A no may rest on an older grant than a yes, which was for another request: else the retries of a
-        // customer over its quota would request grants without end.
-        let over_rate_quota = wait.quota.is_some() && self.plan_of(&request).concurrency_quota == 0;
-        let yes_freshness = self.quota.ownership.grant_freshness();
-        let freshness = if over_rate_quota { REJECTION_FRESHNESS } else { yes_freshness };
-        let granted_ago = self.now.duration_since(customer.granted_at);
-        let known = customer.is_quota_owner || granted_ago < freshness;
-        let elsewhere = customer.hard_limit.owners != [self.settings.own_id.0; 2];
-        let needs_grant = wait.hard_limit.is_some() && wait.quota.is_none() && elsewhere;
-        if !self.can_be_queued(&state, self.now) || (known && !needs_grant) {
-            self.requests.insert(state);
-            return self.admit(request.id, true, actions);
-        }
-        if self.skips_grant_request(&request) {
-            return self.reject(request.id, RejectReason::OverQuota, Duration::MAX, actions);
-        }
-        self.requests.insert(RequestState { awaiting_grant: true, ..state });
-        self.await_grant(&request, wait.hard_limit.is_some(), needs_grant, actions);
-    }
+/// The time that has to be left to a request for it to wait, at a gateway with this tick.
+pub(crate) fn min_queue_time(tick: Duration) -> Duration {
+    tick * WAKE_UP_TICKS * MIN_WAKE_UPS
+}
 
-    /// Whether a request names a plan with a hard limit that its customer's record does not follow: by the
-    /// plan that other requests name the limit might be passed.
-    fn evades_hard_limit(&self, request: &Request, claimed_plan: usize) -> bool {
-        let has_hard_limit = self.settings.plans[claimed_plan].hard_limit_rate > 0.0;
-        has_hard_limit && usize::from(request.plan) != claimed_plan
-    }
+/// What a request is screened by as it comes.
+pub(crate) struct ScreeningFacts<'a> {
+    /// The time.
+    pub now: Instant,
+    /// The request.
+    pub request: &'a Request,
+    /// How many classes the settings name.
+    pub class_count: usize,
+    /// How many plans the settings name.
+    pub plan_count: usize,
+    /// See [`min_queue_time`].
+    pub min_queue_time: Duration,
+}
 
-    /// Holds a request until the quota owners have answered, or for as long as that may take.
-    fn await_grant(&mut self, request: &Request, hard_limit: bool, at_once: bool, actions: &mut Vec<Action>) {
-        let now = self.now;
-        tracing::debug!(target: "policy", request = request.id.0, hard_limit, "awaits a quota grant");
-        let requests = self.quota.ownership.grant_attempts();
-        self.requests.check_at(now + self.grant_wait(request, now) / requests, request.id);
-        let Some(customer) = self.quota.customers.get_mut(&request.customer) else { return };
-        customer.grant_request.waiting.push(request.id);
-        let first = customer.grant_request.waiting.len() == 1;
-        if first || now.duration_since(customer.grant_request.requested_at) > MAX_GRANT_WAIT || at_once {
-            customer.grant_request.start(now, request.units, hard_limit);
-            self.queue_usage_report(request.customer, true, actions);
+impl ScreeningFacts<'_> {
+    /// Whether the request can be handled at all.
+    pub(crate) fn screen(&self) -> Result<(), RejectReason> {
+        if !self.is_valid() {
+            return Err(RejectReason::Invalid);
+        }
+        if self.request.deadline < self.now + self.min_queue_time {
+            return Err(RejectReason::NoTime);
         }
+        Ok(())
     }
 
-    /// How long a request that arrived at a time may be held for a grant.
-    fn grant_wait(&self, request: &Request, arrived_at: Instant) -> Duration {
-        let left = request.deadline.duration_since(arrived_at).min(self.class_of(request).latency_objective);
-        MAX_GRANT_WAIT.min(left / 5)
+    /// Whether the request names a class and a plan that there are, and a sensible number of units.
+    fn is_valid(&self) -> bool {
+        let known_class = usize::from(self.request.class) < self.class_count;
+        let known_plan = usize::from(self.request.plan) < self.plan_count;
+        known_class && known_plan && self.request.units.is_finite() && self.request.units >= 0.0
     }
+}
 
-    /// Requests a grant once more, or decides by what is known here if the owners said nothing in time.
-    pub(crate) fn check_awaited_grant(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(state) = self.requests.get(id) else { return };
-        let customer = state.request.customer;
-        let end = state.arrived_at + self.grant_wait(&state.request, state.arrived_at);
-        if self.now >= end {
-            return self.admit(id, true, actions);
-        }
-        self.requests.check_at(end, id);
-        self.queue_usage_report(customer, true, actions);
-    }
+/// Whether a request names a plan with a hard limit that its customer's record does not follow: by the plan that other
+/// requests name the limit might be passed.
+pub(crate) fn evades_hard_limit(plans: &[Plan], claimed_plan: u16, recorded_plan: u16) -> bool {
+    let has_hard_limit = plans[usize::from(claimed_plan)].hard_limit_rate > 0.0;
+    has_hard_limit && recorded_plan != claimed_plan
+}
 
-    /// Admits a request if there are tokens and capacity; without tokens one may wait for the `last` grant.
-    pub(crate) fn admit(&mut self, id: RequestId, last: bool, actions: &mut Vec<Action>) {
-        let Some(state) = self.requests.get(id) else { return };
-        let (request, awaited) = (state.request, state.awaiting_grant);
-        let seconds = self.wait_for_tokens(&request).longest();
-        if seconds.is_some() && !last {
-            return;
-        }
-        // The fuller the queue, the fewer customers may join it; the same ones for a shedding epoch.
-        tracing::debug!(target: "policy", request = id.0, awaited, ?seconds, "quota decided");
-        let limit = self.concurrency_limiter.limit(self.load());
-        let queue_fill = self.requests.queue.len() as f64 / (limit * MAX_QUEUE_SHARE);
-        let saturated = f64::from(self.requests.in_flight) >= limit;
-        if seconds.is_none() && !(saturated && epoch_draw(self.now, request.customer) >= 1.0 - queue_fill) {
-            return self.enqueue(&request, awaited, actions);
-        }
-        self.quota.stop_awaiting_grant(request.customer, id, awaited);
-        if seconds.is_none() {
-            self.load_shedder.record_rejection();
-        }
-        self.requests.remove(id);
-        let retry_after = seconds.map_or(Duration::MAX, Duration::from_secs_f64);
-        let reason = if seconds.is_none() { RejectReason::Saturated } else { RejectReason::OverQuota };
-        self.reject(id, reason, retry_after, actions);
-        let charged_by_owner = self.quota.take_owner_charge(request.customer);
-        if awaited && (charged_by_owner || self.quota.ownership.reports_granted_units()) {
-            self.queue_usage_report(request.customer, false, actions);
-        }
-    }
+/// What a new request's way is chosen by.
+pub(crate) struct ArrivalFacts<'a> {
+    /// The time.
+    pub now: Instant,
+    /// When the client gives up.
+    pub deadline: Instant,
+    /// See [`min_queue_time`].
+    pub min_queue_time: Duration,
+    /// The customer's plan.
+    pub plan: &'a Plan,
+    /// The limits that the request would have to wait for, as far as known here.
+    pub wait: TokenWait,
+    /// What is known of the grants for the customer.
+    pub grant: GrantStatus,
+    /// Which gateways own the quota.
+    pub ownership: QuotaOwnership,
+}
 
-    /// Charges an admitted request, and sends it as soon as a backend may take it.
-    fn enqueue(&mut self, request: &Request, awaited: bool, actions: &mut Vec<Action>) {
-        self.load_shedder.record_admission();
-        self.charge(request.customer, request.units);
-        if let Some(state) = self.requests.get_mut(request.id) {
-            state.awaiting_grant = false;
-        }
-        self.quota.stop_awaiting_grant(request.customer, request.id, awaited);
-        let ownership = self.quota.ownership;
-        let charged_by_owner = self.quota.take_owner_charge(request.customer);
-        let Some(customer) = self.quota.customers.get(&request.customer) else { return };
-        if !(charged_by_owner && awaited) || ownership.reports_granted_units() {
-            let requests_grant =
-                !awaited && !customer.is_quota_owner && ownership.renews_grants_after_admission();
-            self.queue_usage_report(request.customer, requests_grant, actions);
-        }
-        self.requests.queue.push_back(request.id);
-        self.dispatch(actions);
-        self.expire_if_overdue(request.id, actions);
-    }
+/// The way of a new request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ArrivalDecision {
+    /// It is decided now: by what is known here, or because it has no time to wait for more.
+    DecideNow,
+    /// It waits for a grant.
+    AwaitGrant {
+        /// What the grant has to cover.
+        scope: GrantScope,
+        /// When it is requested where others wait for one already.
+        timing: GrantTiming,
+    },
+}
 
-    /// Notes the customer, whose plan the request is judged by, and returns whether it was seen of late.
-    fn observe_customer(&mut self, request: &mut Request) -> Familiarity {
-        let now = self.now;
-        let plan = self.plan_of(request);
-        let set = GatewaySet::of(request, self.settings.gateway_count);
-        // Of a customer unseen here: its share, or one request, and what was refilled since this start.
-        let share = (plan.burst / set.size).max(request.units);
-        let refilled = plan.rate * self.quota.seconds_of_known_usage(now);
-        let tokens = self.quota.ownership.initial_tokens(plan, share + refilled);
-        let remote_rate = plan.rate * (1.0 - 1.0 / set.size);
-        let new = Customer { remote_rate, ..Customer::new(usize::from(request.plan), plan, tokens, now) };
-        self.record_identity(request.customer, set, new);
-        let Some(customer) = self.quota.customers.get_mut(&request.customer) else {
-            return Familiarity::Unseen;
-        };
-        let is_unseen = customer.last_seen_at == Instant::ZERO
-            || now.duration_since(customer.last_seen_at) > CUSTOMER_IDLE_TIME;
-        customer.last_seen_at = now;
-        request.plan = customer.plan as u16;
-        if is_unseen {
-            Familiarity::Unseen
-        } else {
-            Familiarity::Known
+impl ArrivalFacts<'_> {
+    /// Decides whether the request has to wait for a grant.
+    pub(crate) fn decide(&self) -> ArrivalDecision {
+        let needs_hard_limit = self.wait.hard_limit.is_some();
+        let lacks_hard_limit_alone = needs_hard_limit && self.wait.quota.is_none();
+        let has_to_ask = lacks_hard_limit_alone && self.grant.hard_limit_is_elsewhere;
+        let can_wait = self.now + self.min_queue_time <= self.deadline;
+        if !can_wait || (self.is_quota_known() && !has_to_ask) {
+            return ArrivalDecision::DecideNow;
+        }
+        ArrivalDecision::AwaitGrant {
+            scope: if needs_hard_limit { GrantScope::QuotaAndHardLimit } else { GrantScope::Quota },
+            timing: if has_to_ask { GrantTiming::AtOnce } else { GrantTiming::WithOthers },
         }
     }
 
-    /// Two wake-ups: with less time left a request cannot be held.
-    fn min_queue_time(&self) -> Duration {
-        self.settings.tick * WAKE_UP_TICKS * 2
+    /// Whether the quota is counted here, or a grant is recent enough to decide by.
+    fn is_quota_known(&self) -> bool {
+        let is_over_rate_quota = self.wait.quota.is_some() && self.plan.concurrency_quota == 0;
+        let freshness =
+            if is_over_rate_quota { REJECTION_FRESHNESS } else { self.ownership.grant_freshness() };
+        self.grant.is_quota_owner || self.grant.grant_age < freshness
     }
+}
 
-    /// Whether a request has the time to be held for two wake-ups.
-    pub(crate) fn can_be_queued(&self, state: &RequestState, now: Instant) -> bool {
-        now + self.min_queue_time() <= state.request.deadline
-    }
+/// What decides whether a request is admitted.
+pub(crate) struct AdmissionFacts {
+    /// The time.
+    pub now: Instant,
+    /// Whose request it is.
+    pub customer: CustomerId,
+    /// The limit of the customer's plan that does not allow it now.
+    pub shortage: Option<Shortage>,
+    /// Whether further answers to a request for a grant may come.
+    pub answers: GrantAnswers,
+    /// Attempts of this gateway in flight.
+    pub in_flight: u32,
+    /// Requests that wait for a backend.
+    pub queue_length: usize,
+    /// Attempts that this gateway may have in flight.
+    pub concurrency_limit: f64,
+}
 
-    /// Ends a request that was queued for as long as it may be; true if it need not wait.
-    pub(crate) fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else { return true };
-        let useful_duration = state.useful_duration(self.class_of(&state.request).latency_objective);
-        let queued_until = state.arrived_at + useful_duration.mul_f64(MAX_QUEUE_SHARE);
-        let overdue = self.now > queued_until || !self.can_be_queued(state, self.now);
-        if overdue {
-            self.reject_or_fail(id, actions);
-        }
-        overdue
-    }
+/// Whether a request is admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AdmissionDecision {
+    /// It is charged, and queued for a backend.
+    Admit,
+    /// It waits for the answer of another owner.
+    KeepWaiting,
+    /// It is rejected.
+    Reject {
+        /// Why.
+        reason: RejectReason,
+        /// When the client is advised to come again.
+        retry_after: Duration,
+    },
+}
 
-    /// Sends queued requests, in their order, while there is capacity.
-    pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
-        while let Some(id) = self.requests.queue.front().copied() {
-            let waits = self.requests.get(id).is_some_and(RequestState::awaits_attempt);
-            let saturated = self.concurrency_limiter.is_reached(self.load());
-            if waits && (saturated || !self.send_attempt(id, actions)) {
-                return;
+impl AdmissionFacts {
+    /// Decides whether the request is admitted.
+    pub(crate) fn decide(&self) -> AdmissionDecision {
+        match self.shortage {
+            Some(_) if self.answers == GrantAnswers::Outstanding => AdmissionDecision::KeepWaiting,
+            Some(shortage) => AdmissionDecision::Reject {
+                reason: RejectReason::OverQuota,
+                retry_after: Duration::from_secs_f64(shortage.seconds),
+            },
+            None if self.is_crowded_out() => {
+                AdmissionDecision::Reject { reason: RejectReason::Saturated, retry_after: Duration::MAX }
             }
-            self.requests.queue.pop_front();
+            None => AdmissionDecision::Admit,
         }
     }
 
-    /// Whether a request names a class and a plan that there are, and a sensible number of units.
-    fn is_valid(&self, request: &Request) -> bool {
-        let known_class = usize::from(request.class) < self.settings.classes.len();
-        let known_plan = usize::from(request.plan) < self.settings.plans.len();
-        known_class && known_plan && request.units.is_finite() && request.units >= 0.0
+    /// Whether the queue has no place for the customer. The fuller it is, the fewer customers may join it; the same
+    /// ones for a shedding epoch, since their retries would come too late to be of use.
+    fn is_crowded_out(&self) -> bool {
+        let queue_fill = self.queue_length as f64 / (self.concurrency_limit * MAX_QUEUE_SHARE);
+        let is_saturated = f64::from(self.in_flight) >= self.concurrency_limit;
+        is_saturated && epoch_draw(self.now, self.customer) >= 1.0 - queue_fill
     }
 }
+
+/// What ends a request's time in the queue.
+pub(crate) struct QueueFacts {
+    /// The time.
+    pub now: Instant,
+    /// When the request came.
+    pub arrived_at: Instant,
+    /// When the client gives up.
+    pub deadline: Instant,
+    /// How long an answer is worth something.
+    pub useful_duration: Duration,
+    /// See [`min_queue_time`].
+    pub min_queue_time: Duration,
+}
+
+impl QueueFacts {
+    /// Whether the request has been queued for as long as it may be, or has no time left to wait.
+    pub(crate) fn is_overdue(&self) -> bool {
+        let queued_until = self.arrived_at + self.useful_duration.mul_f64(MAX_QUEUE_SHARE);
+        self.now > queued_until || self.now + self.min_queue_time > self.deadline
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/admission/tests.rs
@@ -0,0 +1,1 @@
+//! Tests of [`super`].
--- a/src/policy/gateway.rs
+++ b/src/policy/gateway.rs
@@ -1,6 +1,7 @@
 //! The dispatch of events, and the life of a request from its arrival to its final answer.
 
 use super::load_shedding::MIN_STAGE_TIME_UP;
+use super::quota::ReportPurpose;
 use super::RejectReason;
 use crate::{Action, AttemptEnded, Discovery, Duration, Event, Gateway, Instant};
 use crate::{Idempotency, IdempotencyScope, RequestId};
@@ -58,7 +59,7 @@
         }
         self.backends.remove_if_drained(settled.backend);
         if settled.usage_changed {
-            self.queue_usage_report(settled.customer, false, actions);
+            self.queue_usage_report(settled.customer, ReportPurpose::Usage, actions);
         }
         self.dispatch(actions);
     }
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -178,7 +178,7 @@
         let class = self.class_of(&state.request);
         let worthless_when_late = class.late_weight == 0.0 && class.latency_objective_stretch == 0.0;
         let capped = self.plan_of(&state.request).concurrency_quota > 0;
-        if !self.quota.ownership.gives_up_worthless_attempts() || !capped || !worthless_when_late {
+        if !self.quota.ownership().gives_up_worthless_attempts() || !capped || !worthless_when_late {
             return None;
         }
         Some((state.arrived_at + class.latency_objective).max(self.now + self.settings.tick))
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -76,7 +76,7 @@
 
     /// Has peers told of an observation, in a large fleet: many know of a failure before they meet it.
     fn queue_sample(&mut self, seen: &Observation) {
-        if !self.quota.ownership.shares_latency_samples() || seen.class > MAX_CLASS {
+        if !self.quota.ownership().shares_latency_samples() || seen.class > MAX_CLASS {
             return;
         }
         let objective =
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -1,168 +1,169 @@
 //! What a gateway knows of a customer: its token buckets, its owners and the usage that gateways reported.
 
-use super::{GatewaySet, GrantRequest, HardLimitShare};
+use super::identity::CUSTOMER_IDLE_TIME;
+use super::{refill_time, GatewaySet, GatewayUsage, GrantRequest, HardLimitShare, IdentityClaim};
+use super::{OwnerAssignment, USAGE_RATE_TIME_CONSTANT};
 use crate::gossip::{wrap_total, TokenLevel, UsageReport, MAX_PLAN};
 use crate::state::decay;
 use crate::{CustomerId, Duration, Instant, Plan};
 use std::collections::BTreeMap;
 
 /// The highest count of attempts in flight that a message carries.
-pub const MAX_REPORTED_IN_FLIGHT: u8 = 127;
-
-/// What an owner knows of the usage through one other gateway.
-#[derive(Clone, Copy, Default)]
-pub struct GatewayUsage {
-    /// The total in the gateway's last report, see [`wrap_total`].
-    pub reported_total: u16,
-    /// Units that were granted, and charged here, before the gateway reported them.
-    pub granted_units: f64,
-    /// Units a second, of late.
-    pub rate: f64,
-    /// When the last report came.
-    pub reported_at: Instant,
-    /// Attempts in flight, with one that was granted and isn't reported yet.
-    pub in_flight: u8,
-}
-
-impl GatewayUsage {
-    /// Takes over a reported total, and the units that have come to it since the last report. The rate decays
-    /// with the time constant, in seconds.
-    pub fn record(&mut self, total: u16, units: f64, now: Instant, time_constant: Duration) {
-        let remaining = decay(self.reported_at, now, time_constant);
-        self.rate = (self.rate * remaining + units / time_constant.as_secs_f64()).max(0.0);
-        self.reported_total = total;
-        self.reported_at = now;
-    }
+pub(super) const MAX_REPORTED_IN_FLIGHT: u8 = 127;
+/// The least rate of usage through this gateway, as a part of its even share, where the usage of others is known.
+const MIN_OWN_RATE: f64 = 0.1;
+/// The smallest divisor of a share, in units a second, for a customer that uses nothing.
+const MIN_TOTAL_RATE: f64 = 1e-9;
+/// Idle times, or refill times, for which an owner keeps a record.
+const OWNER_RECORD_LIFETIMES: u64 = 4;
+/// The same at a gateway that is not an owner. An owner has to keep its record for longer than the gateways that report
+/// to it: what they count on would seem new to it.
+const RECORD_LIFETIMES: u64 = 2;
+
+/// Whether a gateway is an owner of a customer's quota.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Role {
+    /// It adds up the customer's usage.
+    Owner,
+    /// It reports usage to the owners.
+    Reporter,
 }
 
 /// A customer's record at one gateway.
 #[derive(Default)]
-pub struct Customer {
+pub(super) struct Customer {
     /// Index of the plan.
     pub plan: usize,
     /// The gateways that serve the customer.
     pub gateway_set: GatewaySet,
     /// How many more requests and reports have agreed with the plan and the set than not, of late.
     pub identity_confidence: u8,
-    /// Tokens in the quota's bucket, as far as known here.
+    /// Units in the quota's token bucket, as far as known here; negative for a debt.
     pub tokens: f64,
     /// When both buckets were last refilled.
     pub refilled_at: Instant,
-    /// Tokens that were missing in the quota's bucket when the record was made, because usage before this
-    /// gateway's start is not known.
+    /// Units that were missing in the quota's bucket when the record was made, because usage before this gateway's
+    /// start is not known.
     pub withheld_tokens: f64,
     /// This gateway's share of the hard limit.
     pub hard_limit: HardLimitShare,
-    /// Units sent on by this gateway since its start.
+    /// Units forwarded by this gateway since its start.
     pub total_units: f64,
-    /// Units a second through this gateway, of late.
+    /// Units a second through this gateway, decaying with [`USAGE_RATE_TIME_CONSTANT`].
     pub own_rate: f64,
     /// Attempts in flight from this gateway.
     pub in_flight: u32,
-    /// When a request or a report last named the customer; 0 for never.
+    /// When a request or a report last named the customer; [`Instant::ZERO`] for never.
     pub last_seen_at: Instant,
     /// The gateways that add up the customer's usage.
     pub quota_owners: Vec<u16>,
     /// Whether this gateway is one of the owners.
     pub is_quota_owner: bool,
-    /// At an owner: what each gateway reported.
+    /// What each gateway reported to this one, where this one is an owner.
     pub usage_by_gateway: BTreeMap<u16, GatewayUsage>,
-    /// Units a second through all other gateways, of late.
+    /// Units a second through all other gateways: added up by an owner, and told to the others with each grant.
     pub remote_rate: f64,
-    /// Attempts in flight from all other gateways.
+    /// Attempts in flight from all other gateways, likewise.
     pub remote_in_flight: u32,
-    /// Elsewhere: when an owner last sent a grant.
+    /// When a grant last came, to a gateway that is not an owner; [`Instant::ZERO`] for never.
     pub granted_at: Instant,
-    /// The last request for a grant, and who waits for it.
+    /// The last request for a grant, and the requests that wait for it.
     pub grant_request: GrantRequest,
 }
 
 impl Customer {
     /// A customer that was not known until now. What its bucket lacks to be full is withheld.
-    pub fn new(plan_index: usize, plan: &Plan, tokens: f64, now: Instant) -> Customer {
-        let withheld_tokens = plan.burst - tokens;
-        Customer { plan: plan_index, tokens, withheld_tokens, refilled_at: now, ..Customer::default() }
+    pub(super) fn new(
+        now: Instant,
+        claim: &IdentityClaim,
+        plan: &Plan,
+        assignment: OwnerAssignment,
+    ) -> Customer {
+        Customer {
+            plan: claim.plan,
+            gateway_set: assignment.gateway_set,
+            tokens: claim.tokens,
+            withheld_tokens: plan.burst - claim.tokens,
+            remote_rate: claim.remote_rate,
+            refilled_at: now,
+            hard_limit: HardLimitShare {
+                owners: assignment.hard_limit_owners,
+                fraction: assignment.hard_limit_fraction,
+                ..HardLimitShare::default()
+            },
+            quota_owners: assignment.quota_owners,
+            is_quota_owner: assignment.is_quota_owner,
+            ..Customer::default()
+        }
     }
 
-    /// Notes the end of an attempt, and by how much its true units are more than were charged.
-    pub fn end_attempt(&mut self, correction: f64) {
-        self.in_flight = self.in_flight.saturating_sub(1);
-        self.tokens -= correction;
-        self.total_units += correction;
+    /// Whether the record has the plan and the gateways that a request or a report names.
+    pub(super) fn agrees_with(&self, claim: &IdentityClaim) -> bool {
+        self.plan == claim.plan && self.gateway_set == claim.gateway_set
     }
 
-    /// Takes over another plan and set of gateways. The requests in hand and the total go on.
-    pub fn replace_identity(&mut self, new: Customer) {
+    /// Changes to another plan and set of gateways. Requests that wait or are in flight and the total go on.
+    pub(super) fn replace_identity(&mut self, new: Customer) {
         let old = std::mem::replace(self, new);
         self.grant_request.waiting = old.grant_request.waiting;
         self.in_flight = old.in_flight;
         self.total_units = old.total_units;
     }
 
-    /// Adds the tokens since the last refill, up to the capacity of the buckets.
-    pub fn add_tokens(&mut self, plan: &Plan, refill_rate: f64, now: Instant) {
-        let elapsed = now.duration_since(self.refilled_at).as_secs_f64();
-        self.tokens = (self.tokens + refill_rate * elapsed).min(plan.burst);
-        self.hard_limit.refill(plan, elapsed);
+    /// This gateway's share of the customer's usage, from 0 to 1.
+    ///
+    /// A gateway that sees little of the customer counts with a floor, so that its share of the tokens is never nothing.
+    pub(super) fn own_share(&self, plan: &Plan) -> f64 {
+        let knows_others = self.is_quota_owner || self.granted_at > Instant::ZERO;
+        let floor = if knows_others { MIN_OWN_RATE } else { 1.0 };
+        let own_rate = self.own_rate.max(plan.rate / self.gateway_set.size.max(1.0) * floor);
+        own_rate / (own_rate + self.remote_rate).max(MIN_TOTAL_RATE)
+    }
+
+    /// Refills both token buckets up to now.
+    pub(super) fn refill(&mut self, plan: &Plan, now: Instant) {
+        let remaining = decay(self.refilled_at, now, USAGE_RATE_TIME_CONSTANT);
+        self.own_rate *= remaining;
+        let refill_rate = if self.is_quota_owner {
+            self.remote_rate *= remaining;
+            plan.rate
+        } else {
+            // Between two grants the usage of other gateways goes on unreported: it is taken off the refill.
+            (plan.rate - self.remote_rate).max(plan.rate * self.own_share(plan))
+        };
+        let elapsed_seconds = now.duration_since(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + refill_rate * elapsed_seconds).min(plan.burst);
+        self.hard_limit.refill(plan, elapsed_seconds);
         self.refilled_at = now;
     }
 
-    /// Draws units from both buckets; negative units are given back. The rate of usage decays with the time
-    /// constant, in seconds.
-    pub fn charge(&mut self, plan: &Plan, units: f64, time_constant: Duration) {
+    /// Draws units from both buckets; negative units are given back.
+    pub(super) fn charge(&mut self, plan: &Plan, units: f64) {
         self.tokens = (self.tokens - units).clamp(-plan.burst, plan.burst);
         self.hard_limit.charge(plan, units);
         self.total_units += units;
-        self.own_rate = (self.own_rate + units / time_constant.as_secs_f64()).max(0.0);
-    }
-
-    /// Attempts in flight from all gateways but the one with this usage.
-    pub fn in_flight_without(&self, usage: &GatewayUsage) -> u32 {
-        self.in_flight + self.remote_in_flight.saturating_sub(u32::from(usage.in_flight))
+        self.own_rate = (self.own_rate + units / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
     }
 
-    /// At an owner: takes over the attempts in flight that a gateway reports. What it is granted counts
-    /// already: one more attempt, and the units that it requests.
-    pub fn reserve(&mut self, usage: &mut GatewayUsage, report: &UsageReport, granted: bool) {
-        let others_in_flight = self.in_flight_without(usage);
-        let is_countable = report.in_flight < MAX_REPORTED_IN_FLIGHT;
-        usage.in_flight = report.in_flight + u8::from(granted && is_countable);
-        self.remote_in_flight = others_in_flight - self.in_flight + u32::from(usage.in_flight);
-        usage.granted_units = if granted { report.requested_units } else { 0.0 };
-        self.tokens -= usage.granted_units;
-    }
-
-    /// Drops what a gateway reported before it restarted.
-    pub fn forget_usage_of(&mut self, gateway: u16) {
-        if let Some(usage) = self.usage_by_gateway.remove(&gateway) {
-            self.remote_in_flight -= u32::from(usage.in_flight).min(self.remote_in_flight);
-        }
-    }
-
-    /// Drops the attempts in flight of gateways whose last report is older than `lifetime`.
-    pub fn expire_reported_in_flight(&mut self, now: Instant, lifetime: Duration) {
-        for usage in self
-            .usage_by_gateway
-            .values_mut()
-            .filter(|usage| now.duration_since(usage.reported_at) > lifetime)
-        {
-            usage.in_flight = 0;
-        }
-        self.remote_in_flight = self.usage_by_gateway.values().map(|usage| u32::from(usage.in_flight)).sum();
+    /// Records the end of an attempt, and by how many units it took more than was charged.
+    pub(super) fn end_attempt(&mut self, correction_units: f64) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.tokens -= correction_units;
+        self.total_units += correction_units;
     }
 
-    /// Whether each owner of the hard limit that this gateway can ask has answered its request.
-    pub fn hard_limit_owners_answered(&self, own_id: u16) -> bool {
-        let has_answered = |owner: &u16| self.grant_request.answered_by.contains(owner);
-        let can_be_asked = |owner: &u16| *owner != own_id && self.quota_owners.contains(owner);
-        self.hard_limit.owners.iter().all(|owner| !can_be_asked(owner) || has_answered(owner))
+    /// Whether the record has to be kept: a customer that comes again starts with full buckets.
+    pub(super) fn must_be_kept(&self, plan: &Plan, now: Instant) -> bool {
+        let in_use = self.in_flight > 0 || !self.grant_request.waiting.is_empty();
+        let role = if self.is_quota_owner { Role::Owner } else { Role::Reporter };
+        in_use || now.duration_since(self.last_seen_at) <= record_lifetime(plan, role)
     }
 
-    /// A report of its usage, without a request for a grant. The level of the quota's bucket, as a part of
-    /// the plan's `burst`, is included where it is known.
-    pub fn usage_report(&self, customer: CustomerId, burst: Option<f64>) -> UsageReport {
+    /// A report of the usage, without a request for a grant. The level of the quota's bucket is included where it is
+    /// known, as a part of the plan's `burst`.
+    pub(super) fn usage_report(&self, id: CustomerId, burst: Option<f64>) -> UsageReport {
         UsageReport {
-            customer,
+            customer: id,
             plan: self.plan.min(MAX_PLAN) as u8,
             total_units: wrap_total(self.total_units),
             in_flight: self.in_flight.min(u32::from(MAX_REPORTED_IN_FLIGHT)) as u8,
@@ -175,3 +176,12 @@
         }
     }
 }
+
+/// How long a gateway keeps the record of a customer that no longer comes.
+pub(super) fn record_lifetime(plan: &Plan, role: Role) -> Duration {
+    let lifetimes = match role {
+        Role::Owner => OWNER_RECORD_LIFETIMES,
+        Role::Reporter => RECORD_LIFETIMES,
+    };
+    CUSTOMER_IDLE_TIME.max(refill_time(plan)) * lifetimes
+}
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -1,11 +1,68 @@
-//! A customer's request for a grant.
+//! Requests for grants: who waits for one, when it is asked for, and what a grant means to those that wait.
 
-use crate::{Instant, RequestId};
+use super::token_wait::is_recent;
+use super::{Customer, QuotaManager};
+use crate::gossip::{wrap_total, wrapping_delta, QuotaGrant};
+use crate::{CustomerId, Duration, Instant, Plan, Request, RequestId};
 
-/// What was last asked of a customer's owners, and who waits for the answer.
+/// The longest wait for a grant, and the time after which one that others wait for is requested again.
+const MAX_GRANT_WAIT: Duration = Duration::from_millis(100);
+/// A request waits for a grant for a fifth of its time at most: the rest is for its attempts.
+const GRANT_WAITS_PER_REQUEST: u64 = 5;
+/// Share of an owner's messages that requests for grants on one customer may be; others are skipped.
+const MAX_GRANT_REQUEST_SHARE: f64 = 0.25;
+/// Units of the hard limit that are granted later than this after the request for them lapse.
+const HARD_LIMIT_GRANT_LIFETIME: Duration = Duration::from_millis(250);
+
+/// What a request for a grant has to cover.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum GrantScope {
+    /// The quota alone.
+    Quota,
+    /// Units of the hard limit, too: this gateway's share lacks them.
+    QuotaAndHardLimit,
+}
+
+/// When a grant is requested where others wait for one already.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum GrantTiming {
+    /// At once: what was requested for the others is not enough.
+    AtOnce,
+    /// Only if the last request for one is old.
+    WithOthers,
+}
+
+/// Whether a grant has to be requested of the owners.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum GrantRequestStep {
+    /// The owners are to be asked now.
+    Ask,
+    /// They were asked a short time ago, and their answer stands for this request, too.
+    AwaitAnswer,
+}
+
+/// Whether further answers to a request for a grant may come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum GrantAnswers {
+    /// All have come, or none is waited for any longer.
+    Complete,
+    /// Another owner may still grant what this one did not have.
+    Outstanding,
+}
+
+/// The requests that an answer of an owner is for.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct AnsweredRequests {
+    /// The requests that wait.
+    pub waiting: Vec<RequestId>,
+    /// Whether further answers may come.
+    pub answers: GrantAnswers,
+}
+
+/// What was last asked of a customer's owners, and which requests wait for the answer.
 #[derive(Default)]
-pub struct GrantRequest {
-    /// When the grant was requested; 0 for never.
+pub(super) struct GrantRequest {
+    /// When the grant was requested; [`Instant::ZERO`] for never.
     pub requested_at: Instant,
     /// The units that it is requested for.
     pub units: f64,
@@ -13,18 +70,126 @@
     pub needs_hard_limit: bool,
     /// The owners that have answered.
     pub answered_by: Vec<u16>,
-    /// Whether the owner has charged the units already.
+    /// Whether an owner has charged the units already.
     pub charged_by_owner: bool,
     /// The requests that wait for the grant.
     pub waiting: Vec<RequestId>,
 }
 
 impl GrantRequest {
-    /// Notes a new request for a grant, which nobody has answered.
-    pub fn start(&mut self, now: Instant, units: f64, needs_hard_limit: bool) {
+    /// Begins a new request for a grant, which nobody has answered.
+    fn start(&mut self, now: Instant, units: f64, scope: GrantScope) {
         self.requested_at = now;
         self.units = units;
-        self.needs_hard_limit = needs_hard_limit;
+        self.needs_hard_limit = scope == GrantScope::QuotaAndHardLimit;
         self.answered_by.clear();
     }
 }
+
+impl QuotaManager {
+    /// How long a request may wait for a grant from a time on: as long as a fifth of its latency objective, or of the
+    /// time until its deadline.
+    pub(crate) fn grant_wait(from: Instant, deadline: Instant, latency_objective: Duration) -> Duration {
+        let left = deadline.duration_since(from).min(latency_objective);
+        MAX_GRANT_WAIT.min(left / GRANT_WAITS_PER_REQUEST)
+    }
+
+    /// Has a request wait for a grant, and tells whether the owners have to be asked for one.
+    pub(crate) fn await_grant(
+        &mut self,
+        now: Instant,
+        request: &Request,
+        scope: GrantScope,
+        timing: GrantTiming,
+    ) -> GrantRequestStep {
+        let Some(customer) = self.customers.get_mut(&request.customer) else {
+            return GrantRequestStep::AwaitAnswer;
+        };
+        let grant_request = &mut customer.grant_request;
+        grant_request.waiting.push(request.id);
+        let is_first = grant_request.waiting.len() == 1;
+        let is_old = now.duration_since(grant_request.requested_at) > MAX_GRANT_WAIT;
+        if !is_first && !is_old && timing == GrantTiming::WithOthers {
+            return GrantRequestStep::AwaitAnswer;
+        }
+        grant_request.start(now, request.units, scope);
+        GrantRequestStep::Ask
+    }
+
+    /// Ends the wait of a request for a grant. What was granted of the hard limit lapses with the last one.
+    pub(crate) fn stop_awaiting_grant(&mut self, customer: CustomerId, id: RequestId) {
+        let Some(customer) = self.customers.get_mut(&customer) else { return };
+        customer.grant_request.waiting.retain(|waiting| *waiting != id);
+        if customer.grant_request.waiting.is_empty() {
+            customer.hard_limit.granted = 0.0;
+        }
+    }
+
+    /// Whether a request is rejected without asking for a grant, because requests for grants on its customer are so
+    /// many that its owner would lose other messages. `draw`, from 0 to 1, chooses which of them are skipped.
+    pub(crate) fn skips_grant_request(&self, now: Instant, customer: CustomerId, draw: f64) -> bool {
+        let Some(customer) = self.customers.get(&customer) else { return false };
+        let has_concurrency_quota = self.settings.plans[customer.plan].concurrency_quota > 0;
+        let max_request_rate = MAX_GRANT_REQUEST_SHARE * self.settings.peer_messages_per_second;
+        self.settings.ownership.rations_grant_requests()
+            && has_concurrency_quota
+            && !customer.is_quota_owner
+            && is_recent(now, customer.granted_at)
+            && draw * customer.remote_rate > max_request_rate
+    }
+
+    /// Handles the answer of an owner, a grant or that there is none; none if nothing was asked of the sender.
+    pub(crate) fn on_grant(
+        &mut self,
+        now: Instant,
+        from: u16,
+        grant: &QuotaGrant,
+    ) -> Option<AnsweredRequests> {
+        let own_id = self.settings.own_id;
+        let (customer, plan) = self.refill(grant.customer, now)?;
+        if !customer.quota_owners.contains(&from) {
+            return None;
+        }
+        if !customer.is_quota_owner {
+            customer.apply_grant(plan, grant, now);
+        }
+        customer.grant_request.answered_by.push(from);
+        // Units of the hard limit are for a request that waits: kept longer, they would overfill the bucket.
+        if now.duration_since(customer.grant_request.requested_at) < HARD_LIMIT_GRANT_LIFETIME {
+            customer.hard_limit.granted += grant.hard_limit_grant;
+        }
+        let answers = if customer.hard_limit_owners_answered(own_id) {
+            GrantAnswers::Complete
+        } else {
+            GrantAnswers::Outstanding
+        };
+        tracing::debug!(
+            target: "policy", customer = grant.customer.0, from, tokens = grant.tokens,
+            remote_in_flight = grant.remote_in_flight, hard_limit_units = grant.hard_limit_grant, ?answers,
+            "grant received"
+        );
+        Some(AnsweredRequests { waiting: customer.grant_request.waiting.clone(), answers })
+    }
+}
+
+impl Customer {
+    /// Sets the bucket to what an owner says, less the usage that the owner cannot know of yet.
+    fn apply_grant(&mut self, plan: &Plan, grant: &QuotaGrant, now: Instant) {
+        self.remote_rate = grant.remote_rate;
+        self.remote_in_flight = u32::from(grant.remote_in_flight);
+        self.granted_at = now;
+        self.tokens = grant.tokens - wrapping_delta(grant.receiver_total, wrap_total(self.total_units));
+        // What the owner granted it has charged, too: it need not be reported again.
+        let had_tokens = plan.burst <= 0.0 || grant.tokens >= self.grant_request.units;
+        let in_flight = self.remote_in_flight + self.in_flight;
+        let had_concurrency = plan.concurrency_quota == 0 || in_flight < plan.concurrency_quota;
+        self.grant_request.charged_by_owner = had_tokens && had_concurrency;
+    }
+
+    /// Whether each owner of the hard limit that this gateway can ask has answered its request.
+    fn hard_limit_owners_answered(&self, own_id: u16) -> bool {
+        let has_answered = |owner: &u16| self.grant_request.answered_by.contains(owner);
+        let can_be_asked = |owner: &u16| *owner != own_id && self.quota_owners.contains(owner);
+        self.hard_limit.owners.iter().all(|owner| !can_be_asked(owner) || has_answered(owner))
+    }
+}
--- /dev/null
+++ b/src/policy/quota/identity.rs
@@ -0,0 +1,88 @@
+//! What requests and reports say of a customer's plan and gateways, and which of it is believed.
+
+use super::{Customer, GatewaySet, QuotaManager};
+use crate::policy::load_shedding::Familiarity;
+use crate::{CustomerId, Duration, Instant, Request};
+use std::collections::btree_map::Entry;
+
+/// Requests under another plan or set of gateways that a customer's record outlasts.
+const MAX_IDENTITY_CONFIDENCE: u8 = 8;
+/// A customer unseen for so long is as good as unknown.
+pub(super) const CUSTOMER_IDLE_TIME: Duration = Duration::from_secs(10);
+
+/// What one request or report says of its customer, and what its record begins with if there is none yet.
+#[derive(Clone, Copy)]
+pub(super) struct IdentityClaim {
+    /// Index of the plan.
+    pub plan: usize,
+    /// The gateways that serve the customer, in whole gateways.
+    pub gateway_set: GatewaySet,
+    /// Units in the quota's token bucket.
+    pub tokens: f64,
+    /// Units a second through all other gateways.
+    pub remote_rate: f64,
+}
+
+/// What is known of the customer of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ObservedCustomer {
+    /// Index of the plan by which the request is judged.
+    pub plan: u16,
+    /// Whether the customer was seen of late.
+    pub familiarity: Familiarity,
+}
+
+impl QuotaManager {
+    /// Records which customer a request comes from. The request has to name a plan that there is.
+    pub(crate) fn observe_request(&mut self, now: Instant, request: &Request) -> ObservedCustomer {
+        let plan = &self.settings.plans[usize::from(request.plan)];
+        let set = GatewaySet::of(request, self.settings.gateway_count);
+        // This gateway's share of the burst, or one request, and what was refilled since the start.
+        let share = (plan.burst / set.size).max(request.units);
+        let refilled = plan.rate * self.seconds_of_known_usage(now);
+        let claim = IdentityClaim {
+            plan: usize::from(request.plan),
+            gateway_set: set.in_whole_gateways(self.settings.gateway_count),
+            tokens: self.settings.ownership.initial_tokens(plan, share + refilled),
+            remote_rate: plan.rate * (1.0 - 1.0 / set.size),
+        };
+        let customer = self.record_identity(now, request.customer, &claim);
+        let is_unseen = customer.last_seen_at == Instant::ZERO
+            || now.duration_since(customer.last_seen_at) > CUSTOMER_IDLE_TIME;
+        customer.last_seen_at = now;
+        let familiarity = if is_unseen { Familiarity::Unseen } else { Familiarity::Known };
+        ObservedCustomer { plan: customer.plan as u16, familiarity }
+    }
+
+    /// Records the plan and the gateways that a request or a report names for a customer, and returns its record.
+    ///
+    /// Whoever sends a request may name any plan. The record follows what most requests and reports say, so that
+    /// neither the first nor a single one decides.
+    pub(super) fn record_identity(
+        &mut self,
+        now: Instant,
+        id: CustomerId,
+        claim: &IdentityClaim,
+    ) -> &mut Customer {
+        let entry = match self.customers.entry(id) {
+            Entry::Vacant(vacant) => {
+                let customer = self.settings.new_customer(now, id, claim, f64::MAX);
+                return vacant.insert(customer);
+            }
+            Entry::Occupied(occupied) => occupied.into_mut(),
+        };
+        if entry.agrees_with(claim) {
+            entry.identity_confidence = (entry.identity_confidence + 1).min(MAX_IDENTITY_CONFIDENCE);
+        } else if entry.identity_confidence > 0 {
+            entry.identity_confidence -= 1;
+        } else {
+            tracing::debug!(
+                target: "policy", customer = id.0, from_plan = entry.plan, to_plan = claim.plan, "identity replaced"
+            );
+            // The bucket must not begin full again each time that somebody makes the record change.
+            let max_hard_limit_tokens = entry.hard_limit.tokens;
+            entry.replace_identity(self.settings.new_customer(now, id, claim, max_hard_limit_tokens));
+        }
+        entry
+    }
+}
--- /dev/null
+++ b/src/policy/quota/owner_assignment.rs
@@ -0,0 +1,63 @@
+//! The assignment of a customer's quota, and of its hard limit, to gateways.
+
+use super::{GatewaySet, QuotaSettings};
+use crate::state::hash;
+use crate::{CustomerId, Plan};
+
+/// Part of a hard limit that two gateways hold and grant on request. The rest is spread evenly over all gateways of
+/// the customer, for when no owner answers.
+const POOLED_HARD_LIMIT: f64 = 0.5;
+/// Gateways that hold the pooled part.
+const HARD_LIMIT_OWNERS: f64 = 2.0;
+
+/// Who owns the quota of a customer. All gateways come to the same result, each by itself.
+pub(super) struct OwnerAssignment {
+    /// The gateways that the customer's requests come to.
+    pub gateway_set: GatewaySet,
+    /// The gateways that add up its usage.
+    pub quota_owners: Vec<u16>,
+    /// Whether this gateway is one of them.
+    pub is_quota_owner: bool,
+    /// The two gateways that hold most of its hard limit; the same one twice where it is alone.
+    pub hard_limit_owners: [u16; 2],
+    /// The share of the hard limit that is this gateway's own.
+    pub hard_limit_fraction: f64,
+}
+
+impl OwnerAssignment {
+    /// Assigns a customer's owners by its identifier and its set of gateways, in whole gateways.
+    pub(super) fn new(
+        settings: &QuotaSettings,
+        id: CustomerId,
+        set: GatewaySet,
+        plan: &Plan,
+    ) -> OwnerAssignment {
+        let (own_id, gateway_count) = (settings.own_id, settings.gateway_count);
+        let hard_limit_owners =
+            owner_positions(id, set.size).map(|position| set.member(position, gateway_count));
+        let mut quota_owners = settings.ownership.owners(set, gateway_count, hard_limit_owners, plan);
+        quota_owners.dedup();
+        let is_quota_owner = quota_owners.contains(&own_id);
+        let owned = hard_limit_owners.iter().filter(|owner| **owner == own_id).count() as f64;
+        let hard_limit_fraction =
+            (1.0 - POOLED_HARD_LIMIT) / set.size + owned * POOLED_HARD_LIMIT / HARD_LIMIT_OWNERS;
+        OwnerAssignment {
+            gateway_set: set,
+            quota_owners,
+            is_quota_owner,
+            hard_limit_owners,
+            hard_limit_fraction,
+        }
+    }
+}
+
+/// The positions of two different members of a set of so many gateways, drawn by the customer's identifier. They are
+/// the same where the set has but one.
+fn owner_positions(id: CustomerId, set_size: f64) -> [u64; 2] {
+    let first = (hash(id.0) * set_size) as u64;
+    let distance = 1 + (hash(!id.0) * (set_size - 1.0)) as u64;
+    [first, first + distance]
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/quota/token_wait.rs
+++ b/src/policy/quota/token_wait.rs
@@ -1,17 +1,146 @@
-//! How long a request has to wait for tokens.
+//! How long a request has to wait until its customer's quota and hard limit allow it.
 
-/// Seconds until the token buckets of a customer may have what a request needs; none where they have it now.
+use super::{time_to_refill, Customer, QuotaManager};
+use crate::state::{hash, MICROS_PER_SECOND};
+use crate::{Duration, Instant, Plan, Request};
+
+/// How long a grant holds where no newer one comes. After that a customer is admitted: most are inside their
+/// quota, and a large fleet whose messages are lost would otherwise reject them all.
+pub(super) const GRANT_LIFETIME: Duration = Duration::from_secs(2);
+/// The fewest units of a request by which the attempts of peers are estimated from the units that they used.
+const MIN_UNITS_PER_ATTEMPT: f64 = 0.1;
+/// Bits by which a gateway's start, in microseconds, is shifted before it is mixed with a request's identifier.
+const START_SALT_SHIFT: u32 = 24;
+
+/// A limit of a customer's plan.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum QuotaLimit {
+    /// The quota on the rate of units.
+    Rate,
+    /// The quota on attempts in flight.
+    Concurrency,
+    /// The hard limit on the rate of units.
+    HardLimit,
+}
+
+/// A limit that does not allow a request now.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct Shortage {
+    /// The limit.
+    pub limit: QuotaLimit,
+    /// Seconds until it may allow the request.
+    pub seconds: f64,
+}
+
+/// The limits that a request has to wait for; none that allow it now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TokenWait {
-    /// Until the quota, on the rate or on attempts in flight, may allow the request.
-    pub quota: Option<f64>,
-    /// Until the hard limit may allow the request.
-    pub hard_limit: Option<f64>,
+pub(crate) struct TokenWait {
+    /// The quota, on the rate or on attempts in flight.
+    pub quota: Option<Shortage>,
+    /// The hard limit.
+    pub hard_limit: Option<Shortage>,
 }
 
 impl TokenWait {
-    /// The longer of the waits.
-    pub fn longest(self) -> Option<f64> {
-        self.quota.into_iter().chain(self.hard_limit).reduce(f64::max)
+    /// The limit that takes longest.
+    pub(crate) fn longest(self) -> Option<Shortage> {
+        let longer = |one: Shortage, other: Shortage| if other.seconds > one.seconds { other } else { one };
+        self.quota.into_iter().chain(self.hard_limit).reduce(longer)
+    }
+}
+
+/// What a request's wait depends on, besides its customer's record.
+#[derive(Clone, Copy)]
+pub(crate) struct TokenFacts<'a> {
+    /// The time.
+    pub now: Instant,
+    /// The request, under its customer's plan.
+    pub request: &'a Request,
+    /// Seconds that an answer of the request's class takes on unloaded backends.
+    pub answer_seconds: f64,
+}
+
+impl QuotaManager {
+    /// How long a request has to wait for the tokens that it needs. `last_heard_at` tells when a message of a peer
+    /// last came, if ever.
+    pub(crate) fn token_wait(
+        &mut self,
+        facts: &TokenFacts<'_>,
+        last_heard_at: impl Fn(u16) -> Option<Instant>,
+    ) -> TokenWait {
+        let (ownership, started_at) = (self.settings.ownership, self.settings.started_at);
+        let Some((customer, plan)) = self.refill(facts.request.customer, facts.now) else {
+            return TokenWait::default();
+        };
+        let units = facts.request.units;
+        let usage_known = ownership.knows_usage_without_grant()
+            || customer.is_quota_owner
+            || is_recent(facts.now, customer.granted_at);
+        // Peers have used some units since their last reports.
+        let unreported_units =
+            customer.remote_rate * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND;
+        let rate_wait = customer.wait_for_rate(plan, unreported_units, units).filter(|_| usage_known);
+        let at_concurrency_quota = plan.concurrency_quota > 0
+            && if usage_known {
+                customer.estimated_in_flight(unreported_units, units) >= plan.concurrency_quota
+            } else {
+                customer.presumes_owners_overloaded(plan, facts, started_at, last_heard_at)
+            };
+        let rate = rate_wait.map(|seconds| Shortage { limit: QuotaLimit::Rate, seconds });
+        let concurrency = at_concurrency_quota.then(|| Shortage {
+            limit: QuotaLimit::Concurrency,
+            seconds: rate_wait.unwrap_or(0.0).max(facts.answer_seconds),
+        });
+        let hard_limit = customer.hard_limit.wait_for(plan, units);
+        TokenWait {
+            quota: concurrency.or(rate),
+            hard_limit: hard_limit.map(|seconds| Shortage { limit: QuotaLimit::HardLimit, seconds }),
+        }
     }
 }
+
+impl Customer {
+    /// Seconds until the quota's bucket may have a request's units, where peers used some unreported; none if it has
+    /// them now, or if there is no quota on the rate.
+    fn wait_for_rate(&self, plan: &Plan, unreported_units: f64, units: f64) -> Option<f64> {
+        // The usage of peers is taken off, up to their share of the tokens.
+        let peers_tokens = self.tokens.max(0.0) * (1.0 - self.own_share(plan));
+        let available = self.tokens - unreported_units.min(peers_tokens);
+        time_to_refill(available, units, plan.rate).filter(|_| plan.rate > 0.0)
+    }
+
+    /// Attempts in flight from all gateways, with those that peers have likely begun since their last reports. Without
+    /// the latter the gateways of a heavy user would all wait for the same attempt to end, and begin one each.
+    fn estimated_in_flight(&self, unreported_units: f64, units: f64) -> u32 {
+        let unreported_attempts = (unreported_units / units.max(MIN_UNITS_PER_ATTEMPT)) as u32;
+        self.in_flight + self.remote_in_flight + unreported_attempts
+    }
+
+    /// Whether owners that sent no grant are taken to be overloaded by a customer far beyond its concurrency quota.
+    ///
+    /// Owners that send other messages are overloaded. One that is silent may be down, so that a draw decides: the
+    /// more a wrong admission costs, the fewer requests are admitted.
+    fn presumes_owners_overloaded(
+        &self,
+        plan: &Plan,
+        facts: &TokenFacts<'_>,
+        started_at: Instant,
+        last_heard_at: impl Fn(u16) -> Option<Instant>,
+    ) -> bool {
+        if self.grant_request.requested_at == Instant::ZERO {
+            return false;
+        }
+        let draw = hash(facts.request.id.0 ^ started_at.as_micros() << START_SALT_SHIFT);
+        let loses_draw = draw * (1.0 + plan.over_quota_cost) > 1.0;
+        let is_alive = |owner: &u16| last_heard_at(*owner).is_some_and(|heard| is_recent(facts.now, heard));
+        loses_draw || self.quota_owners.iter().all(is_alive)
+    }
+}
+
+/// Whether a time is within the lifetime of a grant.
+pub(super) fn is_recent(now: Instant, time: Instant) -> bool {
+    now.duration_since(time) < GRANT_LIFETIME
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/quota/usage_report.rs
@@ -0,0 +1,215 @@
+//! The owner's side of usage reports: what a report adds to a customer's usage, and the grant that answers it.
+
+use super::customer::{record_lifetime, Role, MAX_REPORTED_IN_FLIGHT};
+use super::{Customer, GatewaySet, GatewayUsage, IdentityClaim, QuotaManager, USAGE_RATE_TIME_CONSTANT};
+use crate::gossip::{floor_to_wire_units, wrapping_delta, PeerAge, QuotaGrant, UsageReport};
+use crate::{Duration, Instant, Plan};
+
+/// Most units, as a part of the burst, that the first report of an older gateway may be believed to add.
+const MAX_FIRST_UNITS: f64 = 0.25;
+
+/// An owner's answer to a request for a grant.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum GrantDecision {
+    /// The units are charged, and one more attempt counts as in flight.
+    Granted,
+    /// The report requested no grant.
+    NotRequested,
+    /// The quota's bucket has too few tokens.
+    NoTokens,
+    /// As many attempts are in flight as the quota allows.
+    AtConcurrencyQuota,
+}
+
+/// What the total in a usage report may count, besides usage since the report before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum TotalScope {
+    /// Nothing.
+    SinceLastReport,
+    /// Usage of before this gateway's start: it is the first report of a gateway that has run for longer.
+    MayPredateThisStart,
+}
+
+impl QuotaManager {
+    /// Records the usage report of a peer; the answer if it requests a grant.
+    pub(crate) fn on_usage_report(
+        &mut self,
+        now: Instant,
+        from: u16,
+        sender_age: PeerAge,
+        report: &UsageReport,
+    ) -> Option<QuotaGrant> {
+        self.observe_reported_customer(now, report)?;
+        let ownership = self.settings.ownership;
+        let may_predate = sender_age == PeerAge::Older && !self.fleet_just_started(now);
+        let (customer, plan) = self.refill(report.customer, now)?;
+        if customer.plan != usize::from(report.plan) || !customer.is_quota_owner {
+            return None;
+        }
+        customer.last_seen_at = customer.last_seen_at.max(now);
+        let known_usage = customer.usage_by_gateway.get(&from).copied();
+        let mut usage = known_usage.unwrap_or_default();
+        customer.reset_total_of_forgetful_sender(plan, &mut usage, now, from, report);
+        let scope = if may_predate && known_usage.is_none() {
+            TotalScope::MayPredateThisStart
+        } else {
+            TotalScope::SinceLastReport
+        };
+        let units = customer.new_units(plan, usage.reported_total, scope, report);
+        let lowest_tokens = ownership.lowest_tokens(plan, customer.tokens);
+        customer.tokens = (customer.tokens + usage.granted_units - units).clamp(lowest_tokens, plan.burst);
+        // A rate of requests for grants is one of the customer, the sender's own requests included.
+        let counts_requests = ownership.counts_grant_requests(plan);
+        let requests = f64::from(u8::from(report.requests_grant));
+        let (counted, counted_for_sender) = if counts_requests { (requests, 0.0) } else { (units, units) };
+        usage.record(now, report.total_units, counted_for_sender);
+        customer.remote_rate =
+            (customer.remote_rate + counted / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
+        let grant = customer.grant(plan, &mut usage, from, report);
+        customer.usage_by_gateway.insert(from, usage);
+        report.requests_grant.then_some(grant)
+    }
+
+    /// Records the customer of a report; none if its plan is unknown. One that never came here has the tokens that the
+    /// peer says, or what was refilled since this start.
+    fn observe_reported_customer(&mut self, now: Instant, report: &UsageReport) -> Option<()> {
+        let plan = self.settings.plans.get(usize::from(report.plan))?;
+        let refilled = plan.rate * self.seconds_of_known_usage(now);
+        let presumed = self.settings.ownership.initial_tokens(plan, refilled);
+        let reported = report.tokens_level.tokens(plan.burst).filter(|_| !self.fleet_just_started(now));
+        let set = GatewaySet { start: report.gateway_set_start, size: report.gateway_set_size.into() };
+        let claim = IdentityClaim {
+            plan: usize::from(report.plan),
+            gateway_set: set.in_whole_gateways(self.settings.gateway_count),
+            tokens: reported.unwrap_or(presumed),
+            remote_rate: 0.0,
+        };
+        self.record_identity(now, report.customer, &claim);
+        Some(())
+    }
+}
+
+impl Customer {
+    /// Counts a sender's total from nothing where it is less than the last one and the sender has had the time to forget
+    /// the customer: it counts anew then.
+    fn reset_total_of_forgetful_sender(
+        &self,
+        plan: &Plan,
+        usage: &mut GatewayUsage,
+        now: Instant,
+        from: u16,
+        report: &UsageReport,
+    ) {
+        let has_fallen = wrapping_delta(usage.reported_total, report.total_units) < 0.0;
+        let role = if self.quota_owners.contains(&from) { Role::Owner } else { Role::Reporter };
+        if has_fallen && now.duration_since(usage.reported_at) > record_lifetime(plan, role) {
+            usage.reported_total = 0;
+        }
+    }
+
+    /// The units used through a gateway since its last report.
+    fn new_units(&mut self, plan: &Plan, last_total: u16, scope: TotalScope, report: &UsageReport) -> f64 {
+        let units = wrapping_delta(last_total, report.total_units);
+        let may_predate = scope == TotalScope::MayPredateThisStart;
+        if may_predate && units.abs() > plan.burst * MAX_FIRST_UNITS {
+            // The peer's view of the bucket is all that is left to go by.
+            self.withheld_tokens -= units;
+            if let Some(tokens) = report.tokens_level.tokens(plan.burst) {
+                self.tokens = self.tokens.min((tokens - self.total_units).max(0.0));
+            }
+            return 0.0;
+        }
+        // A total that fell by more than can be given back was counted anew.
+        if units >= -plan.burst {
+            units
+        } else {
+            0.0
+        }
+    }
+
+    /// The answer to a usage report. What is granted is charged at once, since other gateways may ask before the next
+    /// report comes.
+    fn grant(
+        &mut self,
+        plan: &Plan,
+        usage: &mut GatewayUsage,
+        from: u16,
+        report: &UsageReport,
+    ) -> QuotaGrant {
+        let others_in_flight = self.in_flight_without(usage);
+        let decision = self.decide_grant(plan, others_in_flight, report);
+        let tokens = self.tokens;
+        self.reserve(usage, report, decision);
+        let hard_limit_grant = self.grant_hard_limit(report);
+        if decision != GrantDecision::NotRequested {
+            tracing::debug!(
+                target: "policy", customer = report.customer.0, from, tokens, others_in_flight,
+                requested_units = report.requested_units, hard_limit_units = hard_limit_grant, reason = ?decision,
+                "grant decided"
+            );
+        }
+        QuotaGrant {
+            customer: report.customer,
+            receiver_total: report.total_units,
+            tokens,
+            remote_rate: (self.own_rate + self.remote_rate - usage.rate).max(0.0),
+            remote_in_flight: others_in_flight.min(u32::from(MAX_REPORTED_IN_FLIGHT)) as u8,
+            hard_limit_grant,
+        }
+    }
+
+    /// Whether what a report requests is granted, where so many attempts are in flight from gateways but the sender.
+    fn decide_grant(&self, plan: &Plan, others_in_flight: u32, report: &UsageReport) -> GrantDecision {
+        let has_tokens = plan.burst == 0.0 || self.tokens >= report.requested_units;
+        let in_flight = others_in_flight + u32::from(report.in_flight);
+        let has_concurrency = plan.concurrency_quota == 0 || in_flight < plan.concurrency_quota;
+        match report.requests_grant {
+            false => GrantDecision::NotRequested,
+            true if !has_tokens => GrantDecision::NoTokens,
+            true if !has_concurrency => GrantDecision::AtConcurrencyQuota,
+            true => GrantDecision::Granted,
+        }
+    }
+
+    /// Records the attempts in flight that a gateway reports. What it is granted counts already: one more attempt, and
+    /// the units that it requests.
+    fn reserve(&mut self, usage: &mut GatewayUsage, report: &UsageReport, decision: GrantDecision) {
+        let is_granted = decision == GrantDecision::Granted;
+        let others_in_flight = self.in_flight_without(usage);
+        let is_countable = report.in_flight < MAX_REPORTED_IN_FLIGHT;
+        usage.in_flight = report.in_flight + u8::from(is_granted && is_countable);
+        self.remote_in_flight = others_in_flight - self.in_flight + u32::from(usage.in_flight);
+        usage.granted_units = if is_granted { report.requested_units } else { 0.0 };
+        self.tokens -= usage.granted_units;
+    }
+
+    /// Units of the hard limit for a gateway, deducted here first: a lost message loses them.
+    fn grant_hard_limit(&mut self, report: &UsageReport) -> f64 {
+        let is_requested = report.requests_grant && report.needs_hard_limit_grant;
+        let is_granted = is_requested && self.hard_limit.tokens >= report.requested_units;
+        let units = if is_granted { floor_to_wire_units(report.requested_units) } else { 0.0 };
+        self.hard_limit.tokens -= units;
+        units
+    }
+
+    /// Attempts in flight from all gateways but the one with this usage.
+    fn in_flight_without(&self, usage: &GatewayUsage) -> u32 {
+        self.in_flight + self.remote_in_flight.saturating_sub(u32::from(usage.in_flight))
+    }
+
+    /// Drops what a gateway reported before it restarted.
+    pub(super) fn forget_usage_of(&mut self, gateway: u16) {
+        if let Some(usage) = self.usage_by_gateway.remove(&gateway) {
+            self.remote_in_flight -= u32::from(usage.in_flight).min(self.remote_in_flight);
+        }
+    }
+
+    /// Drops the attempts in flight of gateways whose last report is older than `lifetime`.
+    pub(super) fn expire_reported_in_flight(&mut self, now: Instant, lifetime: Duration) {
+        let is_old = |usage: &&mut GatewayUsage| now.duration_since(usage.reported_at) > lifetime;
+        for usage in self.usage_by_gateway.values_mut().filter(is_old) {
+            usage.in_flight = 0;
+        }
+        self.remote_in_flight = self.usage_by_gateway.values().map(|usage| u32::from(usage.in_flight)).sum();
+    }
+}
