--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -1,1 +1,200 @@
 //! Tests of [`super`].
+
+use super::*;
+use crate::policy::quota::token_wait::QuotaLimit;
+
+/// The time of the requests under test.
+const NOW: Instant = Instant::from_micros(100_000_000);
+/// The least time that the requests under test may wait.
+const MIN_QUEUE_TIME: Duration = Duration::from_millis(40);
+
+/// A plan with a quota on the rate, or on attempts in flight if there is one.
+fn plan(concurrency_quota: u32) -> Plan {
+    Plan {
+        rate: 10.0,
+        burst: 20.0,
+        concurrency_quota,
+        hard_limit_rate: 5.0,
+        hard_limit_burst: 0.0,
+        hard_limit_slack: 0.0,
+        price: 1.0,
+        over_quota_weight: 0.0,
+        over_quota_cost: 1.0,
+    }
+}
+
+/// A request that lacks tokens of its hard limit, or of its quota.
+fn lacks(limit: QuotaLimit) -> TokenWait {
+    let shortage = Some(Shortage { limit, seconds: 0.5 });
+    match limit {
+        QuotaLimit::HardLimit => TokenWait { hard_limit: shortage, ..TokenWait::default() },
+        QuotaLimit::Rate | QuotaLimit::Concurrency => TokenWait { quota: shortage, ..TokenWait::default() },
+    }
+}
+
+/// A request with tokens, at a gateway that owns no quota and had a grant so long ago.
+fn arrival(plan: &Plan, grant_age: Duration) -> ArrivalFacts<'_> {
+    ArrivalFacts {
+        now: NOW,
+        deadline: NOW + Duration::from_secs(1),
+        min_queue_time: MIN_QUEUE_TIME,
+        plan,
+        wait: TokenWait::default(),
+        grant: GrantStatus { is_quota_owner: false, grant_age, hard_limit_is_elsewhere: true },
+        ownership: QuotaOwnership::Designated,
+    }
+}
+
+/// A request with tokens, at a gateway with nothing to do.
+fn admission() -> AdmissionFacts {
+    AdmissionFacts {
+        now: NOW,
+        customer: CustomerId(7),
+        shortage: None,
+        answers: GrantAnswers::Complete,
+        in_flight: 0,
+        queue_length: 0,
+        concurrency_limit: 10.0,
+    }
+}
+
+/// The host passes on what clients send. A request for a class, a plan or a number of units that there is not is
+/// rejected, and so is one with so little time left that it could not be answered before its client gives up.
+#[test]
+fn what_cannot_be_handled_is_rejected_at_once() {
+    let valid = Request { units: 1.0, deadline: NOW + MIN_QUEUE_TIME, ..Request::default() };
+    let screen = |request: Request| {
+        let facts = ScreeningFacts {
+            now: NOW,
+            request: &request,
+            class_count: 1,
+            plan_count: 1,
+            min_queue_time: MIN_QUEUE_TIME,
+        };
+        facts.screen()
+    };
+    assert_eq!(screen(valid), Ok(()));
+    assert_eq!(screen(Request { class: 1, ..valid }), Err(RejectReason::Invalid));
+    assert_eq!(screen(Request { plan: 1, ..valid }), Err(RejectReason::Invalid));
+    assert_eq!(screen(Request { units: -1.0, ..valid }), Err(RejectReason::Invalid));
+    assert_eq!(screen(Request { units: f64::NAN, ..valid }), Err(RejectReason::Invalid));
+    let late = Request { deadline: NOW + MIN_QUEUE_TIME - Duration::MICROSECOND, ..valid };
+    assert_eq!(screen(late), Err(RejectReason::NoTime));
+}
+
+/// A gateway of a large fleet does not count a customer's usage. It asks the owner before it admits, even right after a
+/// grant, which was for another request. An owner decides by its own count.
+#[test]
+fn a_request_waits_for_a_grant_unless_its_quota_is_counted_here() {
+    let plan = plan(0);
+    let facts = arrival(&plan, Duration::ZERO);
+    let await_grant =
+        ArrivalDecision::AwaitGrant { scope: GrantScope::Quota, timing: GrantTiming::WithOthers };
+    assert_eq!(facts.decide(), await_grant);
+    let owner = GrantStatus { is_quota_owner: true, ..facts.grant };
+    assert_eq!(ArrivalFacts { grant: owner, ..facts }.decide(), ArrivalDecision::DecideNow);
+}
+
+/// A request that comes with no time to wait for an answer is decided by what is known.
+#[test]
+fn a_request_without_time_does_not_wait_for_a_grant() {
+    let plan = plan(0);
+    let facts = ArrivalFacts {
+        deadline: NOW + MIN_QUEUE_TIME - Duration::MICROSECOND,
+        ..arrival(&plan, Duration::MAX)
+    };
+    assert_eq!(facts.decide(), ArrivalDecision::DecideNow);
+}
+
+/// A customer over its quota retries again and again. A grant by which there were no tokens stands for half a second, so
+/// that the retries do not all ask for another one. Attempts in flight end at any time: there it does not.
+#[test]
+fn retries_of_a_customer_over_its_rate_ask_for_no_new_grant() {
+    let (rate, concurrency) = (plan(0), plan(2));
+    let decide = |plan: &Plan, limit, grant_age| {
+        ArrivalFacts { wait: lacks(limit), ..arrival(plan, grant_age) }.decide()
+    };
+    let (recent, old) = (Duration::from_millis(499), Duration::from_millis(500));
+    assert_eq!(decide(&rate, QuotaLimit::Rate, recent), ArrivalDecision::DecideNow);
+    assert_ne!(decide(&rate, QuotaLimit::Rate, old), ArrivalDecision::DecideNow);
+    assert_ne!(decide(&concurrency, QuotaLimit::Concurrency, recent), ArrivalDecision::DecideNow);
+}
+
+/// A gateway's share of a hard limit is used up, while its customer is inside its quota: others may have units left, and
+/// are asked for them at once. Where there are no others the request is decided.
+#[test]
+fn units_of_a_hard_limit_are_asked_of_the_gateways_that_hold_them() {
+    let plan = plan(0);
+    let owner = GrantStatus { is_quota_owner: true, ..arrival(&plan, Duration::ZERO).grant };
+    let facts =
+        ArrivalFacts { wait: lacks(QuotaLimit::HardLimit), grant: owner, ..arrival(&plan, Duration::ZERO) };
+    let ask =
+        ArrivalDecision::AwaitGrant { scope: GrantScope::QuotaAndHardLimit, timing: GrantTiming::AtOnce };
+    assert_eq!(facts.decide(), ask);
+    let alone = GrantStatus { hard_limit_is_elsewhere: false, ..owner };
+    assert_eq!(ArrivalFacts { grant: alone, ..facts }.decide(), ArrivalDecision::DecideNow);
+}
+
+/// A request names a plan with a hard limit, but its customer's record follows another one, under which it could pass the
+/// limit. That is not allowed; a plan without a hard limit may be named by mistake.
+#[test]
+fn a_hard_limit_is_not_evaded_by_naming_another_plan() {
+    let without = Plan { hard_limit_rate: 0.0, ..plan(0) };
+    let plans = [plan(0), without];
+    assert!(evades_hard_limit(&plans, 0, 1));
+    assert!(!evades_hard_limit(&plans, 0, 0));
+    assert!(!evades_hard_limit(&plans, 1, 0));
+}
+
+/// Without tokens a request waits as long as another owner may still answer; then it is rejected, and its client is
+/// advised to come when there will be some.
+#[test]
+fn a_request_over_its_quota_is_rejected_once_all_owners_have_answered() {
+    let shortage = lacks(QuotaLimit::Rate).quota;
+    let outstanding = AdmissionFacts { shortage, answers: GrantAnswers::Outstanding, ..admission() };
+    assert_eq!(outstanding.decide(), AdmissionDecision::KeepWaiting);
+    let complete = AdmissionFacts { answers: GrantAnswers::Complete, ..outstanding };
+    let (reason, retry_after) = (RejectReason::OverQuota, Duration::from_millis(500));
+    assert_eq!(complete.decide(), AdmissionDecision::Reject { reason, retry_after });
+}
+
+/// All attempts that the gateway may have in flight are, and requests queue. The queue holds three tenths of the limit:
+/// while it is empty all customers may join it, half full half of them, and full none.
+#[test]
+fn the_fuller_the_queue_the_fewer_customers_join_it() {
+    let joining = |in_flight, queue_length| {
+        let customers = (0..1000).map(CustomerId);
+        let facts = |customer| AdmissionFacts {
+            customer,
+            in_flight,
+            queue_length,
+            concurrency_limit: 100.0,
+            ..admission()
+        };
+        customers.filter(|customer| facts(*customer).decide() == AdmissionDecision::Admit).count()
+    };
+    assert_eq!(joining(99, 30), 1000, "there is capacity");
+    assert_eq!(joining(100, 0), 1000);
+    assert!((450..550).contains(&joining(100, 15)));
+    assert_eq!(joining(100, 30), 0);
+    let full = AdmissionFacts { in_flight: 100, queue_length: 30, concurrency_limit: 100.0, ..admission() };
+    let (reason, retry_after) = (RejectReason::Saturated, Duration::MAX);
+    assert_eq!(full.decide(), AdmissionDecision::Reject { reason, retry_after });
+}
+
+/// No backend takes a queued request. It is given up after three tenths of the time in which an answer is worth
+/// something, while it can still be retried elsewhere, or as soon as its client's time runs out.
+#[test]
+fn a_request_is_queued_for_a_part_of_its_useful_time() {
+    let facts = |queued_for, left| QueueFacts {
+        now: NOW,
+        arrived_at: NOW - queued_for,
+        deadline: NOW + left,
+        useful_duration: Duration::from_secs(1),
+        min_queue_time: MIN_QUEUE_TIME,
+    };
+    let enough = Duration::from_secs(1);
+    assert!(!facts(Duration::from_millis(300), enough).is_overdue());
+    assert!(facts(Duration::from_millis(301), enough).is_overdue());
+    assert!(facts(Duration::ZERO, MIN_QUEUE_TIME - Duration::MICROSECOND).is_overdue());
+}
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -25,7 +25,7 @@
 mod report_outbox;
 mod settings;
 mod token_bucket;
-mod token_wait;
+pub(crate) mod token_wait;
 mod usage_report;
 
 pub(crate) use grant_request::{GrantAnswers, GrantRequestStep, GrantScope, GrantTiming};
--- a/src/policy/quota/owner_assignment/tests.rs
+++ b/src/policy/quota/owner_assignment/tests.rs
@@ -1,1 +1,56 @@
 //! Tests of [`super`].
+
+use super::*;
+use crate::policy::quota::tests::{manager, plan, LARGE_FLEET};
+
+/// The gateways of the customers under test.
+const SET: GatewaySet = GatewaySet { start: 290, size: 20.0 };
+
+/// What each gateway of a large fleet assigns for a customer with a hard limit.
+fn assignments(id: CustomerId) -> Vec<OwnerAssignment> {
+    let plan = Plan { hard_limit_rate: 5.0, ..plan() };
+    let mut settings = manager(LARGE_FLEET).settings;
+    let by_gateway = (0..LARGE_FLEET).map(|own_id| {
+        settings.own_id = own_id;
+        OwnerAssignment::new(&settings, id, SET, &plan)
+    });
+    by_gateway.collect()
+}
+
+/// Gateways cannot agree on owners by messages, so that all come to the same two by the customer's identifier. Both are
+/// gateways that the customer's requests come to.
+#[test]
+fn all_gateways_assign_the_same_two_owners() {
+    for id in (0..50).map(CustomerId) {
+        let assignments = assignments(id);
+        let owners = &assignments[0].quota_owners;
+        assert!(assignments.iter().all(|assignment| assignment.quota_owners == *owners));
+        assert!(owners.len() == 2 && owners[0] != owners[1]);
+        assert!(owners.iter().all(|owner| SET.members(LARGE_FLEET).contains(owner)));
+        let is_owner = |gateway: &u16| assignments[usize::from(*gateway)].is_quota_owner;
+        assert!((0..LARGE_FLEET).filter(is_owner).eq(std::collections::BTreeSet::from_iter(owners.clone())));
+    }
+}
+
+/// The shares of a hard limit over the customer's gateways are the whole of it, neither more nor less: half is spread
+/// evenly, and the two owners have a quarter each in addition.
+#[test]
+fn the_shares_of_a_hard_limit_add_up() {
+    let assignments = assignments(CustomerId(7));
+    let fraction = |gateway: &u16| assignments[usize::from(*gateway)].hard_limit_fraction;
+    let total: f64 = SET.members(LARGE_FLEET).iter().map(fraction).sum();
+    assert!((total - 1.0).abs() < 1e-9, "{total}");
+    let owner = assignments[0].hard_limit_owners[0];
+    assert_eq!(fraction(&owner), 0.5 / 20.0 + 0.25);
+}
+
+/// A customer whose requests come to a single gateway has that one as its only owner, with the whole hard limit.
+#[test]
+fn a_single_gateway_owns_all() {
+    let settings = manager(1).settings;
+    let plan = Plan { hard_limit_rate: 5.0, ..plan() };
+    let assignment =
+        OwnerAssignment::new(&settings, CustomerId(7), GatewaySet { start: 0, size: 1.0 }, &plan);
+    assert_eq!((assignment.quota_owners, assignment.hard_limit_owners), (vec![0], [0, 0]));
+    assert_eq!(assignment.hard_limit_fraction, 1.0);
+}
--- a/src/policy/quota/token_wait/tests.rs
+++ b/src/policy/quota/token_wait/tests.rs
@@ -1,1 +1,58 @@
 //! Tests of [`super`].
+
+use super::*;
+use crate::policy::quota::tests::plan;
+use crate::policy::quota::{GatewaySet, GrantRequest};
+use crate::RequestId;
+
+/// The time of the requests under test.
+const NOW: Instant = Instant::from_micros(5_000_000);
+
+/// A request that lacks tokens of its quota for a second and of its hard limit for two has to wait for two.
+#[test]
+fn the_longest_wait_counts() {
+    let quota = Shortage { limit: QuotaLimit::Rate, seconds: 1.0 };
+    let hard_limit = Shortage { limit: QuotaLimit::HardLimit, seconds: 2.0 };
+    let wait = TokenWait { quota: Some(quota), hard_limit: Some(hard_limit) };
+    assert_eq!(wait.longest(), Some(hard_limit));
+    assert_eq!(TokenWait { hard_limit: None, ..wait }.longest(), Some(quota));
+    assert_eq!(TokenWait::default().longest(), None);
+}
+
+/// Peers have likely used units that they have not reported yet. These are taken off the tokens, but never more than
+/// the peers' share of them: a gateway that alone serves a customer may use the whole bucket.
+#[test]
+fn unreported_usage_of_peers_is_taken_off_up_to_their_share() {
+    let set = GatewaySet { start: 0, size: 2.0 };
+    let shared =
+        Customer { tokens: 10.0, own_rate: 5.0, remote_rate: 5.0, gateway_set: set, ..Customer::default() };
+    assert_eq!(shared.wait_for_rate(&plan(), 3.0, 7.0), None);
+    assert_eq!(shared.wait_for_rate(&plan(), 3.0, 8.0), Some(0.1), "one unit at 10 a second");
+    assert_eq!(shared.wait_for_rate(&plan(), 300.0, 5.0), None, "half of the tokens are this gateway's");
+    let alone = Customer { remote_rate: 0.0, ..shared };
+    assert_eq!(alone.wait_for_rate(&plan(), 300.0, 10.0), None);
+}
+
+/// An owner does not answer a request for a grant. If it sent other messages a moment ago it is overloaded with requests
+/// of this customer, which is then taken to be over its quota. If it is silent it may be down, and only some requests
+/// are rejected: half of them where a wrong admission costs as much as a right one earns.
+#[test]
+fn an_owner_that_is_alive_but_does_not_answer_is_overloaded() {
+    let grant_request = GrantRequest { requested_at: NOW, ..GrantRequest::default() };
+    let customer = Customer { quota_owners: vec![1], grant_request, ..Customer::default() };
+    let rejected = |customer: &Customer, heard: Option<Instant>| {
+        let ids = (0..1000).map(RequestId);
+        let presumes = |id: &RequestId| {
+            let request = Request { id: *id, ..Request::default() };
+            let facts = TokenFacts { now: NOW, request: &request, answer_seconds: 0.0 };
+            customer.presumes_owners_overloaded(&plan(), &facts, Instant::ZERO, |_| heard)
+        };
+        ids.filter(presumes).count()
+    };
+    assert_eq!(rejected(&customer, Some(NOW)), 1000);
+    for silent in [None, Some(NOW - GRANT_LIFETIME)] {
+        assert!((450..550).contains(&rejected(&customer, silent)));
+    }
+    let never_asked = Customer { grant_request: GrantRequest::default(), ..customer };
+    assert_eq!(rejected(&never_asked, Some(NOW)), 0);
+}
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -58,13 +58,14 @@
         let units = customer.new_units(plan, usage.reported_total, scope, report);
         let lowest_tokens = ownership.lowest_tokens(plan, customer.tokens);
         customer.tokens = (customer.tokens + usage.granted_units - units).clamp(lowest_tokens, plan.burst);
-        // A rate of requests for grants is one of the customer, the sender's own requests included.
-        let counts_requests = ownership.counts_grant_requests(plan);
-        let requests = f64::from(u8::from(report.requests_grant));
-        let (counted, counted_for_sender) = if counts_requests { (requests, 0.0) } else { (units, units) };
-        usage.record(now, report.total_units, counted_for_sender);
-        customer.remote_rate =
-            (customer.remote_rate + counted / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
+        if ownership.counts_grant_requests(plan) {
+            // This rate is one of the whole customer, the sender's own requests included.
+            usage.record(now, report.total_units, 0.0);
+            customer.raise_remote_rate(f64::from(u8::from(report.requests_grant)));
+        } else {
+            usage.record(now, report.total_units, units);
+            customer.raise_remote_rate(units);
+        }
         let grant = customer.grant(plan, &mut usage, from, report);
         customer.usage_by_gateway.insert(from, usage);
         report.requests_grant.then_some(grant)
@@ -127,6 +128,11 @@
         }
     }
 
+    /// Adds units, or requests, to the rate of other gateways.
+    fn raise_remote_rate(&mut self, count: f64) {
+        self.remote_rate = (self.remote_rate + count / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
+    }
+
     /// The answer to a usage report. What is granted is charged at once, since other gateways may ask before the next
     /// report comes.
     fn grant(
