--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -2,15 +2,17 @@
 //! decided here: that is the work of `crate::policy`.
 
 mod admission;
+mod attempts;
 mod peers;
 
 use crate::gossip::PeerExchange;
+use crate::policy::discovery_schedule::PeriodicPoll;
 use crate::policy::quota::{QuotaManager, ReportPurpose};
-use crate::policy::{initial_baseline, retry_budget};
+use crate::policy::{initial_baseline, RetryPolicy};
 use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
 use crate::policy::{RejectReason, MAX_REPORTED_QUEUE_DEPTH};
+use crate::state::RequestTable;
 use crate::state::{BackendTable, DecayingRate, LatencyBaseline};
-use crate::state::{RequestTable, RetryBudget};
 use crate::{Action, AttemptEnded, BackendId, Class, CustomerId, Endpoint, EndpointUpdate, Event};
 use crate::{Duration, Instant, Outcome, Plan, Request, RequestId, Settings};
 
@@ -29,8 +31,8 @@
     pub(crate) next_wake_up_at: Instant,
     /// When the host last went on after it had stood still: latencies found with that event say nothing.
     pub(crate) resumed_at: Instant,
-    /// When discovery is to be polled next, where it has to be.
-    pub(crate) next_poll_at: Instant,
+    /// When discovery is polled, where the endpoint list does not come by itself.
+    pub(crate) periodic_poll: PeriodicPoll,
     /// Requests that are not finished, and their queue.
     pub(crate) requests: RequestTable,
     /// Customers and their token buckets.
@@ -47,8 +49,8 @@
     pub(crate) load_shedder: LoadShedder,
     /// Limits the attempts in flight.
     pub(crate) concurrency_limiter: ConcurrencyLimiter,
-    /// Retries that may still be sent.
-    pub(crate) retry_budget: RetryBudget,
+    /// Decides on further attempts.
+    pub(crate) retry_policy: RetryPolicy,
     /// Attempts sent by this gateway.
     pub(crate) send_rate: DecayingRate,
 }
@@ -80,7 +82,7 @@
             peers: PeerExchange::new(&settings, now, send_interval),
             backends: BackendTable::new(&settings),
             latency_baselines: settings.classes.iter().map(|class| initial_baseline(class, now)).collect(),
-            retry_budget: retry_budget(fleet_size),
+            retry_policy: RetryPolicy::new(&settings, fleet_size),
             fleet_size,
             settings,
             ..Gateway::default()
@@ -106,7 +108,8 @@
         &self.settings.plans[usize::from(request.plan)]
     }
 
-    /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the concurrency limit.
+    /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the
+    /// concurrency limit.
     pub(crate) fn record_pressure(&mut self, latency_ratio: f64) {
         self.pressure.record(self.now, latency_ratio);
         self.concurrency_limiter.on_answer(&self.pressure, self.load());
@@ -162,7 +165,9 @@
     /// Takes an endpoint list or a change of it; queued requests may then find a backend.
     fn on_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>, actions: &mut Vec<Action>) {
         match update {
-            EndpointUpdate::PollFailed => return self.on_poll_failed(),
+            EndpointUpdate::PollFailed => {
+                return self.periodic_poll.on_failure(self.now, self.settings.rules.max_poll_interval);
+            }
             EndpointUpdate::Delta => endpoints.into_iter().for_each(|one| self.backends.apply_change(one)),
             EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot => self.backends.replace_all(endpoints),
         }
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,4 +1,5 @@
-//! Carries out admission: asks the components about a request in order, and turns what they decide into actions.
+//! Carries out admission: asks the components about a request in order, and turns what they decide into
+//! actions.
 
 use crate::policy::admission::{evades_hard_limit, min_queue_time, AdmissionDecision, AdmissionFacts};
 use crate::policy::admission::{ArrivalDecision, ArrivalFacts, QueueFacts, ScreeningFacts};
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,4 +1,5 @@
-//! Carries out the exchange with peers: hands what they say to the components, and sends what those want told.
+//! Carries out the exchange with peers: hands what they say to the components, and sends what those want
+//! told.
 
 use crate::gossip::{Body, LatencySample, PeerAge, PeerStart, QuotaGrant, UsageReport};
 use crate::policy::quota::{ReportPurpose, FLEET_START_WINDOW};
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -1,4 +1,5 @@
-//! A gateway's exchange of messages with its peers: what waits for each of them, and the form and order of what comes.
+//! A gateway's exchange of messages with its peers: what waits for each of them, and the form and order of
+//! what comes.
 
 use super::{incarnation_of, Body, LatencySample, Message, OutboxEntry, Peer, PeerAge, PeerStart, Receipt};
 use super::{MAX_SAMPLES, MAX_USAGE_REPORTS};
--- a/src/gossip/exchange/tests.rs
+++ b/src/gossip/exchange/tests.rs
@@ -22,8 +22,8 @@
     LatencySample { backend_tag: 1, class: 0, relative_latency }
 }
 
-/// A peer's messages are handled once each, in their order. A repeat, what is not a message, and what comes from this
-/// gateway's own index or from none of the fleet is ignored, each for its own reason.
+/// A peer's messages are handled once each, in their order. A repeat, what is not a message, and what comes
+/// from this gateway's own index or from none of the fleet is ignored, each for its own reason.
 #[test]
 fn messages_that_are_not_a_peers_next_one_are_ignored() {
     let (mut here, mut peer) = (exchange(0, START), exchange(1, START));
@@ -40,8 +40,8 @@
     assert_eq!(received.start, None);
 }
 
-/// A peer restarts, and its messages count from one again under another incarnation. An answer to the process before is
-/// not for the new one.
+/// A peer restarts, and its messages count from one again under another incarnation. An answer to the process
+/// before is not for the new one.
 #[test]
 fn a_restart_is_known_by_the_incarnation() {
     let (mut here, mut before) = (exchange(0, START), exchange(1, START));
@@ -72,8 +72,9 @@
     assert!(!hear(2, 1501), "it restarted");
 }
 
-/// A customer's usage changes several times while a message to an owner has to wait. The report goes once, with the
-/// request for a grant that one of the changes needed, and not before the interval since the last message has passed.
+/// A customer's usage changes several times while a message to an owner has to wait. The report goes once,
+/// with the request for a grant that one of the changes needed, and not before the interval since the last
+/// message has passed.
 #[test]
 fn an_outbox_holds_one_entry_for_each_customer() {
     let mut here = exchange(0, START);
@@ -93,8 +94,8 @@
     assert!(here.ready_to_send(START + INTERVAL).is_empty());
 }
 
-/// Failures are what peers have to know first. They stand before other samples, and each sample goes with as many
-/// messages as it was queued for.
+/// Failures are what peers have to know first. They stand before other samples, and each sample goes with as
+/// many messages as it was queued for.
 #[test]
 fn failures_are_sent_before_other_samples() {
     let mut here = exchange(0, START);
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -41,11 +41,11 @@
     NewIncarnation(PeerStart),
 }
 
-/// How long a message may be on its way. After this, one of an earlier incarnation says that it still runs, and one whose
-/// sequence number seems to have gone back says that the numbers have wrapped meanwhile.
+/// How long a message may be on its way. After this, one of an earlier incarnation says that it still runs,
+/// and one whose sequence number seems to have gone back says that the numbers have wrapped meanwhile.
 const MAX_MESSAGE_DELAY: Duration = Duration::from_secs(1);
-/// Messages that a peer sent before the first one that came here, from which on it has run for longer than this gateway: a
-/// process that starts is heard within its first few, whatever is lost.
+/// Messages that a peer sent before the first one that came here, from which on it has run for longer than
+/// this gateway: a process that starts is heard within its first few, whatever is lost.
 const MESSAGES_OF_AN_OLDER_PEER: u16 = 16;
 
 /// An incarnation in whose place there is another one.
@@ -60,8 +60,8 @@
 /// A peer's record.
 #[derive(Default)]
 pub struct Peer {
-    /// The latest incarnation known; 0 for none. It tells processes apart and does not order them: it is read from a
-    /// wall clock, which may be stepped.
+    /// The latest incarnation known; 0 for none. It tells processes apart and does not order them: it is read
+    /// from a wall clock, which may be stepped.
     pub incarnation: u32,
     /// The one before.
     pub superseded: Option<SupersededIncarnation>,
@@ -107,8 +107,8 @@
         superseded.is_some_and(|superseded| now < superseded.at + MAX_MESSAGE_DELAY)
     }
 
-    /// Whether the peer's process started before the one here, as far as messages tell; wall clocks decide only where they
-    /// do not.
+    /// Whether the peer's process started before the one here, as far as messages tell; wall clocks decide
+    /// only where they do not.
     pub fn age(&self, own_incarnation: u32) -> PeerAge {
         let restarted_since = self.superseded.is_some();
         let is_in_midstream = self.first_sequence >= MESSAGES_OF_AN_OLDER_PEER;
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Takes from the outbox what the next message carries, `most` customers at most. It goes round from where the last
-    /// one ended: otherwise the last customers would never be sent when more change than fit.
+    /// Takes from the outbox what the next message carries, `most` customers at most. It goes round from
+    /// where the last one ended: otherwise the last customers would never be sent when more change than fit.
     pub fn next_batch(&mut self, most: usize) -> Vec<(CustomerId, OutboxEntry)> {
         let rotated = self.outbox.range(self.last_sent..).chain(self.outbox.range(..self.last_sent));
         let batch: Vec<_> = rotated.take(most).map(|(id, entry)| (*id, *entry)).collect();
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -3,6 +3,7 @@
 
 pub(crate) mod admission;
 mod concurrency_limit;
+pub mod discovery_schedule;
 mod gateway;
 mod load_balancing;
 mod load_shedding;
@@ -16,9 +17,13 @@
 
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
 pub(crate) use load_balancing::MAX_REPORTED_QUEUE_DEPTH;
-pub(crate) use load_shedding::{Familiarity, LoadShedder, SheddingFacts, StageChange};
+pub(crate) use load_shedding::{
+    Familiarity, LoadShedder, SheddingFacts, StageChange, NOT_SERVED_RETRY_AFTER,
+};
 pub(crate) use outlier_detection::initial_baseline;
 pub(crate) use pressure::Pressure;
 pub(crate) use reasons::{EjectionReason, RejectReason};
-pub(crate) use retry::retry_budget;
+pub(crate) use retry::{
+    AttemptCheck, AttemptCheckFacts, ExecutedAttempt, FinalAnswer, RetryFacts, RetryPolicy, RetryScope,
+};
 pub use start_times::StartTimes;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,7 +1,8 @@
 //! Admission: whether a request is rejected at once, waits for a quota grant, or is queued for a backend.
 //!
-//! A request is decided in three steps: [`ScreeningFacts`] when it comes, [`ArrivalFacts`] once its customer is known,
-//! and [`AdmissionFacts`] then or after its wait for a grant. [`QueueFacts`] end its time in the queue.
+//! A request is decided in three steps: [`ScreeningFacts`] when it comes, [`ArrivalFacts`] once its customer
+//! is known, and [`AdmissionFacts`] then or after its wait for a grant. [`QueueFacts`] end its time in the
+//! queue.
 
 use super::gateway::WAKE_UP_TICKS;
 use super::load_shedding::epoch_draw;
@@ -11,8 +12,9 @@
 
 /// Share of the useful duration that a request may be queued for; queued longer it would fail late.
 const MAX_QUEUE_SHARE: f64 = 0.3;
-/// Age up to which a grant by which there were no tokens stands for further requests. A no may rest on an older grant
-/// than a yes: otherwise the retries of a customer over its quota would request grants without end.
+/// Age up to which a grant by which there were no tokens stands for further requests. A no may rest on an
+/// older grant than a yes: otherwise the retries of a customer over its quota would request grants without
+/// end.
 const REJECTION_FRESHNESS: Duration = Duration::from_millis(500);
 /// Wake-ups that have to be left to a request that waits: with less it could not be answered in time.
 const MIN_WAKE_UPS: u64 = 2;
@@ -56,8 +58,8 @@
     }
 }
 
-/// Whether a request names a plan with a hard limit that its customer's record does not follow: by the plan that other
-/// requests name the limit might be passed.
+/// Whether a request names a plan with a hard limit that its customer's record does not follow: by the plan
+/// that other requests name the limit might be passed.
 pub(crate) fn evades_hard_limit(plans: &[Plan], claimed_plan: u16, recorded_plan: u16) -> bool {
     let has_hard_limit = plans[usize::from(claimed_plan)].hard_limit_rate > 0.0;
     has_hard_limit && recorded_plan != claimed_plan
@@ -170,8 +172,8 @@
         }
     }
 
-    /// Whether the queue has no place for the customer. The fuller it is, the fewer customers may join it; the same
-    /// ones for a shedding epoch, since their retries would come too late to be of use.
+    /// Whether the queue has no place for the customer. The fuller it is, the fewer customers may join it;
+    /// the same ones for a shedding epoch, since their retries would come too late to be of use.
     fn is_crowded_out(&self) -> bool {
         let queue_fill = self.queue_length as f64 / (self.concurrency_limit * MAX_QUEUE_SHARE);
         let is_saturated = f64::from(self.in_flight) >= self.concurrency_limit;
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -58,8 +58,9 @@
     }
 }
 
-/// The host passes on what clients send. A request for a class, a plan or a number of units that there is not is
-/// rejected, and so is one with so little time left that it could not be answered before its client gives up.
+/// The host passes on what clients send. A request for a class, a plan or a number of units that there is not
+/// is rejected, and so is one with so little time left that it could not be answered before its client gives
+/// up.
 #[test]
 fn what_cannot_be_handled_is_rejected_at_once() {
     let valid = Request { units: 1.0, deadline: NOW + MIN_QUEUE_TIME, ..Request::default() };
@@ -82,8 +83,8 @@
     assert_eq!(screen(late), Err(RejectReason::NoTime));
 }
 
-/// A gateway of a large fleet does not count a customer's usage. It asks the owner before it admits, even right after a
-/// grant, which was for another request. An owner decides by its own count.
+/// A gateway of a large fleet does not count a customer's usage. It asks the owner before it admits, even
+/// right after a grant, which was for another request. An owner decides by its own count.
 #[test]
 fn a_request_waits_for_a_grant_unless_its_quota_is_counted_here() {
     let plan = plan(0);
@@ -106,8 +107,9 @@
     assert_eq!(facts.decide(), ArrivalDecision::DecideNow);
 }
 
-/// A customer over its quota retries again and again. A grant by which there were no tokens stands for half a second, so
-/// that the retries do not all ask for another one. Attempts in flight end at any time: there it does not.
+/// A customer over its quota retries again and again. A grant by which there were no tokens stands for half a
+/// second, so that the retries do not all ask for another one. Attempts in flight end at any time: there it
+/// does not.
 #[test]
 fn retries_of_a_customer_over_its_rate_ask_for_no_new_grant() {
     let (rate, concurrency) = (plan(0), plan(2));
@@ -120,8 +122,8 @@
     assert_ne!(decide(&concurrency, QuotaLimit::Concurrency, recent), ArrivalDecision::DecideNow);
 }
 
-/// A gateway's share of a hard limit is used up, while its customer is inside its quota: others may have units left, and
-/// are asked for them at once. Where there are no others the request is decided.
+/// A gateway's share of a hard limit is used up, while its customer is inside its quota: others may have
+/// units left, and are asked for them at once. Where there are no others the request is decided.
 #[test]
 fn units_of_a_hard_limit_are_asked_of_the_gateways_that_hold_them() {
     let plan = plan(0);
@@ -135,8 +137,8 @@
     assert_eq!(ArrivalFacts { grant: alone, ..facts }.decide(), ArrivalDecision::DecideNow);
 }
 
-/// A request names a plan with a hard limit, but its customer's record follows another one, under which it could pass the
-/// limit. That is not allowed; a plan without a hard limit may be named by mistake.
+/// A request names a plan with a hard limit, but its customer's record follows another one, under which it
+/// could pass the limit. That is not allowed; a plan without a hard limit may be named by mistake.
 #[test]
 fn a_hard_limit_is_not_evaded_by_naming_another_plan() {
     let without = Plan { hard_limit_rate: 0.0, ..plan(0) };
@@ -146,8 +148,8 @@
     assert!(!evades_hard_limit(&plans, 1, 0));
 }
 
-/// Without tokens a request waits as long as another owner may still answer; then it is rejected, and its client is
-/// advised to come when there will be some.
+/// Without tokens a request waits as long as another owner may still answer; then it is rejected, and its
+/// client is advised to come when there will be some.
 #[test]
 fn a_request_over_its_quota_is_rejected_once_all_owners_have_answered() {
     let shortage = lacks(QuotaLimit::Rate).quota;
@@ -158,8 +160,8 @@
     assert_eq!(complete.decide(), AdmissionDecision::Reject { reason, retry_after });
 }
 
-/// All attempts that the gateway may have in flight are, and requests queue. The queue holds three tenths of the limit:
-/// while it is empty all customers may join it, half full half of them, and full none.
+/// All attempts that the gateway may have in flight are, and requests queue. The queue holds three tenths of
+/// the limit: while it is empty all customers may join it, half full half of them, and full none.
 #[test]
 fn the_fuller_the_queue_the_fewer_customers_join_it() {
     let joining = |in_flight, queue_length| {
@@ -182,8 +184,8 @@
     assert_eq!(full.decide(), AdmissionDecision::Reject { reason, retry_after });
 }
 
-/// No backend takes a queued request. It is given up after three tenths of the time in which an answer is worth
-/// something, while it can still be retried elsewhere, or as soon as its client's time runs out.
+/// No backend takes a queued request. It is given up after three tenths of the time in which an answer is
+/// worth something, while it can still be retried elsewhere, or as soon as its client's time runs out.
 #[test]
 fn a_request_is_queued_for_a_part_of_its_useful_time() {
     let facts = |queued_for, left| QueueFacts {
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,8 +1,9 @@
 //! Quotas: how much each customer may use, counted over all gateways together.
 //!
-//! A plan has a quota, beyond which a request is not worth serving, and may have a hard limit, beyond which it is not
-//! allowed. Both are token buckets in units; the quota may also be one of attempts in flight. Gateways count together:
-//! which of them own a customer's quota, and what that means, is told by [`QuotaOwnership`].
+//! A plan has a quota, beyond which a request is not worth serving, and may have a hard limit, beyond which
+//! it is not allowed. Both are token buckets in units; the quota may also be one of attempts in flight.
+//! Gateways count together: which of them own a customer's quota, and what that means, is told by
+//! [`QuotaOwnership`].
 //!
 //! | question | file |
 //! | --- | --- |
@@ -67,16 +68,16 @@
 
 /// Counts what customers use, and decides what they may use.
 ///
-/// It is told of requests, attempts, reports and grants, and asked by their facts. What is to be sent to peers it
-/// returns.
+/// It is told of requests, attempts, reports and grants, and asked by their facts. What is to be sent to
+/// peers it returns.
 #[derive(Default)]
 pub(crate) struct QuotaManager {
     /// The plans, and this gateway's place in the fleet.
     settings: QuotaSettings,
     /// The record of each customer seen lately.
     customers: BTreeMap<CustomerId, Customer>,
-    /// Since when all usage of customers is known: this start; none where all gateways started with this one, with
-    /// nothing used before.
+    /// Since when all usage of customers is known: this start; none where all gateways started with this one,
+    /// with nothing used before.
     usage_known_since: Option<Instant>,
     /// When old records are next removed.
     next_sweep_at: Instant,
@@ -121,8 +122,8 @@
         }
     }
 
-    /// Records the end of an attempt, and by how many units it took more than was charged. Returns whether the owners
-    /// are to be told.
+    /// Records the end of an attempt, and by how many units it took more than was charged. Returns whether
+    /// the owners are to be told.
     pub(crate) fn end_attempt(&mut self, id: CustomerId, correction_units: f64) -> bool {
         let mut usage_changed = correction_units != 0.0;
         if let Some(customer) = self.customers.get_mut(&id) {
@@ -132,7 +133,8 @@
         usage_changed
     }
 
-    /// Once a second: forgets what is old, and returns the customers with attempts in flight, to be reported again.
+    /// Once a second: forgets what is old, and returns the customers with attempts in flight, to be reported
+    /// again.
     pub(crate) fn sweep(&mut self, now: Instant) -> Vec<CustomerId> {
         let mut with_attempts = Vec::new();
         if now < self.next_sweep_at {
@@ -162,8 +164,8 @@
         self.usage_known_since.is_some()
     }
 
-    /// Adds the withheld tokens to all buckets, where all gateways started together and all buckets were full then. A
-    /// customer that is always beyond its quota would never get them otherwise.
+    /// Adds the withheld tokens to all buckets, where all gateways started together and all buckets were full
+    /// then. A customer that is always beyond its quota would never get them otherwise.
     pub(crate) fn release_withheld_tokens(&mut self) {
         tracing::debug!(target: "policy", customers = self.customers.len(), "withheld tokens released");
         self.usage_known_since = None;
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -10,14 +10,15 @@
 
 /// The highest count of attempts in flight that a message carries.
 pub(super) const MAX_REPORTED_IN_FLIGHT: u8 = 127;
-/// The least rate of usage through this gateway, as a part of its even share, where the usage of others is known.
+/// The least rate of usage through this gateway, as a part of its even share, where the usage of others is
+/// known.
 const MIN_OWN_RATE: f64 = 0.1;
 /// The smallest divisor of a share, in units a second, for a customer that uses nothing.
 const MIN_TOTAL_RATE: f64 = 1e-9;
 /// Idle times, or refill times, for which an owner keeps a record.
 const OWNER_RECORD_LIFETIMES: u64 = 4;
-/// The same at a gateway that is not an owner. An owner has to keep its record for longer than the gateways that report
-/// to it: what they count on would seem new to it.
+/// The same at a gateway that is not an owner. An owner has to keep its record for longer than the gateways
+/// that report to it: what they count on would seem new to it.
 const RECORD_LIFETIMES: u64 = 2;
 
 /// Whether a gateway is an owner of a customer's quota.
@@ -42,8 +43,8 @@
     pub tokens: f64,
     /// When both buckets were last refilled.
     pub refilled_at: Instant,
-    /// Units that were missing in the quota's bucket when the record was made, because usage before this gateway's
-    /// start is not known.
+    /// Units that were missing in the quota's bucket when the record was made, because usage before this
+    /// gateway's start is not known.
     pub withheld_tokens: f64,
     /// This gateway's share of the hard limit.
     pub hard_limit: HardLimitShare,
@@ -61,7 +62,8 @@
     pub is_quota_owner: bool,
     /// What each gateway reported to this one, where this one is an owner.
     pub usage_by_gateway: BTreeMap<u16, GatewayUsage>,
-    /// Units a second through all other gateways: added up by an owner, and told to the others with each grant.
+    /// Units a second through all other gateways: added up by an owner, and told to the others with each
+    /// grant.
     pub remote_rate: f64,
     /// Attempts in flight from all other gateways, likewise.
     pub remote_in_flight: u32,
@@ -112,7 +114,8 @@
 
     /// This gateway's share of the customer's usage, from 0 to 1.
     ///
-    /// A gateway that sees little of the customer counts with a floor, so that its share of the tokens is never nothing.
+    /// A gateway that sees little of the customer counts with a floor, so that its share of the tokens is
+    /// never nothing.
     pub(super) fn own_share(&self, plan: &Plan) -> f64 {
         let knows_others = self.is_quota_owner || self.granted_at > Instant::ZERO;
         let floor = if knows_others { MIN_OWN_RATE } else { 1.0 };
@@ -159,8 +162,8 @@
         in_use || now.duration_since(self.last_seen_at) <= record_lifetime(plan, role)
     }
 
-    /// A report of the usage, without a request for a grant. The level of the quota's bucket is included where it is
-    /// known, as a part of the plan's `burst`.
+    /// A report of the usage, without a request for a grant. The level of the quota's bucket is included
+    /// where it is known, as a part of the plan's `burst`.
     pub(super) fn usage_report(&self, id: CustomerId, burst: Option<f64>) -> UsageReport {
         UsageReport {
             customer: id,
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -87,8 +87,8 @@
 }
 
 impl QuotaManager {
-    /// How long a request may wait for a grant from a time on: as long as a fifth of its latency objective, or of the
-    /// time until its deadline.
+    /// How long a request may wait for a grant from a time on: as long as a fifth of its latency objective,
+    /// or of the time until its deadline.
     pub(crate) fn grant_wait(from: Instant, deadline: Instant, latency_objective: Duration) -> Duration {
         let left = deadline.duration_since(from).min(latency_objective);
         MAX_GRANT_WAIT.min(left / GRANT_WAITS_PER_REQUEST)
@@ -125,8 +125,9 @@
         }
     }
 
-    /// Whether a request is rejected without asking for a grant, because requests for grants on its customer are so
-    /// many that its owner would lose other messages. `draw`, from 0 to 1, chooses which of them are skipped.
+    /// Whether a request is rejected without asking for a grant, because requests for grants on its customer
+    /// are so many that its owner would lose other messages. `draw`, from 0 to 1, chooses which of them are
+    /// skipped.
     pub(crate) fn skips_grant_request(&self, now: Instant, customer: CustomerId, draw: f64) -> bool {
         let Some(customer) = self.customers.get(&customer) else { return false };
         let has_concurrency_quota = self.settings.plans[customer.plan].concurrency_quota > 0;
@@ -138,7 +139,8 @@
             && draw * customer.remote_rate > max_request_rate
     }
 
-    /// Handles the answer of an owner, a grant or that there is none; none if nothing was asked of the sender.
+    /// Handles the answer of an owner, a grant or that there is none; none if nothing was asked of the
+    /// sender.
     pub(crate) fn on_grant(
         &mut self,
         now: Instant,
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -54,10 +54,11 @@
         ObservedCustomer { plan: customer.plan as u16, familiarity }
     }
 
-    /// Records the plan and the gateways that a request or a report names for a customer, and returns its record.
+    /// Records the plan and the gateways that a request or a report names for a customer, and returns its
+    /// record.
     ///
-    /// Whoever sends a request may name any plan. The record follows what most requests and reports say, so that
-    /// neither the first nor a single one decides.
+    /// Whoever sends a request may name any plan. The record follows what most requests and reports say, so
+    /// that neither the first nor a single one decides.
     pub(super) fn record_identity(
         &mut self,
         now: Instant,
@@ -77,7 +78,8 @@
             entry.identity_confidence -= 1;
         } else {
             tracing::debug!(
-                target: "policy", customer = id.0, from_plan = entry.plan, to_plan = claim.plan, "identity replaced"
+                target: "policy", customer = id.0, from_plan = entry.plan, to_plan = claim.plan,
+                "identity replaced"
             );
             // The bucket must not begin full again each time that somebody makes the record change.
             let max_hard_limit_tokens = entry.hard_limit.tokens;
--- a/src/policy/quota/owner_assignment.rs
+++ b/src/policy/quota/owner_assignment.rs
@@ -4,8 +4,8 @@
 use crate::state::hash;
 use crate::{CustomerId, Plan};
 
-/// Part of a hard limit that two gateways hold and grant on request. The rest is spread evenly over all gateways of
-/// the customer, for when no owner answers.
+/// Part of a hard limit that two gateways hold and grant on request. The rest is spread evenly over all
+/// gateways of the customer, for when no owner answers.
 const POOLED_HARD_LIMIT: f64 = 0.5;
 /// Gateways that hold the pooled part.
 const HARD_LIMIT_OWNERS: f64 = 2.0;
@@ -51,8 +51,8 @@
     }
 }
 
-/// The positions of two different members of a set of so many gateways, drawn by the customer's identifier. They are
-/// the same where the set has but one.
+/// The positions of two different members of a set of so many gateways, drawn by the customer's identifier.
+/// They are the same where the set has but one.
 fn owner_positions(id: CustomerId, set_size: f64) -> [u64; 2] {
     let first = (hash(id.0) * set_size) as u64;
     let distance = 1 + (hash(!id.0) * (set_size - 1.0)) as u64;
--- a/src/policy/quota/owner_assignment/tests.rs
+++ b/src/policy/quota/owner_assignment/tests.rs
@@ -17,8 +17,8 @@
     by_gateway.collect()
 }
 
-/// Gateways cannot agree on owners by messages, so that all come to the same two by the customer's identifier. Both are
-/// gateways that the customer's requests come to.
+/// Gateways cannot agree on owners by messages, so that all come to the same two by the customer's
+/// identifier. Both are gateways that the customer's requests come to.
 #[test]
 fn all_gateways_assign_the_same_two_owners() {
     for id in (0..50).map(CustomerId) {
@@ -32,8 +32,8 @@
     }
 }
 
-/// The shares of a hard limit over the customer's gateways are the whole of it, neither more nor less: half is spread
-/// evenly, and the two owners have a quarter each in addition.
+/// The shares of a hard limit over the customer's gateways are the whole of it, neither more nor less: half
+/// is spread evenly, and the two owners have a quarter each in addition.
 #[test]
 fn the_shares_of_a_hard_limit_add_up() {
     let assignments = assignments(CustomerId(7));
@@ -44,7 +44,8 @@
     assert_eq!(fraction(&owner), 0.5 / 20.0 + 0.25);
 }
 
-/// A customer whose requests come to a single gateway has that one as its only owner, with the whole hard limit.
+/// A customer whose requests come to a single gateway has that one as its only owner, with the whole hard
+/// limit.
 #[test]
 fn a_single_gateway_owns_all() {
     let settings = manager(1).settings;
--- a/src/policy/quota/report_outbox.rs
+++ b/src/policy/quota/report_outbox.rs
@@ -40,7 +40,8 @@
 }
 
 impl QuotaManager {
-    /// The owners that are to be told of a customer's usage. A grant is requested of those that hold its hard limit.
+    /// The owners that are to be told of a customer's usage. A grant is requested of those that hold its hard
+    /// limit.
     pub(crate) fn report_recipients(&self, id: CustomerId, purpose: ReportPurpose) -> Vec<ReportRecipient> {
         let Some(customer) = self.customers.get(&id) else { return Vec::new() };
         let retransmissions = self.settings.ownership.report_copies();
@@ -98,8 +99,8 @@
         }
     }
 
-    /// What is reported of a request that was rejected, if anything: an owner that has charged it is told that the
-    /// units were not used.
+    /// What is reported of a request that was rejected, if anything: an owner that has charged it is told
+    /// that the units were not used.
     pub(crate) fn report_after_rejection(
         &mut self,
         id: CustomerId,
@@ -112,8 +113,8 @@
         (point == DecisionPoint::GrantWait && is_charged).then_some(ReportPurpose::Usage)
     }
 
-    /// Forgets what a peer reported before it started, and returns the customers to report to it: it counts its usage
-    /// anew, and knows nothing as an owner.
+    /// Forgets what a peer reported before it started, and returns the customers to report to it: it counts
+    /// its usage anew, and knows nothing as an owner.
     pub(crate) fn on_peer_start(&mut self, now: Instant, peer: u16, start: PeerStart) -> Vec<CustomerId> {
         let ownership = self.settings.ownership;
         let reports_again = start == PeerStart::Restarted || ownership.reports_to_new_peers();
--- a/src/policy/quota/settings.rs
+++ b/src/policy/quota/settings.rs
@@ -35,8 +35,8 @@
         }
     }
 
-    /// A record with its owners, for a customer of which nothing else is known. The bucket of its hard limit holds no
-    /// more than `max_hard_limit_tokens`.
+    /// A record with its owners, for a customer of which nothing else is known. The bucket of its hard limit
+    /// holds no more than `max_hard_limit_tokens`.
     pub(super) fn new_customer(
         &self,
         now: Instant,
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -90,8 +90,8 @@
     }
 }
 
-/// A single gateway sees all that a customer uses. The customer spends its burst of 20 units at once, and its next
-/// request, for 5 units, has to wait until they are refilled at 10 units a second.
+/// A single gateway sees all that a customer uses. The customer spends its burst of 20 units at once, and its
+/// next request, for 5 units, has to wait until they are refilled at 10 units a second.
 #[test]
 fn beyond_the_burst_a_request_waits_for_the_refill() {
     let mut manager = manager(1);
@@ -105,9 +105,9 @@
     assert_eq!(shortage(&mut manager, refilled_at, &request), None);
 }
 
-/// In a large fleet a gateway knows a customer's usage by the grants of its owner alone. Without any it admits; once the
-/// owner says that there are no tokens it does not; and when the owner has been silent for 2 s it admits again, since a
-/// fleet whose messages are lost would otherwise reject all customers.
+/// In a large fleet a gateway knows a customer's usage by the grants of its owner alone. Without any it
+/// admits; once the owner says that there are no tokens it does not; and when the owner has been silent for 2
+/// s it admits again, since a fleet whose messages are lost would otherwise reject all customers.
 #[test]
 fn a_grant_is_believed_for_two_seconds() {
     let mut manager = manager(LARGE_FLEET);
@@ -122,8 +122,8 @@
     assert_eq!(shortage(&mut manager, START + token_wait::GRANT_LIFETIME, &request), None);
 }
 
-/// Two gateways request 15 of a customer's 20 units at the same time. The owner charges the first grant at once, without
-/// waiting for the report of its use, so that the second one is told that 5 units are left.
+/// Two gateways request 15 of a customer's 20 units at the same time. The owner charges the first grant at
+/// once, without waiting for the report of its use, so that the second one is told that 5 units are left.
 #[test]
 fn an_owner_charges_what_it_grants_at_once() {
     let mut manager = manager(LARGE_FLEET);
@@ -139,8 +139,8 @@
     assert_eq!(tokens_told(1, &used), 5.0);
 }
 
-/// A plan allows two attempts in flight over all gateways. The owner has granted one to each of two peers; a third is
-/// told that two are in flight elsewhere, and has its request wait as long as an answer takes.
+/// A plan allows two attempts in flight over all gateways. The owner has granted one to each of two peers; a
+/// third is told that two are in flight elsewhere, and has its request wait as long as an answer takes.
 #[test]
 fn a_concurrency_quota_counts_what_was_granted_elsewhere() {
     let mut owner = manager(LARGE_FLEET);
@@ -160,8 +160,8 @@
     assert_eq!(shortage(&mut asker, START, &request), Some(expected));
 }
 
-/// A request is held for a grant. The first one asks the owners; a second one a moment later waits for the same answer;
-/// the answer is for both.
+/// A request is held for a grant. The first one asks the owners; a second one a moment later waits for the
+/// same answer; the answer is for both.
 #[test]
 fn requests_that_wait_share_one_request_for_a_grant() {
     let mut manager = manager(LARGE_FLEET);
@@ -178,9 +178,9 @@
     assert_eq!(manager.on_grant(START, owner + 1, &grant(customer, 9.0, 0)), None, "not an owner");
 }
 
-/// An owner has charged a request that waited for its grant. If the request is admitted the owner knows of it already;
-/// if it is rejected after all the owner has to be told that the units were not used. In a small fleet there are other
-/// owners, which know of neither.
+/// An owner has charged a request that waited for its grant. If the request is admitted the owner knows of it
+/// already; if it is rejected after all the owner has to be told that the units were not used. In a small
+/// fleet there are other owners, which know of neither.
 #[test]
 fn owners_are_told_what_they_cannot_know() {
     let mut large = manager(LARGE_FLEET);
@@ -197,8 +197,8 @@
     assert_eq!(small.report_after_admission(customer, DecisionPoint::GrantWait), Some(ReportPurpose::Usage));
 }
 
-/// Somebody sends a request under another plan of a customer that is well known. The record keeps its plan. Only when
-/// more requests name the other plan than have confirmed the old one does it change.
+/// Somebody sends a request under another plan of a customer that is well known. The record keeps its plan.
+/// Only when more requests name the other plan than have confirmed the old one does it change.
 #[test]
 fn a_single_request_does_not_change_a_customers_plan() {
     let mut manager = manager(SMALL_FLEET);
@@ -220,8 +220,9 @@
     assert_eq!(familiarity_at(at_ten_seconds + Duration::from_millis(10_001)), Familiarity::Unseen);
 }
 
-/// A customer no longer comes. Its record is removed once its buckets are full again, but not while one of its attempts
-/// is in flight: such a customer is reported again, because the report of its attempt may have been lost.
+/// A customer no longer comes. Its record is removed once its buckets are full again, but not while one of
+/// its attempts is in flight: such a customer is reported again, because the report of its attempt may have
+/// been lost.
 #[test]
 fn a_sweep_forgets_customers_that_are_idle() {
     let mut manager = manager(1);
@@ -236,8 +237,8 @@
     assert!(manager.customers.keys().eq([&busy]));
 }
 
-/// A gateway that starts cannot tell a fleet that starts with it from one that has run for long, so it begins with a part
-/// of a customer's burst. Once it turns out that all started together the rest is added.
+/// A gateway that starts cannot tell a fleet that starts with it from one that has run for long, so it begins
+/// with a part of a customer's burst. Once it turns out that all started together the rest is added.
 #[test]
 fn withheld_tokens_are_released_where_the_fleet_started_together() {
     let mut manager = manager(SMALL_FLEET);
@@ -250,9 +251,9 @@
     assert!((manager.customers[&customer].tokens - 20.0).abs() < 1e-9);
 }
 
-/// An owner restarts, and has forgotten all usage. The gateway that was active for a customer a moment ago reports it
-/// again; customers that were not seen for some seconds are not worth a message. In a large fleet an owner that is heard
-/// for the first time has not forgotten anything.
+/// An owner restarts, and has forgotten all usage. The gateway that was active for a customer a moment ago
+/// reports it again; customers that were not seen for some seconds are not worth a message. In a large fleet
+/// an owner that is heard for the first time has not forgotten anything.
 #[test]
 fn a_restarted_owner_is_told_of_active_customers() {
     let mut manager = manager(LARGE_FLEET);
@@ -265,8 +266,8 @@
     assert_eq!(manager.on_peer_start(later, owner, PeerStart::Restarted), []);
 }
 
-/// A gateway has run for long when an owner starts, and its first report counts all that it ever forwarded. The owner
-/// must not charge that at once; of later reports it charges the difference.
+/// A gateway has run for long when an owner starts, and its first report counts all that it ever forwarded.
+/// The owner must not charge that at once; of later reports it charges the difference.
 #[test]
 fn the_first_total_of_an_older_gateway_is_not_charged() {
     let mut manager = manager(LARGE_FLEET);
--- a/src/policy/quota/token_bucket.rs
+++ b/src/policy/quota/token_bucket.rs
@@ -7,8 +7,8 @@
 /// The longest time, in seconds, that buckets are taken to need to refill.
 const MAX_REFILL_SECONDS: f64 = 1e6;
 
-/// Seconds until a bucket with so many tokens has those for `units`, at a refill rate in units a second; none if it has
-/// them now.
+/// Seconds until a bucket with so many tokens has those for `units`, at a refill rate in units a second; none
+/// if it has them now.
 pub(super) fn time_to_refill(tokens: f64, units: f64, refill_rate: f64) -> Option<f64> {
     let is_lacking = tokens + ROUNDING_MARGIN < units;
     is_lacking.then(|| (units - tokens) / refill_rate)
--- a/src/policy/quota/token_wait.rs
+++ b/src/policy/quota/token_wait.rs
@@ -9,7 +9,8 @@
 pub(super) const GRANT_LIFETIME: Duration = Duration::from_secs(2);
 /// The fewest units of a request by which the attempts of peers are estimated from the units that they used.
 const MIN_UNITS_PER_ATTEMPT: f64 = 0.1;
-/// Bits by which a gateway's start, in microseconds, is shifted before it is mixed with a request's identifier.
+/// Bits by which a gateway's start, in microseconds, is shifted before it is mixed with a request's
+/// identifier.
 const START_SALT_SHIFT: u32 = 24;
 
 /// A limit of a customer's plan.
@@ -61,8 +62,8 @@
 }
 
 impl QuotaManager {
-    /// How long a request has to wait for the tokens that it needs. `last_heard_at` tells when a message of a peer
-    /// last came, if ever.
+    /// How long a request has to wait for the tokens that it needs. `last_heard_at` tells when a message of a
+    /// peer last came, if ever.
     pub(crate) fn token_wait(
         &mut self,
         facts: &TokenFacts<'_>,
@@ -100,8 +101,8 @@
 }
 
 impl Customer {
-    /// Seconds until the quota's bucket may have a request's units, where peers used some unreported; none if it has
-    /// them now, or if there is no quota on the rate.
+    /// Seconds until the quota's bucket may have a request's units, where peers used some unreported; none if
+    /// it has them now, or if there is no quota on the rate.
     fn wait_for_rate(&self, plan: &Plan, unreported_units: f64, units: f64) -> Option<f64> {
         // The usage of peers is taken off, up to their share of the tokens.
         let peers_tokens = self.tokens.max(0.0) * (1.0 - self.own_share(plan));
@@ -109,17 +110,19 @@
         time_to_refill(available, units, plan.rate).filter(|_| plan.rate > 0.0)
     }
 
-    /// Attempts in flight from all gateways, with those that peers have likely begun since their last reports. Without
-    /// the latter the gateways of a heavy user would all wait for the same attempt to end, and begin one each.
+    /// Attempts in flight from all gateways, with those that peers have likely begun since their last
+    /// reports. Without the latter the gateways of a heavy user would all wait for the same attempt to end,
+    /// and begin one each.
     fn estimated_in_flight(&self, unreported_units: f64, units: f64) -> u32 {
         let unreported_attempts = (unreported_units / units.max(MIN_UNITS_PER_ATTEMPT)) as u32;
         self.in_flight + self.remote_in_flight + unreported_attempts
     }
 
-    /// Whether owners that sent no grant are taken to be overloaded by a customer far beyond its concurrency quota.
+    /// Whether owners that sent no grant are taken to be overloaded by a customer far beyond its concurrency
+    /// quota.
     ///
-    /// Owners that send other messages are overloaded. One that is silent may be down, so that a draw decides: the
-    /// more a wrong admission costs, the fewer requests are admitted.
+    /// Owners that send other messages are overloaded. One that is silent may be down, so that a draw
+    /// decides: the more a wrong admission costs, the fewer requests are admitted.
     fn presumes_owners_overloaded(
         &self,
         plan: &Plan,
--- a/src/policy/quota/token_wait/tests.rs
+++ b/src/policy/quota/token_wait/tests.rs
@@ -19,8 +19,8 @@
     assert_eq!(TokenWait::default().longest(), None);
 }
 
-/// Peers have likely used units that they have not reported yet. These are taken off the tokens, but never more than
-/// the peers' share of them: a gateway that alone serves a customer may use the whole bucket.
+/// Peers have likely used units that they have not reported yet. These are taken off the tokens, but never
+/// more than the peers' share of them: a gateway that alone serves a customer may use the whole bucket.
 #[test]
 fn unreported_usage_of_peers_is_taken_off_up_to_their_share() {
     let set = GatewaySet { start: 0, size: 2.0 };
@@ -33,9 +33,10 @@
     assert_eq!(alone.wait_for_rate(&plan(), 300.0, 10.0), None);
 }
 
-/// An owner does not answer a request for a grant. If it sent other messages a moment ago it is overloaded with requests
-/// of this customer, which is then taken to be over its quota. If it is silent it may be down, and only some requests
-/// are rejected: half of them where a wrong admission costs as much as a right one earns.
+/// An owner does not answer a request for a grant. If it sent other messages a moment ago it is overloaded
+/// with requests of this customer, which is then taken to be over its quota. If it is silent it may be down,
+/// and only some requests are rejected: half of them where a wrong admission costs as much as a right one
+/// earns.
 #[test]
 fn an_owner_that_is_alive_but_does_not_answer_is_overloaded() {
     let grant_request = GrantRequest { requested_at: NOW, ..GrantRequest::default() };
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -1,4 +1,5 @@
-//! The owner's side of usage reports: what a report adds to a customer's usage, and the grant that answers it.
+//! The owner's side of usage reports: what a report adds to a customer's usage, and the grant that answers
+//! it.
 
 use super::customer::{record_lifetime, Role, MAX_REPORTED_IN_FLIGHT};
 use super::{Customer, GatewaySet, GatewayUsage, IdentityClaim, QuotaManager, USAGE_RATE_TIME_CONSTANT};
@@ -71,8 +72,8 @@
         report.requests_grant.then_some(grant)
     }
 
-    /// Records the customer of a report; none if its plan is unknown. One that never came here has the tokens that the
-    /// peer says, or what was refilled since this start.
+    /// Records the customer of a report; none if its plan is unknown. One that never came here has the tokens
+    /// that the peer says, or what was refilled since this start.
     fn observe_reported_customer(&mut self, now: Instant, report: &UsageReport) -> Option<()> {
         let plan = self.settings.plans.get(usize::from(report.plan))?;
         let refilled = plan.rate * self.seconds_of_known_usage(now);
@@ -91,8 +92,8 @@
 }
 
 impl Customer {
-    /// Counts a sender's total from nothing where it is less than the last one and the sender has had the time to forget
-    /// the customer: it counts anew then.
+    /// Counts a sender's total from nothing where it is less than the last one and the sender has had the
+    /// time to forget the customer: it counts anew then.
     fn reset_total_of_forgetful_sender(
         &self,
         plan: &Plan,
@@ -133,8 +134,8 @@
         self.remote_rate = (self.remote_rate + count / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
     }
 
-    /// The answer to a usage report. What is granted is charged at once, since other gateways may ask before the next
-    /// report comes.
+    /// The answer to a usage report. What is granted is charged at once, since other gateways may ask before
+    /// the next report comes.
     fn grant(
         &mut self,
         plan: &Plan,
@@ -150,8 +151,8 @@
         if decision != GrantDecision::NotRequested {
             tracing::debug!(
                 target: "policy", customer = report.customer.0, from, tokens, others_in_flight,
-                requested_units = report.requested_units, hard_limit_units = hard_limit_grant, reason = ?decision,
-                "grant decided"
+                requested_units = report.requested_units, hard_limit_units = hard_limit_grant,
+                reason = ?decision,                "grant decided"
             );
         }
         QuotaGrant {
@@ -164,7 +165,8 @@
         }
     }
 
-    /// Whether what a report requests is granted, where so many attempts are in flight from gateways but the sender.
+    /// Whether what a report requests is granted, where so many attempts are in flight from gateways but the
+    /// sender.
     fn decide_grant(&self, plan: &Plan, others_in_flight: u32, report: &UsageReport) -> GrantDecision {
         let has_tokens = plan.burst == 0.0 || self.tokens >= report.requested_units;
         let in_flight = others_in_flight + u32::from(report.in_flight);
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Records the attempts in flight that a gateway reports. What it is granted counts already: one more attempt, and
-    /// the units that it requests.
+    /// Records the attempts in flight that a gateway reports. What it is granted counts already: one more
+    /// attempt, and the units that it requests.
     fn reserve(&mut self, usage: &mut GatewayUsage, report: &UsageReport, decision: GrantDecision) {
         let is_granted = decision == GrantDecision::Granted;
         let others_in_flight = self.in_flight_without(usage);
--- a/src/state.rs
+++ b/src/state.rs
@@ -8,8 +8,6 @@
 mod observation;
 mod request;
 mod request_table;
-mod retry_budget;
-mod retry_scope;
 
 pub use arithmetic::{decay, hash, DecayingAverage, DecayingRate, MICROS_PER_SECOND};
 pub use backend::{Backend, Health};
@@ -19,5 +17,3 @@
 pub use observation::{Observation, Source};
 pub use request::RequestState;
 pub use request_table::RequestTable;
-pub use retry_budget::RetryBudget;
-pub use retry_scope::RetryScope;
