--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,15 +1,18 @@
 //! A gateway: the parts that own its state, and the bookkeeping that needs several of them. Nothing is
 //! decided here: that is the work of `crate::policy`.
 
+mod admission;
 mod attempts;
 mod backend_health;
 mod forwarding;
+mod peers;
 
+use crate::gossip::PeerExchange;
 use crate::policy::discovery_schedule::PeriodicPoll;
-use crate::policy::{report_interval, RejectReason};
+use crate::policy::quota::{QuotaManager, ReportPurpose};
 use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
-use crate::policy::{LoadBalancer, OutlierDetector, RetryPolicy};
-use crate::state::{BackendTable, PeerTable, QuotaTable, RequestTable};
+use crate::policy::{LoadBalancer, OutlierDetector, RejectReason, RetryPolicy};
+use crate::state::{BackendTable, RequestTable};
 use crate::{Action, AttemptEnded, BackendId, Class, CustomerId, Endpoint, EndpointUpdate, Event};
 use crate::{Duration, Instant, Outcome, Plan, Request, RequestId, Settings};
 
@@ -24,8 +27,6 @@
     pub(crate) random_state: u64,
     /// The host's clock at the latest event; it never goes back.
     pub(crate) now: Instant,
-    /// When this process started; peers tell it from earlier ones by the incarnation made from this.
-    pub(crate) started_at: Instant,
     /// When the timer that was last set is due.
     pub(crate) next_wake_up_at: Instant,
     /// When the host last went on after it had stood still: latencies found with that event say nothing.
@@ -35,9 +36,9 @@
     /// Requests that are not finished, and their queue.
     pub(crate) requests: RequestTable,
     /// Customers and their token buckets.
-    pub(crate) quota: QuotaTable,
+    pub(crate) quota: QuotaManager,
     /// Other gateways, and what waits to be sent to them.
-    pub(crate) peers: PeerTable,
+    pub(crate) peers: PeerExchange,
     /// Backends, their health and the index of the ready ones.
     pub(crate) backends: BackendTable,
     /// Finds backends and zones that fail, and latencies that are not normal.
@@ -72,12 +73,13 @@
     /// A gateway that starts now and knows nothing yet.
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Self {
         let fleet_size = u64::from(settings.gateway_count.max(1));
-        let report_interval = report_interval(&settings, fleet_size);
+        let quota = QuotaManager::new(&settings, now);
+        let send_interval = quota.ownership().report_interval();
         Gateway {
             random_state: seed,
             now,
-            started_at: now,
-            quota: QuotaTable { usage_known_since: Some(now), report_interval, ..QuotaTable::default() },
+            quota,
+            peers: PeerExchange::new(&settings, now, send_interval),
             backends: BackendTable::new(&settings),
             outlier_detector: OutlierDetector::new(&settings.classes, now),
             load_balancer: LoadBalancer::new(&settings, fleet_size),
@@ -107,12 +109,6 @@
         &self.settings.plans[usize::from(request.plan)]
     }
 
-    /// Whether every gateway of a customer owns its quota, and is sent reports; in a large fleet only one or
-    /// two do, which are asked for grants.
-    pub(crate) fn all_gateways_own_quotas(&self) -> bool {
-        self.quota.all_gateways_own_quotas()
-    }
-
     /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the
     /// concurrency limit.
     pub(crate) fn record_pressure(&mut self, latency_ratio: f64) {
@@ -163,7 +159,7 @@
         self.update_shedding(actions);
         self.dispatch(actions);
         self.peers.ready_to_send(now).into_iter().for_each(|peer| self.flush_outbox(peer, actions));
-        self.sweep(actions);
+        self.sweep_customers(actions);
         self.poll_discovery(actions);
     }
 
@@ -219,10 +215,10 @@
         let (request, unsent, awaited) = (state.request, state.attempts.is_empty(), state.awaiting_grant);
         self.requests.remove(id);
         if awaited {
-            self.quota.stop_awaiting_grant(request.customer, id, true);
+            self.quota.stop_awaiting_grant(request.customer, id);
         } else if unsent {
-            self.charge(request.customer, -request.units);
-            self.queue_usage_report(request.customer, false, actions);
+            self.quota.charge(request.customer, -request.units);
+            self.queue_usage_report(request.customer, ReportPurpose::Usage, actions);
         }
     }
 
@@ -232,9 +228,7 @@
         let Some(backend) = self.backends.get_mut(backend) else { return };
         state.begin_attempt(backend.endpoint, self.now);
         backend.begin_attempt(self.now, self.settings.rules.overload_window);
-        if let Some(customer) = self.quota.customers.get_mut(&state.request.customer) {
-            customer.in_flight += 1;
-        }
+        self.quota.begin_attempt(state.request.customer);
         self.requests.in_flight += 1;
     }
 
@@ -258,11 +252,7 @@
         }
         let charged = ended.charged_units.filter(|_| self.settings.postpaid);
         let correction = charged.map_or(0.0, |units| units - request.units);
-        let mut usage_changed = correction != 0.0;
-        if let Some(customer) = self.quota.customers.get_mut(&request.customer) {
-            customer.end_attempt(correction);
-            usage_changed |= self.settings.plans[customer.plan].concurrency_quota > 0;
-        }
+        let usage_changed = self.quota.end_attempt(request.customer, correction);
         let (backend, customer) = (endpoint.backend, request.customer);
         Some(SettledAttempt { backend, customer, answered, was_last_in_flight, usage_changed })
     }
--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -1,8 +1,9 @@
 //! How a gateway follows the health of its backends: it hands what it sees to the outlier detector, logs what
 //! changes, and tells its peers.
 
-use crate::policy::REJECTION_LATENCY_RATIO;
-use crate::policy::{AnswerFacts, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, Source};
+use crate::policy::{
+    AnswerFacts, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, Source, REJECTION_LATENCY_RATIO,
+};
 use crate::{AttemptEnded, BackendId, Gateway};
 
 impl Gateway {
@@ -49,10 +50,9 @@
         self.record_pressure(latency_ratio);
     }
 
-    /// Has peers told of an observation, in a large fleet: there most gateways learn of a failing backend
-    /// from others before they send to it.
+    /// Queues a sample of an observation for the peers, where gateways tell each other of them.
     fn queue_sample(&mut self, observation: &Observation) {
-        if self.all_gateways_own_quotas() {
+        if !self.quota.ownership().shares_latency_samples() {
             return;
         }
         let objective = self.settings.classes[observation.class].latency_objective;
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -50,7 +50,7 @@
             arrived_at: state.arrived_at,
             class: self.class_of(&state.request),
             has_concurrency_quota: self.plan_of(&state.request).concurrency_quota > 0,
-            is_small_fleet: self.all_gateways_own_quotas(),
+            gives_up_worthless_attempts: self.quota.ownership().gives_up_worthless_attempts(),
             tick: self.settings.tick,
         })
     }
--- a/src/policy/attempt_expiry.rs
+++ b/src/policy/attempt_expiry.rs
@@ -13,8 +13,8 @@
     pub class: &'a Class,
     /// Whether its customer may have a limited number of attempts in flight.
     pub has_concurrency_quota: bool,
-    /// Whether the fleet is so small that all gateways of a customer own its quota.
-    pub is_small_fleet: bool,
+    /// Whether the way in which quotas are owned wants worthless attempts given up.
+    pub gives_up_worthless_attempts: bool,
     /// The least time between two events with a new clock: an attempt has at least as long.
     pub tick: Duration,
 }
@@ -22,12 +22,11 @@
 /// When an attempt is given up; none for its client's deadline.
 ///
 /// Past its latency objective an attempt may be worth nothing, but still counts towards its customer's
-/// concurrency quota: giving it up makes room for another. In a small fleet that would cost more than it
-/// gains, since the clients retry.
+/// concurrency quota: giving it up makes room for another.
 pub(crate) fn attempt_expiry(facts: &ExpiryFacts<'_>) -> Option<Instant> {
     let ExpiryFacts { now, arrived_at, class, tick, .. } = *facts;
     let is_worthless_when_late = class.late_weight == 0.0 && class.latency_objective_stretch == 0.0;
-    if facts.is_small_fleet || !facts.has_concurrency_quota || !is_worthless_when_late {
+    if !facts.gives_up_worthless_attempts || !facts.has_concurrency_quota || !is_worthless_when_late {
         return None;
     }
     Some((arrived_at + class.latency_objective).max(now + tick))
--- a/src/policy/attempt_expiry/tests.rs
+++ b/src/policy/attempt_expiry/tests.rs
@@ -27,7 +27,7 @@
         arrived_at: ARRIVAL,
         class,
         has_concurrency_quota: true,
-        is_small_fleet: false,
+        gives_up_worthless_attempts: true,
         tick: TICK,
     }
 }
@@ -53,5 +53,8 @@
     let worthless = class(0.0);
     assert_eq!(attempt_expiry(&facts(&class(0.2))), None);
     assert_eq!(attempt_expiry(&ExpiryFacts { has_concurrency_quota: false, ..facts(&worthless) }), None);
-    assert_eq!(attempt_expiry(&ExpiryFacts { is_small_fleet: true, ..facts(&worthless) }), None);
+    assert_eq!(
+        attempt_expiry(&ExpiryFacts { gives_up_worthless_attempts: false, ..facts(&worthless) }),
+        None
+    );
 }
