--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -3,10 +3,10 @@
 
 use crate::gateway::Gateway;
 use crate::policy::{
-    AttemptCheck, AttemptCheckFacts, EjectionReason, ExecutedAttempt, FinalAnswer, RejectReason, RetryFacts,
-    RetryPolicy, RetryScope, NOT_SERVED_RETRY_AFTER,
+    AttemptCheck, AttemptCheckFacts, ExecutedAttempt, FinalAnswer, RejectReason, RetryFacts, RetryPolicy,
+    RetryScope, SilenceVerdict, NOT_SERVED_RETRY_AFTER,
 };
-use crate::state::{Observation, RequestState, Source};
+use crate::state::RequestState;
 use crate::{Action, RequestId};
 
 impl Gateway {
@@ -58,13 +58,12 @@
         let Some(attempt) = state.latest_attempt_in_flight() else { return };
         let (backend_id, sent_at) = (attempt.endpoint.backend, attempt.sent_at);
         let Some(backend) = self.backends.get_mut(backend_id) else { return };
-        let health = &mut backend.health[class_index];
-        let is_silent = health.last_heard_at < sent_at;
+        let silence = backend.health.check_silence(class_index, sent_at, now);
         let check = self.retry_policy.check_attempt(&AttemptCheckFacts {
             now,
             sent_at,
             latency_budget: state.useful_duration(class.latency_objective),
-            is_silent,
+            is_silent: silence.is_silent(),
             is_shedding: !self.load_shedder.is_idle(),
             idempotency: class.idempotency,
         });
@@ -73,12 +72,8 @@
             AttemptCheck::CancelAndRetry => state.cancel_attempts(None, true, actions),
             AttemptCheck::Hedge | AttemptCheck::KeepWaiting => {}
         }
-        if is_silent && now >= health.ejected_until {
-            health.eject(now);
-            let (backend, class, reason) = (backend_id.0, class_index, EjectionReason::Silence);
-            tracing::debug!(target: "policy", backend, class, ?reason, "ejected");
-            let (class, source) = (class_index, Source::Own);
-            self.record_observation(Observation { backend: backend_id, class, latency: None, source });
+        if let SilenceVerdict::Silent { ejection: Some(ejection) } = silence {
+            self.on_silence_ejection(backend_id, class_index, ejection);
         }
         if check == AttemptCheck::Hedge {
             self.retry(id, actions);
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -3,7 +3,7 @@
 
 use crate::gossip::{Body, LatencySample, PeerAge, PeerStart, QuotaGrant, UsageReport};
 use crate::policy::quota::{ReportPurpose, FLEET_START_WINDOW};
-use crate::state::{Observation, Source};
+use crate::policy::{Observation, Source};
 use crate::{Action, CustomerId, Gateway, GatewayId};
 
 impl Gateway {
@@ -54,8 +54,9 @@
             let Some(backend) = self.backends.by_tag(sample.backend_tag) else { continue };
             let Some(settings) = self.settings.classes.get(class) else { continue };
             let objective_micros = settings.latency_objective.as_micros_f64();
-            let latency = sample.relative_latency.map(|relative| relative * objective_micros);
-            self.record_observation(Observation { backend, class, latency, source: Source::Peer });
+            let latency_micros = sample.relative_latency.map(|relative| relative * objective_micros);
+            let source = Source::Peer;
+            self.record_peer_observation(&Observation { backend, class, latency_micros, source });
         }
     }
 
