--- a/src/action.rs
+++ b/src/action.rs
@@ -44,23 +44,8 @@
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Check the health of a backend.
-    CheckHealth(BackendId),
-    /// Close idle connections to a backend.
-    CloseIdleConnections(BackendId),
     /// Subscribe to discovery, or no longer.
     WatchEndpoints(bool),
-    /// Ask discovery for the whole endpoint list once.
-    FetchEndpoints,
-    /// Add to a shared number.
-    IncrementCounter {
-        /// Its name.
-        name: u64,
-        /// The amount.
-        delta: f64,
-        /// How long a new name lives.
-        lifetime: Duration,
-    },
     /// A line for the log.
     Log(String),
 }
--- a/src/bin/ingress/backends.rs
+++ b/src/bin/ingress/backends.rs
@@ -1,4 +1,4 @@
-//! Connections to backends: a pool for each backend, attempts and health checks, and how these end.
+//! Connections to backends: a pool for each backend, the attempts on them, and how these end.
 //!
 //! A connection carries one command at a time, since cancelling an attempt means closing its connection.
 
@@ -10,7 +10,7 @@
 mod reply;
 
 pub use assignment::{
-    AssignedConnection, Assignment, Begun, CommandState, Completion, ConnectionEnd, ConnectionId, TimeTold,
+    AssignedConnection, AttemptId, Begun, CommandState, Completion, ConnectionEnd, ConnectionId, TimeTold,
 };
 pub use pool::Backends;
 
--- a/src/bin/ingress/backends/assignment.rs
+++ b/src/bin/ingress/backends/assignment.rs
@@ -1,19 +1,14 @@
-//! What a connection is used for, and how that ends.
+//! The attempts that connections carry, and how these end.
 
 use ingress::{BackendId, Duration, Instant, LoadReport, Outcome, RequestId};
 
-/// What a connection is used for.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Assignment {
-    /// An attempt of a request, the first one with number 0.
-    Attempt {
-        /// The request.
-        id: RequestId,
-        /// The attempt's number.
-        attempt: u16,
-    },
-    /// A health check.
-    HealthCheck,
+pub struct AttemptId {
+    /// The request.
+    pub request: RequestId,
+    /// The attempt's number; the first one has 0.
+    pub number: u16,
 }
 
 /// How much of a command is written. Only a backend that has its last byte may have begun to execute it.
@@ -34,7 +29,7 @@
     pub(super) serial: u64,
 }
 
-/// A connection that has been given an assignment.
+/// A connection that has been given an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AssignedConnection {
     /// The connection.
@@ -43,12 +38,12 @@
     pub command: CommandState,
 }
 
-/// An assignment of whose command the first byte was written.
+/// An attempt of whose command the first byte was written.
 #[derive(Clone, Copy, Debug)]
 pub struct Begun {
-    /// What the connection is used for.
-    pub assignment: Assignment,
-    /// The backend it is connected to.
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// The backend that the connection leads to.
     pub backend: BackendId,
     /// When the command was encoded that was written.
     pub at: Instant,
@@ -59,7 +54,7 @@
 /// Why a connection to a backend was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// Its attempt or health check was given up.
+    /// Its attempt was cancelled, or timed out.
     Cancelled,
     /// It did not come up, or its command could not be written, in time.
     ConnectTimeout,
@@ -75,8 +70,6 @@
     MadeRoom,
     /// Its backend drains, was removed or has moved.
     BackendClosed,
-    /// The policy wanted its backend's idle connections closed.
-    Requested,
 }
 
 /// A command as it is written: what it tells the backend, and when that was true.
@@ -88,15 +81,15 @@
     pub time_left: Duration,
 }
 
-/// How an attempt or a health check ended.
+/// How an attempt ended.
 pub struct Completion {
-    /// What the connection was used for.
-    pub assignment: Assignment,
-    /// The backend it was connected to.
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// The backend that it was sent to.
     pub backend: BackendId,
     /// How it ended.
     pub outcome: Outcome,
-    /// When the connection was given the assignment.
+    /// When the connection was given the attempt.
     pub started_at: Instant,
     /// The load that the backend reported.
     pub load_report: Option<LoadReport>,
--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a backend: its state, and single reads and writes.
 
-use super::{Assignment, CommandState, TimeTold};
+use super::{AttemptId, CommandState, TimeTold};
 use crate::socket_error::is_not_ready;
 use ingress::{BackendId, Duration, Instant, Outcome};
 use mio::net::TcpStream;
@@ -19,15 +19,15 @@
     pub address: SocketAddr,
     /// Whether it is established.
     pub is_connected: bool,
-    /// What it is used for; none while it is idle.
-    pub assignment: Option<Assignment>,
-    /// When it was given its assignment, or when it fell idle.
+    /// The attempt that it carries; none while it is idle.
+    pub attempt: Option<AttemptId>,
+    /// When it was given its attempt, or when it fell idle.
     pub state_since: Instant,
-    /// How long it was idle before its assignment; none at its first one.
+    /// How long it was idle before its attempt; none at its first one.
     pub idle_before: Option<Duration>,
     /// When the first byte of the reply came.
     pub reply_started_at: Instant,
-    /// The command of the assignment.
+    /// The command of the attempt.
     pub command: Vec<u8>,
     /// The time that the command tells.
     pub time_told: TimeTold,
@@ -51,7 +51,7 @@
 }
 
 impl Connection {
-    /// A connection that is being established, with no assignment.
+    /// A connection that is being established, with no attempt.
     pub fn new(
         stream: TcpStream,
         serial: u64,
@@ -65,7 +65,7 @@
             backend,
             address,
             is_connected: false,
-            assignment: None,
+            attempt: None,
             state_since: now,
             idle_before: None,
             reply_started_at: Instant::ZERO,
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Whether it has an assignment whose command has not been begun to be written.
+    /// Whether it has an attempt of whose command nothing is written.
     pub fn is_not_yet_written(&self) -> bool {
-        self.written == 0 && self.assignment.is_some()
+        self.written == 0 && self.attempt.is_some()
     }
 
-    /// What the end of the connection means for its assignment.
+    /// What the end of the connection means for its attempt.
     pub fn failure_outcome(&self) -> Outcome {
         match self.command_state() {
             CommandState::Sent => Outcome::Reset,
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -1,9 +1,9 @@
-//! Exchanges: a command and its reply on a connection, from the assignment to its completion.
+//! Exchanges: a command and its reply on a connection, from the assignment of an attempt to its completion.
 
 use super::connection::{Connection, ReadStep};
 use super::idle_reuse::IdleReuse;
 use super::reply::{self, ExchangeResult};
-use super::{AssignedConnection, Assignment, Backends, Begun, CommandState, Completion};
+use super::{AssignedConnection, AttemptId, Backends, Begun, CommandState, Completion};
 use super::{ConnectionEnd, ConnectionId, TimeTold};
 use crate::resp;
 use ingress::{BackendId, Duration, Instant, Outcome};
@@ -11,7 +11,7 @@
 
 /// The most bytes of a reply that is waited for. The parser gives up far earlier; this bounds a turn whatever it does.
 const MAX_REPLY_BYTES: usize = 256 * 1024;
-/// A failure this soon after the assignment says that the connection was dead already.
+/// A failure this soon after the assignment of an attempt says that the connection was dead already.
 const IMMEDIATE_FAILURE: Duration = Duration::from_millis(10);
 
 /// Whether a connection can still be used.
@@ -24,32 +24,32 @@
 }
 
 impl Backends {
-    /// Begins an attempt or a health check with the command that `encode` appends, now, which is when it tells the time in
+    /// Begins an attempt with the command that `encode` appends, now, which is when it tells the time in
     /// it. Returns none if it has failed, which is among the completions.
     pub fn assign(
         &mut self,
         registry: &Registry,
         backend: BackendId,
-        assignment: Assignment,
+        attempt: AttemptId,
         time_told: TimeTold,
         encode: impl FnOnce(&mut Vec<u8>),
     ) -> Option<AssignedConnection> {
         let now = time_told.at;
         if let Err(refusal) = self.may_assign(backend) {
-            tracing::debug!(target: "attempt", ?assignment, backend = backend.0, %refusal, "not sent");
+            tracing::debug!(target: "attempt", ?attempt, backend = backend.0, %refusal, "not sent");
             let result = ExchangeResult::without_reply(Outcome::NotSent);
-            self.push_completion(assignment, backend, now, result);
+            self.push_completion(attempt, backend, now, result);
             return None;
         }
         let key = match self.acquire(registry, backend, now) {
             Ok(key) => key,
             Err(outcome) => {
-                self.push_completion(assignment, backend, now, ExchangeResult::without_reply(outcome));
+                self.push_completion(attempt, backend, now, ExchangeResult::without_reply(outcome));
                 return None;
             }
         };
         let connection = &mut self.connections[key];
-        connection.assignment = Some(assignment);
+        connection.attempt = Some(attempt);
         connection.state_since = now;
         connection.written = 0;
         connection.time_told = time_told;
@@ -61,12 +61,12 @@
         Some(AssignedConnection { connection: id, command })
     }
 
-    /// The assignment of a connection of whose command nothing is written yet.
-    pub fn not_yet_written(&self, key: usize) -> Option<Assignment> {
+    /// The attempt of a connection of whose command nothing is written yet.
+    pub fn not_yet_written(&self, key: usize) -> Option<AttemptId> {
         self.connections
             .get(key)
             .filter(|connection| connection.written == 0)
-            .and_then(|connection| connection.assignment)
+            .and_then(|connection| connection.attempt)
     }
 
     /// Replaces a command of which nothing is written yet by what `encode` appends, which tells another time.
@@ -90,11 +90,11 @@
         self.connection(id).is_some_and(|connection| connection.command_state() == CommandState::Unsent)
     }
 
-    /// Closes a connection, if it still lives and has this assignment, and returns how much of its command was written.
-    /// There is no completion: the assignment is the caller's to account for.
-    pub fn cancel(&mut self, id: ConnectionId, assignment: Assignment) -> Option<CommandState> {
+    /// Closes a connection, if it still lives and carries this attempt, and returns how much of its command was written.
+    /// There is no completion: the caller accounts for the end of the attempt.
+    pub fn cancel(&mut self, id: ConnectionId, attempt: AttemptId) -> Option<CommandState> {
         let connection = self.connection(id)?;
-        if connection.assignment != Some(assignment) {
+        if connection.attempt != Some(attempt) {
             return None;
         }
         let command = connection.command_state();
@@ -104,10 +104,10 @@
 
     /// Ends an exchange whose connection is not established, or whose command is not written, in time: a command that
     /// begins later than the gateway counts on might begin after the window of its idempotency key.
-    pub fn on_connect_timeout(&mut self, id: ConnectionId, assignment: Assignment) {
-        let has_assignment =
-            self.connection(id).is_some_and(|connection| connection.assignment == Some(assignment));
-        if has_assignment && self.is_unsent(id) {
+    pub fn on_connect_timeout(&mut self, id: ConnectionId, attempt: AttemptId) {
+        let carries_attempt =
+            self.connection(id).is_some_and(|connection| connection.attempt == Some(attempt));
+        if carries_attempt && self.is_unsent(id) {
             self.complete(id.key, ExchangeResult::without_reply(Outcome::ConnectFailed), None);
             self.remove(id.key, ConnectionEnd::ConnectTimeout);
         }
@@ -136,12 +136,7 @@
         if was_unwritten && connection.written > 0 {
             let TimeTold { at, time_left: time_told } = connection.time_told;
             let backend = connection.backend;
-            self.begun.extend(connection.assignment.map(|assignment| Begun {
-                assignment,
-                backend,
-                at,
-                time_told,
-            }));
+            self.begun.extend(connection.attempt.map(|attempt| Begun { attempt, backend, at, time_told }));
         }
         if result.is_ok() {
             return;
@@ -179,8 +174,10 @@
     /// Completes the exchange if the reply is complete or malformed.
     fn process_received(&mut self, key: usize, now: Instant) -> Usability {
         let connection = &self.connections[key];
-        // Without an assignment nobody asked for what has come.
-        let Some(assignment) = connection.assignment else { return Usability::Unusable };
+        // Without an attempt no command was sent to which this could be the reply.
+        if connection.attempt.is_none() {
+            return Usability::Unusable;
+        }
         let parsed = match resp::parse_reply(&connection.received) {
             Ok(None) => return Usability::Usable,
             Ok(Some(parsed)) => Some(parsed),
@@ -189,7 +186,7 @@
         let is_sent = connection.command_state() == CommandState::Sent;
         let result = parsed
             .as_ref()
-            .and_then(|(reply, _)| reply::interpret(&connection.received, reply, assignment))
+            .and_then(|(reply, _)| reply::interpret(&connection.received, reply))
             // A reply to part of a command can only be a rejection.
             .filter(|result| is_sent || result.outcome == Outcome::Rejected);
         let has_nothing_behind = parsed.is_some_and(|(_, length)| length == connection.received.len());
@@ -215,7 +212,7 @@
     /// connection was dead before.
     pub(super) fn complete(&mut self, key: usize, result: ExchangeResult, ended_at: Option<Instant>) {
         let connection = &self.connections[key];
-        let Some(assignment) = connection.assignment else { return };
+        let Some(attempt) = connection.attempt else { return };
         let (backend, started_at) = (connection.backend, connection.state_since);
         if let Some(idle_time) = connection.idle_before {
             let failed = matches!(result.outcome, Outcome::Reset | Outcome::ConnectFailed);
@@ -226,18 +223,18 @@
                 self.idle_reuse.record(idle_time, IdleReuse::Stale);
             }
         }
-        self.push_completion(assignment, backend, started_at, result);
+        self.push_completion(attempt, backend, started_at, result);
     }
 
     /// Adds a completion.
     fn push_completion(
         &mut self,
-        assignment: Assignment,
+        attempt: AttemptId,
         backend: BackendId,
         started_at: Instant,
         result: ExchangeResult,
     ) {
         let ExchangeResult { outcome, value, load_report } = result;
-        self.completions.push(Completion { assignment, backend, outcome, started_at, load_report, value });
+        self.completions.push(Completion { attempt, backend, outcome, started_at, load_report, value });
     }
 }
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -82,7 +82,7 @@
         std::mem::take(&mut self.completions)
     }
 
-    /// The assignments that have begun since the last call, in order.
+    /// The attempts that have begun since the last call, in order.
     pub fn take_begun(&mut self) -> Vec<Begun> {
         std::mem::take(&mut self.begun)
     }
@@ -133,7 +133,7 @@
         self.pools.get(&entry.endpoint.backend).is_some_and(|pool| pool.address != entry.address)
     }
 
-    /// Ends assignments of which nothing is written yet, since their connections are still being established, at
+    /// Ends attempts of which nothing is written yet, since their connections are still being established, at
     /// backends that are closed to new work: they would begin later, and perhaps at another backend that has the address
     /// then.
     fn cancel_unsent(&mut self, closed_to_new_work: &HashSet<BackendId>) {
@@ -156,7 +156,7 @@
         may_send_to(self.pools.get(&backend).map(|pool| pool.availability))
     }
 
-    /// Whether an assignment for a backend would need a new connection. `now` is the time to the microsecond, not that of
+    /// Whether an attempt at a backend would need a new connection. `now` is the time to the microsecond, not that of
     /// the tick.
     pub fn needs_connection(&self, backend: BackendId, now: Instant) -> bool {
         self.pools.get(&backend).is_some_and(|pool| self.newest_reusable(pool, now).is_none())
@@ -229,7 +229,7 @@
         if pool.address != Some(connection.address) {
             return false;
         }
-        connection.assignment = None;
+        connection.attempt = None;
         connection.state_since = now;
         connection.received.clear();
         connection.received.shrink_to(BUFFER_SIZE);
@@ -245,11 +245,11 @@
             target: "backend_connection",
             connection = connection.serial,
             backend = connection.backend.0,
-            assignment = ?connection.assignment,
+            attempt = ?connection.attempt,
             reason = ?end,
             "closed"
         );
-        if connection.assignment.is_none() {
+        if connection.attempt.is_none() {
             if let Some(pool) = self.pools.get_mut(&connection.backend) {
                 pool.idle.retain(|idle_key| *idle_key != key);
             }
@@ -257,7 +257,7 @@
     }
 
     /// Closes the idle connections to a backend.
-    pub fn close_idle(&mut self, backend: BackendId, end: ConnectionEnd) {
+    fn close_idle(&mut self, backend: BackendId, end: ConnectionEnd) {
         let idle = self.pools.get_mut(&backend).map(|pool| std::mem::take(&mut pool.idle));
         for key in idle.into_iter().flatten() {
             self.remove(key, end);
@@ -275,7 +275,7 @@
     fn close_expired(&mut self, now: Instant) {
         let max_idle_time = self.max_idle_time.min(self.idle_reuse.max_idle_time());
         let is_expired = |connection: &Connection| {
-            connection.assignment.is_none() && now.duration_since(connection.state_since) > max_idle_time
+            connection.attempt.is_none() && now.duration_since(connection.state_since) > max_idle_time
         };
         for key in self.keys_where(is_expired) {
             self.remove(key, ConnectionEnd::Expired);
@@ -294,7 +294,7 @@
 
     /// Closes the connection that has been idle for longest, to free its descriptor. Returns false if none is idle.
     pub fn close_longest_idle(&mut self) -> bool {
-        let idle = self.connections.iter().filter(|(_, connection)| connection.assignment.is_none());
+        let idle = self.connections.iter().filter(|(_, connection)| connection.attempt.is_none());
         let longest = idle.min_by_key(|(_, connection)| (connection.state_since, connection.serial));
         let Some(key) = longest.map(|(key, _)| key) else { return false };
         self.remove(key, ConnectionEnd::MadeRoom);
--- a/src/bin/ingress/backends/reply.rs
+++ b/src/bin/ingress/backends/reply.rs
@@ -1,6 +1,5 @@
 //! What a backend's reply means.
 
-use super::Assignment;
 use crate::resp::{Element, ElementKind, Reply};
 use ingress::{LoadReport, Outcome};
 
@@ -25,18 +24,14 @@
     }
 }
 
-/// Interprets a reply whose elements are places in `buffer`; none if it is no reply to such an assignment.
-pub fn interpret(buffer: &[u8], reply: &Reply, assignment: Assignment) -> Option<ExchangeResult> {
-    match (reply, assignment) {
-        (Reply::Array(elements), Assignment::Attempt { .. }) => interpret_value(buffer, elements),
-        (Reply::Single(element), _) if element.kind == ElementKind::Error => {
+/// Interprets a reply whose elements are places in `buffer`; none if it is no reply to a request.
+pub fn interpret(buffer: &[u8], reply: &Reply) -> Option<ExchangeResult> {
+    match reply {
+        Reply::Array(elements) => interpret_value(buffer, elements),
+        Reply::Single(element) if element.kind == ElementKind::Error => {
             Some(interpret_error(&buffer[element.payload.clone()]))
         }
-        (Reply::Single(element), Assignment::HealthCheck) if element.kind == ElementKind::Bulk => {
-            let load_report = parse_load_report(&buffer[element.payload.clone()]);
-            Some(ExchangeResult { outcome: Outcome::Ok, value: Vec::new(), load_report })
-        }
-        _ => None,
+        Reply::Single(_) => None,
     }
 }
 
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -14,8 +14,8 @@
 const REPLY_ONE: &[u8] = b"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n";
 
 /// The first attempt of a request.
-fn attempt(request: u64) -> Assignment {
-    Assignment::Attempt { id: RequestId(request), attempt: 0 }
+fn attempt(request: u64) -> AttemptId {
+    AttemptId { request: RequestId(request), number: 0 }
 }
 
 /// A command that is encoded at a time.
@@ -84,7 +84,7 @@
         let mut other = rig.listener.accept().unwrap().0;
         other.write_all(b"*3\r\n$3\r\ntwo\r\n$-1\r\n$-1\r\n").unwrap();
         let completion = rig.completion(second, START + delay);
-        assert_eq!((completion.assignment, &completion.value[..]), (attempt(2), &b"$3\r\ntwo\r\n"[..]));
+        assert_eq!((completion.attempt, &completion.value[..]), (attempt(2), &b"$3\r\ntwo\r\n"[..]));
     }
 }
 
@@ -113,7 +113,7 @@
     assert!(rig.backends.is_unsent(connection));
     rig.backends.on_connect_timeout(connection, attempt(1));
     let completion = rig.backends.completions.pop().expect("it has ended");
-    assert_eq!((completion.assignment, completion.outcome), (attempt(1), Outcome::ConnectFailed));
+    assert_eq!((completion.attempt, completion.outcome), (attempt(1), Outcome::ConnectFailed));
     assert_eq!(rig.backends.len(), 0);
     drop(peer);
 }
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -99,11 +99,6 @@
         self.next_timer_at = now;
     }
 
-    /// Makes the next poll ask for the whole list.
-    pub fn request_snapshot(&mut self) {
-        self.index = None;
-    }
-
     /// Closes the connection, with all that is pending on it: nothing of it belongs to the next one.
     fn disconnect(&mut self) {
         self.connection = None;
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -57,7 +57,7 @@
     tick: Duration,
     /// Whether failed polls of discovery are reported to the policy.
     polls_discovery: bool,
-    /// How long a connection to a backend may take to come up, and a health check in all.
+    /// How long establishing a connection to a backend may take.
     connect_timeout: Duration,
     /// Checks what was done.
     auditor: Auditor,
--- a/src/bin/ingress/event_loop/actions.rs
+++ b/src/bin/ingress/event_loop/actions.rs
@@ -3,10 +3,10 @@
 use super::client_events::{Answer, FAILED_REPLY};
 use super::timer_queue::Timer;
 use super::EventLoop;
-use crate::backends::ConnectionEnd;
+use crate::backends::AttemptId;
 use crate::clients::BUSY_REPLY;
 use crate::logging;
-use ingress::{Action, Duration, Event, Outcome, RequestId};
+use ingress::{Action, Duration, Outcome, RequestId};
 use std::io::Write;
 
 /// The most bytes of a reply that tells when to try again.
@@ -19,7 +19,10 @@
             Action::Send { id, backend, expires_at } => self.send(id, backend, expires_at),
             Action::Reject { id, retry_after } => self.reject(id, retry_after),
             Action::Fail(id) => self.reply(id, FAILED_REPLY, Answer::Failed),
-            Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt, |_| Outcome::Cancelled),
+            Action::Cancel { id, attempt } => {
+                let attempt = AttemptId { request: id, number: attempt };
+                self.cancel_attempt(attempt, |_| Outcome::Cancelled);
+            }
             Action::SetTimer { delay, token } => {
                 self.timers.schedule(self.now + delay, Timer::Policy(token));
             }
@@ -28,18 +31,8 @@
                     peers.send(to, &bytes);
                 }
             }
-            Action::CheckHealth(backend) => self.check_health(backend),
-            Action::CloseIdleConnections(backend) => {
-                self.backends.close_idle(backend, ConnectionEnd::Requested)
-            }
             // The watch is always on: an ingress has to keep one in any case.
             Action::WatchEndpoints(_) => {}
-            Action::FetchEndpoints => self.watch.request_snapshot(),
-            // There is no shared counter here: nothing was added.
-            Action::IncrementCounter { name, .. } => {
-                let (outcome, total) = (Outcome::ConnectFailed, 0.0);
-                self.pending_events.push_back(Event::CounterUpdated { name, outcome, total });
-            }
             Action::Log(line) => tracing::info!(target: logging::UNTITLED, "{line}"),
         }
     }
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -1,11 +1,10 @@
-//! Attempts and health checks: their begin on a connection to a backend, and their end.
+//! Attempts: their begin on a connection to a backend, and their end.
 
 use super::client_events::Answer;
 use super::request_table::Attempt;
 use super::timer_queue::Timer;
 use super::EventLoop;
-use crate::backends::{Assignment, CommandState, Completion, ConnectionId, TimeTold};
-use crate::resp;
+use crate::backends::{AttemptId, CommandState, Completion, TimeTold};
 use ingress::permissions::{may_begin_writing, WriteFacts, WriteRefusal};
 use ingress::{AttemptEnded, BackendId, Duration, Event, Instant, LoadReport, Outcome, RequestId};
 
@@ -85,9 +84,9 @@
         let started_at = self.clock.now();
         let time_left = expires_at.duration_since(started_at);
         attempt.started_at = started_at;
-        let assignment = Assignment::Attempt { id, attempt: number };
+        let attempt_id = AttemptId { request: id, number };
         let time_told = TimeTold { at: started_at, time_left };
-        let assigned = self.backends.assign(self.poll.registry(), backend, assignment, time_told, |buffer| {
+        let assigned = self.backends.assign(self.poll.registry(), backend, attempt_id, time_told, |buffer| {
             command.encode(time_left, buffer)
         });
         tracing::debug!(
@@ -102,9 +101,9 @@
         );
         let Some(assigned) = assigned else { return self.audit_begun_attempts() };
         attempt.connection = Some(assigned.connection);
-        self.timers.schedule(expires_at, Timer::AttemptTimeout(id, number));
+        self.timers.schedule(expires_at, Timer::AttemptTimeout(attempt_id));
         if assigned.command == CommandState::Unsent {
-            self.timers.schedule(begins_by, Timer::ConnectTimeout(assigned.connection, assignment));
+            self.timers.schedule(begins_by, Timer::ConnectTimeout(assigned.connection, attempt_id));
         }
         self.audit_begun_attempts();
     }
@@ -115,47 +114,11 @@
             || self.descriptors.reserve_for_backend(&mut self.clients, &mut self.backends, self.now)
     }
 
-    /// Begins a health check.
-    pub(super) fn check_health(&mut self, backend: BackendId) {
-        if !self.reserve_descriptor(backend) {
-            return self.report_health_check(backend, Outcome::ConnectFailed, Duration::ZERO, None);
-        }
-        let (registry, now) = (self.poll.registry(), self.now);
-        let time_told = TimeTold { at: now, time_left: self.connect_timeout };
-        let assigned =
-            self.backends.assign(registry, backend, Assignment::HealthCheck, time_told, |buffer| {
-                resp::write_array_header(buffer, 2);
-                resp::write_bulk_string(buffer, &[b"INFO"]);
-                resp::write_bulk_string(buffer, &[b"load"]);
-            });
-        if let Some(assigned) = assigned {
-            let connection = assigned.connection;
-            let timer = Timer::HealthCheckTimeout { connection, backend, started_at: now };
-            self.timers.schedule(now + self.connect_timeout, timer);
-        }
-    }
-
-    /// Reports the end of a health check to the policy.
-    fn report_health_check(
-        &mut self,
-        backend: BackendId,
-        outcome: Outcome,
-        elapsed: Duration,
-        load_report: Option<LoadReport>,
-    ) {
-        self.pending_events.push_back(Event::HealthCheckEnded { backend, outcome, elapsed, load_report });
-    }
-
-    /// Takes in how an attempt or a health check has ended.
+    /// Records how an attempt has ended, and replies if it was served.
     pub(super) fn complete(&mut self, completion: Completion) {
-        let Completion { assignment, backend, outcome, started_at, load_report, value } = completion;
+        let Completion { attempt, backend, outcome, started_at, load_report, value } = completion;
         let elapsed = self.clock.now().duration_since(started_at);
-        let (id, number) = match assignment {
-            Assignment::Attempt { id, attempt } => (id, attempt),
-            Assignment::HealthCheck => {
-                return self.report_health_check(backend, outcome, elapsed, load_report);
-            }
-        };
+        let AttemptId { request: id, number } = attempt;
         let Some(request) = self.requests.get_mut(id) else { return };
         if let Some(attempt) = request.attempts.get_mut(usize::from(number)) {
             attempt.connection = None;
@@ -170,39 +133,21 @@
     }
 
     /// Gives up an attempt that has taken too long.
-    pub(super) fn time_out_attempt(&mut self, id: RequestId, number: u16) {
-        self.cancel_attempt(id, number, timeout_outcome);
-    }
-
-    /// Gives up a health check that has taken too long.
-    pub(super) fn time_out_health_check(
-        &mut self,
-        connection: ConnectionId,
-        backend: BackendId,
-        started_at: Instant,
-    ) {
-        if let Some(command) = self.backends.cancel(connection, Assignment::HealthCheck) {
-            self.report_health_check(
-                backend,
-                timeout_outcome(command),
-                self.now.duration_since(started_at),
-                None,
-            );
-        }
+    pub(super) fn time_out_attempt(&mut self, attempt: AttemptId) {
+        self.cancel_attempt(attempt, timeout_outcome);
     }
 
     /// Ends an attempt that is in flight; its outcome may depend on how much of the command was sent.
     pub(super) fn cancel_attempt(
         &mut self,
-        id: RequestId,
-        number: u16,
+        attempt_id: AttemptId,
         outcome: impl Fn(CommandState) -> Outcome,
     ) {
+        let AttemptId { request: id, number } = attempt_id;
         let Some(request) = self.requests.get_mut(id) else { return };
         let Some(attempt) = request.attempts.get_mut(usize::from(number)) else { return };
-        let assignment = Assignment::Attempt { id, attempt: number };
         let cancelled =
-            attempt.connection.and_then(|connection| self.backends.cancel(connection, assignment));
+            attempt.connection.and_then(|connection| self.backends.cancel(connection, attempt_id));
         let Some(command) = cancelled else { return };
         attempt.connection = None;
         let elapsed = self.clock.now().duration_since(attempt.started_at);
@@ -242,7 +187,7 @@
         for (number, attempt) in (0u16..).zip(&mut request.attempts) {
             let unsent = attempt.connection.filter(|connection| self.backends.is_unsent(*connection));
             let Some(connection) = unsent else { continue };
-            self.backends.cancel(connection, Assignment::Attempt { id, attempt: number });
+            self.backends.cancel(connection, AttemptId { request: id, number });
             attempt.connection = None;
             let elapsed = self.clock.now().duration_since(attempt.started_at);
             ended.push(AttemptRecord { id, number, backend: attempt.backend, elapsed });
@@ -254,9 +199,8 @@
     /// when the connection was begun, which may be as long ago as the connect timeout. Ends the attempt instead if it may
     /// not begin any more: the loop may have been held up, and its timer is due but was not looked at.
     pub(super) fn prepare_to_write(&mut self, key: usize) {
-        let Some(Assignment::Attempt { id, attempt: number }) = self.backends.not_yet_written(key) else {
-            return;
-        };
+        let Some(attempt_id) = self.backends.not_yet_written(key) else { return };
+        let AttemptId { request: id, number } = attempt_id;
         let Some(request) = self.requests.get(id) else { return };
         let Some(attempt) = request.attempts.get(usize::from(number)) else { return };
         let at = self.clock.now().max(self.now);
@@ -269,7 +213,7 @@
                 WriteRefusal::Answered => Outcome::NotSent,
                 WriteRefusal::Expired | WriteRefusal::ConnectedTooLate => Outcome::ConnectFailed,
             };
-            return self.cancel_attempt(id, number, |_| outcome);
+            return self.cancel_attempt(attempt_id, |_| outcome);
         }
         let time_left = expires_at.duration_since(at);
         let time_told = TimeTold { at, time_left };
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -2,7 +2,7 @@
 //! as in tests, it panics.
 
 use super::EventLoop;
-use crate::backends::Assignment;
+use crate::backends::AttemptId;
 use ingress::audit::{AttemptBegun, Violation, ViolationKind};
 use ingress::{Outcome, RequestId};
 
@@ -10,7 +10,7 @@
     /// Takes in the attempts whose first byte was written.
     pub(super) fn audit_begun_attempts(&mut self) {
         for begun in self.backends.take_begun() {
-            let Assignment::Attempt { id, attempt: number } = begun.assignment else { continue };
+            let AttemptId { request: id, number } = begun.attempt;
             self.counters.attempts_begun += 1;
             let Some(request) = self.requests.get_mut(id) else { continue };
             let begun =
--- a/src/bin/ingress/event_loop/timer_queue.rs
+++ b/src/bin/ingress/event_loop/timer_queue.rs
@@ -1,7 +1,7 @@
 //! What the event loop has to do at a given time.
 
-use crate::backends::{Assignment, ConnectionId};
-use ingress::{BackendId, Instant, RequestId};
+use crate::backends::{AttemptId, ConnectionId};
+use ingress::{Instant, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -10,21 +10,12 @@
 pub enum Timer {
     /// The policy has asked to be woken; the token is its own.
     Policy(u32),
-    /// An attempt, by its number, has taken too long.
-    AttemptTimeout(RequestId, u16),
+    /// An attempt has taken too long.
+    AttemptTimeout(AttemptId),
     /// A client no longer waits for its reply.
     ClientDeadline(RequestId),
-    /// A connection should be up, and the command of the assignment written.
-    ConnectTimeout(ConnectionId, Assignment),
-    /// A health check has taken too long.
-    HealthCheckTimeout {
-        /// The connection that it uses.
-        connection: ConnectionId,
-        /// The backend.
-        backend: BackendId,
-        /// When it was sent.
-        started_at: Instant,
-    },
+    /// A connection should be established, and the command of its attempt written.
+    ConnectTimeout(ConnectionId, AttemptId),
     /// Idle connections and what else has expired are cleared away.
     Sweep,
     /// Connections are accepted again after there was no descriptor for them.
--- a/src/bin/ingress/event_loop/timer_queue/tests.rs
+++ b/src/bin/ingress/event_loop/timer_queue/tests.rs
@@ -13,7 +13,7 @@
     timers.schedule(at(5), Timer::ReplyDeadline);
     timers.schedule(at(5), Timer::Sweep);
     timers.schedule(at(5), Timer::ClientDeadline(RequestId(1)));
-    timers.schedule(at(5), Timer::AttemptTimeout(RequestId(2), 0));
+    timers.schedule(at(5), Timer::AttemptTimeout(AttemptId { request: RequestId(2), number: 0 }));
     timers.schedule(at(5), Timer::Policy(9));
     timers.schedule(at(4), Timer::StopAccepting);
     timers.schedule(at(6), Timer::Policy(1));
@@ -22,7 +22,7 @@
     let expected = [
         Timer::StopAccepting,
         Timer::Policy(9),
-        Timer::AttemptTimeout(RequestId(2), 0),
+        Timer::AttemptTimeout(AttemptId { request: RequestId(2), number: 0 }),
         Timer::ClientDeadline(RequestId(1)),
         Timer::Sweep,
         Timer::ReplyDeadline,
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -25,13 +25,10 @@
     fn run_timer(&mut self, timer: Timer) {
         match timer {
             Timer::Policy(token) => self.pending_events.push_back(Event::Timer(token)),
-            Timer::AttemptTimeout(id, number) => self.time_out_attempt(id, number),
+            Timer::AttemptTimeout(attempt) => self.time_out_attempt(attempt),
             Timer::ClientDeadline(id) => self.fail_unanswered(id),
-            Timer::ConnectTimeout(connection, assignment) => {
-                self.backends.on_connect_timeout(connection, assignment);
-            }
-            Timer::HealthCheckTimeout { connection, backend, started_at } => {
-                self.time_out_health_check(connection, backend, started_at);
+            Timer::ConnectTimeout(connection, attempt) => {
+                self.backends.on_connect_timeout(connection, attempt);
             }
             Timer::Sweep => self.sweep(),
             Timer::RetryAccept => {
--- a/src/bin/simulator-adapter/wire/field_writer.rs
+++ b/src/bin/simulator-adapter/wire/field_writer.rs
@@ -51,11 +51,6 @@
         self.bytes(&value.to_le_bytes())
     }
 
-    /// A floating-point number of four bytes.
-    pub fn f32(&mut self, value: f32) -> &mut Self {
-        self.bytes(&value.to_le_bytes())
-    }
-
     /// A span of time, in microseconds, in four bytes; one that is too long for them becomes the longest.
     pub fn span(&mut self, span: Duration) -> &mut Self {
         self.u32(u32::try_from(span.as_micros()).unwrap_or(u32::MAX))
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -18,13 +18,9 @@
     pub const FAIL: u8 = 30;
     pub const CANCEL: u8 = 40;
     pub const SET_TIMER: u8 = 50;
-    pub const CHECK_HEALTH: u8 = 60;
-    pub const CLOSE_IDLE_CONNECTIONS: u8 = 70;
     pub const SEND_TO_PEER: u8 = 80;
     pub const LOG: u8 = 90;
     pub const WATCH_ENDPOINTS: u8 = 110;
-    pub const FETCH_ENDPOINTS: u8 = 120;
-    pub const INCREMENT_COUNTER: u8 = 130;
 }
 
 /// A reply under construction.
@@ -73,9 +69,6 @@
             Action::SetTimer { delay, token } => {
                 record.span(*delay).u32(*token);
             }
-            Action::CheckHealth(backend) | Action::CloseIdleConnections(backend) => {
-                record.backend(*backend);
-            }
             Action::SendToPeer { to, bytes } => {
                 record.u16(to.unwrap_or(ALL_PEERS).0);
                 self.write_tail(record, bytes);
@@ -84,10 +77,6 @@
             Action::WatchEndpoints(on) => {
                 record.u8(u8::from(*on));
             }
-            Action::FetchEndpoints => {}
-            Action::IncrementCounter { name, delta, lifetime } => {
-                record.span(*lifetime).f32(*delta as f32).u64(*name);
-            }
         }
     }
 
@@ -118,12 +107,8 @@
         Action::Fail(_) => code::FAIL,
         Action::Cancel { .. } => code::CANCEL,
         Action::SetTimer { .. } => code::SET_TIMER,
-        Action::CheckHealth(_) => code::CHECK_HEALTH,
-        Action::CloseIdleConnections(_) => code::CLOSE_IDLE_CONNECTIONS,
         Action::SendToPeer { .. } => code::SEND_TO_PEER,
         Action::Log(_) => code::LOG,
         Action::WatchEndpoints(_) => code::WATCH_ENDPOINTS,
-        Action::FetchEndpoints => code::FETCH_ENDPOINTS,
-        Action::IncrementCounter { .. } => code::INCREMENT_COUNTER,
     }
 }
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -26,18 +26,10 @@
         (30, Action::Fail(id), vec![(3, 0x0c), (4, 0x0b)]),
         (40, Action::Cancel { id, attempt: 258 }, vec![(3, 0x0c), (11, 2), (12, 1)]),
         (50, Action::SetTimer { delay: Duration::from_micros(5), token: 9 }, vec![(3, 5), (7, 9)]),
-        (60, Action::CheckHealth(backend), vec![(3, 1), (8, 6)]),
-        (70, Action::CloseIdleConnections(backend), vec![(3, 1), (8, 6)]),
         (80, Action::SendToPeer { to: Some(GatewayId(2)), bytes: vec![8, 9] }, vec![(3, 2), (5, 0), (9, 2)]),
         (80, Action::SendToPeer { to: None, bytes: vec![7] }, vec![(3, 255), (4, 255), (5, 2), (9, 1)]),
         (90, Action::Log("abc".into()), vec![(3, 3), (7, 3)]),
         (110, Action::WatchEndpoints(true), vec![(3, 1)]),
-        (120, Action::FetchEndpoints, vec![(3, 0)]),
-        (
-            130,
-            Action::IncrementCounter { name: 6, delta: 4.0, lifetime: Duration::from_micros(8) },
-            vec![(3, 8), (9, 0x80), (10, 0x40), (11, 6)],
-        ),
     ];
     let mut reply = Reply::new(5);
     let list: Vec<Action> = actions.iter().map(|(_, action, _)| action.clone()).collect();
--- a/tests/decision_digest/digest.rs
+++ b/tests/decision_digest/digest.rs
@@ -16,8 +16,6 @@
     pub quota_grants: u32,
     pub watches: u32,
     pub logs: u32,
-    /// Health checks, closed idle connections, fetched lists, counter calls: no decision asks for them.
-    pub others: u32,
 }
 
 impl Counts {
@@ -36,10 +34,6 @@
             },
             Action::WatchEndpoints(_) => self.watches += 1,
             Action::Log(_) => self.logs += 1,
-            Action::CheckHealth(_)
-            | Action::CloseIdleConnections(_)
-            | Action::FetchEndpoints
-            | Action::IncrementCounter { .. } => self.others += 1,
         }
     }
 }
@@ -94,10 +88,6 @@
             Action::SendToPeer { to, bytes } => self.fold_message(to.map(|peer| peer.0), bytes),
             Action::WatchEndpoints(on) => self.fold_numbers(&[7, u64::from(*on)]),
             Action::Log(_) => self.fold_numbers(&[8]),
-            Action::CheckHealth(_)
-            | Action::CloseIdleConnections(_)
-            | Action::FetchEndpoints
-            | Action::IncrementCounter { .. } => self.fold_numbers(&[9]),
         }
     }
 
--- a/tests/decision_digest/main.rs
+++ b/tests/decision_digest/main.rs
@@ -43,7 +43,6 @@
         counts.logs,
     ];
     assert!(occurring.iter().all(|count| *count >= 3), "a kind of action hardly occurs: {counts:?}");
-    assert_eq!(counts.others, 0, "a kind of action occurs that no decision asked for so far");
 }
 
 fn assert_pinned(size: FleetSize, pinned: Pinned) {
@@ -69,7 +68,6 @@
         quota_grants: 1875,
         watches: 22,
         logs: 54,
-        others: 0,
     };
     assert_pinned(THREE, Pinned { digest: 0x7C3D_0817_9925_D4C0, counts });
 }
@@ -87,7 +85,6 @@
         quota_grants: 2432,
         watches: 36,
         logs: 84,
-        others: 0,
     };
     assert_pinned(THIRTY, Pinned { digest: 0x5135_22E7_BE53_26D3, counts });
 }
@@ -105,7 +102,6 @@
         quota_grants: 19_562,
         watches: 46,
         logs: 100,
-        others: 0,
     };
     assert_pinned(THREE_HUNDRED, Pinned { digest: 0x8931_D61E_8E33_B64F, counts });
 }
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -141,7 +141,6 @@
                     assert!(is_idempotent || maybe_executed == 0, "rejected what may have been executed");
                 }
                 Action::Fail(id) => assert!(self.ended.insert(*id), "a second answer"),
-                Action::CheckHealth(_) | Action::IncrementCounter { .. } => panic!("forbidden here"),
                 _ => {}
             }
         }
