--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -1,6 +1,6 @@
 //! Records of a batch: a code, the number of an instance, and the fields that belong to the code.
 
-use super::field_reader::FieldReader;
+use super::field_reader::{FieldReader, BACKEND_ID_SIZE};
 use super::InstanceId;
 use crate::error::{FieldProblem, RecordError};
 use ingress::{
@@ -14,6 +14,10 @@
 const ENDPOINT_SIZE: usize = 24;
 /// Bytes of an endpoint update between its kind and its rows, which the decision module has no use for.
 const ENDPOINT_UPDATE_SKIPPED: usize = 8;
+/// Bytes before the outcome of a health check: the backend.
+const HEALTH_CHECK_OUTCOME_OFFSET: usize = BACKEND_ID_SIZE;
+/// Bytes before the outcome of a call to the shared counter: the name of the number.
+const COUNTER_OUTCOME_OFFSET: usize = size_of::<u64>();
 /// The most values that a load report has on the wire.
 const MAX_REPORT_VALUES: usize = 4;
 /// Metered use is counted in hundredths.
@@ -86,9 +90,9 @@
             code::STOP => return Ok(RecordContent::Stop),
             code::ENDPOINTS => self.endpoints(&mut fields)?,
             code::REQUEST => Event::Request(request(&mut fields)),
-            code::HEALTH_CHECK_ENDED => self.health_check_ended(&mut fields, report_fields)?,
+            code::HEALTH_CHECK_ENDED => self.unused_event(&mut fields, HEALTH_CHECK_OUTCOME_OFFSET)?,
             code::ATTEMPT_ENDED => self.attempt_ended(&mut fields, report_fields)?,
-            code::COUNTER_UPDATED => self.counter_updated(&mut fields)?,
+            code::COUNTER_UPDATED => self.unused_event(&mut fields, COUNTER_OUTCOME_OFFSET)?,
             code::CLIENT_DISCONNECTED => Event::ClientDisconnected(RequestId(fields.u64())),
             code::TIMER => Event::Timer(fields.u32()),
             code::FIRST_BYTE => Event::FirstByte { id: RequestId(fields.u64()), attempt: fields.u16() },
@@ -147,18 +151,11 @@
         }
     }
 
-    /// The end of a health check.
-    fn health_check_ended(
-        &self,
-        fields: &mut FieldReader,
-        report_fields: &[String],
-    ) -> Result<Event, RecordError> {
-        Ok(Event::HealthCheckEnded {
-            backend: fields.backend(),
-            outcome: self.outcome(fields)?,
-            elapsed: fields.span(),
-            load_report: load_report(fields, report_fields),
-        })
+    /// The end of something that no decision asks for; only its outcome, at this offset, is checked.
+    fn unused_event(&self, fields: &mut FieldReader, outcome_offset: usize) -> Result<Event, RecordError> {
+        fields.skip(outcome_offset);
+        self.outcome(fields)?;
+        Ok(Event::Unused)
     }
 
     /// The end of an attempt.
@@ -181,11 +178,6 @@
         }))
     }
 
-    /// The end of a call to the shared counter.
-    fn counter_updated(&self, fields: &mut FieldReader) -> Result<Event, RecordError> {
-        Ok(Event::CounterUpdated { name: fields.u64(), outcome: self.outcome(fields)?, total: fields.f32() })
-    }
-
     /// Sender, and where the message stands.
     fn peer_message(&self, fields: &mut FieldReader) -> Result<Event, RecordError> {
         let from = GatewayId(fields.u16());
--- a/src/event.rs
+++ b/src/event.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// How an attempt, a health check or a call to the shared counter ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
@@ -126,17 +126,6 @@
     ClientDisconnected(RequestId),
     /// A timer came due.
     Timer(u32),
-    /// A health check ended.
-    HealthCheckEnded {
-        /// The backend.
-        backend: BackendId,
-        /// How it ended.
-        outcome: Outcome,
-        /// How long it took.
-        elapsed: Duration,
-        /// The load report that came along.
-        load_report: Option<LoadReport>,
-    },
     /// A peer's message.
     PeerMessage {
         /// The sender.
@@ -144,13 +133,9 @@
         /// The message.
         bytes: Vec<u8>,
     },
-    /// A call to the shared counter ended.
-    CounterUpdated {
-        /// The number's name.
-        name: u64,
-        /// How it ended.
-        outcome: Outcome,
-        /// The total, with [`Outcome::Ok`].
-        total: f64,
-    },
+    /// Something that no decision uses.
+    ///
+    /// The simulator's wire has events of this kind: ends of health checks and of calls to a shared counter. Each
+    /// still tells the time, which the gateway acts on, so the host hands them over like the others.
+    Unused,
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -141,7 +141,7 @@
             Event::FirstByte { id, attempt } => self.on_first_byte(id, attempt, actions),
             Event::PeerMessage { from, bytes } => self.on_peer_message(from, &bytes, actions),
             Event::Endpoints(update, endpoints) => self.on_endpoints(update, endpoints, actions),
-            Event::Timer(_) | Event::HealthCheckEnded { .. } | Event::CounterUpdated { .. } => {}
+            Event::Timer(_) | Event::Unused => {}
         }
     }
 
