--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -47,7 +47,6 @@
             ..Limits::default()
         },
         rules: Rules {
-            answer_slack: 16_000,
             drain_grace: 250_000,
             slow_start_floor: 0.23,
             slow_start_duration: 15 * SECOND,
@@ -80,9 +79,7 @@
         concurrency_quota: 0,
         hard_limit_rate: 0.0,
         hard_limit_burst: 0.0,
-        hard_limit_slack: 0.0,
         price: 1.0,
-        over_quota_weight: 0.0,
         over_quota_cost: 1.0,
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,8 +9,8 @@
 //!
 //! let plan = Plan {
 //!     rate: 10.0, burst: 20.0, concurrency_quota: 0,
-//!     hard_limit_rate: 0.0, hard_limit_burst: 0.0, hard_limit_slack: 0.0,
-//!     price: 1.0, over_quota_weight: 0.0, over_quota_cost: 1.0,
+//!     hard_limit_rate: 0.0, hard_limit_burst: 0.0,
+//!     price: 1.0, over_quota_cost: 1.0,
 //! };
 //! let class = Class {
 //!     latency_objective: Duration::from_millis(500), latency_objective_stretch: 0.0,
--- a/src/policy/load_shedding/tests.rs
+++ b/src/policy/load_shedding/tests.rs
@@ -13,9 +13,7 @@
         concurrency_quota: 0,
         hard_limit_rate: 0.0,
         hard_limit_burst: 0.0,
-        hard_limit_slack: 0.0,
         price,
-        over_quota_weight: 0.0,
         over_quota_cost: 0.0,
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -65,12 +65,8 @@
     pub hard_limit_rate: f64,
     /// Units that the hard limit's token bucket holds.
     pub hard_limit_burst: f64,
-    /// Units by which the hard limit's token bucket may go below nothing.
-    pub hard_limit_slack: f64,
     /// Factor on the priority weight.
     pub price: f64,
-    /// Share of the priority weight that is earned beyond the quota.
-    pub over_quota_weight: f64,
     /// Share of the priority weight that forwarding beyond the quota costs.
     pub over_quota_cost: f64,
 }
@@ -84,8 +80,6 @@
     pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancellation: bool,
-    /// Backends may be health checked.
-    pub health_checks: bool,
     /// Gateways may send each other messages.
     pub peer_messages: bool,
     /// Messages that a gateway takes in, in a second.
@@ -94,8 +88,6 @@
     pub retry_after: bool,
     /// The longest pause that a client keeps.
     pub max_retry_after: Duration,
-    /// A shared counter may be used.
-    pub shared_counter: bool,
     /// Requests open at once.
     pub max_open_requests: u32,
     /// A connection still not up by then has failed; an attempt may begin that much after its send.
@@ -105,8 +97,6 @@
 /// The figures of the rules.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// A final answer counts until this long past the deadline.
-    pub answer_slack: Duration,
     /// New work to a draining backend must have ended after this.
     pub drain_grace: Duration,
     /// A backend starts at this share of its capacity or more.
@@ -166,8 +156,6 @@
     pub discovery: Discovery,
     /// What the sizes of endpoints mean.
     pub size_meaning: SizeMeaning,
-    /// The period of the meter that reports use; 0 for none.
-    pub meter_period: Duration,
     /// Units are guesses, settled with the answer.
     pub postpaid: bool,
 }
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -13,6 +13,29 @@
 /// The longest time span, so that sums of some of them stay in range.
 const MAX_MICROS: u64 = u64::MAX >> 12;
 
+/// What a value has to be.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ValueKind {
+    /// A finite number from 0 up.
+    Number,
+    /// A time span in whole microseconds.
+    Duration,
+    /// `true` or `false`.
+    Flag,
+}
+
+/// Keys of a plan that no decision uses. A configuration without them, or with a bad value there, is refused all
+/// the same.
+const UNUSED_PLAN_KEYS: [(&str, ValueKind); 2] =
+    [("ceiling_slack", ValueKind::Number), ("over_worth", ValueKind::Number)];
+/// The same outside the lists.
+const UNUSED_KEYS: [(&str, ValueKind); 4] = [
+    ("limits.may_probe", ValueKind::Flag),
+    ("family_info.has_counter", ValueKind::Flag),
+    ("rules.answer_slack_us", ValueKind::Duration),
+    ("family_info.meter_period_us", ValueKind::Duration),
+];
+
 /// Why settings were not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
@@ -146,6 +169,15 @@
         }
     }
 
+    /// Checks a value that no decision uses.
+    fn check(&self, key: &str, kind: ValueKind) -> Result<(), SettingsError> {
+        match kind {
+            ValueKind::Number => self.number(key).map(drop),
+            ValueKind::Duration => self.duration(key).map(drop),
+            ValueKind::Flag => self.flag(key).map(drop),
+        }
+    }
+
     /// The length of a list of objects; one item more or fewer than told is an error.
     fn count(&self, list: &str) -> Result<u64, SettingsError> {
         let count = self.whole_number(&format!("{list}.count"), MAX_COUNT)?;
@@ -191,17 +223,17 @@
     /// The plan at an index.
     fn plan(&self, index: u64) -> Result<Plan, SettingsError> {
         let key = |name: &str| format!("contracts.{index}.{name}");
-        Ok(Plan {
+        let plan = Plan {
             rate: self.number(&key("quota_rate"))?,
             burst: self.number(&key("burst"))?,
             concurrency_quota: self.whole_number(&key("max_out"), u64::from(u32::MAX))? as u32,
             hard_limit_rate: self.number(&key("never_over_rate"))?,
             hard_limit_burst: self.number(&key("ceiling_burst"))?,
-            hard_limit_slack: self.number(&key("ceiling_slack"))?,
             price: self.number(&key("worth_factor"))?,
-            over_quota_weight: self.number(&key("over_worth"))?,
             over_quota_cost: self.number(&key("beyond_costs"))?,
-        })
+        };
+        UNUSED_PLAN_KEYS.iter().try_for_each(|(name, kind)| self.check(&key(name), *kind))?;
+        Ok(plan)
     }
 
     /// What the deployment permits.
@@ -210,12 +242,10 @@
             max_attempts: self.whole_number("limits.most_tries", u64::from(u32::MAX))? as u32,
             hedging: self.flag("limits.second_copies")?,
             cancellation: self.flag("limits.cancelling")?,
-            health_checks: self.flag("limits.may_probe")?,
             peer_messages: self.flag("limits.peers")?,
             peer_messages_per_second: self.number("family_info.peer_in_per_s")?,
             retry_after: self.flag("limits.retry_after")?,
             max_retry_after: self.duration("limits.max_retry_after_us")?,
-            shared_counter: self.flag("family_info.has_counter")?,
             max_open_requests: self.whole_number("limits.max_open", u64::from(u32::MAX))? as u32,
             connect_timeout: self.duration("limits.connect_timeout_us")?,
         })
@@ -224,7 +254,6 @@
     /// The figures of the rules.
     fn rules(&self) -> Result<Rules, SettingsError> {
         Ok(Rules {
-            answer_slack: self.duration("rules.answer_slack_us")?,
             drain_grace: self.duration("rules.drain_grace_us")?,
             slow_start_floor: self.number("rules.cold_from")?,
             slow_start_duration: self.duration("rules.cold_us")?,
@@ -259,7 +288,7 @@
             (0..self.count("grades")?).map(|index| self.class(index)).collect::<Result<Vec<_>, _>>()?;
         let plans =
             (0..self.count("contracts")?).map(|index| self.plan(index)).collect::<Result<Vec<_>, _>>()?;
-        Ok(Settings {
+        let settings = Settings {
             gateway_count: self.whole_number("n_instances", MAX_COUNT)? as u16,
             own_id: GatewayId(self.whole_number("slot_no", MAX_COUNT)? as u16),
             zone: self.whole_number("zone", 255)? as u8,
@@ -270,9 +299,10 @@
             rules: self.rules()?,
             discovery: self.discovery()?,
             size_meaning: self.size_meaning()?,
-            meter_period: self.duration("family_info.meter_period_us")?,
             postpaid: self.flag("family_info.post_paid")?,
-        })
+        };
+        UNUSED_KEYS.iter().try_for_each(|(key, kind)| self.check(key, *kind))?;
+        Ok(settings)
     }
 
     /// The names of the values in a load report, in their order.
--- a/tests/decision_digest/deployment.rs
+++ b/tests/decision_digest/deployment.rs
@@ -88,7 +88,6 @@
         rules: rules(),
         discovery: if single { Discovery::Poll } else { Discovery::Push },
         size_meaning: if single { SizeMeaning::Capacity } else { SizeMeaning::None },
-        meter_period: 0,
         postpaid: single,
     }
 }
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -22,12 +22,8 @@
 
 fn settings() -> Settings {
     let class = |idempotency| Class { latency_objective: 500_000, deadline: 2_000_000, ..class(idempotency) };
-    let plan = |hard_limit_rate, hard_limit_burst| Plan {
-        hard_limit_rate,
-        hard_limit_burst,
-        hard_limit_slack: 1.0,
-        ..plan(20.0, 40.0)
-    };
+    let plan =
+        |hard_limit_rate, hard_limit_burst| Plan { hard_limit_rate, hard_limit_burst, ..plan(20.0, 40.0) };
     let keyed = Idempotency::Keyed { scope: IdempotencyScope::Cell, window: 1_000_000 };
     Settings {
         gateway_count: 3,
--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -45,9 +45,7 @@
         concurrency_quota: 0,
         hard_limit_rate: 0.0,
         hard_limit_burst: 0.0,
-        hard_limit_slack: 0.0,
         price: 1.0,
-        over_quota_weight: 0.0,
         over_quota_cost: 1.0,
     }
 }
@@ -58,12 +56,10 @@
         max_attempts: 3,
         hedging: true,
         cancellation: true,
-        health_checks: false,
         peer_messages: true,
         peer_messages_per_second: 60.0,
         retry_after: true,
         max_retry_after: 2 * SECOND,
-        shared_counter: false,
         max_open_requests: 20_000,
         connect_timeout: 250_000,
     }
@@ -72,7 +68,6 @@
 /// The figures of the rules.
 pub fn rules() -> Rules {
     Rules {
-        answer_slack: 16_000,
         drain_grace: 250_000,
         slow_start_floor: 0.2,
         slow_start_duration: 10 * SECOND,
