--- a/src/bin/ingress/backends/assignment.rs
+++ b/src/bin/ingress/backends/assignment.rs
@@ -1,6 +1,6 @@
 //! The attempts that connections carry, and how these end.
 
-use ingress::{BackendId, Duration, Instant, LoadReport, Outcome, RequestId};
+use ingress::{BackendId, Duration, Instant, Outcome, RequestId};
 
 /// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -91,8 +91,8 @@
     pub outcome: Outcome,
     /// When the connection was given the attempt.
     pub started_at: Instant,
-    /// The load that the backend reported.
-    pub load_report: Option<LoadReport>,
+    /// The requests that wait at the backend, where it reported them.
+    pub reported_queue_depth: Option<f64>,
     /// With [`Outcome::Ok`]: the value as encoded by the backend.
     pub value: Vec<u8>,
 }
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -234,7 +234,14 @@
         started_at: Instant,
         result: ExchangeResult,
     ) {
-        let ExchangeResult { outcome, value, load_report } = result;
-        self.completions.push(Completion { attempt, backend, outcome, started_at, load_report, value });
+        let ExchangeResult { outcome, value, reported_queue_depth } = result;
+        self.completions.push(Completion {
+            attempt,
+            backend,
+            outcome,
+            started_at,
+            reported_queue_depth,
+            value,
+        });
     }
 }
--- a/src/bin/ingress/backends/reply.rs
+++ b/src/bin/ingress/backends/reply.rs
@@ -1,7 +1,7 @@
 //! What a backend's reply means.
 
 use crate::resp::{Element, ElementKind, Reply};
-use ingress::{LoadReport, Outcome};
+use ingress::{LoadReportField, Outcome};
 
 /// The first word of the error by which a backend rejects a command without executing it.
 const REJECTION: &[u8] = b"BUSY";
@@ -13,14 +13,14 @@
     pub outcome: Outcome,
     /// With [`Outcome::Ok`]: the value as encoded by the backend.
     pub value: Vec<u8>,
-    /// The load that the backend reported.
-    pub load_report: Option<LoadReport>,
+    /// The requests that wait at the backend, where it reported them.
+    pub reported_queue_depth: Option<f64>,
 }
 
 impl ExchangeResult {
     /// A result that no reply gave.
     pub fn without_reply(outcome: Outcome) -> ExchangeResult {
-        ExchangeResult { outcome, value: Vec::new(), load_report: None }
+        ExchangeResult { outcome, value: Vec::new(), reported_queue_depth: None }
     }
 }
 
@@ -42,8 +42,9 @@
         return None;
     }
     let has_report = load.kind == ElementKind::Bulk;
-    let load_report = has_report.then(|| parse_load_report(&buffer[load.payload.clone()])).flatten();
-    Some(ExchangeResult { outcome: Outcome::Ok, value: buffer[value.span.clone()].to_vec(), load_report })
+    let reported_queue_depth = has_report.then(|| queue_depth(&buffer[load.payload.clone()])).flatten();
+    let value = buffer[value.span.clone()].to_vec();
+    Some(ExchangeResult { outcome: Outcome::Ok, value, reported_queue_depth })
 }
 
 /// An error, whose last word may be a load report.
@@ -51,17 +52,17 @@
     let is_space = |byte: &u8| *byte == b' ';
     let is_rejection = text.split(is_space).next() == Some(REJECTION);
     let outcome = if is_rejection { Outcome::Rejected } else { Outcome::Error };
-    let load_report = text.rsplit(is_space).next().and_then(parse_load_report);
-    ExchangeResult { outcome, value: Vec::new(), load_report }
+    let reported_queue_depth = text.rsplit(is_space).next().and_then(queue_depth);
+    ExchangeResult { outcome, value: Vec::new(), reported_queue_depth }
 }
 
-/// Parses a load report such as `inflight=7,util=0.61`; none if no field of it is known.
-fn parse_load_report(text: &[u8]) -> Option<LoadReport> {
-    let mut report = LoadReport::default();
-    let fields = std::str::from_utf8(text).ok()?.split(',').filter_map(|field| field.split_once('='));
-    for (name, value) in fields {
-        let value = value.parse::<f64>().ok().filter(|value| value.is_finite() && *value >= 0.0);
-        report.set_field(name, value);
-    }
-    (report != LoadReport::default()).then_some(report)
+/// The queue depth in a load report such as `inflight=7,queue=2`.
+fn queue_depth(text: &[u8]) -> Option<f64> {
+    let mut fields = std::str::from_utf8(text).ok()?.split(',').filter_map(|field| field.split_once('='));
+    let (_, value) =
+        fields.rfind(|(name, _)| LoadReportField::from_name(name) == LoadReportField::QueueDepth)?;
+    value.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -6,7 +6,7 @@
 use super::EventLoop;
 use crate::backends::{AttemptId, CommandState, Completion, TimeTold};
 use ingress::permissions::{may_begin_writing, WriteFacts, WriteRefusal};
-use ingress::{AttemptEnded, BackendId, Duration, Event, Instant, LoadReport, Outcome, RequestId};
+use ingress::{AttemptEnded, BackendId, Duration, Event, Instant, Outcome, RequestId};
 
 /// An attempt, as reported to the policy.
 #[derive(Clone, Copy)]
@@ -23,7 +23,7 @@
 
 impl AttemptRecord {
     /// The event of its end; `answered` says that the request has its final reply.
-    fn ended(self, outcome: Outcome, answered: bool, load_report: Option<LoadReport>) -> Event {
+    fn ended(self, outcome: Outcome, answered: bool, reported_queue_depth: Option<f64>) -> Event {
         Event::AttemptEnded(AttemptEnded {
             id: self.id,
             attempt: self.number,
@@ -31,9 +31,8 @@
             outcome,
             answered,
             elapsed: self.elapsed,
-            metered: None,
             charged_units: None,
-            load_report,
+            reported_queue_depth,
         })
     }
 }
@@ -116,7 +115,7 @@
 
     /// Records how an attempt has ended, and replies if it was served.
     pub(super) fn complete(&mut self, completion: Completion) {
-        let Completion { attempt, backend, outcome, started_at, load_report, value } = completion;
+        let Completion { attempt, backend, outcome, started_at, reported_queue_depth, value } = completion;
         let elapsed = self.clock.now().duration_since(started_at);
         let AttemptId { request: id, number } = attempt;
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -128,7 +127,7 @@
         }
         let answered = !self.requests.is_unanswered(id);
         let record = AttemptRecord { id, number, backend, elapsed };
-        self.end_attempt(record, outcome, answered, load_report);
+        self.end_attempt(record, outcome, answered, reported_queue_depth);
         self.requests.remove_if_finished(id, self.now);
     }
 
@@ -163,7 +162,7 @@
         record: AttemptRecord,
         outcome: Outcome,
         answered: bool,
-        load_report: Option<LoadReport>,
+        reported_queue_depth: Option<f64>,
     ) {
         tracing::debug!(
             target: "attempt",
@@ -176,7 +175,7 @@
         );
         self.counters.record_outcome(outcome);
         self.audit_attempt_end(record.id, record.number, outcome);
-        self.pending_events.push_back(record.ended(outcome, answered, load_report));
+        self.pending_events.push_back(record.ended(outcome, answered, reported_queue_depth));
     }
 
     /// Ends the attempts of an answered request whose commands are not sent yet, even where the settings allow no
--- a/src/bin/simulator-adapter/instances.rs
+++ b/src/bin/simulator-adapter/instances.rs
@@ -2,22 +2,22 @@
 
 use crate::error::{FieldProblem, RecordError};
 use crate::wire::{Batch, InstanceId, Record, RecordContent, Reply};
-use ingress::{Action, Event, Gateway, Instant, SettingsError, SettingsReader};
+use ingress::{Action, Event, Gateway, Instant, LoadReportField, SettingsError, SettingsReader};
 use std::collections::BTreeMap;
 
 /// A running instance.
 struct Instance {
     /// The instance's decisions.
     gateway: Gateway,
-    /// The names of the values in a load report, in the order of the wire.
-    report_fields: Vec<String>,
+    /// The values in a load report, in the order of the wire.
+    report_fields: Vec<LoadReportField>,
 }
 
 impl Instance {
     /// Starts an instance with the settings that the simulator gives as text.
     fn start(settings: &str, seed: u64, now: Instant) -> Result<Instance, SettingsError> {
         let reader = SettingsReader::from_lines(settings)?;
-        let (settings, report_fields) = (reader.settings()?, reader.report_fields()?);
+        let (settings, report_fields) = (reader.settings()?, reader.load_report_fields()?);
         Ok(Instance { gateway: Gateway::new(settings, seed, now), report_fields })
     }
 }
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -4,8 +4,8 @@
 use super::InstanceId;
 use crate::error::{FieldProblem, RecordError};
 use ingress::{
-    AttemptEnded, Availability, CustomerId, Endpoint, EndpointUpdate, Event, GatewayId, LoadReport, Outcome,
-    Request, RequestId,
+    AttemptEnded, Availability, CustomerId, Endpoint, EndpointUpdate, Event, GatewayId, LoadReportField,
+    Outcome, Request, RequestId,
 };
 
 /// Bytes of a record.
@@ -20,8 +20,8 @@
 const COUNTER_OUTCOME_OFFSET: usize = size_of::<u64>();
 /// The most values that a load report has on the wire.
 const MAX_REPORT_VALUES: usize = 4;
-/// Metered use is counted in hundredths.
-const METER_UNITS: f64 = 100.0;
+/// Bytes of the metered use of a customer, which no decision uses.
+const METERED_USE_SIZE: usize = size_of::<u16>();
 
 /// The codes of records.
 mod code {
@@ -80,8 +80,8 @@
         RecordError { batch: self.batch, index: self.index, field, problem }
     }
 
-    /// What the record says. `report_fields` names the values in a load report.
-    pub fn decode(&self, report_fields: &[String]) -> Result<RecordContent<'a>, RecordError> {
+    /// What the record says. `report_fields` are the values in a load report.
+    pub fn decode(&self, report_fields: &[LoadReportField]) -> Result<RecordContent<'a>, RecordError> {
         let mut fields = FieldReader::new(self.body);
         let code = fields.u8();
         let _instance = fields.u16();
@@ -162,19 +162,26 @@
     fn attempt_ended(
         &self,
         fields: &mut FieldReader,
-        report_fields: &[String],
+        report_fields: &[LoadReportField],
     ) -> Result<Event, RecordError> {
+        let id = RequestId(fields.u64());
+        let elapsed = fields.span();
+        let outcome = self.outcome(fields)?;
+        let answered = fields.u8() != 0;
+        let attempt = fields.u16();
+        fields.skip(METERED_USE_SIZE);
+        let backend = fields.backend();
+        let charged_units = Some(fields.u16()).filter(|units| *units > 0).map(f64::from);
+        let reported_queue_depth = queue_depth(fields, report_fields);
         Ok(Event::AttemptEnded(AttemptEnded {
-            id: RequestId(fields.u64()),
-            elapsed: fields.span(),
-            outcome: self.outcome(fields)?,
-            answered: fields.u8() != 0,
-            attempt: fields.u16(),
-            // One more than the value, so that 0 stands for no meter.
-            metered: fields.u16().checked_sub(1).map(|hundredths| f64::from(hundredths) / METER_UNITS),
-            backend: fields.backend(),
-            charged_units: Some(fields.u16()).filter(|units| *units > 0).map(f64::from),
-            load_report: load_report(fields, report_fields),
+            id,
+            attempt,
+            backend,
+            outcome,
+            answered,
+            elapsed,
+            charged_units,
+            reported_queue_depth,
         }))
     }
 
@@ -230,13 +237,15 @@
     }
 }
 
-/// A load report: a count, then as many values; none for a count of 0.
-fn load_report(fields: &mut FieldReader, names: &[String]) -> Option<LoadReport> {
+/// The queue depth in a load report, which is a count, then as many values.
+fn queue_depth(fields: &mut FieldReader, report_fields: &[LoadReportField]) -> Option<f64> {
     let count = usize::from(fields.u8()).min(MAX_REPORT_VALUES);
-    let mut report = LoadReport::default();
-    for name in names.iter().take(count) {
+    let mut queue_depth = None;
+    for report_field in report_fields.iter().take(count) {
         let value = fields.f32();
-        report.set_field(name, value.is_finite().then_some(value));
+        if *report_field == LoadReportField::QueueDepth {
+            queue_depth = Some(value).filter(|value| value.is_finite());
+        }
     }
-    (count > 0).then_some(report)
+    queue_depth
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -2,38 +2,6 @@
 
 use crate::{BackendId, CustomerId, Duration, Endpoint, EndpointUpdate, GatewayId, Instant, RequestId};
 
-/// The load that a backend reported, as far as it reports it.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LoadReport {
-    /// Requests in work.
-    pub in_flight: Option<f64>,
-    /// Requests waiting.
-    pub queue_depth: Option<f64>,
-    /// Share of the cores in use.
-    pub utilization: Option<f64>,
-    /// Recent service time in milliseconds.
-    pub latency_ms: Option<f64>,
-    /// Requests served a second.
-    pub requests_per_second: Option<f64>,
-    /// Errors a second.
-    pub errors_per_second: Option<f64>,
-}
-
-impl LoadReport {
-    /// Sets the value that the settings, or plain words, give this name; unknown names are skipped.
-    pub fn set_field(&mut self, name: &str, value: Option<f64>) {
-        match name {
-            "concurrent" | "inflight" => self.in_flight = value,
-            "depth" | "queue" => self.queue_depth = value,
-            "load_share" | "util" => self.utilization = value,
-            "mean_ms" | "latency_ms" => self.latency_ms = value,
-            "tps" | "qps" => self.requests_per_second = value,
-            "err_ps" | "eps" => self.errors_per_second = value,
-            _ => {}
-        }
-    }
-}
-
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
@@ -98,12 +66,10 @@
     pub answered: bool,
     /// How long it was in flight.
     pub elapsed: Duration,
-    /// The customer's metered use as a share of its rate or concurrency quota, where there is a meter.
-    pub metered: Option<f64>,
     /// True units, where they are settled afterwards.
     pub charged_units: Option<f64>,
-    /// The load report that came along.
-    pub load_report: Option<LoadReport>,
+    /// The requests that wait at the backend, where it reported them.
+    pub reported_queue_depth: Option<f64>,
 }
 
 /// What a gateway sees.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -234,7 +234,7 @@
 
     /// Notes what a backend reported of its queue with the end of an attempt.
     pub(crate) fn record_queue_depth(&mut self, ended: &AttemptEnded) {
-        let Some(depth) = ended.load_report.and_then(|report| report.queue_depth) else { return };
+        let Some(depth) = ended.reported_queue_depth else { return };
         let Some(backend) = self.backends.get_mut(ended.backend) else { return };
         backend.reported_queue_depth = depth.clamp(0.0, MAX_REPORTED_QUEUE_DEPTH);
         backend.reported_at = self.now;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -39,7 +39,7 @@
 //! actions.clear();
 //! let answer = Event::AttemptEnded(AttemptEnded {
 //!     id, attempt: 0, backend, outcome: Outcome::Ok, answered: true, elapsed: Duration::from_millis(12),
-//!     metered: None, charged_units: None, load_report: None,
+//!     charged_units: None, reported_queue_depth: None,
 //! });
 //! gateway.handle(start + Duration::from_millis(16), answer, &mut actions);
 //! assert!(actions.is_empty(), "the answer went to the client; nothing is left to do");
@@ -63,12 +63,12 @@
 
 pub use action::Action;
 pub use endpoint::{Availability, Endpoint, EndpointUpdate};
-pub use event::{AttemptEnded, Event, LoadReport, Outcome, Request};
+pub use event::{AttemptEnded, Event, Outcome, Request};
 pub use gateway::Gateway;
 pub use identifiers::{BackendId, CustomerId, GatewayId, RequestId};
 pub use policy::{permissions, StartTimes};
 pub use settings::{
-    Class, Discovery, Idempotency, IdempotencyScope, Limits, Plan, Rules, Settings, SettingsError,
-    SettingsReader, SizeMeaning,
+    Class, Discovery, Idempotency, IdempotencyScope, Limits, LoadReportField, Plan, Rules, Settings,
+    SettingsError, SettingsReader, SizeMeaning,
 };
 pub use time::{Duration, Instant, UnixTime};
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -4,7 +4,7 @@
 mod reader;
 
 use crate::{Duration, GatewayId};
-pub use reader::{SettingsError, SettingsReader};
+pub use reader::{LoadReportField, SettingsError, SettingsReader};
 
 /// Which backends recognise the idempotency key of a request that they have seen before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -104,6 +104,25 @@
     }
 }
 
+/// A value in a backend's load report.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LoadReportField {
+    /// The requests that wait at the backend.
+    QueueDepth,
+    /// One that no decision uses.
+    Unused,
+}
+
+impl LoadReportField {
+    /// The value that the settings, or a backend's reply, give this name.
+    pub fn from_name(name: &str) -> LoadReportField {
+        match name {
+            "depth" | "queue" => LoadReportField::QueueDepth,
+            _ => LoadReportField::Unused,
+        }
+    }
+}
+
 /// The settings as they came: values by path, such as `grades.0.worth`.
 pub struct SettingsReader(HashMap<String, String>);
 
@@ -305,12 +324,13 @@
         Ok(settings)
     }
 
-    /// The names of the values in a load report, in their order.
-    pub fn report_fields(&self) -> Result<Vec<String>, SettingsError> {
-        match self.text("reporting.how")? {
-            "none" => Ok(Vec::new()),
-            _ => self.list("reporting.fields"),
+    /// The values in a load report, in their order.
+    pub fn load_report_fields(&self) -> Result<Vec<LoadReportField>, SettingsError> {
+        if self.text("reporting.how")? == "none" {
+            return Ok(Vec::new());
         }
+        let names = self.list("reporting.fields")?;
+        Ok(names.iter().map(|name| LoadReportField::from_name(name)).collect())
     }
 
     /// A list of plain values.
