--- a/src/bin/ingress/config.rs
+++ b/src/bin/ingress/config.rs
@@ -40,8 +40,6 @@
     pub command_schema: CommandSchema,
     /// The names of zones and machine types in endpoint lists.
     pub location_names: LocationNames,
-    /// How long a connection to a backend may take to come up.
-    pub connect_timeout: Duration,
     /// How long a backend keeps an idle connection open.
     pub keepalive_timeout: Duration,
 }
@@ -94,7 +92,7 @@
         }
         let command_schema = parse_command_schema(&reader, &settings)?;
         let location_names =
-            LocationNames { zones: reader.list("zones")?, machine_types: reader.list("skus")? };
+            LocationNames { zones: reader.zone_names()?, machine_types: reader.machine_type_names()? };
         let cached_endpoints = parse_cached_endpoints(&json, &location_names)?;
         let peers = parse_peers(&json, &settings)?;
         let address = |name: &'static str, key: &'static str| match variable(name) {
@@ -109,8 +107,7 @@
             max_memory: positive_number(&json, "limits", "memory_mb")?.saturating_mul(MEGABYTE),
             peers,
             cached_endpoints,
-            connect_timeout: reader.duration("limits.connect_timeout_us")?,
-            keepalive_timeout: reader.duration("limits.keepalive_us")?,
+            keepalive_timeout: reader.keepalive_timeout()?,
             settings,
             command_schema,
             location_names,
@@ -128,9 +125,9 @@
 fn parse_command_schema(reader: &SettingsReader, settings: &Settings) -> Result<CommandSchema, ConfigError> {
     let class = |(name, class): (String, &Class)| ClassSchema { name, idempotency: class.idempotency };
     Ok(CommandSchema {
-        classes: reader.names("grades")?.into_iter().zip(&settings.classes).map(class).collect(),
-        max_units: reader.number_or("family_info.most_units", f64::MAX)?,
-        plans: reader.names("contracts")?,
+        classes: reader.class_names()?.into_iter().zip(&settings.classes).map(class).collect(),
+        max_units: reader.max_request_units()?,
+        plans: reader.plan_names()?,
         gateway_count: u64::from(settings.gateway_count),
     })
 }
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -81,7 +81,7 @@
             now,
             tick: settings.tick,
             polls_discovery: settings.discovery == Discovery::Poll,
-            connect_timeout: config.connect_timeout,
+            connect_timeout: settings.limits.connect_timeout,
             auditor: Auditor::new(AuditRules::new(&settings)),
             counters: Counters::default(),
             descriptors: DescriptorBudget::new(config.max_descriptors)?,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,10 +1,13 @@
-//! What a gateway is told at its start: request classes, plans, limits and the figures of the rules. The values come
-//! from the deployment alone; [`SettingsReader`] reads them.
+//! The settings of a gateway: request classes, plans, limits and the figures of the rules. The values come from the
+//! deployment alone; [`SettingsReader`] reads them.
 
+mod error;
 mod reader;
+mod values;
 
 use crate::{Duration, GatewayId};
-pub use reader::{LoadReportField, SettingsError, SettingsReader};
+pub use error::SettingsError;
+pub use reader::{LoadReportField, SettingsReader};
 
 /// Which backends recognise the idempotency key of a request that they have seen before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,15 +39,15 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns the full weight.
+    /// An answer within this time earns the full priority weight.
     pub latency_objective: Duration,
     /// The objective grows by this multiple of a request's own work.
     pub latency_objective_stretch: f64,
-    /// The longest that a client waits, over all its tries.
+    /// The longest that a client waits, its own retries included.
     pub deadline: Duration,
-    /// What an answer in time is worth.
+    /// The priority of an answer within the latency objective.
     pub priority_weight: f64,
-    /// The share of the weight that is left after the objective.
+    /// The share of the priority weight that an answer after the objective earns.
     pub late_weight: f64,
     /// Whether it may be executed again.
     pub idempotency: Idempotency,
@@ -82,15 +85,15 @@
     pub cancellation: bool,
     /// Gateways may send each other messages.
     pub peer_messages: bool,
-    /// Messages that a gateway takes in, in a second.
+    /// Messages that a gateway receives in a second, at the most.
     pub peer_messages_per_second: f64,
-    /// Clients are told how long to keep away.
+    /// Rejections may carry the time after which to retry.
     pub retry_after: bool,
-    /// The longest pause that a client keeps.
+    /// The longest such time that clients follow.
     pub max_retry_after: Duration,
     /// Requests open at once.
     pub max_open_requests: u32,
-    /// A connection still not up by then has failed; an attempt may begin that much after its send.
+    /// How long establishing a connection may take; an attempt may begin that much after it was sent.
     pub connect_timeout: Duration,
 }
 
@@ -103,7 +106,7 @@
     pub slow_start_floor: f64,
     /// It has its full capacity after this long.
     pub slow_start_duration: Duration,
-    /// A backend in slow start falls over when sent more than this multiple of its capacity ...
+    /// A backend in slow start fails when it is sent more than this multiple of its capacity ...
     pub overload_factor: f64,
     /// ... for this long.
     pub overload_window: Duration,
@@ -114,10 +117,10 @@
 /// How the endpoint list comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Discovery {
-    /// By itself.
+    /// It is pushed: a watch delivers each change.
     #[default]
     Push,
-    /// Only when polled.
+    /// It has to be polled.
     Poll,
 }
 
@@ -133,7 +136,7 @@
     Live,
 }
 
-/// What a gateway is told at its start.
+/// The settings of a gateway, which it is given at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// How many gateways there are.
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,17 +1,45 @@
-//! Reads the settings, as pairs of a path and a value, into [`Settings`]. Both hosts of the module read theirs
-//! here: the simulator's adapter from lines of text, the real ingress from nested JSON that it flattens to the
-//! same paths. Unknown keys are skipped, missing or bad ones named.
+//! Reads the settings, as pairs of a path and a value, into [`Settings`].
+//!
+//! Both hosts read their settings here: the simulator's adapter from lines of text, the ingress from nested JSON
+//! that it flattens to the same paths. Unknown keys are skipped, missing or bad ones named. This is the one place
+//! that knows the keys. Where they differ from the terms in the code:
+//!
+//! | key | term in the code |
+//! | --- | --- |
+//! | `grades[]` | request classes, [`Class`] |
+//! | `grades[].effect`: `repeatable`, `by_key`, `once` | [`Idempotency`]: idempotent, keyed, non-idempotent |
+//! | `grades[].group`: `all`, `zone`, `cell` | [`IdempotencyScope`]: fleet, zone, cell |
+//! | `grades[].objective_us`, `aim_stretch` | `latency_objective`, `latency_objective_stretch` |
+//! | `grades[].give_up_us` | `deadline` |
+//! | `grades[].worth`, `late_worth` | `priority_weight`, `late_weight` |
+//! | `contracts[]` | plans, [`Plan`] |
+//! | `contracts[].quota_rate`, `max_out` | `rate`, `concurrency_quota` |
+//! | `contracts[].never_over_rate`, `ceiling_burst` | `hard_limit_rate`, `hard_limit_burst` |
+//! | `contracts[].worth_factor`, `beyond_costs` | `price`, `over_quota_cost` |
+//! | `limits.most_tries`, `second_copies`, `cancelling` | `max_attempts`, `hedging`, `cancellation` |
+//! | `limits.peers`, `family_info.peer_in_per_s` | `peer_messages`, `peer_messages_per_second` |
+//! | `limits.max_open` | `max_open_requests` |
+//! | `rules.cold_from`, `cold_us` | `slow_start_floor`, `slow_start_duration` |
+//! | `rules.fall_us`, `must_ask_in_us` | `overload_window`, `max_poll_interval` |
+//! | `membership_mode`: `push`, `ask` | [`Discovery`]: push, poll |
+//! | `weights`: `none`, `nominal` or `rough`, `live` | [`SizeMeaning`]: none, capacity, live |
+//! | `n_instances`, `slot_no` | `gateway_count`, `own_id` |
+//! | `skus` | machine types |
+//! | `family_info.most_units`, `post_paid` | the most units of a request, `postpaid` |
+//! | `reporting.fields[]`: `depth` | [`LoadReportField::QueueDepth`] |
 
-use crate::{
-    Class, Discovery, Duration, GatewayId, Idempotency, IdempotencyScope, Limits, Plan, Rules, Settings,
-    SizeMeaning,
-};
-use std::collections::HashMap;
+use super::values::{Values, MAX_COUNT};
+use super::{Limits, Rules, Settings, SettingsError, SizeMeaning};
+use crate::{Class, Discovery, Duration, GatewayId, Idempotency, IdempotencyScope, Plan};
 
-/// The most classes, plans or gateways that the settings may name.
-const MAX_COUNT: u64 = 65_535;
-/// The longest time span, so that sums of some of them stay in range.
-const MAX_MICROS: u64 = u64::MAX >> 12;
+/// The list of request classes.
+const CLASSES: &str = "grades";
+/// The list of plans.
+const PLANS: &str = "contracts";
+/// The highest number that fits the settings that are kept in four bytes.
+const MAX_U32: u64 = u32::MAX as u64;
+/// The highest number of a zone.
+const MAX_ZONE: u64 = u8::MAX as u64;
 
 /// What a value has to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,74 +64,6 @@
     ("family_info.meter_period_us", ValueKind::Duration),
 ];
 
-/// Why settings were not taken.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SettingsError {
-    /// A line is not of the form `path=value`.
-    #[error("line {line} of the settings has no '='")]
-    NoEqualsSign {
-        /// The line's number, from 1.
-        line: usize,
-    },
-    /// A setting that must be there is not.
-    #[error("setting {key} is missing")]
-    Missing {
-        /// The path of the setting.
-        key: String,
-    },
-    /// A value is not a finite number from 0 up.
-    #[error("setting {key} is not a number from 0 up: {value}")]
-    NotANumber {
-        /// The path of the setting.
-        key: String,
-        /// What stands there.
-        value: String,
-    },
-    /// A value is not a whole number in its range.
-    #[error("setting {key} is not a whole number up to {max}: {value}")]
-    NotAWholeNumber {
-        /// The path of the setting.
-        key: String,
-        /// The greatest number allowed.
-        max: u64,
-        /// What stands there.
-        value: String,
-    },
-    /// A value is neither `true` nor `false`.
-    #[error("setting {key} is neither true nor false: {value}")]
-    NotABoolean {
-        /// The path of the setting.
-        key: String,
-        /// What stands there.
-        value: String,
-    },
-    /// A list has items beyond its count.
-    #[error("setting {list}.count is {count}, but there is {key}")]
-    BeyondCount {
-        /// The path of the list.
-        list: String,
-        /// Its count.
-        count: u64,
-        /// A path beyond it.
-        key: String,
-    },
-    /// A value is none of the known words.
-    #[error("setting {key} is unknown: {value}")]
-    UnknownValue {
-        /// The path of the setting.
-        key: String,
-        /// What stands there.
-        value: String,
-    },
-}
-
-impl SettingsError {
-    /// A word at a path that is none of those known there.
-    fn unknown_value(key: &str, value: &str) -> SettingsError {
-        SettingsError::UnknownValue { key: key.to_string(), value: value.to_string() }
-    }
-}
-
 /// A value in a backend's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportField {
@@ -114,7 +74,7 @@
 }
 
 impl LoadReportField {
-    /// The value that the settings, or a backend's reply, give this name.
+    /// The value of this name: in the settings, or in the text that backends send.
     pub fn from_name(name: &str) -> LoadReportField {
         match name {
             "depth" | "queue" => LoadReportField::QueueDepth,
@@ -123,133 +83,135 @@
     }
 }
 
-/// The settings as they came: values by path, such as `grades.0.worth`.
-pub struct SettingsReader(HashMap<String, String>);
+/// Reads settings from their values by path.
+pub struct SettingsReader(Values);
 
 impl SettingsReader {
     /// Takes pairs of a path and a value.
     pub fn new(pairs: impl IntoIterator<Item = (String, String)>) -> Self {
-        SettingsReader(pairs.into_iter().collect())
+        SettingsReader(Values::new(pairs))
     }
 
     /// Reads lines of the form `path=value`.
     pub fn from_lines(text: &str) -> Result<Self, SettingsError> {
-        let mut map = HashMap::new();
-        for (at, line) in text.lines().enumerate().filter(|(_, line)| !line.is_empty()) {
-            let (key, value) = line.split_once('=').ok_or(SettingsError::NoEqualsSign { line: at + 1 })?;
-            map.insert(key.to_string(), value.to_string());
-        }
-        Ok(SettingsReader(map))
+        Values::from_lines(text).map(SettingsReader)
     }
 
-    /// The value at a path as it came.
-    fn text(&self, key: &str) -> Result<&str, SettingsError> {
-        self.0.get(key).map(String::as_str).ok_or_else(|| SettingsError::Missing { key: key.to_string() })
+    /// All that a gateway is told at its start.
+    pub fn settings(&self) -> Result<Settings, SettingsError> {
+        let SettingsReader(values) = self;
+        let class_indices = 0..values.count(CLASSES)?;
+        let classes = class_indices.map(|index| self.class(index)).collect::<Result<Vec<_>, _>>()?;
+        let plan_indices = 0..values.count(PLANS)?;
+        let plans = plan_indices.map(|index| self.plan(index)).collect::<Result<Vec<_>, _>>()?;
+        let settings = Settings {
+            gateway_count: values.whole_number("n_instances", MAX_COUNT)? as u16,
+            own_id: GatewayId(values.whole_number("slot_no", MAX_COUNT)? as u16),
+            zone: values.whole_number("zone", MAX_ZONE)? as u8,
+            tick: values.duration("tick_us")?,
+            classes,
+            plans,
+            limits: self.limits()?,
+            rules: self.rules()?,
+            discovery: self.discovery()?,
+            size_meaning: self.size_meaning()?,
+            postpaid: values.flag("family_info.post_paid")?,
+        };
+        UNUSED_KEYS.iter().try_for_each(|(key, kind)| self.check(key, *kind))?;
+        Ok(settings)
     }
 
-    /// The number at a path, finite and from 0 up.
-    fn number(&self, key: &str) -> Result<f64, SettingsError> {
-        let text = self.text(key)?;
-        match text.parse::<f64>() {
-            Ok(number) if number.is_finite() && number >= 0.0 => Ok(number),
-            _ => Err(SettingsError::NotANumber { key: key.to_string(), value: text.to_string() }),
-        }
+    /// The names of the request classes, in their order.
+    pub fn class_names(&self) -> Result<Vec<String>, SettingsError> {
+        self.0.names(CLASSES)
     }
 
-    /// The number at a path, or another one where there is none.
-    pub fn number_or(&self, key: &str, absent: f64) -> Result<f64, SettingsError> {
-        if self.0.contains_key(key) {
-            self.number(key)
-        } else {
-            Ok(absent)
-        }
+    /// The names of the plans, in their order.
+    pub fn plan_names(&self) -> Result<Vec<String>, SettingsError> {
+        self.0.names(PLANS)
     }
 
-    /// The whole number at a path, `max` at most.
-    fn whole_number(&self, key: &str, max: u64) -> Result<u64, SettingsError> {
-        let text = self.text(key)?;
-        match text.parse::<u64>() {
-            Ok(number) if number <= max => Ok(number),
-            _ => Err(SettingsError::NotAWholeNumber { key: key.to_string(), max, value: text.to_string() }),
-        }
+    /// The names of the zones, in the order of their numbers.
+    pub fn zone_names(&self) -> Result<Vec<String>, SettingsError> {
+        self.0.list("zones")
     }
 
-    /// The time span at a path, in whole microseconds.
-    pub fn duration(&self, key: &str) -> Result<Duration, SettingsError> {
-        self.whole_number(key, MAX_MICROS).map(Duration::from_micros)
+    /// The names of the machine types, in the order of their numbers.
+    pub fn machine_type_names(&self) -> Result<Vec<String>, SettingsError> {
+        self.0.list("skus")
     }
 
-    /// The truth value at a path.
-    fn flag(&self, key: &str) -> Result<bool, SettingsError> {
-        match self.text(key)? {
-            "true" => Ok(true),
-            "false" => Ok(false),
-            other => Err(SettingsError::NotABoolean { key: key.to_string(), value: other.to_string() }),
-        }
+    /// The most units of a request; [`f64::MAX`] where the settings set no limit.
+    pub fn max_request_units(&self) -> Result<f64, SettingsError> {
+        self.0.number_or("family_info.most_units", f64::MAX)
     }
 
-    /// Checks a value that no decision uses.
-    fn check(&self, key: &str, kind: ValueKind) -> Result<(), SettingsError> {
-        match kind {
-            ValueKind::Number => self.number(key).map(drop),
-            ValueKind::Duration => self.duration(key).map(drop),
-            ValueKind::Flag => self.flag(key).map(drop),
-        }
+    /// How long a backend keeps an idle connection open.
+    pub fn keepalive_timeout(&self) -> Result<Duration, SettingsError> {
+        self.0.duration("limits.keepalive_us")
     }
 
-    /// The length of a list of objects; one item more or fewer than told is an error.
-    fn count(&self, list: &str) -> Result<u64, SettingsError> {
-        let count = self.whole_number(&format!("{list}.count"), MAX_COUNT)?;
-        let prefix = format!("{list}.");
-        for key in self.0.keys() {
-            let index = key.strip_prefix(&prefix).and_then(|rest| rest.split('.').next());
-            let index = index.and_then(|index| index.parse::<u64>().ok());
-            if index.is_some_and(|index| index >= count) {
-                return Err(SettingsError::BeyondCount { list: list.to_string(), count, key: key.clone() });
-            }
+    /// The values in a load report, in their order.
+    pub fn load_report_fields(&self) -> Result<Vec<LoadReportField>, SettingsError> {
+        if self.0.text("reporting.how")? == "none" {
+            return Ok(Vec::new());
         }
-        Ok(count)
+        let names = self.0.list("reporting.fields")?;
+        Ok(names.iter().map(|name| LoadReportField::from_name(name)).collect())
     }
 
     /// The request class at an index.
     fn class(&self, index: u64) -> Result<Class, SettingsError> {
-        let key = |name: &str| format!("grades.{index}.{name}");
-        let idempotency = match self.text(&key("effect"))? {
-            "repeatable" => Idempotency::Idempotent,
-            "once" => Idempotency::NonIdempotent,
-            "by_key" => Idempotency::Keyed {
-                scope: match self.text(&key("group"))? {
-                    "all" => IdempotencyScope::Fleet,
-                    "zone" => IdempotencyScope::Zone,
-                    "cell" => IdempotencyScope::Cell,
-                    other => return Err(SettingsError::unknown_value(&key("group"), other)),
-                },
-                window: self.duration(&key("window_us"))?,
-            },
-            other => return Err(SettingsError::unknown_value(&key("effect"), other)),
-        };
+        let SettingsReader(values) = self;
+        let key = |name: &str| format!("{CLASSES}.{index}.{name}");
         Ok(Class {
-            latency_objective: self.duration(&key("objective_us"))?,
-            latency_objective_stretch: self.number_or(&key("aim_stretch"), 0.0)?,
-            deadline: self.duration(&key("give_up_us"))?,
-            priority_weight: self.number(&key("worth"))?,
-            late_weight: self.number(&key("late_worth"))?,
-            idempotency,
-            streaming: self.flag(&key("stream"))?,
+            idempotency: self.idempotency(index)?,
+            latency_objective: values.duration(&key("objective_us"))?,
+            latency_objective_stretch: values.number_or(&key("aim_stretch"), 0.0)?,
+            deadline: values.duration(&key("give_up_us"))?,
+            priority_weight: values.number(&key("worth"))?,
+            late_weight: values.number(&key("late_worth"))?,
+            streaming: values.flag(&key("stream"))?,
         })
     }
 
+    /// Whether a request of the class at an index may be executed again.
+    fn idempotency(&self, index: u64) -> Result<Idempotency, SettingsError> {
+        let SettingsReader(values) = self;
+        let key = |name: &str| format!("{CLASSES}.{index}.{name}");
+        match values.text(&key("effect"))? {
+            "repeatable" => Ok(Idempotency::Idempotent),
+            "once" => Ok(Idempotency::NonIdempotent),
+            "by_key" => Ok(Idempotency::Keyed {
+                scope: self.idempotency_scope(&key("group"))?,
+                window: values.duration(&key("window_us"))?,
+            }),
+            other => Err(SettingsError::unknown_value(&key("effect"), other)),
+        }
+    }
+
+    /// The scope of idempotency keys at a path.
+    fn idempotency_scope(&self, key: &str) -> Result<IdempotencyScope, SettingsError> {
+        match self.0.text(key)? {
+            "all" => Ok(IdempotencyScope::Fleet),
+            "zone" => Ok(IdempotencyScope::Zone),
+            "cell" => Ok(IdempotencyScope::Cell),
+            other => Err(SettingsError::unknown_value(key, other)),
+        }
+    }
+
     /// The plan at an index.
     fn plan(&self, index: u64) -> Result<Plan, SettingsError> {
-        let key = |name: &str| format!("contracts.{index}.{name}");
+        let SettingsReader(values) = self;
+        let key = |name: &str| format!("{PLANS}.{index}.{name}");
         let plan = Plan {
-            rate: self.number(&key("quota_rate"))?,
-            burst: self.number(&key("burst"))?,
-            concurrency_quota: self.whole_number(&key("max_out"), u64::from(u32::MAX))? as u32,
-            hard_limit_rate: self.number(&key("never_over_rate"))?,
-            hard_limit_burst: self.number(&key("ceiling_burst"))?,
-            price: self.number(&key("worth_factor"))?,
-            over_quota_cost: self.number(&key("beyond_costs"))?,
+            rate: values.number(&key("quota_rate"))?,
+            burst: values.number(&key("burst"))?,
+            concurrency_quota: values.whole_number(&key("max_out"), MAX_U32)? as u32,
+            hard_limit_rate: values.number(&key("never_over_rate"))?,
+            hard_limit_burst: values.number(&key("ceiling_burst"))?,
+            price: values.number(&key("worth_factor"))?,
+            over_quota_cost: values.number(&key("beyond_costs"))?,
         };
         UNUSED_PLAN_KEYS.iter().try_for_each(|(name, kind)| self.check(&key(name), *kind))?;
         Ok(plan)
@@ -257,91 +219,61 @@
 
     /// What the deployment permits.
     fn limits(&self) -> Result<Limits, SettingsError> {
+        let SettingsReader(values) = self;
         Ok(Limits {
-            max_attempts: self.whole_number("limits.most_tries", u64::from(u32::MAX))? as u32,
-            hedging: self.flag("limits.second_copies")?,
-            cancellation: self.flag("limits.cancelling")?,
-            peer_messages: self.flag("limits.peers")?,
-            peer_messages_per_second: self.number("family_info.peer_in_per_s")?,
-            retry_after: self.flag("limits.retry_after")?,
-            max_retry_after: self.duration("limits.max_retry_after_us")?,
-            max_open_requests: self.whole_number("limits.max_open", u64::from(u32::MAX))? as u32,
-            connect_timeout: self.duration("limits.connect_timeout_us")?,
+            max_attempts: values.whole_number("limits.most_tries", MAX_U32)? as u32,
+            hedging: values.flag("limits.second_copies")?,
+            cancellation: values.flag("limits.cancelling")?,
+            peer_messages: values.flag("limits.peers")?,
+            peer_messages_per_second: values.number("family_info.peer_in_per_s")?,
+            retry_after: values.flag("limits.retry_after")?,
+            max_retry_after: values.duration("limits.max_retry_after_us")?,
+            max_open_requests: values.whole_number("limits.max_open", MAX_U32)? as u32,
+            connect_timeout: values.duration("limits.connect_timeout_us")?,
         })
     }
 
     /// The figures of the rules.
     fn rules(&self) -> Result<Rules, SettingsError> {
+        let SettingsReader(values) = self;
         Ok(Rules {
-            drain_grace: self.duration("rules.drain_grace_us")?,
-            slow_start_floor: self.number("rules.cold_from")?,
-            slow_start_duration: self.duration("rules.cold_us")?,
-            overload_factor: self.number("rules.overload_factor")?,
-            overload_window: self.duration("rules.fall_us")?,
-            max_poll_interval: self.duration("rules.must_ask_in_us")?,
+            drain_grace: values.duration("rules.drain_grace_us")?,
+            slow_start_floor: values.number("rules.cold_from")?,
+            slow_start_duration: values.duration("rules.cold_us")?,
+            overload_factor: values.number("rules.overload_factor")?,
+            overload_window: values.duration("rules.fall_us")?,
+            max_poll_interval: values.duration("rules.must_ask_in_us")?,
         })
     }
 
     /// How the endpoint list comes.
     fn discovery(&self) -> Result<Discovery, SettingsError> {
-        match self.text("membership_mode")? {
+        let key = "membership_mode";
+        match self.0.text(key)? {
             "ask" => Ok(Discovery::Poll),
             "push" => Ok(Discovery::Push),
-            other => Err(SettingsError::unknown_value("membership_mode", other)),
+            other => Err(SettingsError::unknown_value(key, other)),
         }
     }
 
-    /// What the weights of endpoints mean.
+    /// What the sizes of endpoints mean.
     fn size_meaning(&self) -> Result<SizeMeaning, SettingsError> {
-        match self.text("weights")? {
+        let key = "weights";
+        match self.0.text(key)? {
             "none" => Ok(SizeMeaning::None),
             "live" => Ok(SizeMeaning::Live),
             "nominal" | "rough" => Ok(SizeMeaning::Capacity),
-            other => Err(SettingsError::unknown_value("weights", other)),
+            other => Err(SettingsError::unknown_value(key, other)),
         }
     }
 
-    /// What the module is told at its start.
-    pub fn settings(&self) -> Result<Settings, SettingsError> {
-        let classes =
-            (0..self.count("grades")?).map(|index| self.class(index)).collect::<Result<Vec<_>, _>>()?;
-        let plans =
-            (0..self.count("contracts")?).map(|index| self.plan(index)).collect::<Result<Vec<_>, _>>()?;
-        let settings = Settings {
-            gateway_count: self.whole_number("n_instances", MAX_COUNT)? as u16,
-            own_id: GatewayId(self.whole_number("slot_no", MAX_COUNT)? as u16),
-            zone: self.whole_number("zone", 255)? as u8,
-            tick: self.duration("tick_us")?,
-            classes,
-            plans,
-            limits: self.limits()?,
-            rules: self.rules()?,
-            discovery: self.discovery()?,
-            size_meaning: self.size_meaning()?,
-            postpaid: self.flag("family_info.post_paid")?,
-        };
-        UNUSED_KEYS.iter().try_for_each(|(key, kind)| self.check(key, *kind))?;
-        Ok(settings)
-    }
-
-    /// The values in a load report, in their order.
-    pub fn load_report_fields(&self) -> Result<Vec<LoadReportField>, SettingsError> {
-        if self.text("reporting.how")? == "none" {
-            return Ok(Vec::new());
+    /// Checks a value that no decision uses.
+    fn check(&self, key: &str, kind: ValueKind) -> Result<(), SettingsError> {
+        match kind {
+            ValueKind::Number => self.0.number(key).map(drop),
+            ValueKind::Duration => self.0.duration(key).map(drop),
+            ValueKind::Flag => self.0.flag(key).map(drop),
         }
-        let names = self.list("reporting.fields")?;
-        Ok(names.iter().map(|name| LoadReportField::from_name(name)).collect())
-    }
-
-    /// A list of plain values.
-    pub fn list(&self, key: &str) -> Result<Vec<String>, SettingsError> {
-        Ok(self.text(key)?.split(',').filter(|value| !value.is_empty()).map(String::from).collect())
-    }
-
-    /// The names of the objects in a list, such as the classes in `grades`.
-    pub fn names(&self, list: &str) -> Result<Vec<String>, SettingsError> {
-        let name = |index| self.text(&format!("{list}.{index}.name")).map(String::from);
-        (0..self.count(list)?).map(name).collect()
     }
 }
 
--- /dev/null
+++ b/src/settings/values.rs
@@ -0,0 +1,106 @@
+//! Settings as values by path, with the checks that every value goes through.
+
+use super::SettingsError;
+use crate::Duration;
+use std::collections::HashMap;
+
+/// The most classes, plans or gateways that the settings may name.
+pub const MAX_COUNT: u64 = 65_535;
+/// The longest time span, so that sums of some of them stay in range.
+const MAX_MICROS: u64 = u64::MAX >> 12;
+
+/// The settings as they came: values by path, such as `limits.max_open`.
+pub struct Values(HashMap<String, String>);
+
+impl Values {
+    /// Takes pairs of a path and a value.
+    pub fn new(pairs: impl IntoIterator<Item = (String, String)>) -> Self {
+        Values(pairs.into_iter().collect())
+    }
+
+    /// Reads lines of the form `path=value`.
+    pub fn from_lines(text: &str) -> Result<Self, SettingsError> {
+        let mut map = HashMap::new();
+        for (at, line) in text.lines().enumerate().filter(|(_, line)| !line.is_empty()) {
+            let (key, value) = line.split_once('=').ok_or(SettingsError::NoEqualsSign { line: at + 1 })?;
+            map.insert(key.to_string(), value.to_string());
+        }
+        Ok(Values(map))
+    }
+
+    /// Whether there is a value at a path.
+    pub fn contains(&self, key: &str) -> bool {
+        self.0.contains_key(key)
+    }
+
+    /// The value at a path as it came.
+    pub fn text(&self, key: &str) -> Result<&str, SettingsError> {
+        self.0.get(key).map(String::as_str).ok_or_else(|| SettingsError::Missing { key: key.to_string() })
+    }
+
+    /// The number at a path, finite and from 0 up.
+    pub fn number(&self, key: &str) -> Result<f64, SettingsError> {
+        let text = self.text(key)?;
+        match text.parse::<f64>() {
+            Ok(number) if number.is_finite() && number >= 0.0 => Ok(number),
+            _ => Err(SettingsError::NotANumber { key: key.to_string(), value: text.to_string() }),
+        }
+    }
+
+    /// The number at a path, or another one where there is none.
+    pub fn number_or(&self, key: &str, absent: f64) -> Result<f64, SettingsError> {
+        if self.contains(key) {
+            self.number(key)
+        } else {
+            Ok(absent)
+        }
+    }
+
+    /// The whole number at a path, `max` at most.
+    pub fn whole_number(&self, key: &str, max: u64) -> Result<u64, SettingsError> {
+        let text = self.text(key)?;
+        match text.parse::<u64>() {
+            Ok(number) if number <= max => Ok(number),
+            _ => Err(SettingsError::NotAWholeNumber { key: key.to_string(), max, value: text.to_string() }),
+        }
+    }
+
+    /// The time span at a path, in whole microseconds.
+    pub fn duration(&self, key: &str) -> Result<Duration, SettingsError> {
+        self.whole_number(key, MAX_MICROS).map(Duration::from_micros)
+    }
+
+    /// The truth value at a path.
+    pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
+        match self.text(key)? {
+            "true" => Ok(true),
+            "false" => Ok(false),
+            other => Err(SettingsError::NotABoolean { key: key.to_string(), value: other.to_string() }),
+        }
+    }
+
+    /// A list of plain values, which stand at its path with commas between them.
+    pub fn list(&self, key: &str) -> Result<Vec<String>, SettingsError> {
+        Ok(self.text(key)?.split(',').filter(|value| !value.is_empty()).map(String::from).collect())
+    }
+
+    /// The length of a list of objects; an item beyond the stated count is an error.
+    pub fn count(&self, list: &str) -> Result<u64, SettingsError> {
+        let count = self.whole_number(&format!("{list}.count"), MAX_COUNT)?;
+        let prefix = format!("{list}.");
+        for key in self.0.keys() {
+            let index = key.strip_prefix(&prefix).and_then(|rest| rest.split('.').next());
+            let index = index.and_then(|index| index.parse::<u64>().ok());
+            if index.is_some_and(|index| index >= count) {
+                return Err(SettingsError::BeyondCount { list: list.to_string(), count, key: key.clone() });
+            }
+        }
+        Ok(count)
+    }
+
+    /// The names of the objects in a list.
+    pub fn names(&self, list: &str) -> Result<Vec<String>, SettingsError> {
+        let name = |index| self.text(&format!("{list}.{index}.name")).map(String::from);
+        (0..self.count(list)?).map(name).collect()
+    }
+}
