--- a/src/bin/ingress/command.rs
+++ b/src/bin/ingress/command.rs
@@ -25,7 +25,7 @@
     pub classes: Vec<ClassSchema>,
     /// The names of the plans; a request's plan is its place here.
     pub plans: Vec<String>,
-    /// The most units that a request may cost.
+    /// The most units that a request may take.
     pub max_units: f64,
     /// How many gateways there are.
     pub gateway_count: u64,
@@ -67,7 +67,7 @@
 /// A client's request.
 #[derive(Debug)]
 pub struct Command {
-    /// The request as the gateway is told of it; the caller fills in its id and deadline.
+    /// The request for the gateway; the caller fills in its id and deadline.
     pub request: Request,
     /// How long the client waits for the reply.
     pub timeout: Duration,
--- a/src/bin/ingress/command/options.rs
+++ b/src/bin/ingress/command/options.rs
@@ -1,13 +1,25 @@
 //! Parsing a command's customer, id and options.
+//!
+//! This is the one place that knows the names of the options. Options that are not listed are the backend's concern.
+//!
+//! | option | term in the code |
+//! | --- | --- |
+//! | `c` | class of the request |
+//! | `t` | plan of the customer |
+//! | `d` | timeout, in milliseconds |
+//! | `k` | idempotency key |
+//! | `units` | units that the request takes from the quota |
+//! | `spread` | `gateway_set_size`: how many gateways share the customer's requests |
+//! | `first` | `gateway_set_start`: the first of these gateways |
 
 use super::error::CommandError;
 use super::{CommandSchema, Verb};
 use ingress::{Duration, Idempotency};
 use std::ops::Range;
 
-/// The longest timeout that a client may ask for, in milliseconds.
+/// The longest timeout that a client may set, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
-/// The highest size or start of a gateway set that can be written.
+/// The highest size or start of a gateway set that is parsed.
 const MAX_GATEWAY_NUMBER: u64 = 65_535;
 /// The most bytes of an id or idempotency key.
 const MAX_TOKEN_LEN: usize = 64;
@@ -29,7 +41,7 @@
     pub position: Range<usize>,
 }
 
-/// What a request takes from its customer's quota, and which gateways share that quota.
+/// How much a request takes from its customer's quota, and which gateways share that quota.
 pub struct QuotaParameters {
     /// How many units it takes.
     pub units: f64,
@@ -39,22 +51,22 @@
     pub gateway_set_start: u64,
 }
 
-/// A command's options as they were sent, each `None` if it is missing. Others than these are the backend's concern.
+/// A command's options as they were sent, each `None` if it is missing.
 #[derive(Default)]
 pub struct Options<'a> {
-    /// `c`: the name of the request's class.
+    /// The name of the request's class.
     pub class: Option<&'a [u8]>,
-    /// `t`: the name of the customer's plan.
+    /// The name of the customer's plan.
     pub plan: Option<&'a [u8]>,
-    /// `d`: how long the client waits.
+    /// How long the client waits.
     pub timeout: Option<TimeoutOption>,
-    /// `k`: the idempotency key.
+    /// The idempotency key.
     idempotency_key: Option<&'a [u8]>,
     /// How much quota the request takes.
     units: Option<f64>,
-    /// `spread`: how many gateways the customer's requests are spread over.
+    /// How many gateways the customer's requests are spread over.
     gateway_set_size: Option<u64>,
-    /// `first`: the first of these gateways.
+    /// The first of these gateways.
     gateway_set_start: Option<u64>,
 }
 
@@ -108,8 +120,8 @@
         Ok(())
     }
 
-    /// What the request takes from the quota. What is out of range reaches neither the gateway, which would keep it in the
-    /// customer's record, nor a backend.
+    /// The request's units and gateway set, checked against the settings: a number out of range must reach neither the
+    /// customer's record in the gateway nor a backend.
     pub fn quota_parameters(&self, schema: &CommandSchema) -> Result<QuotaParameters, CommandError> {
         let units = self.units.ok_or(CommandError::MissingOption("units"))?;
         let gateway_set_size = self.gateway_set_size.ok_or(CommandError::MissingOption("spread"))?;
@@ -121,7 +133,7 @@
     }
 }
 
-/// Fills in an option's value, once.
+/// Sets an option's value; a second one is an error.
 fn set_once<T>(option: &mut Option<T>, value: T, name: &'static str) -> Result<(), CommandError> {
     match option.replace(value) {
         None => Ok(()),
@@ -129,7 +141,7 @@
     }
 }
 
-/// Passes what is within its range.
+/// Returns an error unless an option's value is within its range.
 fn check_range(within: bool, option: &'static str) -> Result<(), CommandError> {
     within.then_some(()).ok_or(CommandError::OutOfRange(option))
 }
@@ -142,7 +154,7 @@
     number.filter(|number| *number < CUSTOMER_LIMIT).ok_or(CommandError::InvalidCustomer)
 }
 
-/// Whether the text is a short word of printable ASCII characters.
+/// Whether the text is short, not empty and made of printable ASCII characters without spaces.
 pub fn is_token(text: &[u8]) -> bool {
     !text.is_empty() && text.len() <= MAX_TOKEN_LEN && text.iter().all(u8::is_ascii_graphic)
 }
--- a/src/bin/ingress/config.rs
+++ b/src/bin/ingress/config.rs
@@ -1,4 +1,12 @@
 //! The configuration file and the environment variables that override it.
+//!
+//! The keys of `settings` are [`SettingsReader`]'s concern. Of the others, these differ from the terms in the code:
+//!
+//! | key | term in the code |
+//! | --- | --- |
+//! | `known` | `cached_endpoints` |
+//! | `limits.sockets`, `limits.memory_mb` | `max_descriptors`, `max_memory` |
+//! | `peer_listen`, `peers`, `peers_all` | [`PeerAddresses`]: `listen_address`, `by_gateway`, `broadcast` |
 
 mod error;
 mod flatten;
@@ -24,7 +32,7 @@
     pub listen_address: SocketAddr,
     /// Where the endpoint list is watched.
     pub discovery_address: SocketAddr,
-    /// The seed of all that is drawn by chance.
+    /// The seed of all random numbers.
     pub seed: u64,
     /// The most file descriptors.
     pub max_descriptors: usize,
@@ -32,9 +40,9 @@
     pub max_memory: usize,
     /// Where peers' messages come in; none where the settings allow no messages.
     pub peers: Option<PeerAddresses>,
-    /// The endpoint list as last held, perhaps stale.
+    /// The endpoint list that the process had before its restart; it may be stale.
     pub cached_endpoints: EndpointList,
-    /// What the gateway is given.
+    /// The gateway's settings.
     pub settings: Settings,
     /// What clients' commands are checked against.
     pub command_schema: CommandSchema,
--- a/src/bin/ingress/discovery/endpoint_list.rs
+++ b/src/bin/ingress/discovery/endpoint_list.rs
@@ -1,35 +1,45 @@
-//! The endpoint list as discovery gives it, in JSON.
+//! The endpoint list as discovery sends it, in JSON.
+//!
+//! This is the one place that knows the fields of the list. Where they differ from the terms in the code:
+//!
+//! | field | term in the code |
+//! | --- | --- |
+//! | `index` | version of the list |
+//! | `endpoints[].name` | [`BackendId`], a hash of the name |
+//! | `endpoints[].status`: `up`, `removed`, any other | [`Availability`]: ready, gone, draining |
+//! | `endpoints[].since_ms` | `started_at` |
+//! | `endpoints[].group` | `cell` |
+//! | `endpoints[].type` | `machine_type` |
+//! | `endpoints[].weight` | `size` |
 
 use super::{EndpointListError, LocationNames};
-use ingress::{Availability, BackendId, Endpoint, UnixTime};
+use ingress::{Availability, BackendId, Duration, Endpoint, UnixTime};
 use serde::de::{self, DeserializeSeed, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_json::Value;
 use std::borrow::Cow;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// What a 64-bit FNV-1a hash begins with.
+/// The initial value of a 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// What each step of a 64-bit FNV-1a hash multiplies by.
+/// The factor of each step of a 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
-/// Microseconds in a millisecond, the unit of start times.
-const MICROS_PER_MILLI: u64 = 1000;
 
 /// An entry of the list, with the backend's address as this ingress reaches it.
 pub struct EndpointEntry {
-    /// What the gateway needs to know of the backend, but for its start.
+    /// The backend as the gateway knows it, without the time of its start.
     pub endpoint: Endpoint,
-    /// When the backend's process started, by the wall clock of whoever noted it; zero for long ago.
+    /// When the backend's process started, by the wall clock of the machine that recorded it; zero for long ago.
     pub started_at: UnixTime,
-    /// Where to connect to; none only for a backend that is gone.
+    /// Where to connect to; none only for a backend that was removed.
     pub address: Option<SocketAddr>,
 }
 
-/// A list as discovery gives it.
+/// A list, or a change of the list, as discovery sends it.
 pub struct EndpointList {
     /// The list's version, from which the next poll continues.
     pub index: u64,
-    /// Whether the list is whole, not only what changed.
+    /// Whether it is a complete list and no delta.
     pub is_snapshot: bool,
     /// The backends, in discovery's order.
     pub entries: Vec<EndpointEntry>,
@@ -49,8 +59,8 @@
         Ok(EndpointList { index, is_snapshot, entries })
     }
 
-    /// Reads a list from the body of a response, an entry at a time: a tree of all of it would take many times its
-    /// bytes.
+    /// Reads a list from the body of a response, an entry at a time: a JSON tree of the whole list would take many times
+    /// the memory of its text.
     pub fn from_bytes(body: &[u8], location_names: &LocationNames) -> serde_json::Result<EndpointList> {
         let mut deserializer = serde_json::Deserializer::from_slice(body);
         let list = de::Deserializer::deserialize_map(&mut deserializer, ListVisitor { location_names })?;
@@ -61,7 +71,7 @@
 
 /// Builds an [`EndpointList`] from a JSON object.
 struct ListVisitor<'a> {
-    /// Gives zones and machine types their numbers.
+    /// Maps the names of zones and machine types to numbers.
     location_names: &'a LocationNames,
 }
 
@@ -93,7 +103,7 @@
 
 /// Builds the entries of an [`EndpointList`] from a JSON array.
 struct EntriesVisitor<'a> {
-    /// Gives zones and machine types their numbers.
+    /// Maps the names of zones and machine types to numbers.
     location_names: &'a LocationNames,
 }
 
@@ -144,10 +154,10 @@
             machine_type: location_names.machine_type(text("type")),
             availability,
             size: json.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
-            // Unknown until the wall clock's time is compared with the event loop's.
+            // `StartTimes` translates the wall clock's time.
             started_at: None,
         };
-        let started_at = UnixTime::from_micros(since_ms.saturating_mul(MICROS_PER_MILLI));
+        let started_at = UnixTime::from_micros(Duration::from_millis(since_ms).as_micros());
         Ok(EndpointEntry { endpoint, address, started_at })
     }
 }
@@ -157,12 +167,12 @@
     match status {
         "up" => Availability::Ready,
         "removed" => Availability::Gone,
-        // A status introduced later can hardly mean that the backend wants work.
+        // A backend with a status that is not known is sent nothing new.
         _ => Availability::Draining,
     }
 }
 
-/// The id of a backend: a hash of its name, so that it is the same at every ingress and peers can refer to it.
+/// The id of a backend: a hash of its name, which is the same at every ingress, so that gossip can refer to it.
 fn backend_id(name: &str) -> BackendId {
     let hash_byte = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     BackendId(name.bytes().fold(FNV_OFFSET_BASIS, hash_byte))
