--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -63,7 +63,7 @@
         // The exact clock: if the loop was held up since it read its own, the client may have given up meanwhile.
         let has_expired = expires_at <= self.clock.now().max(self.now);
         if refusal.is_some() || has_expired {
-            let answered = request.answered;
+            let answered = request.closed;
             tracing::debug!(target: "attempt", request = id.0, attempt = index, ?refusal, has_expired, "not sent");
             return self.end_attempt(record, Outcome::NotSent, answered, None);
         }
@@ -125,7 +125,7 @@
         if outcome == Outcome::Ok {
             self.reply(id, &value, Answer::Served); // the first one is the final reply
         }
-        let answered = !self.requests.is_unanswered(id);
+        let answered = !self.requests.is_open(id);
         let record = AttemptRecord { id, number, backend, elapsed };
         self.end_attempt(record, outcome, answered, reported_queue_depth);
         self.requests.remove_if_finished(id, self.now);
@@ -151,7 +151,7 @@
         attempt.connection = None;
         let elapsed = self.clock.now().duration_since(attempt.started_at);
         let record = AttemptRecord { id, number, backend: attempt.backend, elapsed };
-        let answered = request.answered;
+        let answered = request.closed;
         self.end_attempt(record, outcome(command), answered, None);
         self.requests.remove_if_finished(id, self.now);
     }
@@ -181,7 +181,7 @@
     /// Ends the attempts of an answered request whose commands are not sent yet, even where the settings allow no
     /// cancellation: a backend that never got the command has nothing to cancel.
     pub(super) fn cancel_unsent(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get_mut(id).filter(|request| request.answered) else { return };
+        let Some(request) = self.requests.get_mut(id).filter(|request| request.closed) else { return };
         let mut ended = Vec::new();
         for (number, attempt) in (0u16..).zip(&mut request.attempts) {
             let unsent = attempt.connection.filter(|connection| self.backends.is_unsent(*connection));
@@ -204,12 +204,12 @@
         let Some(attempt) = request.attempts.get(usize::from(number)) else { return };
         let at = self.clock.now().max(self.now);
         let Attempt { expires_at, begins_by, .. } = *attempt;
-        let facts = WriteFacts { now: at, expires_at, begins_by, answered: request.answered };
+        let facts = WriteFacts { now: at, expires_at, begins_by, closed: request.closed };
         if let Err(refusal) = may_begin_writing(&facts) {
             tracing::debug!(target: "attempt", request = id.0, attempt = number, ?refusal, "not begun");
             // That nobody waits any more says nothing of the backend.
             let outcome = match refusal {
-                WriteRefusal::Answered => Outcome::NotSent,
+                WriteRefusal::Closed => Outcome::NotSent,
                 WriteRefusal::Expired | WriteRefusal::ConnectedTooLate => Outcome::ConnectFailed,
             };
             return self.cancel_attempt(attempt_id, |_| outcome);
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -36,7 +36,7 @@
 
     /// Takes in the end of the process: whoever waits for an answer gets none.
     pub(super) fn audit_exit(&mut self) {
-        for id in self.requests.unanswered_ids() {
+        for id in self.requests.open_ids() {
             self.report_violation(ViolationKind::NoAnswer, Some(id));
         }
     }
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -62,7 +62,7 @@
 
     /// Reports the disconnected client of a request to the policy, unless that has been done or the request is answered.
     fn report_disconnect(&mut self, id: RequestId) {
-        if self.requests.mark_answered(id).is_none() {
+        if self.requests.close(id).is_none() {
             return;
         }
         tracing::debug!(target: "request", request = id.0, "client disconnected");
@@ -136,7 +136,7 @@
 
     /// Gives a request its final reply, if it has none yet.
     pub(super) fn reply(&mut self, id: RequestId, text: &[u8], answer: Answer) {
-        if let Some(reply_to) = self.requests.mark_answered(id) {
+        if let Some(reply_to) = self.requests.close(id) {
             self.clients.reply(reply_to, text);
             self.record_answer(id, answer);
         }
@@ -158,7 +158,7 @@
     /// Fails a request that has no final reply when its time is over. The policy should never let it come to this, but
     /// no client is left without a reply.
     pub(super) fn fail_unanswered(&mut self, id: RequestId) {
-        if self.requests.is_unanswered(id) {
+        if self.requests.is_open(id) {
             self.reply(id, FAILED_REPLY, Answer::Failed);
             self.pending_events.push_back(Event::ClientDisconnected(id));
         }
--- a/src/bin/ingress/event_loop/request_table.rs
+++ b/src/bin/ingress/event_loop/request_table.rs
@@ -28,7 +28,7 @@
 }
 
 /// A request that awaits its final reply, or has attempts in flight.
-pub struct OpenRequest {
+pub struct RequestEntry {
     /// The client's command.
     pub command: Command,
     /// Where the reply goes.
@@ -37,15 +37,15 @@
     pub deadline: Instant,
     /// All attempts so far; an attempt's number is its place here.
     pub attempts: Vec<Attempt>,
-    /// It has its final reply, or its client has disconnected: no reply is owed any more.
-    pub answered: bool,
+    /// No reply is owed any more: it has its final reply, or its client has disconnected.
+    pub closed: bool,
     /// What was done for it.
     pub audit: RequestAudit,
     /// Its id, as its client gave it.
     id_hash: IdHash,
 }
 
-impl OpenRequest {
+impl RequestEntry {
     /// Whether one more attempt may be sent, by what the sockets have seen.
     pub fn may_send(&self, rules: &AuditRules) -> Result<AttemptKind, AttemptRefusal> {
         let class = usize::from(self.command.request.class);
@@ -56,7 +56,7 @@
             attempts: self.attempts.len(),
             in_flight: self.attempts.iter().filter(|attempt| attempt.connection.is_some()).count(),
             may_have_executed: self.audit.may_have_executed(),
-            answered: self.answered,
+            closed: self.closed,
         })
     }
     /// Whether any attempt is in flight.
@@ -80,7 +80,7 @@
 /// The open requests of all clients.
 pub struct RequestTable {
     /// Those with no final reply, or with an attempt in flight.
-    requests: HashMap<RequestId, OpenRequest>,
+    requests: HashMap<RequestId, RequestEntry>,
     /// The ids of the open requests, and of those that ended a short while ago.
     known_ids: HashSet<IdHash>,
     /// The latter, the oldest first.
@@ -137,17 +137,17 @@
         self.memory += command.memory_size();
         self.known_ids.insert(id_hash);
         let attempts = Vec::new();
-        let request = OpenRequest { command, reply_to, deadline, attempts, answered: false, audit, id_hash };
+        let request = RequestEntry { command, reply_to, deadline, attempts, closed: false, audit, id_hash };
         self.requests.insert(id, request);
     }
 
     /// An open request.
-    pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
+    pub fn get(&self, id: RequestId) -> Option<&RequestEntry> {
         self.requests.get(&id)
     }
 
     /// An open request, to be changed.
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
         self.requests.get_mut(&id)
     }
 
@@ -161,33 +161,33 @@
         self.requests.keys().copied().collect()
     }
 
-    /// Whether this request still owes its client a reply.
-    pub fn is_unanswered(&self, id: RequestId) -> bool {
-        self.requests.get(&id).is_some_and(|request| !request.answered)
+    /// Whether a request's client is still owed a reply.
+    pub fn is_open(&self, id: RequestId) -> bool {
+        self.requests.get(&id).is_some_and(|request| !request.closed)
     }
 
-    /// The requests that still owe their clients a reply.
-    pub fn unanswered_ids(&self) -> Vec<RequestId> {
-        let unanswered = self.requests.iter().filter(|(_, request)| !request.answered);
-        unanswered.map(|(id, _)| *id).collect()
+    /// The requests whose clients are still owed a reply.
+    pub fn open_ids(&self) -> Vec<RequestId> {
+        let open = self.requests.iter().filter(|(_, request)| !request.closed);
+        open.map(|(id, _)| *id).collect()
     }
 
-    /// Whether any request still owes its client a reply.
-    pub fn any_unanswered(&self) -> bool {
-        self.requests.values().any(|request| !request.answered)
+    /// Whether any client is still owed a reply.
+    pub fn any_open(&self) -> bool {
+        self.requests.values().any(|request| !request.closed)
     }
 
-    /// Notes that a request owes no reply any more, and gives where its reply goes; none if it owed none before.
-    pub fn mark_answered(&mut self, id: RequestId) -> Option<ReplyHandle> {
-        let request = self.requests.get_mut(&id).filter(|request| !request.answered)?;
-        request.answered = true;
+    /// Closes a request and returns where its reply goes; none if it was closed before.
+    pub fn close(&mut self, id: RequestId) -> Option<ReplyHandle> {
+        let request = self.requests.get_mut(&id).filter(|request| !request.closed)?;
+        request.closed = true;
         Some(request.reply_to)
     }
 
-    /// Removes a request that owes no reply and has no attempt in flight.
+    /// Removes a request that is closed and has no attempt in flight.
     pub fn remove_if_finished(&mut self, id: RequestId, now: Instant) {
         let finished =
-            self.requests.get(&id).is_some_and(|request| request.answered && !request.is_in_flight());
+            self.requests.get(&id).is_some_and(|request| request.closed && !request.is_in_flight());
         if !finished {
             return;
         }
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -88,7 +88,7 @@
     /// Whether all is answered, by what has been read so far.
     fn is_drained(&self) -> bool {
         self.shutdown.is_draining()
-            && !self.requests.any_unanswered()
+            && !self.requests.any_open()
             && !self.clients.has_pending_work()
             && self.shutdown.is_drained(self.now, &self.clients)
     }
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -15,8 +15,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum WriteRefusal {
     /// No answer is owed any more.
-    #[error("the request is answered, or its client has gone")]
-    Answered,
+    #[error("the request is closed: answered, or abandoned by its client")]
+    Closed,
     /// The attempt's time is over.
     #[error("the attempt's time is over")]
     Expired,
@@ -34,14 +34,14 @@
     pub expires_at: Instant,
     /// By when the policy counts on its beginning.
     pub begins_by: Instant,
-    /// The request has its final answer, or its client has gone.
-    pub answered: bool,
+    /// No answer is owed any more: the request has its final answer, or its client has disconnected.
+    pub closed: bool,
 }
 
 /// Whether the first byte of an attempt may be written now.
 pub fn may_begin_writing(facts: &WriteFacts) -> Result<(), WriteRefusal> {
-    if facts.answered {
-        Err(WriteRefusal::Answered)
+    if facts.closed {
+        Err(WriteRefusal::Closed)
     } else if facts.now >= facts.expires_at {
         Err(WriteRefusal::Expired)
     } else if facts.now > facts.begins_by {
--- a/src/policy/permissions/tests.rs
+++ b/src/policy/permissions/tests.rs
@@ -11,7 +11,7 @@
     attempts: 1,
     in_flight: 0,
     may_have_executed: false,
-    answered: false,
+    closed: false,
 };
 
 fn at(micros: u64) -> Instant {
@@ -32,7 +32,7 @@
     let keyed = Idempotency::Keyed { scope: IdempotencyScope::Fleet, window };
     let executed = AttemptFacts { may_have_executed: true, ..FAILED_ONCE };
     for (facts, expected) in [
-        (AttemptFacts { answered: true, ..FAILED_ONCE }, AttemptRefusal::Answered),
+        (AttemptFacts { closed: true, ..FAILED_ONCE }, AttemptRefusal::Closed),
         (AttemptFacts { attempts: 3, ..FAILED_ONCE }, AttemptRefusal::AttemptLimit),
         (AttemptFacts { in_flight: 1, ..FAILED_ONCE }, AttemptRefusal::InFlight),
         (
@@ -49,11 +49,11 @@
 
 #[test]
 fn an_attempt_begins_while_somebody_waits_and_its_time_lasts() {
-    let facts = WriteFacts { now: at(100), expires_at: at(200), begins_by: at(150), answered: false };
+    let facts = WriteFacts { now: at(100), expires_at: at(200), begins_by: at(150), closed: false };
     let begin_at = |micros| may_begin_writing(&WriteFacts { now: at(micros), ..facts });
     assert_eq!((begin_at(150), begin_at(151)), (Ok(()), Err(WriteRefusal::ConnectedTooLate)));
     assert_eq!(begin_at(200), Err(WriteRefusal::Expired));
-    assert_eq!(may_begin_writing(&WriteFacts { answered: true, ..facts }), Err(WriteRefusal::Answered));
+    assert_eq!(may_begin_writing(&WriteFacts { closed: true, ..facts }), Err(WriteRefusal::Closed));
 }
 
 #[test]
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -144,7 +144,7 @@
             attempts: facts.attempts,
             in_flight: facts.in_flight,
             may_have_executed: facts.may_have_executed,
-            answered: facts.answered,
+            closed: facts.answered,
         })?;
         if !self.budget.allows_retry() {
             return Err(RetryRefusal::BudgetExhausted);
--- a/src/policy/retry/permission.rs
+++ b/src/policy/retry/permission.rs
@@ -21,8 +21,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AttemptRefusal {
     /// No answer is owed any more.
-    #[error("the request is answered, or its client has gone")]
-    Answered,
+    #[error("the request is closed: answered, or abandoned by its client")]
+    Closed,
     /// The settings allow no further attempt.
     #[error("there were as many attempts as are allowed")]
     AttemptLimit,
@@ -52,14 +52,14 @@
     pub in_flight: usize,
     /// Whether one of them was or may have been executed.
     pub may_have_executed: bool,
-    /// It has its final answer, or its client has gone.
-    pub answered: bool,
+    /// No answer is owed any more: the request has its final answer, or its client has disconnected.
+    pub closed: bool,
 }
 
 /// Whether a request may have an attempt now.
 pub fn may_start_attempt(facts: &AttemptFacts) -> Result<AttemptKind, AttemptRefusal> {
-    if facts.answered {
-        return Err(AttemptRefusal::Answered);
+    if facts.closed {
+        return Err(AttemptRefusal::Closed);
     }
     if facts.attempts >= facts.max_attempts {
         return Err(AttemptRefusal::AttemptLimit);
