--- a/src/audit/request.rs
+++ b/src/audit/request.rs
@@ -3,7 +3,7 @@
 use super::{Auditor, Location, ViolationKind};
 use crate::{BackendId, Duration, Idempotency, Instant, Outcome};
 
-/// How much more time than the client has left a backend may be told.
+/// How much longer than the client's remaining time the timeout stated to a backend may be.
 const TIME_SLACK: Duration = Duration::from_millis(150);
 /// How long after its client gave up a final answer is still no violation.
 const ANSWER_SLACK: Duration = Duration::from_millis(50);
@@ -17,8 +17,8 @@
     pub backend: BackendId,
     /// When it began.
     pub at: Instant,
-    /// The time that the backend was told to have for it.
-    pub time_told: Duration,
+    /// The timeout that was stated to the backend.
+    pub stated_timeout: Duration,
 }
 
 /// An attempt that has begun.
@@ -71,7 +71,7 @@
             (self.is_key_expired(begun.at), ViolationKind::KeyExpired),
             (self.is_key_unknown_at(location), ViolationKind::KeyOutOfScope),
             (usize::from(begun.number) >= rules.max_attempts, ViolationKind::TooManyAttempts),
-            (begun.time_told > time_left + TIME_SLACK, ViolationKind::TimeOverstated),
+            (begun.stated_timeout > time_left + TIME_SLACK, ViolationKind::TimeOverstated),
             (auditor.is_closed(begun.backend, begun.at), ViolationKind::ClosedBackend),
         ];
         self.begun.push(BegunAttempt {
--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -26,9 +26,9 @@
     })
 }
 
-/// An attempt that tells the backend the time that the client has left.
+/// An attempt that states to the backend the time that the client has left.
 fn begun(number: u16, at: Instant) -> AttemptBegun {
-    AttemptBegun { number, backend: BACKEND, at, time_told: DEADLINE.duration_since(at) }
+    AttemptBegun { number, backend: BACKEND, at, stated_timeout: DEADLINE.duration_since(at) }
 }
 
 #[test]
@@ -106,8 +106,8 @@
     let mut request = RequestAudit::new(&auditor, IDEMPOTENT, DEADLINE);
     assert_eq!(request.attempt_begun(&auditor, &begun(3, at(0))), [ViolationKind::TooManyAttempts]);
     let in_time = begun(1, at(0));
-    let time_told = in_time.time_told + Duration::from_micros(150_001);
-    let overstated = AttemptBegun { time_told, ..in_time };
+    let stated_timeout = in_time.stated_timeout + Duration::from_micros(150_001);
+    let overstated = AttemptBegun { stated_timeout, ..in_time };
     assert_eq!(request.attempt_begun(&auditor, &overstated), [ViolationKind::TimeOverstated]);
     request.client_gone();
     assert_eq!(request.attempt_begun(&auditor, &begun(2, at(0))), [ViolationKind::AttemptAfterEnd]);
--- a/src/audit/violation.rs
+++ b/src/audit/violation.rs
@@ -25,7 +25,7 @@
     KeyOutOfScope,
     /// A request had more attempts than are allowed (A5).
     TooManyAttempts,
-    /// A backend was told more time than the client has left (A6).
+    /// The timeout stated to a backend exceeds the time that the client has left (A6).
     TimeOverstated,
     /// An attempt has ended that was not in flight (A8).
     UnexpectedEnd,
--- a/src/bin/ingress/backends.rs
+++ b/src/bin/ingress/backends.rs
@@ -10,7 +10,8 @@
 mod reply;
 
 pub use assignment::{
-    AssignedConnection, AttemptId, Begun, CommandState, Completion, ConnectionEnd, ConnectionId, TimeTold,
+    AssignedConnection, AttemptId, Begun, CommandState, Completion, ConnectionEnd, ConnectionId,
+    StatedTimeout,
 };
 pub use pool::Backends;
 
--- a/src/bin/ingress/backends/assignment.rs
+++ b/src/bin/ingress/backends/assignment.rs
@@ -45,10 +45,10 @@
     pub attempt: AttemptId,
     /// The backend that the connection leads to.
     pub backend: BackendId,
-    /// When the command was encoded that was written.
+    /// When the command that was written was encoded.
     pub at: Instant,
-    /// The time that the command tells the backend to have.
-    pub time_told: Duration,
+    /// The timeout that the command states.
+    pub stated_timeout: Duration,
 }
 
 /// Why a connection to a backend was closed.
@@ -72,13 +72,13 @@
     BackendClosed,
 }
 
-/// A command as it is written: what it tells the backend, and when that was true.
+/// The timeout that a command states to its backend, which is true at the time of its encoding.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TimeTold {
+pub struct StatedTimeout {
     /// When the command was encoded.
-    pub at: Instant,
-    /// The time that it tells the backend to have.
-    pub time_left: Duration,
+    pub stated_at: Instant,
+    /// How much time the attempt had left then.
+    pub timeout: Duration,
 }
 
 /// How an attempt ended.
--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a backend: its state, and single reads and writes.
 
-use super::{AttemptId, CommandState, TimeTold};
+use super::{AttemptId, CommandState, StatedTimeout};
 use crate::socket_error::is_not_ready;
 use ingress::{BackendId, Duration, Instant, Outcome};
 use mio::net::TcpStream;
@@ -29,8 +29,8 @@
     pub reply_started_at: Instant,
     /// The command of the attempt.
     pub command: Vec<u8>,
-    /// The time that the command tells.
-    pub time_told: TimeTold,
+    /// The timeout that the command states.
+    pub stated_timeout: StatedTimeout,
     /// How many bytes of the command are written.
     pub written: usize,
     /// What has come of the reply.
@@ -70,7 +70,7 @@
             idle_before: None,
             reply_started_at: Instant::ZERO,
             command: Vec::new(),
-            time_told: TimeTold::default(),
+            stated_timeout: StatedTimeout::default(),
             written: 0,
             received: Vec::new(),
         }
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -4,7 +4,7 @@
 use super::idle_reuse::IdleReuse;
 use super::reply::{self, ExchangeResult};
 use super::{AssignedConnection, AttemptId, Backends, Begun, CommandState, Completion};
-use super::{ConnectionEnd, ConnectionId, TimeTold};
+use super::{ConnectionEnd, ConnectionId, StatedTimeout};
 use crate::resp;
 use ingress::{BackendId, Duration, Instant, Outcome};
 use mio::Registry;
@@ -31,10 +31,10 @@
         registry: &Registry,
         backend: BackendId,
         attempt: AttemptId,
-        time_told: TimeTold,
+        stated_timeout: StatedTimeout,
         encode: impl FnOnce(&mut Vec<u8>),
     ) -> Option<AssignedConnection> {
-        let now = time_told.at;
+        let now = stated_timeout.stated_at;
         if let Err(refusal) = self.may_assign(backend) {
             tracing::debug!(target: "attempt", ?attempt, backend = backend.0, %refusal, "not sent");
             let result = ExchangeResult::without_reply(Outcome::NotSent);
@@ -52,7 +52,7 @@
         connection.attempt = Some(attempt);
         connection.state_since = now;
         connection.written = 0;
-        connection.time_told = time_told;
+        connection.stated_timeout = stated_timeout;
         connection.command.clear();
         encode(&mut connection.command);
         let id = ConnectionId { key, serial: connection.serial };
@@ -70,10 +70,15 @@
     }
 
     /// Replaces a command of which nothing is written yet by what `encode` appends, which tells another time.
-    pub fn rewrite_command(&mut self, key: usize, told: TimeTold, encode: impl FnOnce(&mut Vec<u8>)) {
+    pub fn rewrite_command(
+        &mut self,
+        key: usize,
+        stated_timeout: StatedTimeout,
+        encode: impl FnOnce(&mut Vec<u8>),
+    ) {
         let connection = self.connections.get_mut(key);
         if let Some(connection) = connection.filter(|connection| connection.is_not_yet_written()) {
-            connection.time_told = told;
+            connection.stated_timeout = stated_timeout;
             connection.command.clear();
             encode(&mut connection.command);
         }
@@ -134,9 +139,14 @@
         let was_unwritten = connection.is_not_yet_written();
         let result = connection.write_command();
         if was_unwritten && connection.written > 0 {
-            let TimeTold { at, time_left: time_told } = connection.time_told;
+            let StatedTimeout { stated_at: at, timeout: stated_timeout } = connection.stated_timeout;
             let backend = connection.backend;
-            self.begun.extend(connection.attempt.map(|attempt| Begun { attempt, backend, at, time_told }));
+            self.begun.extend(connection.attempt.map(|attempt| Begun {
+                attempt,
+                backend,
+                at,
+                stated_timeout,
+            }));
         }
         if result.is_ok() {
             return;
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -18,9 +18,9 @@
     AttemptId { request: RequestId(request), number: 0 }
 }
 
-/// A command that is encoded at a time.
-fn told(at: Instant) -> TimeTold {
-    TimeTold { at, time_left: Duration::ZERO }
+/// The timeout of a command that is encoded at a time: none is left.
+fn no_time(stated_at: Instant) -> StatedTimeout {
+    StatedTimeout { stated_at, timeout: Duration::ZERO }
 }
 
 /// Connections to one backend, which the test plays; its clock is the test's as well.
@@ -45,7 +45,8 @@
     fn assign(&mut self, request: u64, now: Instant) -> ConnectionId {
         let encode = |command: &mut Vec<u8>| command.extend_from_slice(b"*1\r\n$4\r\nCALL\r\n");
         let registry = self.poll.registry();
-        let assigned = self.backends.assign(registry, BACKEND, attempt(request), told(now), encode).unwrap();
+        let assigned =
+            self.backends.assign(registry, BACKEND, attempt(request), no_time(now), encode).unwrap();
         while self.backends.is_unsent(assigned.connection) {
             self.backends.on_ready(assigned.connection.key, now, true);
         }
@@ -104,7 +105,7 @@
     let mut rig = Rig::new(Duration::from_secs(30));
     let encode = |command: &mut Vec<u8>| command.resize(64 << 20, b'x');
     let registry = rig.poll.registry();
-    let assigned = rig.backends.assign(registry, BACKEND, attempt(1), told(START), encode).unwrap();
+    let assigned = rig.backends.assign(registry, BACKEND, attempt(1), no_time(START), encode).unwrap();
     let connection = assigned.connection;
     let peer = rig.listener.accept().unwrap().0;
     rig.backends.on_ready(connection.key, START, true);
@@ -141,7 +142,7 @@
     // More than the socket takes at once.
     let long = |command: &mut Vec<u8>| command.resize(64 << 20, b'x');
     let now = START + MIN_IDLE_TIME;
-    let second = rig.backends.assign(rig.poll.registry(), BACKEND, attempt(2), told(now), long).unwrap();
+    let second = rig.backends.assign(rig.poll.registry(), BACKEND, attempt(2), no_time(now), long).unwrap();
     assert_eq!((second.connection, second.command), (first, CommandState::Unsent));
     rig.backends.on_connect_timeout(first, attempt(1));
     assert!(rig.backends.is_unsent(first), "the later attempt goes on");
@@ -159,7 +160,7 @@
         let entries = vec![EndpointEntry { endpoint, started_at: UnixTime::default(), address }];
         rig.backends.update_endpoints(&EndpointList { index: 2, is_snapshot: false, entries });
         let encode = |command: &mut Vec<u8>| command.extend_from_slice(b"*1\r\n$4\r\nCALL\r\n");
-        let assigned = rig.backends.assign(rig.poll.registry(), BACKEND, attempt(1), told(START), encode);
+        let assigned = rig.backends.assign(rig.poll.registry(), BACKEND, attempt(1), no_time(START), encode);
         assert_eq!(assigned, None, "{availability:?}");
         assert_eq!(rig.backends.completions.pop().unwrap().outcome, Outcome::NotSent, "{availability:?}");
         assert_eq!(rig.backends.len(), 0, "{availability:?}");
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -4,7 +4,7 @@
 use super::request_table::Attempt;
 use super::timer_queue::Timer;
 use super::EventLoop;
-use crate::backends::{AttemptId, CommandState, Completion, TimeTold};
+use crate::backends::{AttemptId, CommandState, Completion, StatedTimeout};
 use ingress::permissions::{may_begin_writing, WriteFacts, WriteRefusal};
 use ingress::{AttemptEnded, BackendId, Duration, Event, Instant, Outcome, RequestId};
 
@@ -84,10 +84,11 @@
         let time_left = expires_at.duration_since(started_at);
         attempt.started_at = started_at;
         let attempt_id = AttemptId { request: id, number };
-        let time_told = TimeTold { at: started_at, time_left };
-        let assigned = self.backends.assign(self.poll.registry(), backend, attempt_id, time_told, |buffer| {
-            command.encode(time_left, buffer)
-        });
+        let stated_timeout = StatedTimeout { stated_at: started_at, timeout: time_left };
+        let assigned =
+            self.backends.assign(self.poll.registry(), backend, attempt_id, stated_timeout, |buffer| {
+                command.encode(time_left, buffer)
+            });
         tracing::debug!(
             target: "attempt",
             request = id.0,
@@ -215,7 +216,8 @@
             return self.cancel_attempt(attempt_id, |_| outcome);
         }
         let time_left = expires_at.duration_since(at);
-        let time_told = TimeTold { at, time_left };
-        self.backends.rewrite_command(key, time_told, |buffer| request.command.encode(time_left, buffer));
+        let stated_timeout = StatedTimeout { stated_at: at, timeout: time_left };
+        self.backends
+            .rewrite_command(key, stated_timeout, |buffer| request.command.encode(time_left, buffer));
     }
 }
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -13,8 +13,12 @@
             let AttemptId { request: id, number } = begun.attempt;
             self.counters.attempts_begun += 1;
             let Some(request) = self.requests.get_mut(id) else { continue };
-            let begun =
-                AttemptBegun { number, backend: begun.backend, at: begun.at, time_told: begun.time_told };
+            let begun = AttemptBegun {
+                number,
+                backend: begun.backend,
+                at: begun.at,
+                stated_timeout: begun.stated_timeout,
+            };
             let violated = request.audit.attempt_begun(&self.auditor, &begun);
             violated.into_iter().for_each(|kind| self.report_violation(kind, Some(id)));
         }
