--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -1,5 +1,5 @@
-//! Tells the audit what was done, and logs what it finds. A violation never ends the process in service; in a debug build,
-//! as in tests, it panics.
+//! Reports to the audit what was done, and logs what it finds. A violation never ends the process in service; in a
+//! debug build, as in tests, it panics.
 
 use super::EventLoop;
 use crate::backends::AttemptId;
@@ -7,7 +7,7 @@
 use ingress::{Outcome, RequestId};
 
 impl EventLoop {
-    /// Takes in the attempts whose first byte was written.
+    /// Records the attempts whose first byte was written.
     pub(super) fn audit_begun_attempts(&mut self) {
         for begun in self.backends.take_begun() {
             let AttemptId { request: id, number } = begun.attempt;
@@ -24,21 +24,21 @@
         }
     }
 
-    /// Takes in the end of an attempt.
-    pub(super) fn audit_attempt_end(&mut self, id: RequestId, number: u16, outcome: Outcome) {
-        let request = self.requests.get_mut(id);
-        let violated = request.and_then(|request| request.audit.attempt_ended(number, outcome));
-        violated.into_iter().for_each(|kind| self.report_violation(kind, Some(id)));
+    /// Records the end of an attempt.
+    pub(super) fn audit_attempt_end(&mut self, attempt: AttemptId, outcome: Outcome) {
+        let request = self.requests.get_mut(attempt.request);
+        let violated = request.and_then(|request| request.audit.attempt_ended(attempt.number, outcome));
+        violated.into_iter().for_each(|kind| self.report_violation(kind, Some(attempt.request)));
     }
 
-    /// Takes in connections of clients that were closed by this side with replies owed.
+    /// Reports the connections of clients that this side closed with replies owed.
     pub(super) fn audit_closed_clients(&mut self) {
         for id in self.clients.take_abandoned() {
             self.report_violation(ViolationKind::ClosedWithRepliesOwed, id);
         }
     }
 
-    /// Takes in the end of the process: whoever waits for an answer gets none.
+    /// Reports the requests that have no answer when the process ends.
     pub(super) fn audit_exit(&mut self) {
         for id in self.requests.open_ids() {
             self.report_violation(ViolationKind::NoAnswer, Some(id));
@@ -49,8 +49,8 @@
     pub(super) fn report_violation(&mut self, kind: ViolationKind, request: Option<RequestId>) {
         let is_logged = self.auditor.count(Violation { kind, request }, self.now);
         if is_logged {
-            let open = request.and_then(|id| self.requests.get(id));
-            let client_request_id = open.map(|open| open.command.client_request_id());
+            let entry = request.and_then(|id| self.requests.get(id));
+            let client_request_id = entry.map(|entry| entry.command.client_request_id());
             let client_request_id = client_request_id.map(String::from_utf8_lossy).unwrap_or_default();
             let request = request.map_or(0, |id| id.0);
             tracing::error!(target: "invariant", ?kind, request, %client_request_id, "violated");
