--- a/src/bin/ingress/event_loop/arrival_clock.rs
+++ b/src/bin/ingress/event_loop/arrival_clock.rs
@@ -1,44 +1,48 @@
-//! When what the poll reports can have arrived. The loop reads its clock once the poll has returned; a process that was
-//! held up before that, as on an overloaded machine, finds what came meanwhile, and clients' time is running.
+//! Estimates when the input that the poll reports arrived.
+//!
+//! Guards against counting a client's timeout from too late a time, which shows as a late answer and as a timeout
+//! stated to a backend that exceeds the client's. The loop reads its clock only after the poll has returned, so a
+//! process that was delayed before that, as on an overloaded machine, takes old input for new. The duration of a call
+//! of the poll beyond its timeout, and the time between two calls, bound how old the input can be.
 
 use ingress::{Duration, Instant};
 
-/// A call of the poll that took at least so long has waited: nothing was there when it began.
-const LEAST_WAIT: Duration = Duration::from_millis(1);
+/// A call of the poll that took this long or longer has waited: no input was there when it began.
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// Follows the calls of the poll.
+/// Records the calls of the poll.
 #[derive(Clone, Copy, Debug)]
 pub struct ArrivalClock {
-    /// When the last call that reported anything, if only that nothing came, has returned.
+    /// When the last call that was not interrupted returned.
     reported_at: Instant,
-    /// When what the latest call reported has arrived, at the earliest.
+    /// The earliest time at which the input that the latest call reported can have arrived.
     arrived_at: Instant,
 }
 
 impl ArrivalClock {
-    /// Nothing was reported yet.
+    /// A clock before the first call.
     pub fn new(now: Instant) -> ArrivalClock {
         ArrivalClock { reported_at: now, arrived_at: now }
     }
 
-    /// Takes note of a call that began at a time, was to wait for so long at the most, and has returned.
+    /// Records a call that began at `called_at` and returned at `returned_at`.
     pub fn poll_returned(&mut self, called_at: Instant, timeout: Duration, returned_at: Instant) {
         let elapsed = returned_at.duration_since(called_at);
         let waited = elapsed.min(timeout);
         let overslept = elapsed - waited;
-        let busy =
-            if waited < LEAST_WAIT { called_at.duration_since(self.reported_at) } else { Duration::ZERO };
+        let has_waited = waited >= MIN_WAIT;
+        // Input that was there when the call began can have arrived at any time since the call before.
+        let busy = if has_waited { Duration::ZERO } else { called_at.duration_since(self.reported_at) };
         self.arrived_at = returned_at - (overslept + busy);
         self.reported_at = returned_at;
     }
 
-    /// Takes note of a call that was interrupted, and has reported nothing: a process that is stopped and continued
-    /// returns from it like that.
+    /// Records a call that was interrupted and reported nothing, as when the process is stopped and continued.
     pub fn poll_interrupted(&mut self) {
         self.arrived_at = self.reported_at;
     }
 
-    /// When what the latest call reported has arrived, at the earliest; no more than a wait of the poll too late.
+    /// The earliest time at which the input that the latest call reported can have arrived.
     pub fn arrived_at(&self) -> Instant {
         self.arrived_at
     }
--- a/src/bin/ingress/event_loop/clock.rs
+++ b/src/bin/ingress/event_loop/clock.rs
@@ -3,17 +3,18 @@
 use ingress::{Duration, Instant, UnixTime};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A monotonic clock that counts from the Unix epoch, as the wall clock showed it at the start. Later steps of the wall
-/// clock do not reach it: all spans are real time.
+/// A monotonic clock that begins with the Unix time at its start.
+///
+/// Later steps of the wall clock do not change it, so its spans are real time.
 pub struct Clock {
-    /// When the clock was started.
+    /// The start, by the system's monotonic clock.
     started: std::time::Instant,
-    /// The time of the start.
+    /// The start, by the wall clock.
     started_at: Instant,
 }
 
 impl Clock {
-    /// Starts the clock from the system's.
+    /// Starts the clock at the wall clock's time.
     pub fn new() -> Self {
         Clock {
             started: std::time::Instant::now(),
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -1,4 +1,4 @@
-//! Input from discovery, from peers and from the operator's signals.
+//! Handles input from discovery, from peers and from the operator's signals.
 
 use super::clock::unix_time;
 use super::shutdown::MIN_ACCEPTING_TIME;
@@ -12,14 +12,14 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook_mio::v1_0::Signals;
 
-/// Sets the handlers of the signals that the event loop handles: SIGTERM and SIGINT begin the graceful shutdown, SIGHUP
-/// reloads the configuration, SIGUSR1 logs what was done so far.
+/// Installs the handlers of signals: SIGTERM and SIGINT begin the graceful shutdown, SIGHUP reloads the configuration,
+/// SIGUSR1 logs the counters.
 pub fn register_signals(retry: StartRetry) -> Result<Signals, EventLoopError> {
     retry.run(|| Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR1])).map_err(EventLoopError::Signals)
 }
 
 impl EventLoop {
-    /// Takes in what discovery has sent, if its connection is ready, and keeps its watch going.
+    /// Applies the endpoint lists that discovery has sent, if its connection is ready, and runs the watch's timer.
     pub(super) fn poll_discovery(&mut self, is_ready: bool) {
         let (now, registry, mut lists) = (self.now, self.poll.registry(), Vec::new());
         let mut failed = is_ready && self.watch.on_ready(now, registry, &mut |list| lists.push(list));
@@ -34,7 +34,7 @@
         self.run_policy();
     }
 
-    /// Passes an endpoint list on to the connections and to the policy.
+    /// Applies an endpoint list to the connections, and passes it to the policy.
     pub(super) fn apply_endpoints(&mut self, list: EndpointList, update: EndpointUpdate) {
         let removed = self.backends.update_endpoints(&list);
         let endpoints = self.endpoints_in_host_time(&list);
@@ -42,7 +42,7 @@
             self.auditor.backend_listed(backend, Availability::Gone, self.now);
             self.start_times.forget(backend);
         }
-        // What was cached before the start says nothing of now.
+        // A list that was cached before the restart does not show the backends of now.
         if update != EndpointUpdate::CachedSnapshot {
             self.start_times.list_taken(self.now);
         }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The backends of a list, with their starts in the event loop's time.
+    /// The backends of a list, with their start times by the event loop's clock.
     fn endpoints_in_host_time(&mut self, list: &EndpointList) -> Vec<Endpoint> {
         let (now, times) = (self.now, &mut self.start_times);
         times.observe_clock(self.clock.now(), unix_time());
@@ -64,7 +64,7 @@
         endpoints
     }
 
-    /// Gives the policy a batch of the messages that have come from peers.
+    /// Passes a batch of peers' messages to the policy.
     pub(super) fn receive_peer_messages(&mut self) {
         let events = &mut self.pending_events;
         if let Some(peers) = &mut self.peers {
@@ -74,9 +74,9 @@
         self.run_policy();
     }
 
-    /// Handles the signals that have come.
+    /// Handles the signals that were received.
     pub(super) fn handle_signals(&mut self) {
-        // All that have come since the last call, several of one kind as one.
+        // Several signals of one kind since the last call count as one.
         let received: Vec<i32> = self.signals.pending().collect();
         if received.contains(&SIGHUP) {
             self.reload.request();
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Reads the configuration again if that is due, and watches discovery at the address that it names.
+    /// Reloads the configuration if that is due, and moves the watch to the address of discovery that it names.
     pub(super) fn reload(&mut self) {
         match self.reload.attempt(self.now) {
             ReloadOutcome::Applied(discovery) => self.watch.set_address(discovery, self.now),
--- a/src/bin/ingress/event_loop/counters.rs
+++ b/src/bin/ingress/event_loop/counters.rs
@@ -1,9 +1,9 @@
-//! What was done so far, in numbers that SIGUSR1 logs: as many lines whatever the load.
+//! Counters of the event loop, which SIGUSR1 logs.
 
 use super::EventLoop;
 use ingress::Outcome;
 
-/// Counts of what the event loop did.
+/// Counters of requests and attempts since the start.
 #[derive(Default)]
 pub struct Counters {
     /// Requests that were opened.
@@ -14,7 +14,7 @@
     pub rejections: u64,
     /// Of these, failures.
     pub failures: u64,
-    /// Requests whose client left before their answer.
+    /// Requests whose client disconnected before their answer.
     pub disconnected: u64,
     /// Attempts whose first byte was written.
     pub attempts_begun: u64,
@@ -24,7 +24,7 @@
     pub rejected: u64,
     /// Attempts that ended with an error, a reset or a timeout.
     pub failed: u64,
-    /// Attempts that were never executed for want of a connection.
+    /// Attempts that were never executed since no connection was established.
     pub connect_failed: u64,
     /// Attempts that were cancelled, or not sent.
     pub withdrawn: u64,
@@ -45,7 +45,7 @@
 }
 
 impl EventLoop {
-    /// Logs what was done so far, and what is under way.
+    /// Logs the counters and the current numbers of requests and connections.
     pub(super) fn log_counters(&self) {
         let counters = &self.counters;
         tracing::info!(
--- a/src/bin/ingress/event_loop/descriptor_budget.rs
+++ b/src/bin/ingress/event_loop/descriptor_budget.rs
@@ -1,27 +1,27 @@
-//! Who may use how many of the process's file descriptors.
+//! Divides the process's file descriptors between clients and backends.
 
 use super::EventLoopError;
 use crate::backends::Backends;
 use crate::clients::{Capacity, Clients};
 use ingress::Instant;
 
-/// Descriptors that are neither clients nor backends: standard streams, poll, listener, signals, discovery, peers, and
-/// some to spare for what is opened before another is closed.
+/// Descriptors of neither clients nor backends: standard streams, poll, listener, signals, discovery, peers, and a
+/// reserve for descriptors that are opened before others are closed.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// Clients that are accepted beyond the budget, only to be told so.
+/// Clients that are accepted beyond the budget to be sent a rejection.
 const MAX_OVER_LIMIT_CLIENTS: usize = 8;
 /// The fewest connections that an ingress can serve with.
 const MIN_CONNECTIONS: usize = 8;
-/// The most of the budget that the clients, or the backends, may have to themselves, in eighths.
+/// The greatest share of the budget for the clients, and for the backends, in eighths.
 const MAX_SHARE_EIGHTHS: usize = 6;
 
-/// How many connections clients and backends may have.
+/// The limits on the connections of clients and backends.
 pub struct DescriptorBudget {
     /// The most connections of clients and backends together.
     max_connections: usize,
 }
 
-/// How many descriptors the system allows this process; none where it does not say.
+/// The descriptors that the system allows this process; none if they cannot be read.
 fn system_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"))?;
@@ -29,8 +29,8 @@
 }
 
 impl DescriptorBudget {
-    /// Takes what the configuration allows, or the system if that is less: where no descriptor is left, connecting
-    /// fails at once.
+    /// The budget by the configuration, or by the system's limit if that is lower: connecting without a free descriptor
+    /// fails.
     pub fn new(configured: usize) -> Result<Self, EventLoopError> {
         let allowed = configured.min(system_limit().unwrap_or(usize::MAX));
         let max_connections = allowed.checked_sub(RESERVED_DESCRIPTORS + MAX_OVER_LIMIT_CLIENTS);
--- a/src/bin/ingress/event_loop/error.rs
+++ b/src/bin/ingress/event_loop/error.rs
@@ -7,18 +7,18 @@
 /// A fault that ends the ingress.
 #[derive(Debug, Error)]
 pub enum EventLoopError {
-    /// The handlers of the signals cannot be set.
+    /// The handlers of the signals cannot be installed.
     #[error("cannot take signals")]
     Signals(#[source] io::Error),
-    /// The poll cannot be created, be given a socket or be waited for.
+    /// Creating the poll, registering a socket with it or waiting for it failed.
     #[error("cannot poll")]
     Poll(#[source] io::Error),
-    /// The clients' address cannot be listened at.
+    /// The listener for clients cannot be opened.
     #[error("listen: cannot listen at {address}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// The address for peers' messages cannot be bound.
@@ -26,7 +26,7 @@
     BindPeers {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// The file descriptors do not suffice for clients and backends.
--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -1,61 +1,61 @@
-//! The phases of the graceful shutdown and the times that they keep to.
+//! The phases of the graceful shutdown and their times.
 
 use crate::clients::{AcceptOutcome, Clients};
 use ingress::{Duration, Instant};
 
-/// How long connections are accepted at least after the signal: new ones come for up to 0.4 s, and for longer from
-/// clients that have not heard of the shutdown.
+/// How long connections are accepted at least after the signal: clients go on connecting for up to 0.4 s, or longer
+/// where they have not noticed the shutdown.
 pub const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(500);
-/// After that, accepting ends once no connection has come for so long.
+/// After that, accepting ends once no connection was opened for this long.
 const ACCEPTING_QUIET_TIME: Duration = Duration::from_millis(300);
-/// How often that is checked.
+/// The interval of that check.
 pub const ACCEPTING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long, while draining, a client is waited for that owes the rest of a command.
+/// How long, while draining, the rest of an incomplete command is waited for.
 const DRAINING_IDLE_CLIENT_TIME: Duration = Duration::from_secs(1);
-/// How long, while draining, clients may take in all to read their replies.
+/// How long, while draining, clients may take to read their replies.
 pub const MAX_DRAINING_TIME: Duration = Duration::from_secs(2);
-/// The longest deadline of a request that is waited for.
+/// The longest deadline of a request that the shutdown waits for.
 const MAX_REPLY_DEADLINE: Duration = Duration::from_secs(3);
 /// How long after that deadline the last requests are failed: SIGKILL may come 0.7 s after it.
 const REPLY_MARGIN: Duration = Duration::from_millis(400);
-/// How long after the reply deadline the process ends, whoever still sends: SIGKILL may come 0.3 s after it.
+/// How long after the reply deadline the process ends, even if clients still send: SIGKILL may come 0.3 s after it.
 const EXIT_MARGIN: Duration = Duration::from_millis(150);
 
-/// How far the shutdown has come.
+/// The phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// No signal to stop has come.
+    /// No signal to stop was received.
     Running,
-    /// The signal has come. Connections are still accepted, and requests served.
+    /// The signal was received. Connections are still accepted, and requests served.
     Accepting {
         /// When requests are no longer served, and the open ones are failed.
         reply_deadline: Instant,
     },
     /// The listener is closed. Requests are still served; connections are closed as soon as they are idle.
     Draining {
-        /// As in the phase before.
+        /// As in [`Phase::Accepting`].
         reply_deadline: Instant,
         /// When the listener was closed.
         since: Instant,
     },
 }
 
-/// The graceful shutdown.
+/// The state of the graceful shutdown.
 pub struct Shutdown {
-    /// How far it has come.
+    /// The current phase.
     pub(super) phase: Phase,
     /// How long requests are served after the signal.
     reply_time: Duration,
 }
 
 impl Shutdown {
-    /// No shutdown yet; `longest_deadline` is that of the request class with the longest one.
+    /// Before the shutdown; `longest_deadline` is the longest of all request classes.
     pub fn new(longest_deadline: Duration) -> Self {
         let reply_time = longest_deadline.min(MAX_REPLY_DEADLINE) + REPLY_MARGIN;
         Shutdown { phase: Phase::Running, reply_time }
     }
 
-    /// Begins the shutdown and gives the reply deadline; none if it has begun before.
+    /// Begins the shutdown and returns the reply deadline; none if it has begun before.
     pub fn begin(&mut self, now: Instant) -> Option<Instant> {
         if self.has_begun() {
             return None;
@@ -65,7 +65,7 @@
         Some(reply_deadline)
     }
 
-    /// Whether the signal has come.
+    /// Whether the signal was received.
     pub fn has_begun(&self) -> bool {
         self.phase != Phase::Running
     }
@@ -88,27 +88,27 @@
         now >= self.reply_deadline()
     }
 
-    /// Whether the process has to end, whatever is still under way.
+    /// Whether the process has to end, even with requests or connections open.
     pub fn must_exit(&self, now: Instant) -> bool {
         now >= self.reply_deadline() + EXIT_MARGIN
     }
 
-    /// Whether connections are to be accepted for longer, by when the latest came and whether more may wait.
+    /// Whether to go on accepting connections: more are waiting, or the latest one was opened a short while ago.
     pub fn keeps_accepting(&self, now: Instant, accepted: AcceptOutcome, last_accepted_at: Instant) -> bool {
         let arriving = accepted != AcceptOutcome::Drained || now < last_accepted_at + ACCEPTING_QUIET_TIME;
         arriving && now + MIN_ACCEPTING_TIME < self.reply_deadline()
     }
 
-    /// Notes that the listener is closed.
+    /// Begins to drain: the listener is closed.
     pub fn start_draining(&mut self, now: Instant) {
         self.phase = Phase::Draining { reply_deadline: self.reply_deadline(), since: now };
     }
 
-    /// While draining, whether no client is left that is worth waiting for.
+    /// Whether draining is complete: no client is left, or none that is waited for any longer.
     pub fn is_drained(&self, now: Instant, clients: &Clients) -> bool {
         let Phase::Draining { since, .. } = self.phase else { return false };
         let waited = now.duration_since(since);
-        // Half a command, or replies that nobody reads, must not keep the process until it is killed.
+        // An incomplete command, or replies that are not read, would otherwise delay the process until it is killed.
         clients.len() == 0
             || (waited > DRAINING_IDLE_CLIENT_TIME && clients.busy_count() == 0)
             || waited > MAX_DRAINING_TIME
--- a/src/bin/ingress/event_loop/source.rs
+++ b/src/bin/ingress/event_loop/source.rs
@@ -1,4 +1,4 @@
-//! The sockets by the tokens that the poll knows them by.
+//! The sockets that the poll watches, and their tokens.
 
 use mio::event::Event;
 use mio::Token;
@@ -6,10 +6,10 @@
 /// The first token of a connection; from here on, even tokens are clients and odd ones backends.
 const FIRST_CONNECTION: usize = 4;
 
-/// What a token stands for.
+/// The socket behind a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The socket at which clients connect.
+    /// The listener for clients.
     Listener,
     /// The signals to the process.
     Signals,
@@ -17,9 +17,9 @@
     Discovery,
     /// The socket for messages of peers.
     Peers,
-    /// The connection of a client, by its key there.
+    /// The connection of a client, by its key in `Clients`.
     Client(usize),
-    /// A connection to a backend, by its key there.
+    /// A connection to a backend, by its key in `Backends`.
     Backend(usize),
 }
 
@@ -49,14 +49,14 @@
     }
 }
 
-/// A socket that the poll has found ready.
+/// A socket that is ready.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadySocket {
     /// As the poll reported it.
     token: Token,
-    /// There is room to write.
+    /// It can be written to.
     pub writable: bool,
-    /// The other side has ended its sending, or the connection has failed.
+    /// The other side has closed its end, or the connection has failed.
     pub closed: bool,
 }
 
@@ -66,8 +66,8 @@
         self.token.into()
     }
 
-    /// Its place in the order in which sockets are handled: changes of the endpoint list before any request is sent, replies
-    /// of backends before what clients send.
+    /// Its place in the order of processing: changes of the endpoint list come before attempts are sent, replies of
+    /// backends before new commands of clients.
     fn processing_order(&self) -> u8 {
         match self.source() {
             Source::Discovery => 0,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Puts sockets into the order in which they are handled: those of one kind stay in the order in which they became ready.
+/// Sorts sockets into the order of processing; those of one kind stay in the order in which they became ready.
 pub fn sort_for_processing(ready: &mut [ReadySocket]) {
     ready.sort_by_key(ReadySocket::processing_order);
 }
--- a/src/bin/ingress/event_loop/timer_queue.rs
+++ b/src/bin/ingress/event_loop/timer_queue.rs
@@ -1,56 +1,65 @@
-//! What the event loop has to do at a given time.
+//! The timers of the event loop.
 
 use crate::backends::{AttemptId, ConnectionId};
 use ingress::{Instant, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What is to be done. Of timers due at the same time, those of an earlier variant run first.
+/// What a timer is for. Of timers due at the same time, those of an earlier variant run first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The policy has asked to be woken; the token is its own.
+    /// Wakes the policy with its own token.
     Policy(u32),
-    /// An attempt has taken too long.
+    /// An attempt times out.
     AttemptTimeout(AttemptId),
-    /// A client no longer waits for its reply.
+    /// A client's timeout ends.
     ClientDeadline(RequestId),
-    /// A connection should be established, and the command of its attempt written.
+    /// The time for establishing a connection and writing the command of its attempt ends.
     ConnectTimeout(ConnectionId, AttemptId),
-    /// Idle connections and what else has expired are cleared away.
+    /// Expired connections and ids are removed.
     Sweep,
-    /// Connections are accepted again after there was no descriptor for them.
+    /// Accepting is retried after it has failed.
     RetryAccept,
-    /// The configuration is read again after that has failed.
+    /// Reading the configuration is retried after it has failed.
     RetryReload,
-    /// While shutting down: connections may not have to be accepted any longer.
+    /// During the shutdown: the listener is closed unless clients still connect.
     StopAccepting,
-    /// While shutting down: what has no reply yet is failed.
+    /// During the shutdown: requests without a reply are failed.
     ReplyDeadline,
 }
 
-/// The timers that are set, the earliest first.
+/// A timer with its time; ordered by the time, then by the timer.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledTimer {
+    /// When it is due.
+    due_at: Instant,
+    /// What it is for.
+    timer: Timer,
+}
+
+/// The timers that are set.
 #[derive(Default)]
 pub struct TimerQueue {
-    /// The earliest first; of those due at one time, the earlier variant.
-    heap: BinaryHeap<Reverse<(Instant, Timer)>>,
+    /// A heap with the earliest timer on top; of those due at one time, the earlier variant.
+    heap: BinaryHeap<Reverse<ScheduledTimer>>,
 }
 
 impl TimerQueue {
     /// Sets a timer.
     pub fn schedule(&mut self, due_at: Instant, timer: Timer) {
-        self.heap.push(Reverse((due_at, timer)));
+        self.heap.push(Reverse(ScheduledTimer { due_at, timer }));
     }
 
     /// When the earliest timer is due; none where none is set.
     pub fn next_due_at(&self) -> Option<Instant> {
-        self.heap.peek().map(|Reverse((due_at, _))| *due_at)
+        self.heap.peek().map(|Reverse(earliest)| earliest.due_at)
     }
 
-    /// Takes out the timers that are due, in their order.
+    /// Removes the timers that are due and returns them in order.
     pub fn take_due(&mut self, now: Instant) -> Vec<Timer> {
         let mut due = Vec::new();
         while self.next_due_at().is_some_and(|due_at| due_at <= now) {
-            due.extend(self.heap.pop().map(|Reverse((_, timer))| timer));
+            due.extend(self.heap.pop().map(|Reverse(scheduled)| scheduled.timer));
         }
         due
     }
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -1,4 +1,4 @@
-//! What is done when timers are due, the steps of the graceful shutdown among them.
+//! Runs the timers, among them the steps of the graceful shutdown.
 
 use super::clock::unix_time;
 use super::shutdown::ACCEPTING_CHECK_INTERVAL;
@@ -7,13 +7,13 @@
 use crate::clients::{AcceptOutcome, Accepting};
 use ingress::{Duration, Event};
 
-/// How often idle connections and what else may have expired is looked through.
+/// How often expired connections and ids are removed.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Batches of connections that are still accepted when the listener is closed: more than its queue holds.
+/// The most batches of connections that are accepted before the listener is closed: more than its queue holds.
 const MAX_FINAL_ACCEPTS: usize = 64;
 
 impl EventLoop {
-    /// Runs the timers that are due; those that they set run in a later iteration.
+    /// Runs the timers that are due. Timers that they set run in a later iteration.
     pub(super) fn run_due_timers(&mut self) {
         for timer in self.timers.take_due(self.now) {
             self.run_timer(timer);
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Does what one timer was set for.
+    /// Runs one timer.
     fn run_timer(&mut self, timer: Timer) {
         match timer {
             Timer::Policy(token) => self.pending_events.push_back(Event::Timer(token)),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Clears away what has expired, and schedules the next sweep.
+    /// Removes expired connections and ids, and schedules the next sweep.
     fn sweep(&mut self) {
         self.backends.sweep(self.now);
         self.clients.close_expired(self.now);
@@ -59,7 +59,7 @@
             self.clients.drain(self.now, Accepting::Continue);
             self.timers.schedule(self.now + ACCEPTING_CHECK_INTERVAL, Timer::StopAccepting);
         } else {
-            // Connections that wait in the listener's queue would be reset with it, and their requests lost.
+            // Closing the listener resets the connections in its queue, and their requests are lost: accept them first.
             for _ in 0..MAX_FINAL_ACCEPTS {
                 if accepted == AcceptOutcome::Drained {
                     break;
@@ -72,12 +72,12 @@
         self.process_client_events();
     }
 
-    /// Whether all that has been received is answered, and no client is left that may send more.
+    /// Whether all received requests are answered, and no client is left that may send more.
     pub(super) fn can_exit(&mut self) -> bool {
         if !self.is_drained() {
             return false;
         }
-        // What clients have sent by now counts as received, though it has not been read: it is answered before the end.
+        // Commands that clients have sent but that were not read yet are answered before the process ends.
         self.clients.read_all(self.now);
         self.process_client_events();
         self.clients.flush(self.now);
@@ -85,7 +85,7 @@
         self.is_drained()
     }
 
-    /// Whether all is answered, by what has been read so far.
+    /// Whether all requests are answered that were read so far.
     fn is_drained(&self) -> bool {
         self.shutdown.is_draining()
             && !self.requests.any_open()
