--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,8 +1,8 @@
-//! Checks, after the fact and while the program runs, that what was done kept the invariants of `docs/INVARIANTS.md`.
+//! Checks the invariants of `docs/INVARIANTS.md` while the program runs.
 //!
-//! The host tells an [`Auditor`] and the [`RequestAudit`] of each open request what it did; they decide nothing and
-//! change nothing. A violation is counted by its kind, and logged by the host unless one of its kind was logged a moment
-//! ago. The cost of an event does not depend on how many backends, peers or customers there are.
+//! The host reports what it did to an [`Auditor`] and to the [`RequestAudit`] of each request; neither decides anything.
+//! A violation is counted by its kind, and logged by the host unless one of its kind was logged a moment ago. The cost
+//! of an event does not depend on the number of backends, peers or customers.
 
 mod request;
 mod violation;
@@ -13,12 +13,12 @@
 use crate::{Availability, BackendId, Duration, Endpoint, Idempotency, IdempotencyScope, Instant, Settings};
 use std::collections::{HashMap, VecDeque};
 
-/// How long after a violation another one of its kind is only counted.
+/// How long after a logged violation others of its kind are only counted.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// How long it is remembered that a backend takes no new work. No attempt waits for its connection as long.
+/// How long a backend that takes no new work is remembered: longer than any attempt waits for its connection.
 const CLOSED_BACKEND_RETENTION: Duration = Duration::from_secs(60);
 
-/// What the invariants are judged by.
+/// The settings that the invariants depend on.
 #[derive(Clone, Debug, Default)]
 pub struct AuditRules {
     /// Whether requests of a class may be executed again, by class.
@@ -32,7 +32,7 @@
 }
 
 impl AuditRules {
-    /// The rules that settings give.
+    /// The rules of a gateway with these settings.
     pub fn new(settings: &Settings) -> AuditRules {
         AuditRules {
             idempotency: settings.classes.iter().map(|class| class.idempotency).collect(),
@@ -43,7 +43,7 @@
     }
 }
 
-/// Where a backend is, by which others know the idempotency keys that it has seen.
+/// The location of a backend, which decides which others know its idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Location {
     /// Its zone.
@@ -53,7 +53,7 @@
 }
 
 impl Location {
-    /// Whether a key that was seen here is known there.
+    /// Whether backends at both locations know the same idempotency keys.
     fn shares_keys(self, other: Location, scope: IdempotencyScope) -> bool {
         match scope {
             IdempotencyScope::Fleet => true,
@@ -63,7 +63,7 @@
     }
 }
 
-/// A backend that was found to take no new work.
+/// A backend that takes no new work.
 struct ClosedBackend {
     /// The backend.
     backend: BackendId,
@@ -71,48 +71,48 @@
     since: Instant,
 }
 
-/// Counts violations, and knows what all requests share.
+/// Counts violations, and holds the state that the checks of all requests share.
 #[derive(Default)]
 pub struct Auditor {
-    /// What the invariants are judged by.
+    /// The settings that the invariants depend on.
     rules: AuditRules,
     /// Violations by kind.
     counts: [u64; ViolationKind::ALL.len()],
-    /// When one of each kind was last logged.
+    /// When a violation of each kind was last logged.
     last_logged_at: [Option<Instant>; ViolationKind::ALL.len()],
-    /// Where the listed backends are.
+    /// The locations of the listed backends.
     locations: HashMap<BackendId, Location>,
     /// Since when backends take no new work.
     closed_since: HashMap<BackendId, Instant>,
-    /// The same in the order of their closing, to be forgotten by and by.
+    /// The same backends, in the order in which they are removed.
     closing_order: VecDeque<ClosedBackend>,
 }
 
 impl Auditor {
-    /// Nothing was done yet.
+    /// An auditor with no violations.
     pub fn new(rules: AuditRules) -> Auditor {
         Auditor { rules, ..Auditor::default() }
     }
 
-    /// What the invariants are judged by.
+    /// The settings that the invariants depend on.
     pub fn rules(&self) -> &AuditRules {
         &self.rules
     }
 
-    /// How many violations there were, by kind; those that never occurred are left out.
+    /// The violations so far by kind; kinds that never occurred are left out.
     pub fn counts(&self) -> impl Iterator<Item = (ViolationKind, u64)> + '_ {
         let counts = ViolationKind::ALL.into_iter().zip(self.counts);
         counts.filter(|(_, count)| *count > 0)
     }
 
-    /// Takes in the entry of a backend that is listed from now on.
+    /// Records the entry of a listed backend.
     pub fn endpoint_listed(&mut self, endpoint: &Endpoint, now: Instant) {
         let Endpoint { backend, zone, cell, availability, .. } = *endpoint;
         self.locations.insert(backend, Location { zone, cell });
         self.backend_listed(backend, availability, now);
     }
 
-    /// Notes how a backend is listed from now on.
+    /// Records the availability of a backend in the endpoint list.
     pub fn backend_listed(&mut self, backend: BackendId, availability: Availability, now: Instant) {
         if availability == Availability::Ready {
             self.closed_since.remove(&backend);
@@ -125,7 +125,7 @@
         self.forget_closed_backends(now);
     }
 
-    /// Forgets backends that take no work for long enough.
+    /// Removes the backends that have taken no new work for the time of retention.
     fn forget_closed_backends(&mut self, now: Instant) {
         while let Some(oldest) = self.closing_order.front() {
             if oldest.since + CLOSED_BACKEND_RETENTION > now {
@@ -139,13 +139,13 @@
         }
     }
 
-    /// Whether a backend takes no new work for longer than the grace period.
+    /// Whether a backend has taken no new work for longer than the grace period.
     fn is_closed(&self, backend: BackendId, now: Instant) -> bool {
         let since = self.closed_since.get(&backend);
         since.is_some_and(|since| now > *since + self.rules.drain_grace)
     }
 
-    /// Counts a violation, and returns whether it is to be logged.
+    /// Counts a violation, and returns whether to log it.
     pub fn count(&mut self, violation: Violation, now: Instant) -> bool {
         let index = violation.kind as usize;
         self.counts[index] += 1;
--- a/src/audit/request.rs
+++ b/src/audit/request.rs
@@ -1,11 +1,11 @@
-//! What was done for one request.
+//! The record of what was done for one request, and the checks on it.
 
 use super::{Auditor, Location, ViolationKind};
 use crate::{BackendId, Duration, Idempotency, Instant, Outcome};
 
 /// How much longer than the client's remaining time the timeout stated to a backend may be.
 const TIME_SLACK: Duration = Duration::from_millis(150);
-/// How long after its client gave up a final answer is still no violation.
+/// How long after the client's deadline a final answer is still no violation.
 const ANSWER_SLACK: Duration = Duration::from_millis(50);
 
 /// An attempt whose first byte was written.
@@ -15,7 +15,7 @@
     pub number: u16,
     /// Where it went.
     pub backend: BackendId,
-    /// When it began.
+    /// When its first byte was written.
     pub at: Instant,
     /// The timeout that was stated to the backend.
     pub stated_timeout: Duration,
@@ -27,11 +27,11 @@
     number: u16,
     /// When its first byte was written.
     begun_at: Instant,
-    /// Its end was not noted yet.
+    /// Its end was not recorded yet.
     in_flight: bool,
     /// It was executed, or may have been.
     may_have_executed: bool,
-    /// Where its backend was then; none where that is not known.
+    /// The location of its backend then; none if that is not known.
     location: Option<Location>,
 }
 
@@ -39,16 +39,16 @@
 pub struct RequestAudit {
     /// Whether it may be executed again.
     idempotency: Idempotency,
-    /// When its client gives up.
+    /// When its client's timeout ends.
     client_deadline: Instant,
-    /// It has its final answer, or its client has gone.
+    /// It has its final answer, or its client has disconnected.
     has_ended: bool,
     /// The attempts that have begun, in their order.
     begun: Vec<BegunAttempt>,
 }
 
 impl RequestAudit {
-    /// A request of a class, whose client gives up at a time.
+    /// A request of a class, whose client's timeout ends at `client_deadline`.
     pub fn new(auditor: &Auditor, class: usize, client_deadline: Instant) -> RequestAudit {
         // A class that is not known is judged by the strictest rule.
         let idempotency = auditor.rules.idempotency.get(class).copied();
@@ -56,7 +56,7 @@
         RequestAudit { idempotency, client_deadline, has_ended: false, begun: Vec::new() }
     }
 
-    /// Notes an attempt that has begun, and returns what it violates.
+    /// Records an attempt that has begun, and returns what it violates.
     pub fn attempt_begun(&mut self, auditor: &Auditor, begun: &AttemptBegun) -> Vec<ViolationKind> {
         let rules = &auditor.rules;
         let in_flight = self.begun.iter().any(|earlier| earlier.in_flight);
@@ -84,14 +84,15 @@
         checks.into_iter().filter(|(violated, _)| *violated).map(|(_, kind)| kind).collect()
     }
 
-    /// Whether the key of an earlier attempt that may have been executed is forgotten.
+    /// Whether backends may have forgotten the idempotency key of an earlier attempt that may have been executed.
     fn is_key_expired(&self, now: Instant) -> bool {
         let Idempotency::Keyed { window, .. } = self.idempotency else { return false };
         let first = self.begun.iter().find(|earlier| earlier.may_have_executed);
         first.is_some_and(|first| now > first.begun_at + window)
     }
 
-    /// Whether the key of an earlier attempt that may have been executed is not known where this one goes.
+    /// Whether the backend at a location does not know the idempotency key of an earlier attempt that may have been
+    /// executed.
     fn is_key_unknown_at(&self, location: Option<Location>) -> bool {
         let Idempotency::Keyed { scope, .. } = self.idempotency else { return false };
         let first = self.begun.iter().find(|earlier| earlier.may_have_executed);
@@ -104,7 +105,7 @@
         self.begun.iter().any(|attempt| attempt.may_have_executed)
     }
 
-    /// Notes how an attempt has ended. One that never began has no record.
+    /// Records how an attempt has ended, and returns what that violates. An attempt that never began has no record.
     pub fn attempt_ended(&mut self, number: u16, outcome: Outcome) -> Option<ViolationKind> {
         let attempt = self.begun.iter_mut().find(|attempt| attempt.number == number)?;
         let was_in_flight = std::mem::replace(&mut attempt.in_flight, false);
@@ -112,12 +113,12 @@
         (!was_in_flight).then_some(ViolationKind::UnexpectedEnd)
     }
 
-    /// Notes that the client has gone.
-    pub fn client_gone(&mut self) {
+    /// Records that the client has disconnected.
+    pub fn client_disconnected(&mut self) {
         self.has_ended = true;
     }
 
-    /// Notes the final answer.
+    /// Records the final answer, and returns what it violates.
     pub fn answered(&mut self, now: Instant) -> Option<ViolationKind> {
         if std::mem::replace(&mut self.has_ended, true) {
             return Some(ViolationKind::SecondAnswer);
--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -109,7 +109,7 @@
     let stated_timeout = in_time.stated_timeout + Duration::from_micros(150_001);
     let overstated = AttemptBegun { stated_timeout, ..in_time };
     assert_eq!(request.attempt_begun(&auditor, &overstated), [ViolationKind::TimeOverstated]);
-    request.client_gone();
+    request.client_disconnected();
     assert_eq!(request.attempt_begun(&auditor, &begun(2, at(0))), [ViolationKind::AttemptAfterEnd]);
 }
 
--- a/src/audit/violation.rs
+++ b/src/audit/violation.rs
@@ -7,13 +7,13 @@
 pub enum ViolationKind {
     /// A request got a second final answer (R1).
     SecondAnswer,
-    /// A request got its final answer after its client gave up (R2).
+    /// A request got its final answer after its client's timeout (R2).
     LateAnswer,
     /// The process ends with a request that has no answer (R2).
     NoAnswer,
     /// A client's connection was closed with replies owed that the client waits for (R3).
     ClosedWithRepliesOwed,
-    /// An attempt began for a request that has its answer, or whose client has gone (A1).
+    /// An attempt began for a request that has its answer, or whose client has disconnected (A1).
     AttemptAfterEnd,
     /// An attempt began though an earlier one may have been executed (A2).
     UnsafeRepeat,
@@ -51,7 +51,7 @@
         ViolationKind::ClosedBackend,
     ];
 
-    /// Whether a machine that stands still for a while can bring it about in a program without a fault.
+    /// Whether a pause of the machine can cause it in a program without a fault.
     pub fn depends_on_speed(self) -> bool {
         self == ViolationKind::LateAnswer
     }
@@ -62,6 +62,6 @@
 pub struct Violation {
     /// What was violated.
     pub kind: ViolationKind,
-    /// The request; none where it belongs to a connection as a whole.
+    /// The request; none if it concerns a connection as a whole.
     pub request: Option<RequestId>,
 }
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -1,8 +1,8 @@
-//! The event loop: it gives the policy what has come from the sockets, executes the actions that the policy asks for
-//! in their order, and owns the open requests and the timers. It decides nothing: it chooses no backend, begins no
-//! further attempt, and rejects a request only where a limit leaves no room to ask the policy.
+//! The event loop: passes input from the sockets to the policy, executes the policy's actions in their order, and owns
+//! the requests and the timers.
 //!
-//! Time is read once for all that is handled in an iteration, and shown to the policy in steps of its tick.
+//! It makes no decisions: it chooses no backend, starts no retry, and rejects a request by itself only where a limit is
+//! reached. The clock is read once per iteration; the policy sees it in steps of its tick.
 
 mod actions;
 mod arrival_clock;
@@ -43,33 +43,33 @@
 use std::io;
 use timer_queue::TimerQueue;
 
-/// The ingress: its sockets, the policy, and what is under way.
+/// The ingress: its sockets, the policy, the requests and the timers.
 pub struct EventLoop {
-    /// Tells which sockets are ready.
+    /// Reports which sockets are ready.
     poll: Poll,
-    /// The exact time, for what is shorter than a tick.
+    /// The exact time, for spans shorter than a tick.
     clock: Clock,
-    /// When what the poll reported can have arrived.
+    /// When the input that the poll reported can have arrived.
     arrivals: ArrivalClock,
-    /// The time that the policy is given.
+    /// The time that the policy sees.
     now: Instant,
-    /// The step in which that time goes on.
+    /// The least step of that time.
     tick: Duration,
     /// Whether failed polls of discovery are reported to the policy.
     polls_discovery: bool,
     /// How long establishing a connection to a backend may take.
     connect_timeout: Duration,
-    /// Checks what was done.
+    /// Checks the invariants.
     auditor: Auditor,
-    /// What was done, in numbers.
+    /// Numbers of requests and attempts, for the log.
     counters: Counters,
-    /// Who may have the next file descriptor.
+    /// Divides the file descriptors between clients and backends.
     descriptors: DescriptorBudget,
     /// The policy.
     gateway: Gateway,
-    /// The events that the policy has not handled yet, in their order.
+    /// Events that the policy has not handled yet, in order.
     pending_events: VecDeque<Event>,
-    /// A buffer for the actions that the policy asks for.
+    /// A reused buffer for the policy's actions.
     actions: Vec<Action>,
     /// Connections of clients, and the replies owed to them.
     clients: Clients,
@@ -79,31 +79,31 @@
     watch: Watch,
     /// When the listed backends started.
     start_times: StartTimes,
-    /// When the configuration is read again.
+    /// Reloads the configuration.
     reload: Reload,
-    /// None where the settings allow no messages between gateways.
+    /// The socket for gossip; none where the settings allow no messages between gateways.
     peers: Option<PeerSocket>,
-    /// SIGTERM, SIGINT and SIGHUP as they come.
+    /// The signals to the process.
     signals: Signals,
-    /// Requests that are open on the network side.
+    /// The requests in work.
     requests: RequestTable,
-    /// What is to be done at which time.
+    /// The timers that are set.
     timers: TimerQueue,
-    /// More connections may wait to be accepted.
+    /// More connections may be waiting to be accepted.
     accept_pending: bool,
-    /// A timer is set to accept connections again after that has failed.
+    /// A timer is set to retry accepting after it has failed.
     accept_retry_scheduled: bool,
-    /// More messages of peers may wait to be received.
+    /// More messages of peers may be waiting to be received.
     peer_messages_pending: bool,
-    /// How far the graceful shutdown has come.
+    /// The state of the graceful shutdown.
     shutdown: Shutdown,
 }
 
 impl EventLoop {
-    /// Runs until a signal to stop has come and all that was received is answered, or the time for that is over.
+    /// Runs until a signal to stop was received and all requests are answered, or the time for that is over.
     pub fn run(mut self) -> Result<(), EventLoopError> {
-        // All that is ready has to come in one iteration: a client's disconnect must not be seen after the reply of a
-        // backend that came later.
+        // All ready sockets have to fit into one iteration: a client's disconnect must not be handled after a backend's
+        // reply that arrived later.
         let mut events = Events::with_capacity(self.descriptors.max_sockets());
         let mut ready = Vec::new();
         loop {
@@ -130,8 +130,8 @@
             Err(error) if error.kind() == io::ErrorKind::Interrupted => self.arrivals.poll_interrupted(),
             Err(error) => return Err(EventLoopError::Poll(error)),
         }
-        // What comes within a tick of the last reading is handled with that one. Sleeping for the rest of the tick
-        // instead, to handle all of it at once, cost each request two sleeps and 1.7 ms each way.
+        // Input within a tick of the last reading is handled at that reading's time: sleeping until the tick is over
+        // would delay every request.
         if clock >= self.now + self.tick {
             self.now = clock;
         }
@@ -139,26 +139,26 @@
         Ok(())
     }
 
-    /// How long the poll may wait for a socket, from a time on.
+    /// How long the poll may wait for a socket, from `called_at` on.
     fn poll_timeout(&self, called_at: Instant) -> Duration {
         if self.accept_pending || self.peer_messages_pending || self.clients.has_pending_work() {
             return Duration::ZERO;
         }
         if self.shutdown.is_past_reply_deadline(self.now) || self.clients.has_write_retries() {
-            // The end is near and has to be seen within a tick, or a write is to be tried again.
+            // The end of the process must not be missed by more than a tick, and no socket reports a write to retry.
             return self.tick;
         }
         let next_timer_at =
             self.timers.next_due_at().unwrap_or(Instant::FAR_FUTURE).min(self.watch.next_timer_at);
-        // No timer is due before the clock is read anew.
+        // The policy's time does not advance before a tick has passed, so no timer can be due before.
         let wake_at = next_timer_at.max(self.now + self.tick);
         wake_at.duration_since(called_at)
     }
 
-    /// One iteration. Discovery comes first, so that the policy knows of a draining backend before it sends anything;
-    /// replies come before the timers that would call them missing.
+    /// Runs one iteration. Discovery is handled first, so that the policy knows a draining backend before it sends
+    /// anything; replies are handled before the timers that would time them out.
     fn process_ready(&mut self, ready: &mut [ReadySocket]) {
-        // Before all else: nothing that is ready or due may begin an attempt for a client that has disconnected.
+        // First of all, so that no other socket or timer begins an attempt for a client that has disconnected.
         for socket in ready.iter().filter(|socket| socket.closed) {
             if let Source::Client(key) = socket.source() {
                 self.clients.on_disconnect(key);
@@ -184,11 +184,11 @@
         self.audit_closed_clients();
     }
 
-    /// Does what one socket is ready for.
+    /// Reads from, writes to or accepts from one ready socket.
     fn process_socket(&mut self, socket: &ReadySocket) {
         let writable = socket.writable;
         match socket.source() {
-            Source::Discovery => {} // is always the first to be handled
+            Source::Discovery => {} // Was handled first.
             Source::Listener => self.accept_pending = true,
             Source::Signals => self.handle_signals(),
             Source::Peers => self.receive_peer_messages(),
@@ -196,7 +196,7 @@
                 if writable {
                     self.prepare_to_write(key);
                 }
-                // The exact time: how long a connection has to rest is less than a tick.
+                // The exact time: the least idle time of a connection may be less than a tick.
                 self.backends.on_ready(key, self.clock.now(), writable);
                 self.audit_begun_attempts();
                 self.run_policy();
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Gives the policy all pending events and executes what it asks for, until neither brings anything new.
+    /// Passes all pending events to the policy and executes its actions, until no event is left.
     fn run_policy(&mut self) {
         loop {
             for completion in self.backends.take_completions() {
--- a/src/bin/ingress/event_loop/actions.rs
+++ b/src/bin/ingress/event_loop/actions.rs
@@ -1,4 +1,4 @@
-//! Executes what the policy asks for.
+//! Executes the policy's actions.
 
 use super::client_events::{Answer, FAILED_REPLY};
 use super::timer_queue::Timer;
@@ -9,7 +9,7 @@
 use ingress::{Action, Duration, Outcome, RequestId};
 use std::io::Write;
 
-/// The most bytes of a reply that tells when to try again.
+/// The most bytes of a rejection with its `Retry-After` time.
 const MAX_BUSY_REPLY_BYTES: usize = 40;
 
 impl EventLoop {
@@ -31,13 +31,13 @@
                     peers.send(to, &bytes);
                 }
             }
-            // The watch is always on: an ingress has to keep one in any case.
+            // The watch is always on.
             Action::WatchEndpoints(_) => {}
             Action::Log(line) => tracing::info!(target: logging::UNTITLED, "{line}"),
         }
     }
 
-    /// Rejects a request, with advice when to try again unless that is 0.
+    /// Rejects a request; a `retry_after` of zero is left out of the reply.
     fn reject(&mut self, id: RequestId, retry_after: Duration) {
         if retry_after.is_zero() {
             return self.reply(id, BUSY_REPLY, Answer::Rejected);
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -1,16 +1,17 @@
-//! What clients do, and the replies to their requests.
+//! Handles what clients do, and replies to their requests.
 
+use super::request_table::RequestEntry;
 use super::timer_queue::Timer;
 use super::EventLoop;
 use crate::clients::{AcceptOutcome, ClientError, ClientEvent, ReplyHandle, BUSY_REPLY};
 use crate::command::Command;
 use ingress::audit::RequestAudit;
-use ingress::{Duration, Event, Instant, RequestId};
+use ingress::{Duration, Event, Instant, Request, RequestId};
 
 /// The reply to a request that may have been executed.
 pub(super) const FAILED_REPLY: &[u8] = b"-ERR failed\r\n";
 
-/// What a final answer says.
+/// The kind of a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Answer {
     /// The value that a backend gave.
@@ -21,15 +22,17 @@
     Failed,
 }
 
-/// The longest that a client is taken to wait: the timers of requests long answered must not pile up for hours.
+/// The longest timeout of a client that is used: the timers of answered requests would otherwise pile up for hours.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
-/// What a reply may take on its way to the client, besides two ticks.
+/// How long a reply may take to reach the client, besides two ticks.
 const REPLY_TRANSIT_TIME: Duration = Duration::from_millis(2);
-/// The delay before connections are accepted again after there was no descriptor for them.
+/// The greatest part of a client's timeout that is reserved for the reply, as a divisor.
+const REPLY_TIME_DIVISOR: u64 = 4;
+/// The delay before accepting is retried after it has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 impl EventLoop {
-    /// Accepts a batch of the connections that wait.
+    /// Accepts a batch of waiting connections.
     pub(super) fn accept(&mut self) -> AcceptOutcome {
         let (now, descriptors, backends) = (self.now, &self.descriptors, &mut self.backends);
         let outcome = self.clients.accept(self.poll.registry(), now, |clients| {
@@ -38,7 +41,7 @@
         match outcome {
             AcceptOutcome::Drained => {}
             AcceptOutcome::MorePending => self.accept_pending = true,
-            // The poll reports each arrival once: those that wait now must not wait for the next one to come.
+            // The poll reports each arrival once: without a timer, these would wait for the next one.
             AcceptOutcome::NoDescriptor => {
                 if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
                     self.timers.schedule(now + ACCEPT_RETRY_DELAY, Timer::RetryAccept);
@@ -49,8 +52,8 @@
         outcome
     }
 
-    /// Reports all disconnected clients to the policy before any event that follows from a disconnect: the place that
-    /// one request leaves in a queue must not go to another of these clients.
+    /// Reports all disconnected clients to the policy before any other event: the place that a request leaves in the
+    /// queue must not go to another disconnected client.
     pub(super) fn report_disconnects(&mut self) {
         let disconnected = |event: &ClientEvent| match event {
             ClientEvent::Disconnected(id) => Some(*id),
@@ -60,7 +63,7 @@
         ids.into_iter().for_each(|id| self.report_disconnect(id));
     }
 
-    /// Reports the disconnected client of a request to the policy, unless that has been done or the request is answered.
+    /// Closes a request whose client has disconnected, and reports that to the policy, unless it was closed before.
     fn report_disconnect(&mut self, id: RequestId) {
         if self.requests.close(id).is_none() {
             return;
@@ -68,12 +71,12 @@
         tracing::debug!(target: "request", request = id.0, "client disconnected");
         self.counters.disconnected += 1;
         if let Some(request) = self.requests.get_mut(id) {
-            request.audit.client_gone();
+            request.audit.client_disconnected();
         }
         self.pending_events.push_back(Event::ClientDisconnected(id));
     }
 
-    /// Handles what clients have sent and whose connections have ended, in the order in which it came.
+    /// Handles the commands and disconnects of clients, in their order.
     pub(super) fn process_client_events(&mut self) {
         self.report_disconnects();
         while let Some(event) = self.clients.next_event() {
@@ -82,14 +85,14 @@
         }
     }
 
-    /// Handles what a client has sent, or the end of its connection.
+    /// Handles a command or a disconnect of a client.
     pub(super) fn process_client_event(&mut self, event: ClientEvent) {
         match event {
             ClientEvent::Command { id, reply_to, arrived_at, command } => {
                 self.open_request(id, reply_to, arrived_at, command);
             }
             ClientEvent::Disconnected(id) => {
-                // It may have come while the events before it were handled.
+                // It may have happened after the last report, while earlier events were handled.
                 self.report_disconnect(id);
                 self.cancel_unsent(id);
                 self.requests.remove_if_finished(id, self.now);
@@ -97,26 +100,26 @@
         }
     }
 
-    /// Opens a request and passes it to the policy, or rejects it where a limit leaves no room. Its time counts from its
-    /// arrival, which may be a while ago where the process was held up.
+    /// Opens a request and passes it to the policy, or rejects it where a limit is reached. Its timeout counts from its
+    /// arrival, which is earlier than now if the process was delayed.
     fn open_request(&mut self, id: RequestId, reply_to: ReplyHandle, arrived_at: Instant, command: Command) {
-        // Backends and clients could not tell two with one id apart, and the first one came in good faith.
+        // Backends and clients could not tell two requests with one id apart.
         let id_hash = self.requests.hash_id(&command);
         if self.requests.is_known(id_hash) {
             return self.clients.reject(reply_to, ClientError::DuplicateRequestId);
         }
-        // It has not been sent to any backend, so it is safe to answer that it was not executed.
-        if self.shutdown.is_past_reply_deadline(self.now) || !self.requests.has_room_for(&command) {
+        // It was not sent to any backend, so answering that it was not executed is safe.
+        if self.shutdown.is_past_reply_deadline(self.now) || !self.requests.has_capacity_for(&command) {
             return self.clients.reply(reply_to, BUSY_REPLY);
         }
         let timeout = command.timeout.min(MAX_CLIENT_TIMEOUT);
         let arrived_at = arrived_at.min(self.now);
-        self.timers.schedule(arrived_at + timeout, Timer::ClientDeadline(id));
+        let client_deadline = arrived_at + timeout;
+        self.timers.schedule(client_deadline, Timer::ClientDeadline(id));
         // The policy's deadline is a little before the client's: the reply takes time to arrive.
-        let reply_time = (self.tick * 2 + REPLY_TRANSIT_TIME).min(timeout / 4);
-        let mut request = command.request;
-        request.id = id;
-        request.deadline = arrived_at + timeout - reply_time;
+        let reply_time = (self.tick * 2 + REPLY_TRANSIT_TIME).min(timeout / REPLY_TIME_DIVISOR);
+        let deadline = client_deadline - reply_time;
+        let request = Request { id, deadline, ..command.request };
         tracing::debug!(
             target: "request",
             request = id.0,
@@ -129,12 +132,14 @@
             "opened"
         );
         self.counters.requests += 1;
-        let audit = RequestAudit::new(&self.auditor, request.class.into(), arrived_at + timeout);
-        self.requests.insert(id, id_hash, command, reply_to, request.deadline, audit);
+        let audit = RequestAudit::new(&self.auditor, request.class.into(), client_deadline);
+        let attempts = Vec::new();
+        let entry = RequestEntry { command, reply_to, deadline, attempts, closed: false, audit, id_hash };
+        self.requests.insert(id, entry);
         self.pending_events.push_back(Event::Request(request));
     }
 
-    /// Gives a request its final reply, if it has none yet.
+    /// Sends a request its final reply, unless it is closed.
     pub(super) fn reply(&mut self, id: RequestId, text: &[u8], answer: Answer) {
         if let Some(reply_to) = self.requests.close(id) {
             self.clients.reply(reply_to, text);
@@ -144,7 +149,7 @@
         self.requests.remove_if_finished(id, self.now);
     }
 
-    /// Records a request's final reply.
+    /// Logs, counts and audits a request's final reply.
     fn record_answer(&mut self, id: RequestId, answer: Answer) {
         tracing::debug!(target: "request", request = id.0, ?answer, "answered");
         self.counters.answers += 1;
@@ -155,8 +160,8 @@
         violated.into_iter().for_each(|kind| self.report_violation(kind, Some(id)));
     }
 
-    /// Fails a request that has no final reply when its time is over. The policy should never let it come to this, but
-    /// no client is left without a reply.
+    /// Fails a request that has no final reply at its client's deadline. The policy answers each request before that;
+    /// if it does not, the client still gets a reply.
     pub(super) fn fail_unanswered(&mut self, id: RequestId) {
         if self.requests.is_open(id) {
             self.reply(id, FAILED_REPLY, Answer::Failed);
--- a/src/bin/ingress/event_loop/request_table.rs
+++ b/src/bin/ingress/event_loop/request_table.rs
@@ -1,4 +1,4 @@
-//! The open requests, with their attempts and the memory that they take.
+//! The requests in work, with their attempts and the memory that they take.
 
 use crate::backends::ConnectionId;
 use crate::clients::ReplyHandle;
@@ -10,43 +10,43 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::BuildHasher;
 
-/// How long after its end a request's id is still known: a client that draws a new one for each does not send it again.
+/// How long the id of a request is remembered after its end, to reject a second request with the same id.
 const ENDED_ID_RETENTION: Duration = Duration::from_secs(1);
 
-/// A request's being sent to a backend.
+/// An attempt of a request.
 pub struct Attempt {
-    /// The backend.
+    /// The backend that it is sent to.
     pub backend: BackendId,
     /// When it was sent.
     pub started_at: Instant,
-    /// When it is given up.
+    /// When it times out.
     pub expires_at: Instant,
-    /// By when its first byte has to be written: the policy counts on that.
+    /// The latest time for writing its first byte, which the policy relies on.
     pub begins_by: Instant,
     /// Its connection, while it is in flight.
     pub connection: Option<ConnectionId>,
 }
 
-/// A request that awaits its final reply, or has attempts in flight.
+/// A request that has no final reply yet, or has attempts in flight.
 pub struct RequestEntry {
     /// The client's command.
     pub command: Command,
     /// Where the reply goes.
     pub reply_to: ReplyHandle,
-    /// When the reply has to be known.
+    /// When the final reply has to be known.
     pub deadline: Instant,
     /// All attempts so far; an attempt's number is its place here.
     pub attempts: Vec<Attempt>,
     /// No reply is owed any more: it has its final reply, or its client has disconnected.
     pub closed: bool,
-    /// What was done for it.
+    /// The record that the audit checks.
     pub audit: RequestAudit,
-    /// Its id, as its client gave it.
-    id_hash: IdHash,
+    /// The hash of the id that its client gave it.
+    pub id_hash: IdHash,
 }
 
 impl RequestEntry {
-    /// Whether one more attempt may be sent, by what the sockets have seen.
+    /// Whether one more attempt may be sent, judged by the attempts that were written.
     pub fn may_send(&self, rules: &AuditRules) -> Result<AttemptKind, AttemptRefusal> {
         let class = usize::from(self.command.request.class);
         permissions::may_start_attempt(&AttemptFacts {
@@ -59,6 +59,7 @@
             closed: self.closed,
         })
     }
+
     /// Whether any attempt is in flight.
     fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.connection.is_some())
@@ -71,32 +72,32 @@
 
 /// The id of a request that has ended.
 struct EndedId {
-    /// When the id may come again.
+    /// When the id may be used again.
     forget_at: Instant,
-    /// Its id, as its client gave it.
+    /// The hash of the id that its client gave it.
     id_hash: IdHash,
 }
 
-/// The open requests of all clients.
+/// The requests of all clients that are in work.
 pub struct RequestTable {
-    /// Those with no final reply, or with an attempt in flight.
+    /// By their ids.
     requests: HashMap<RequestId, RequestEntry>,
-    /// The ids of the open requests, and of those that ended a short while ago.
+    /// The ids of these requests, and of those that ended a short while ago.
     known_ids: HashSet<IdHash>,
-    /// The latter, the oldest first.
+    /// The ids of requests that have ended, the oldest first.
     ended_ids: VecDeque<EndedId>,
-    /// Its keys are drawn anew at each start.
+    /// Hashes ids; its keys are random, so that clients cannot provoke collisions.
     hasher: RandomState,
-    /// What the open requests take in memory.
+    /// The bytes that the requests take.
     memory: usize,
-    /// The most bytes that the open requests may take.
+    /// The most bytes that the requests may take.
     max_memory: usize,
-    /// The most requests that may be open.
+    /// The most requests in work.
     max_requests: usize,
 }
 
 impl RequestTable {
-    /// An empty table for so many requests, that together take so many bytes.
+    /// An empty table with limits on the requests and on their bytes.
     pub fn new(max_requests: usize, max_memory: usize) -> Self {
         RequestTable {
             requests: HashMap::new(),
@@ -114,49 +115,39 @@
         IdHash(self.hasher.hash_one(command.client_request_id()))
     }
 
-    /// Whether a request with this id is open, or was a short while ago.
+    /// Whether a request with this id is in work, or was a short while ago.
     pub fn is_known(&self, id_hash: IdHash) -> bool {
         self.known_ids.contains(&id_hash)
     }
 
-    /// Whether one more request is allowed, by their number and their memory.
-    pub fn has_room_for(&self, command: &Command) -> bool {
+    /// Whether the limits allow one more request.
+    pub fn has_capacity_for(&self, command: &Command) -> bool {
         self.requests.len() < self.max_requests && self.memory + command.memory_size() <= self.max_memory
     }
 
     /// Adds a request.
-    pub fn insert(
-        &mut self,
-        id: RequestId,
-        id_hash: IdHash,
-        command: Command,
-        reply_to: ReplyHandle,
-        deadline: Instant,
-        audit: RequestAudit,
-    ) {
-        self.memory += command.memory_size();
-        self.known_ids.insert(id_hash);
-        let attempts = Vec::new();
-        let request = RequestEntry { command, reply_to, deadline, attempts, closed: false, audit, id_hash };
+    pub fn insert(&mut self, id: RequestId, request: RequestEntry) {
+        self.memory += request.command.memory_size();
+        self.known_ids.insert(request.id_hash);
         self.requests.insert(id, request);
     }
 
-    /// An open request.
+    /// A request.
     pub fn get(&self, id: RequestId) -> Option<&RequestEntry> {
         self.requests.get(&id)
     }
 
-    /// An open request, to be changed.
+    /// A request, to be changed.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
         self.requests.get_mut(&id)
     }
 
-    /// How many requests are open.
+    /// The number of requests in work.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// The ids of the open requests, in no order.
+    /// The ids of the requests in work, in no order.
     pub fn ids(&self) -> Vec<RequestId> {
         self.requests.keys().copied().collect()
     }
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -1,4 +1,4 @@
-//! Opens the sockets and puts the event loop together.
+//! Opens the sockets and builds the event loop.
 
 use super::arrival_clock::ArrivalClock;
 use super::clock::Clock;
@@ -26,25 +26,24 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// The part of the memory that open requests may take, and as much again for what clients have sent in part or not
-/// yet read.
+/// Requests may take this part of the memory, and the buffers of clients' connections as much again, as a divisor.
 const MEMORY_DIVISOR: usize = 4;
 
-/// What the event loop polls from its start on.
+/// The sockets that are open from the start on.
 struct Sockets {
-    /// Tells which sockets are ready.
+    /// Reports which sockets are ready.
     poll: Poll,
-    /// Where clients connect.
+    /// The listener for clients.
     listener: TcpListener,
-    /// Where messages of peers come in; none where the settings allow none.
+    /// The socket for gossip; none where the settings allow no messages between gateways.
     peers: Option<PeerSocket>,
-    /// Signals as they come.
+    /// The signals to the process.
     signals: Signals,
 }
 
 impl EventLoop {
-    /// Opens the sockets. From here on clients can connect; they are served once [`EventLoop::run`] runs.
-    /// Calls that fail for a moment are made again.
+    /// Opens the sockets. From then on clients can connect; they are served once [`EventLoop::run`] runs. Calls that fail
+    /// for a moment are retried.
     pub fn start(
         mut config: Config,
         reload: Reload,
@@ -65,7 +64,7 @@
         Ok(event_loop)
     }
 
-    /// Puts the event loop together; the policy is still to be given the cached endpoint list.
+    /// Builds the event loop, with the cached endpoint list as the first event for the policy.
     fn build(config: Config, sockets: Sockets, clock: Clock, reload: Reload) -> Result<Self, EventLoopError> {
         let now = clock.now();
         let options = watch_options(&config, now);
@@ -139,7 +138,7 @@
     registry: &Registry,
     retry: StartRetry,
 ) -> Result<TcpListener, EventLoopError> {
-    // A source whose registration failed counts as registered with mio: only a new one can be tried again.
+    // mio takes a source whose registration failed for registered: only a new one can be registered.
     let open = || {
         let mut listener = TcpListener::bind(address)?;
         registry.register(&mut listener, Source::Listener.into(), Interest::READABLE)?;
@@ -148,7 +147,7 @@
     retry.run(open).map_err(|source| EventLoopError::Listen { address, source })
 }
 
-/// Registers the signals, which were taken before and are kept through all tries.
+/// Registers the signals, whose handlers are installed already.
 fn register_signals(
     signals: &mut Signals,
     registry: &Registry,
