--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -16,9 +16,7 @@
         concurrency_quota,
         hard_limit_rate: 5.0,
         hard_limit_burst: 0.0,
-        hard_limit_slack: 0.0,
         price: 1.0,
-        over_quota_weight: 0.0,
         over_quota_cost: 1.0,
     }
 }
--- a/src/policy/quota/ownership/tests.rs
+++ b/src/policy/quota/ownership/tests.rs
@@ -9,9 +9,7 @@
         concurrency_quota,
         hard_limit_rate,
         hard_limit_burst: 40.0,
-        hard_limit_slack: 0.0,
         price: 1.0,
-        over_quota_weight: 0.0,
         over_quota_cost: 1.0,
     }
 }
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -25,9 +25,7 @@
         concurrency_quota: 0,
         hard_limit_rate: 0.0,
         hard_limit_burst: 0.0,
-        hard_limit_slack: 0.0,
         price: 1.0,
-        over_quota_weight: 0.0,
         over_quota_cost: 1.0,
     }
 }
