--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -141,7 +141,7 @@
             Event::FirstByte { id, attempt } => self.on_first_byte(id, attempt, actions),
             Event::PeerMessage { from, bytes } => self.on_peer_message(from, &bytes, actions),
             Event::Endpoints(update, endpoints) => self.on_endpoints(update, endpoints, actions),
-            Event::Timer(_) | Event::HealthCheckEnded { .. } | Event::CounterUpdated { .. } => {}
+            Event::Timer(_) | Event::Unused => {}
         }
     }
 
@@ -234,7 +234,7 @@
 
     /// Notes what a backend reported of its queue with the end of an attempt.
     pub(crate) fn record_queue_depth(&mut self, ended: &AttemptEnded) {
-        let Some(depth) = ended.load_report.and_then(|report| report.queue_depth) else { return };
+        let Some(depth) = ended.reported_queue_depth else { return };
         let Some(backend) = self.backends.get_mut(ended.backend) else { return };
         backend.reported_queue.report(depth, self.now);
     }
