--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -208,14 +208,23 @@
         now + min_queue_time(self.settings.tick) <= state.request.deadline
     }
 
+    /// Ends the queued requests that have waited for as long as they may.
+    pub(crate) fn expire_queued_requests(&mut self, actions: &mut Vec<Action>) {
+        for id in std::mem::take(&mut self.requests.queue) {
+            if !self.expire_if_overdue(id, actions) {
+                self.requests.queue.push_back(id);
+            }
+        }
+    }
+
     /// Ends a request that was queued for as long as it may be; true if it need not wait.
-    pub(crate) fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+    fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else { return true };
         let facts = QueueFacts {
             now: self.now,
             arrived_at: state.arrived_at,
             deadline: state.request.deadline,
-            useful_duration: state.useful_duration(self.class_of(&state.request).latency_objective),
+            latency_budget: state.latency_budget(self.class_of(&state.request).latency_objective),
             min_queue_time: min_queue_time(self.settings.tick),
         };
         let is_overdue = facts.is_overdue();
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -1,15 +1,96 @@
-//! The conductor's part in further attempts: it gathers the facts for the retry policy, and carries out its
-//! decisions.
+//! Follows attempts from their begin to their end: has the retry policy decide on those that are late or have
+//! failed, and carries out what it decides.
 
-use crate::gateway::Gateway;
+use crate::policy::quota::ReportPurpose;
 use crate::policy::{
-    AttemptCheck, AttemptCheckFacts, ExecutedAttempt, FinalAnswer, RejectReason, RetryFacts, RetryPolicy,
-    RetryScope, SilenceVerdict, NOT_SERVED_RETRY_AFTER,
+    AttemptCheck, AttemptCheckFacts, ExecutedAttempt, RetryFacts, RetryScope, SilenceVerdict,
 };
 use crate::state::RequestState;
-use crate::{Action, RequestId};
+use crate::{Action, AttemptEnded, BackendId, CustomerId, Gateway, Outcome, RequestId};
+
+/// What the end of an attempt means for its request, its backend and its customer.
+struct SettledAttempt {
+    /// Where the attempt went.
+    backend: BackendId,
+    /// Whose request it was.
+    customer: CustomerId,
+    /// No answer is owed to the request any more.
+    request_closed: bool,
+    /// No other attempt of the request is in flight.
+    was_last_in_flight: bool,
+    /// The owners of the customer's quota are to be told.
+    usage_changed: bool,
+}
 
 impl Gateway {
+    /// Records how an attempt ended, and retries or answers a request that has none left in flight.
+    pub(crate) fn on_attempt_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
+        if let Some(class) = self.requests.get(ended.id).map(|state| usize::from(state.request.class)) {
+            self.record_outcome(ended, class);
+        }
+        self.record_queue_depth(ended);
+        let Some(settled) = self.settle_attempt(ended) else { return };
+        if settled.request_closed {
+            self.close_request(ended.id, actions);
+        } else if settled.was_last_in_flight && !self.retry(ended.id, actions) {
+            self.reject_or_fail(ended.id, actions);
+        }
+        self.backends.remove_if_drained(settled.backend);
+        if settled.usage_changed {
+            self.queue_usage_report(settled.customer, ReportPurpose::Usage, actions);
+        }
+        self.dispatch(actions);
+    }
+
+    /// An answer begins to stream: the request's other attempts are cancelled, and this one is the client's.
+    pub(crate) fn on_first_byte(&mut self, id: RequestId, attempt: u16, actions: &mut Vec<Action>) {
+        let Some(state) = self.requests.get_mut(id) else { return };
+        if self.settings.limits.cancellation {
+            state.cancel_attempts(Some(attempt), actions);
+        }
+        state.streaming = true;
+    }
+
+    /// Records that an attempt of a request goes to a backend.
+    pub(crate) fn begin_attempt(&mut self, id: RequestId, backend: BackendId) {
+        let Some(state) = self.requests.get_mut(id) else { return };
+        let Some(backend) = self.backends.get_mut(backend) else { return };
+        state.begin_attempt(backend.endpoint, self.now);
+        backend.begin_attempt(self.now, self.settings.rules.overload_window);
+        self.quota.begin_attempt(state.request.customer);
+        self.requests.in_flight += 1;
+    }
+
+    /// Records what a backend reported of its queue with the end of an attempt.
+    fn record_queue_depth(&mut self, ended: &AttemptEnded) {
+        let Some(depth) = ended.reported_queue_depth else { return };
+        let Some(backend) = self.backends.get_mut(ended.backend) else { return };
+        backend.reported_queue.report(depth, self.now);
+    }
+
+    /// Records the end of an attempt with its request, backend and customer; none if it was not in flight.
+    fn settle_attempt(&mut self, ended: &AttemptEnded) -> Option<SettledAttempt> {
+        let state = self.requests.get_mut(ended.id)?;
+        let endpoint = state.end_attempt(ended.attempt, ended.outcome)?;
+        state.closed |= ended.answered || ended.outcome == Outcome::Ok;
+        let (request, request_closed) = (state.request, state.closed);
+        let was_last_in_flight = state.attempts_in_flight() == 0;
+        self.requests.in_flight = self.requests.in_flight.saturating_sub(1);
+        if let Some(backend) = self.backends.get_mut(endpoint.backend) {
+            backend.end_attempt();
+        }
+        let charged_units = ended.charged_units.filter(|_| self.settings.postpaid);
+        let correction_units = charged_units.map_or(0.0, |units| units - request.units);
+        let usage_changed = self.quota.end_attempt(request.customer, correction_units);
+        Some(SettledAttempt {
+            backend: endpoint.backend,
+            customer: request.customer,
+            request_closed,
+            was_last_in_flight,
+            usage_changed,
+        })
+    }
+
     /// Sends a further attempt of a request, if the retry policy allows one and a backend may take it;
     /// returns whether one was sent.
     pub(crate) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
@@ -33,12 +114,19 @@
             attempts: state.attempts.len(),
             in_flight: state.attempts_in_flight(),
             may_have_executed: state.first_possibly_executed().is_some(),
-            answered: state.answered,
+            closed: state.closed,
+        }
+    }
+
+    /// Looks again at all requests that are due to be.
+    pub(crate) fn check_due_requests(&mut self, actions: &mut Vec<Action>) {
+        while let Some(id) = self.requests.next_due(self.now) {
+            self.check_request(id, actions);
         }
     }
 
     /// Looks again at a request that awaits a grant, or whose attempt may be silent or late.
-    pub(crate) fn check_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    fn check_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.requests.get(id).is_some_and(|state| state.awaiting_grant) {
             self.check_awaited_grant(id, actions);
         } else {
@@ -49,8 +137,7 @@
     /// Hedges or cancels an attempt that is late, and ejects a backend that is silent.
     fn check_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let now = self.now;
-        let Some(state) = self.requests.get_mut(id).filter(|state| !state.answered && !state.streaming)
-        else {
+        let Some(state) = self.requests.get_mut(id).filter(|state| !state.closed && !state.streaming) else {
             return;
         };
         let class_index = usize::from(state.request.class);
@@ -62,14 +149,14 @@
         let check = self.retry_policy.check_attempt(&AttemptCheckFacts {
             now,
             sent_at,
-            latency_budget: state.useful_duration(class.latency_objective),
+            latency_budget: state.latency_budget(class.latency_objective),
             is_silent: silence.is_silent(),
             is_shedding: !self.load_shedder.is_idle(),
             idempotency: class.idempotency,
         });
         match check {
             AttemptCheck::CheckAt(check_at) => return self.requests.check_at(check_at, id),
-            AttemptCheck::CancelAndRetry => state.cancel_attempts(None, true, actions),
+            AttemptCheck::CancelAndRetry => state.cancel_attempts(None, actions),
             AttemptCheck::Hedge | AttemptCheck::KeepWaiting => {}
         }
         if let SilenceVerdict::Silent { ejection: Some(ejection) } = silence {
@@ -87,20 +174,4 @@
             .map(|attempt| ExecutedAttempt { sent_at: attempt.sent_at, endpoint: attempt.endpoint });
         self.retry_policy.scope(self.now, self.class_of(&state.request).idempotency, executed).ok()
     }
-
-    /// Gives a request that is not served its final answer, by whether it may have been executed.
-    pub(crate) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(state) = self.requests.get(id) else { return };
-        let idempotency = self.class_of(&state.request).idempotency;
-        match RetryPolicy::final_answer(idempotency, state.first_possibly_executed().is_some()) {
-            FinalAnswer::Rejected => {
-                self.reject(id, RejectReason::NotServed, NOT_SERVED_RETRY_AFTER, actions);
-            }
-            FinalAnswer::Failed => {
-                tracing::debug!(target: "policy", request = id.0, "failed");
-                actions.push(Action::Fail(id));
-            }
-        }
-        self.close_request(id, actions);
-    }
 }
--- /dev/null
+++ b/src/gateway/closing.rs
@@ -0,0 +1,60 @@
+//! Ends requests: gives them their final answer, cancels what is in flight for them, and forgets them.
+
+use crate::policy::quota::ReportPurpose;
+use crate::policy::{FinalAnswer, RejectReason, RetryPolicy, NOT_SERVED_RETRY_AFTER};
+use crate::{Action, Duration, Gateway, RequestId};
+
+impl Gateway {
+    /// Gives a request that is not served its final answer, by whether it may have been executed.
+    pub(crate) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(state) = self.requests.get(id) else { return };
+        let idempotency = self.class_of(&state.request).idempotency;
+        match RetryPolicy::final_answer(idempotency, state.first_possibly_executed().is_some()) {
+            FinalAnswer::Rejected => {
+                self.reject(id, RejectReason::NotServed, NOT_SERVED_RETRY_AFTER, actions);
+            }
+            FinalAnswer::Failed => {
+                tracing::debug!(target: "policy", request = id.0, "failed");
+                actions.push(Action::Fail(id));
+            }
+        }
+        self.close_request(id, actions);
+    }
+
+    /// Gives a request its final answer; the advice when to send it again is cut to what the settings allow.
+    pub(crate) fn reject(
+        &self,
+        id: RequestId,
+        reason: RejectReason,
+        retry_after: Duration,
+        actions: &mut Vec<Action>,
+    ) {
+        tracing::debug!(target: "policy", request = id.0, ?reason, "rejected");
+        let limits = &self.settings.limits;
+        let max_retry_after = if limits.retry_after { limits.max_retry_after } else { Duration::ZERO };
+        actions.push(Action::Reject { id, retry_after: retry_after.min(max_retry_after) });
+    }
+
+    /// Closes a request that has its final answer, or whose client has disconnected. It is forgotten once
+    /// none of its attempts is in flight.
+    pub(crate) fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(state) = self.requests.get_mut(id) else { return };
+        state.closed = true;
+        // The attempt that streams is the client's answer.
+        if self.settings.limits.cancellation && !state.streaming {
+            state.cancel_attempts(None, actions);
+        }
+        if state.attempts_in_flight() > 0 {
+            return;
+        }
+        let (request, was_sent, awaited_grant) =
+            (state.request, !state.attempts.is_empty(), state.awaiting_grant);
+        self.requests.remove(id);
+        if awaited_grant {
+            self.quota.stop_awaiting_grant(request.customer, id);
+        } else if !was_sent {
+            self.quota.charge(request.customer, -request.units);
+            self.queue_usage_report(request.customer, ReportPurpose::Usage, actions);
+        }
+    }
+}
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -17,7 +17,7 @@
             }
         };
         let objective = self.class_of(&state.request).latency_objective;
-        let check_at = self.retry_policy.first_check_at(self.now, state.useful_duration(objective));
+        let check_at = self.retry_policy.first_check_at(self.now, state.latency_budget(objective));
         let expires_at = self.attempt_expiry(state);
         if state.attempts.is_empty() {
             self.retry_policy.record_first_attempt();
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -94,8 +94,14 @@
         }
     }
 
+    /// Sends each peer that may be sent a message the usage reports that wait for it.
+    pub(crate) fn flush_ready_outboxes(&mut self, actions: &mut Vec<Action>) {
+        let ready = self.peers.ready_to_send(self.now);
+        ready.into_iter().for_each(|peer| self.flush_outbox(peer, actions));
+    }
+
     /// Sends a peer the usage reports that wait for it, as many as a message holds.
-    pub(crate) fn flush_outbox(&mut self, to: u16, actions: &mut Vec<Action>) {
+    fn flush_outbox(&mut self, to: u16, actions: &mut Vec<Action>) {
         let Some(batch) = self.peers.next_batch(to) else { return };
         let now = self.now;
         let reports = batch.into_iter().filter_map(|(id, entry)| self.quota.usage_report(now, to, id, entry));
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -5,7 +5,6 @@
 mod attempt_expiry;
 mod concurrency_limit;
 pub mod discovery_schedule;
-mod gateway;
 mod load_balancing;
 mod load_shedding;
 mod outlier_detection;
@@ -15,6 +14,7 @@
 mod reasons;
 mod retry;
 mod start_times;
+mod wake_up;
 
 pub(crate) use attempt_expiry::{attempt_expiry, ExpiryFacts};
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
@@ -32,3 +32,4 @@
     AttemptCheck, AttemptCheckFacts, ExecutedAttempt, FinalAnswer, RetryFacts, RetryPolicy, RetryScope,
 };
 pub use start_times::StartTimes;
+pub(crate) use wake_up::WakeUpSchedule;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -4,13 +4,13 @@
 //! is known, and [`AdmissionFacts`] then or after its wait for a grant. [`QueueFacts`] end its time in the
 //! queue.
 
-use super::gateway::WAKE_UP_TICKS;
 use super::load_shedding::epoch_draw;
 use super::quota::{GrantAnswers, GrantScope, GrantStatus, GrantTiming, QuotaOwnership, Shortage, TokenWait};
+use super::wake_up::wake_up_interval;
 use super::RejectReason;
 use crate::{CustomerId, Duration, Instant, Plan, Request};
 
-/// Share of the useful duration that a request may be queued for; queued longer it would fail late.
+/// Share of the latency budget that a request may be queued for; queued longer it would fail late.
 const MAX_QUEUE_SHARE: f64 = 0.3;
 /// Age up to which a grant by which there were no tokens stands for further requests. A no may rest on an
 /// older grant than a yes: otherwise the retries of a customer over its quota would request grants without
@@ -21,7 +21,7 @@
 
 /// The time that has to be left to a request for it to wait, at a gateway with this tick.
 pub(crate) fn min_queue_time(tick: Duration) -> Duration {
-    tick * WAKE_UP_TICKS * MIN_WAKE_UPS
+    wake_up_interval(tick) * MIN_WAKE_UPS
 }
 
 /// What a request is screened by as it comes.
@@ -189,8 +189,8 @@
     pub arrived_at: Instant,
     /// When the client gives up.
     pub deadline: Instant,
-    /// How long an answer is worth something.
-    pub useful_duration: Duration,
+    /// The time from the arrival within which an answer earns its full weight.
+    pub latency_budget: Duration,
     /// See [`min_queue_time`].
     pub min_queue_time: Duration,
 }
@@ -198,7 +198,7 @@
 impl QueueFacts {
     /// Whether the request has been queued for as long as it may be, or has no time left to wait.
     pub(crate) fn is_overdue(&self) -> bool {
-        let queued_until = self.arrived_at + self.useful_duration.mul_f64(MAX_QUEUE_SHARE);
+        let queued_until = self.arrived_at + self.latency_budget.mul_f64(MAX_QUEUE_SHARE);
         self.now > queued_until || self.now + self.min_queue_time > self.deadline
     }
 }
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -190,7 +190,7 @@
         now: NOW,
         arrived_at: NOW - queued_for,
         deadline: NOW + left,
-        useful_duration: Duration::from_secs(1),
+        latency_budget: Duration::from_secs(1),
         min_queue_time: MIN_QUEUE_TIME,
     };
     let enough = Duration::from_secs(1);
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -35,8 +35,8 @@
     pub in_flight: usize,
     /// Whether one of them was or may have been executed.
     pub may_have_executed: bool,
-    /// It has its final answer, or its client has gone.
-    pub answered: bool,
+    /// It has its final answer, or its client has disconnected.
+    pub closed: bool,
 }
 
 /// Why a request is not attempted again.
@@ -144,7 +144,7 @@
             attempts: facts.attempts,
             in_flight: facts.in_flight,
             may_have_executed: facts.may_have_executed,
-            closed: facts.answered,
+            closed: facts.closed,
         })?;
         if !self.budget.allows_retry() {
             return Err(RetryRefusal::BudgetExhausted);
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -40,7 +40,7 @@
         attempts: 1,
         in_flight: 0,
         may_have_executed: false,
-        answered: false,
+        closed: false,
     }
 }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -8,7 +8,7 @@
     pub endpoint: Endpoint,
     /// When the host was asked to send it.
     pub sent_at: Instant,
-    /// Its end has not been told.
+    /// Its end has not been reported.
     pub in_flight: bool,
     /// The host was asked to cancel it.
     pub cancelled: bool,
@@ -19,14 +19,14 @@
 /// A request from its arrival until its last attempt has ended.
 #[derive(Default)]
 pub struct RequestState {
-    /// As it came, but for the plan, which is its customer's.
+    /// As it arrived, but for the plan, which is its customer's.
     pub request: Request,
-    /// When it came.
+    /// When it arrived.
     pub arrived_at: Instant,
-    /// By their number.
+    /// Its attempts, by their number.
     pub attempts: Vec<Attempt>,
-    /// Its final answer has been given.
-    pub answered: bool,
+    /// It has its final answer, or its client has disconnected: no answer is owed any more.
+    pub closed: bool,
     /// Its answer has begun to stream to the client.
     pub streaming: bool,
     /// It waits for a grant from its customer's quota owners.
@@ -34,23 +34,29 @@
 }
 
 impl RequestState {
-    /// Cancels the attempts in flight, but for one to keep, where cancelling is `allowed`.
-    pub fn cancel_attempts(&mut self, keep: Option<u16>, allowed: bool, actions: &mut Vec<Action>) {
+    /// Asks the host to cancel the attempts in flight, but for one to keep.
+    pub fn cancel_attempts(&mut self, keep: Option<u16>, actions: &mut Vec<Action>) {
         for (number, attempt) in (0u16..).zip(&mut self.attempts) {
-            if allowed && attempt.in_flight && !attempt.cancelled && keep != Some(number) {
+            if attempt.in_flight && !attempt.cancelled && keep != Some(number) {
                 attempt.cancelled = true;
                 actions.push(Action::Cancel { id: self.request.id, attempt: number });
             }
         }
     }
 
-    /// Notes a send.
+    /// Adds an attempt that is sent now.
     pub fn begin_attempt(&mut self, endpoint: Endpoint, now: Instant) {
-        let (in_flight, cancelled, never_executed) = (true, false, false);
-        self.attempts.push(Attempt { endpoint, sent_at: now, in_flight, cancelled, never_executed });
+        self.attempts.push(Attempt {
+            endpoint,
+            sent_at: now,
+            in_flight: true,
+            cancelled: false,
+            never_executed: false,
+        });
     }
 
-    /// Notes how an attempt ended, and gives the endpoint it was sent to; none if it is not in flight.
+    /// Records how an attempt ended, and returns the endpoint that it was sent to; none if it is not in
+    /// flight.
     pub fn end_attempt(&mut self, number: u16, outcome: Outcome) -> Option<Endpoint> {
         let attempt = self.attempts.get_mut(usize::from(number)).filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
@@ -68,9 +74,9 @@
         self.attempts.iter().rev().find(|attempt| attempt.in_flight && !attempt.cancelled)
     }
 
-    /// Whether it waits for a backend, with no attempt in flight.
+    /// Whether it is owed an answer and has no attempt in flight.
     pub fn awaits_attempt(&self) -> bool {
-        !self.answered && self.attempts_in_flight() == 0
+        !self.closed && self.attempts_in_flight() == 0
     }
 
     /// The first attempt that was or may have been executed.
@@ -78,9 +84,9 @@
         self.attempts.iter().find(|attempt| !attempt.never_executed)
     }
 
-    /// How long an answer is worth something: the latency objective, or what the client waits if that is
-    /// less.
-    pub fn useful_duration(&self, latency_objective: Duration) -> Duration {
+    /// The time from the arrival within which an answer earns its full weight: the latency objective, or what
+    /// the client waits if that is less.
+    pub fn latency_budget(&self, latency_objective: Duration) -> Duration {
         latency_objective.min(self.request.deadline.duration_since(self.arrived_at))
     }
 }
--- a/src/state/request_table.rs
+++ b/src/state/request_table.rs
@@ -9,11 +9,11 @@
 /// The requests of a gateway.
 #[derive(Default)]
 pub struct RequestTable {
-    /// By their names.
+    /// By identifier.
     requests: BTreeMap<RequestId, RequestState>,
     /// Admitted requests that wait for a backend, in the order in which they came.
     pub queue: VecDeque<RequestId>,
-    /// When to look at which request, the earliest first.
+    /// The scheduled looks at requests, the earliest first.
     checks: BinaryHeap<Reverse<(Instant, RequestId)>>,
     /// Attempts in flight, of all requests.
     pub in_flight: u32,
@@ -50,7 +50,7 @@
         self.requests.remove(&id);
     }
 
-    /// Has the request looked at again at a time.
+    /// Schedules another look at a request.
     pub fn check_at(&mut self, time: Instant, id: RequestId) {
         self.checks.push(Reverse((time, id)));
     }
