--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -3,7 +3,9 @@
 
 use crate::policy::admission::{evades_hard_limit, min_queue_time, AdmissionDecision, AdmissionFacts};
 use crate::policy::admission::{ArrivalDecision, ArrivalFacts, QueueFacts, ScreeningFacts};
-use crate::policy::quota::{DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantTiming};
+use crate::policy::quota::{
+    DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
+};
 use crate::policy::quota::{QuotaManager, ReportPurpose, TokenFacts, TokenWait};
 use crate::policy::{Familiarity, RejectReason, SheddingFacts};
 use crate::state::{hash, RequestState, MICROS_PER_SECOND};
@@ -28,7 +30,7 @@
             return self.reject(request.id, RejectReason::Shed, Duration::MAX, actions);
         }
         let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
-        match self.decide_arrival(&request) {
+        match self.decide_arrival(&request, observed.grant) {
             ArrivalDecision::DecideNow => {
                 self.requests.insert(state);
                 self.admit(request.id, GrantAnswers::Complete, actions);
@@ -69,7 +71,7 @@
     }
 
     /// Whether a new request is decided now or waits for a grant.
-    fn decide_arrival(&mut self, request: &Request) -> ArrivalDecision {
+    fn decide_arrival(&mut self, request: &Request, grant: GrantStatus) -> ArrivalDecision {
         let wait = self.token_wait(request);
         let facts = ArrivalFacts {
             now: self.now,
@@ -77,7 +79,7 @@
             min_queue_time: min_queue_time(self.settings.tick),
             plan: self.plan_of(request),
             wait,
-            grant: self.quota.grant_status(self.now, request.customer),
+            grant,
             ownership: self.quota.ownership(),
         };
         facts.decide()
@@ -109,7 +111,7 @@
         tracing::debug!(target: "policy", request = request.id.0, ?scope, ?timing, "awaits a quota grant");
         let wait = self.grant_wait(request, self.now) / self.quota.ownership().grant_attempts();
         self.requests.check_at(self.now + wait, request.id);
-        if self.quota.await_grant(self.now, request, scope, timing) == GrantRequestStep::Ask {
+        if self.quota.await_grant(self.now, request, scope, timing) == GrantRequestStep::RequestGrant {
             self.queue_usage_report(request.customer, ReportPurpose::GrantRequest, actions);
         }
     }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -86,8 +86,10 @@
         let at_once = self.quota.ownership().sends_grant_requests_at_once();
         for recipient in self.quota.report_recipients(id, purpose) {
             self.peers.queue(recipient.gateway, id, recipient.entry);
-            let may_send = at_once || self.peers.may_send(self.now, recipient.gateway);
-            if recipient.entry.requests_grant && may_send {
+            if !recipient.entry.requests_grant {
+                continue;
+            }
+            if at_once || self.peers.may_send(self.now, recipient.gateway) {
                 self.flush_outbox(recipient.gateway, actions);
             }
         }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -12,5 +12,5 @@
 pub use encoding::{MAX_CLASS, MAX_PLAN, MAX_SAMPLES, MAX_USAGE_REPORTS};
 pub use exchange::PeerExchange;
 pub use message::{backend_tag, incarnation_of, Body, LatencySample, Message, QuotaGrant, UsageReport};
-pub use peer::{OutboxEntry, Peer, PeerAge, PeerStart, Receipt};
+pub use peer::{OutboxEntry, PeerAge, PeerStart};
 pub use units::{floor_to_wire_units, wrap_total, wrapping_delta, TokenLevel};
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -1,8 +1,8 @@
 //! A gateway's exchange of messages with its peers: what waits for each of them, and the form and order of
 //! what comes.
 
-use super::{incarnation_of, Body, LatencySample, Message, OutboxEntry, Peer, PeerAge, PeerStart, Receipt};
-use super::{MAX_SAMPLES, MAX_USAGE_REPORTS};
+use super::peer::{OutboxEntry, Peer, PeerAge, PeerStart, Receipt};
+use super::{incarnation_of, Body, LatencySample, Message, MAX_SAMPLES, MAX_USAGE_REPORTS};
 use crate::{CustomerId, Duration, GatewayId, Instant, Settings};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use thiserror::Error;
@@ -120,8 +120,7 @@
     /// Whether all other gateways are known, and started within a time of this one.
     pub fn whole_fleet_started_within(&self, window: Duration) -> bool {
         let fleet_size = usize::from(self.gateway_count.max(1));
-        let started_together =
-            |peer: &Peer| u64::from(peer.incarnation.abs_diff(self.incarnation)) <= window.as_millis();
+        let started_together = |peer: &Peer| peer.started_within(window, self.incarnation);
         self.peers.len() + 1 == fleet_size && self.peers.values().all(started_together)
     }
 
--- a/src/gossip/exchange/tests.rs
+++ b/src/gossip/exchange/tests.rs
@@ -51,9 +51,9 @@
     let bytes = after.next_message(restarted_at, 0, empty());
     let received = here.receive(restarted_at, GatewayId(1), &bytes).expect("its first after the restart");
     assert_eq!(received.start, Some(PeerStart::Restarted));
-    let asked_by_before = incarnation_of(START);
-    assert!(before.is_for_this_process(asked_by_before));
-    assert!(!after.is_for_this_process(asked_by_before));
+    let previous_incarnation = incarnation_of(START);
+    assert!(before.is_for_this_process(previous_incarnation));
+    assert!(!after.is_for_this_process(previous_incarnation));
 }
 
 /// The gateways of a fleet start within a second and a half. That all did is known only once all were heard.
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -32,7 +32,7 @@
 
 /// What the incarnation and the sequence number of a message say of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Receipt {
+pub(super) enum Receipt {
     /// It is from before the peer's restart, a repeat, or overtaken by a later one.
     Outdated,
     /// It is a newer one of the incarnation that is known.
@@ -50,7 +50,7 @@
 
 /// An incarnation in whose place there is another one.
 #[derive(Clone, Copy)]
-pub struct SupersededIncarnation {
+struct SupersededIncarnation {
     /// Its number.
     incarnation: u32,
     /// When the next one was first heard.
@@ -59,31 +59,31 @@
 
 /// A peer's record.
 #[derive(Default)]
-pub struct Peer {
+pub(super) struct Peer {
     /// The latest incarnation known; 0 for none. It tells processes apart and does not order them: it is read
     /// from a wall clock, which may be stepped.
-    pub incarnation: u32,
+    incarnation: u32,
     /// The one before.
-    pub superseded: Option<SupersededIncarnation>,
+    superseded: Option<SupersededIncarnation>,
     /// The sequence number of the first message of this incarnation that was received.
-    pub first_sequence: u16,
+    first_sequence: u16,
     /// The sequence number of the last message received.
-    pub last_sequence: u16,
+    last_sequence: u16,
     /// Messages sent to it, wrapping.
-    pub sent_messages: u16,
+    pub(super) sent_messages: u16,
     /// When a message was last received.
-    pub last_heard_at: Instant,
+    pub(super) last_heard_at: Instant,
     /// When the next message may be sent.
-    pub next_send_at: Instant,
+    pub(super) next_send_at: Instant,
     /// Where in the outbox the last message ended.
-    pub last_sent: CustomerId,
+    last_sent: CustomerId,
     /// The customers to report to it.
-    pub outbox: BTreeMap<CustomerId, OutboxEntry>,
+    pub(super) outbox: BTreeMap<CustomerId, OutboxEntry>,
 }
 
 impl Peer {
     /// Records a message's incarnation and sequence number, and tells whether it is to be handled.
-    pub fn receive(&mut self, incarnation: u32, sequence: u16, now: Instant) -> Receipt {
+    pub(super) fn receive(&mut self, incarnation: u32, sequence: u16, now: Instant) -> Receipt {
         let same_incarnation = incarnation == self.incarnation;
         let is_behind = sequence.wrapping_sub(self.last_sequence) as i16 <= 0;
         let overtaken = is_behind && now < self.last_heard_at + MAX_MESSAGE_DELAY;
@@ -109,7 +109,7 @@
 
     /// Whether the peer's process started before the one here, as far as messages tell; wall clocks decide
     /// only where they do not.
-    pub fn age(&self, own_incarnation: u32) -> PeerAge {
+    pub(super) fn age(&self, own_incarnation: u32) -> PeerAge {
         let restarted_since = self.superseded.is_some();
         let is_in_midstream = self.first_sequence >= MESSAGES_OF_AN_OLDER_PEER;
         if !restarted_since && (is_in_midstream || self.incarnation < own_incarnation) {
@@ -119,9 +119,14 @@
         }
     }
 
+    /// Whether the peer's process and the one here started within a time of each other, by their wall clocks.
+    pub(super) fn started_within(&self, window: Duration, own_incarnation: u32) -> bool {
+        u64::from(self.incarnation.abs_diff(own_incarnation)) <= window.as_millis()
+    }
+
     /// Takes from the outbox what the next message carries, `most` customers at most. It goes round from
     /// where the last one ended: otherwise the last customers would never be sent when more change than fit.
-    pub fn next_batch(&mut self, most: usize) -> Vec<(CustomerId, OutboxEntry)> {
+    pub(super) fn next_batch(&mut self, most: usize) -> Vec<(CustomerId, OutboxEntry)> {
         let rotated = self.outbox.range(self.last_sent..).chain(self.outbox.range(..self.last_sent));
         let batch: Vec<_> = rotated.take(most).map(|(id, entry)| (*id, *entry)).collect();
         self.last_sent = batch.last().map_or(self.last_sent, |(id, _)| CustomerId(id.0 + 1));
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -102,14 +102,14 @@
     pub(crate) fn decide(&self) -> ArrivalDecision {
         let needs_hard_limit = self.wait.hard_limit.is_some();
         let lacks_hard_limit_alone = needs_hard_limit && self.wait.quota.is_none();
-        let has_to_ask = lacks_hard_limit_alone && self.grant.hard_limit_is_elsewhere;
+        let needs_grant_request = lacks_hard_limit_alone && self.grant.hard_limit_is_elsewhere;
         let can_wait = self.now + self.min_queue_time <= self.deadline;
-        if !can_wait || (self.is_quota_known() && !has_to_ask) {
+        if !can_wait || (self.is_quota_known() && !needs_grant_request) {
             return ArrivalDecision::DecideNow;
         }
         ArrivalDecision::AwaitGrant {
             scope: if needs_hard_limit { GrantScope::QuotaAndHardLimit } else { GrantScope::Quota },
-            timing: if has_to_ask { GrantTiming::AtOnce } else { GrantTiming::WithOthers },
+            timing: if needs_grant_request { GrantTiming::AtOnce } else { GrantTiming::WithOthers },
         }
     }
 
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -12,7 +12,7 @@
 //! | which plan does a customer have? | `identity.rs` |
 //! | when are owners asked for a grant, and what does their answer mean? | `grant_request.rs` |
 //! | what do owners make of a report, and what do they grant? | `usage_report.rs` |
-//! | what is reported, and to whom? | `report_outbox.rs` |
+//! | what is reported, and to whom? | `reporting.rs` |
 //! | how are buckets refilled and charged? | `customer.rs`, `hard_limit.rs`, `token_bucket.rs` |
 
 mod customer;
@@ -23,15 +23,16 @@
 mod identity;
 mod owner_assignment;
 mod ownership;
-mod report_outbox;
+mod reporting;
 mod settings;
 mod token_bucket;
 pub(crate) mod token_wait;
 mod usage_report;
 
 pub(crate) use grant_request::{GrantAnswers, GrantRequestStep, GrantScope, GrantTiming};
+pub(crate) use identity::GrantStatus;
 pub(crate) use ownership::QuotaOwnership;
-pub(crate) use report_outbox::{DecisionPoint, ReportPurpose};
+pub(crate) use reporting::{DecisionPoint, ReportPurpose};
 pub(crate) use token_wait::{Shortage, TokenFacts, TokenWait};
 
 use crate::{CustomerId, Duration, Instant, Plan, Settings};
@@ -55,17 +56,6 @@
 /// Attempts of a peer that reports nothing count as in flight for so long.
 const REPORTED_IN_FLIGHT_LIFETIME: Duration = Duration::from_millis(1500);
 
-/// What a gateway knows of the grants for a customer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct GrantStatus {
-    /// Whether this gateway owns the customer's quota, and needs no grant.
-    pub is_quota_owner: bool,
-    /// The time since the last grant.
-    pub grant_age: Duration,
-    /// Whether another gateway could grant units of the hard limit.
-    pub hard_limit_is_elsewhere: bool,
-}
-
 /// Counts what customers use, and decides what they may use.
 ///
 /// It is told of requests, attempts, reports and grants, and asked by their facts. What is to be sent to
@@ -98,16 +88,6 @@
         self.settings.ownership
     }
 
-    /// What is known of the grants for a customer.
-    pub(crate) fn grant_status(&self, now: Instant, id: CustomerId) -> GrantStatus {
-        let customer = &self.customers[&id];
-        GrantStatus {
-            is_quota_owner: customer.is_quota_owner,
-            grant_age: now.duration_since(customer.granted_at),
-            hard_limit_is_elsewhere: customer.hard_limit.owners != [self.settings.own_id; 2],
-        }
-    }
-
     /// Draws units from a customer's token buckets; negative units are given back.
     pub(crate) fn charge(&mut self, id: CustomerId, units: f64) {
         if let Some(customer) = self.customers.get_mut(&id) {
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -32,12 +32,12 @@
     WithOthers,
 }
 
-/// Whether a grant has to be requested of the owners.
+/// Whether a request that waits needs a new request for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantRequestStep {
-    /// The owners are to be asked now.
-    Ask,
-    /// They were asked a short time ago, and their answer stands for this request, too.
+    /// A grant is to be requested now.
+    RequestGrant,
+    /// One was requested a short time ago, and the answer stands for this request, too.
     AwaitAnswer,
 }
 
@@ -94,7 +94,7 @@
         MAX_GRANT_WAIT.min(left / GRANT_WAITS_PER_REQUEST)
     }
 
-    /// Has a request wait for a grant, and tells whether the owners have to be asked for one.
+    /// Has a request wait for a grant, and tells whether one has to be requested now.
     pub(crate) fn await_grant(
         &mut self,
         now: Instant,
@@ -113,7 +113,7 @@
             return GrantRequestStep::AwaitAnswer;
         }
         grant_request.start(now, request.units, scope);
-        GrantRequestStep::Ask
+        GrantRequestStep::RequestGrant
     }
 
     /// Ends the wait of a request for a grant. What was granted of the hard limit lapses with the last one.
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -23,6 +23,17 @@
     pub remote_rate: f64,
 }
 
+/// What a gateway knows of the grants for a customer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct GrantStatus {
+    /// Whether this gateway owns the customer's quota, and needs no grant.
+    pub is_quota_owner: bool,
+    /// The time since the last grant.
+    pub grant_age: Duration,
+    /// Whether another gateway could grant units of the hard limit.
+    pub hard_limit_is_elsewhere: bool,
+}
+
 /// What is known of the customer of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ObservedCustomer {
@@ -30,6 +41,8 @@
     pub plan: u16,
     /// Whether the customer was seen of late.
     pub familiarity: Familiarity,
+    /// What is known of the grants for it.
+    pub grant: GrantStatus,
 }
 
 impl QuotaManager {
@@ -46,12 +59,18 @@
             tokens: self.settings.ownership.initial_tokens(plan, share + refilled),
             remote_rate: plan.rate * (1.0 - 1.0 / set.size),
         };
+        let own_id = self.settings.own_id;
         let customer = self.record_identity(now, request.customer, &claim);
         let is_unseen = customer.last_seen_at == Instant::ZERO
             || now.duration_since(customer.last_seen_at) > CUSTOMER_IDLE_TIME;
         customer.last_seen_at = now;
         let familiarity = if is_unseen { Familiarity::Unseen } else { Familiarity::Known };
-        ObservedCustomer { plan: customer.plan as u16, familiarity }
+        let grant = GrantStatus {
+            is_quota_owner: customer.is_quota_owner,
+            grant_age: now.duration_since(customer.granted_at),
+            hard_limit_is_elsewhere: customer.hard_limit.owners != [own_id; 2],
+        };
+        ObservedCustomer { plan: customer.plan as u16, familiarity, grant }
     }
 
     /// Records the plan and the gateways that a request or a report names for a customer, and returns its
@@ -65,26 +84,25 @@
         id: CustomerId,
         claim: &IdentityClaim,
     ) -> &mut Customer {
-        let entry = match self.customers.entry(id) {
+        let customer = match self.customers.entry(id) {
             Entry::Vacant(vacant) => {
-                let customer = self.settings.new_customer(now, id, claim, f64::MAX);
-                return vacant.insert(customer);
+                return vacant.insert(self.settings.new_customer(now, id, claim, f64::MAX));
             }
             Entry::Occupied(occupied) => occupied.into_mut(),
         };
-        if entry.agrees_with(claim) {
-            entry.identity_confidence = (entry.identity_confidence + 1).min(MAX_IDENTITY_CONFIDENCE);
-        } else if entry.identity_confidence > 0 {
-            entry.identity_confidence -= 1;
+        if customer.agrees_with(claim) {
+            customer.identity_confidence = (customer.identity_confidence + 1).min(MAX_IDENTITY_CONFIDENCE);
+        } else if customer.identity_confidence > 0 {
+            customer.identity_confidence -= 1;
         } else {
             tracing::debug!(
-                target: "policy", customer = id.0, from_plan = entry.plan, to_plan = claim.plan,
+                target: "policy", customer = id.0, from_plan = customer.plan, to_plan = claim.plan,
                 "identity replaced"
             );
             // The bucket must not begin full again each time that somebody makes the record change.
-            let max_hard_limit_tokens = entry.hard_limit.tokens;
-            entry.replace_identity(self.settings.new_customer(now, id, claim, max_hard_limit_tokens));
+            let max_hard_limit_tokens = customer.hard_limit.tokens;
+            customer.replace_identity(self.settings.new_customer(now, id, claim, max_hard_limit_tokens));
         }
-        entry
+        customer
     }
 }
--- a/src/policy/quota/report_outbox.rs
+++ b/src/policy/quota/reporting.rs
@@ -51,7 +51,9 @@
             let requests_grant = purpose == ReportPurpose::GrantRequest && can_grant;
             ReportRecipient { gateway, entry: OutboxEntry { retransmissions, requests_grant } }
         };
-        others.map(recipient).collect()
+        let mut recipients = Vec::with_capacity(customer.quota_owners.len());
+        recipients.extend(others.map(recipient));
+        recipients
     }
 
     /// The report of a customer's usage to a peer that owns its quota.
--- a/src/policy/quota/settings.rs
+++ b/src/policy/quota/settings.rs
@@ -1,7 +1,6 @@
 //! What the rules of quotas are given when a gateway starts.
 
-use super::Customer;
-use super::{IdentityClaim, OwnerAssignment, QuotaOwnership};
+use super::{Customer, IdentityClaim, OwnerAssignment, QuotaOwnership};
 use crate::{CustomerId, Instant, Plan, Settings};
 
 /// The plans, and this gateway's place in the fleet.
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -50,8 +50,7 @@
 /// A customer, of all those with a plan, whose quota gateway 0 owns, or does not.
 fn customer_owned(manager: &mut QuotaManager, plan: u16, owned: bool) -> CustomerId {
     let owns = |id: &CustomerId| {
-        manager.observe_request(START, &request(*id, plan, 1.0));
-        manager.grant_status(START, *id).is_quota_owner == owned
+        manager.observe_request(START, &request(*id, plan, 1.0)).grant.is_quota_owner == owned
     };
     (0..).map(CustomerId).find(owns).expect("some customer of so many")
 }
@@ -128,34 +127,34 @@
 fn an_owner_charges_what_it_grants_at_once() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, RATE_QUOTA, true);
-    let mut tokens_told = |from, report: &UsageReport| {
+    let mut tokens_answered = |from, report: &UsageReport| {
         let answer = manager.on_usage_report(START, from, PeerAge::NotOlder, report);
         answer.expect("a grant was requested").tokens
     };
-    assert_eq!(tokens_told(1, &report(customer, 0, 0, 0)), 20.0);
-    assert_eq!(tokens_told(2, &report(customer, 0, 0, 0)), 5.0);
+    assert_eq!(tokens_answered(1, &report(customer, 0, 0, 0)), 20.0);
+    assert_eq!(tokens_answered(2, &report(customer, 0, 0, 0)), 5.0);
     // The first one reports the 15 units, in quarters: they are not charged twice.
     let used = UsageReport { requests_grant: true, ..report(customer, 0, 60, 0) };
-    assert_eq!(tokens_told(1, &used), 5.0);
+    assert_eq!(tokens_answered(1, &used), 5.0);
 }
 
 /// A plan allows two attempts in flight over all gateways. The owner has granted one to each of two peers; a
 /// third is told that two are in flight elsewhere, and has its request wait as long as an answer takes.
 #[test]
 fn a_concurrency_quota_counts_what_was_granted_elsewhere() {
-    let mut owner = manager(LARGE_FLEET);
-    let customer = customer_owned(&mut owner, CONCURRENCY_QUOTA, true);
-    let mut in_flight_told = |from| {
-        let answer = owner.on_usage_report(START, from, PeerAge::NotOlder, &report(customer, 1, 0, 0));
+    let mut counting = manager(LARGE_FLEET);
+    let customer = customer_owned(&mut counting, CONCURRENCY_QUOTA, true);
+    let mut in_flight_answered = |from| {
+        let answer = counting.on_usage_report(START, from, PeerAge::NotOlder, &report(customer, 1, 0, 0));
         answer.expect("a grant was requested").remote_in_flight
     };
-    assert_eq!([1, 2, 3].map(&mut in_flight_told), [0, 1, 2]);
+    assert_eq!([1, 2, 3].map(&mut in_flight_answered), [0, 1, 2]);
 
     let mut asker = manager(LARGE_FLEET);
     let customer = customer_owned(&mut asker, CONCURRENCY_QUOTA, false);
     let request = request(customer, CONCURRENCY_QUOTA, 1.0);
-    let asked_of = asker.customers[&customer].quota_owners[0];
-    asker.on_grant(START, asked_of, &grant(customer, 0.0, 2));
+    let owner = asker.customers[&customer].quota_owners[0];
+    asker.on_grant(START, owner, &grant(customer, 0.0, 2));
     let expected = Shortage { limit: QuotaLimit::Concurrency, seconds: 0.25 };
     assert_eq!(shortage(&mut asker, START, &request), Some(expected));
 }
@@ -169,7 +168,7 @@
     let first = request(customer, RATE_QUOTA, 1.0);
     let second = Request { id: RequestId(2), ..first };
     let mut wait = |request| manager.await_grant(START, request, GrantScope::Quota, GrantTiming::WithOthers);
-    assert_eq!(wait(&first), GrantRequestStep::Ask);
+    assert_eq!(wait(&first), GrantRequestStep::RequestGrant);
     assert_eq!(wait(&second), GrantRequestStep::AwaitAnswer);
     let owner = manager.customers[&customer].quota_owners[0];
     let answered = manager.on_grant(START, owner, &grant(customer, 9.0, 0)).expect("the owner was asked");
