--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -3,10 +3,10 @@
 
 use crate::policy::admission::{evades_hard_limit, min_queue_time, AdmissionDecision, AdmissionFacts};
 use crate::policy::admission::{ArrivalDecision, ArrivalFacts, QueueFacts, ScreeningFacts};
+use crate::policy::quota::{grant_wait, ReportPurpose, TokenFacts, TokenWait};
 use crate::policy::quota::{
     DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
 };
-use crate::policy::quota::{QuotaManager, ReportPurpose, TokenFacts, TokenWait};
 use crate::policy::{Familiarity, RejectReason, SheddingFacts};
 use crate::state::{hash, RequestState, MICROS_PER_SECOND};
 use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
@@ -118,7 +118,7 @@
 
     /// How long a request that came at a time may wait for a grant.
     fn grant_wait(&self, request: &Request, arrived_at: Instant) -> Duration {
-        QuotaManager::grant_wait(arrived_at, request.deadline, self.class_of(request).latency_objective)
+        grant_wait(arrived_at, request.deadline, self.class_of(request).latency_objective)
     }
 
     /// Requests a grant once more, or decides by what is known here if the owners said nothing in time.
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -14,22 +14,23 @@
 //! | what do owners make of a report, and what do they grant? | `usage_report.rs` |
 //! | what is reported, and to whom? | `reporting.rs` |
 //! | how are buckets refilled and charged? | `customer.rs`, `hard_limit.rs`, `token_bucket.rs` |
+//! | what do other gateways use? | `remote_usage.rs` |
 
 mod customer;
 mod gateway_set;
-mod gateway_usage;
 mod grant_request;
 mod hard_limit;
 mod identity;
 mod owner_assignment;
 mod ownership;
+mod remote_usage;
 mod reporting;
 mod settings;
 mod token_bucket;
 pub(crate) mod token_wait;
 mod usage_report;
 
-pub(crate) use grant_request::{GrantAnswers, GrantRequestStep, GrantScope, GrantTiming};
+pub(crate) use grant_request::{grant_wait, GrantAnswers, GrantRequestStep, GrantScope, GrantTiming};
 pub(crate) use identity::GrantStatus;
 pub(crate) use ownership::QuotaOwnership;
 pub(crate) use reporting::{DecisionPoint, ReportPurpose};
@@ -38,14 +39,14 @@
 use crate::{CustomerId, Duration, Instant, Plan, Settings};
 use customer::{record_lifetime, Customer, Role};
 use gateway_set::GatewaySet;
-use gateway_usage::GatewayUsage;
 use grant_request::GrantRequest;
 use hard_limit::HardLimitShare;
 use identity::{IdentityClaim, CUSTOMER_IDLE_TIME};
 use owner_assignment::OwnerAssignment;
+use remote_usage::{GatewayUsage, RemoteUsage};
 use settings::QuotaSettings;
 use std::collections::BTreeMap;
-use token_bucket::{refill_time, time_to_refill};
+use token_bucket::{refill_time, time_to_refill, QuotaBucket};
 
 /// Time constant of rates of usage: longer than pauses, shorter than shifts of load.
 pub(crate) const USAGE_RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
@@ -125,15 +126,14 @@
         self.customers.retain(|id, customer| {
             let plan = &self.settings.plans[customer.plan];
             if plan.concurrency_quota > 0 && customer.is_quota_owner {
-                customer.expire_reported_in_flight(now, REPORTED_IN_FLIGHT_LIFETIME);
+                customer.remote.expire_in_flight(now, REPORTED_IN_FLIGHT_LIFETIME);
             }
             if plan.concurrency_quota > 0 && customer.in_flight > 0 {
                 with_attempts.push(*id);
             }
-            let is_recent = |usage: &GatewayUsage| {
-                now.duration_since(usage.reported_at) <= record_lifetime(plan, Role::Owner)
-            };
-            customer.usage_by_gateway.retain(|_, usage| keeps_old_totals || is_recent(usage));
+            if !keeps_old_totals {
+                customer.remote.forget_old(now, record_lifetime(plan, Role::Owner));
+            }
             customer.must_be_kept(plan, now)
         });
         with_attempts
@@ -150,7 +150,7 @@
         tracing::debug!(target: "policy", customers = self.customers.len(), "withheld tokens released");
         self.usage_known_since = None;
         for customer in self.customers.values_mut() {
-            customer.tokens += std::mem::take(&mut customer.withheld_tokens).max(0.0);
+            customer.bucket.release_withheld();
         }
     }
 
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -1,12 +1,11 @@
 //! What a gateway knows of a customer: its token buckets, its owners and the usage that gateways reported.
 
 use super::identity::CUSTOMER_IDLE_TIME;
-use super::{refill_time, GatewaySet, GatewayUsage, GrantRequest, HardLimitShare, IdentityClaim};
-use super::{OwnerAssignment, USAGE_RATE_TIME_CONSTANT};
+use super::{refill_time, GatewaySet, GrantRequest, HardLimitShare, IdentityClaim};
+use super::{OwnerAssignment, QuotaBucket, RemoteUsage, USAGE_RATE_TIME_CONSTANT};
 use crate::gossip::{wrap_total, TokenLevel, UsageReport, MAX_PLAN};
 use crate::state::decay;
 use crate::{CustomerId, Duration, Instant, Plan};
-use std::collections::BTreeMap;
 
 /// The highest count of attempts in flight that a message carries.
 pub(super) const MAX_REPORTED_IN_FLIGHT: u8 = 127;
@@ -39,13 +38,10 @@
     pub gateway_set: GatewaySet,
     /// How many more requests and reports have agreed with the plan and the set than not, of late.
     pub identity_confidence: u8,
-    /// Units in the quota's token bucket, as far as known here; negative for a debt.
-    pub tokens: f64,
+    /// The token bucket of the quota.
+    pub bucket: QuotaBucket,
     /// When both buckets were last refilled.
     pub refilled_at: Instant,
-    /// Units that were missing in the quota's bucket when the record was made, because usage before this
-    /// gateway's start is not known.
-    pub withheld_tokens: f64,
     /// This gateway's share of the hard limit.
     pub hard_limit: HardLimitShare,
     /// Units forwarded by this gateway since its start.
@@ -60,13 +56,8 @@
     pub quota_owners: Vec<u16>,
     /// Whether this gateway is one of the owners.
     pub is_quota_owner: bool,
-    /// What each gateway reported to this one, where this one is an owner.
-    pub usage_by_gateway: BTreeMap<u16, GatewayUsage>,
-    /// Units a second through all other gateways: added up by an owner, and told to the others with each
-    /// grant.
-    pub remote_rate: f64,
-    /// Attempts in flight from all other gateways, likewise.
-    pub remote_in_flight: u32,
+    /// The usage through all other gateways.
+    pub remote: RemoteUsage,
     /// When a grant last came, to a gateway that is not an owner; [`Instant::ZERO`] for never.
     pub granted_at: Instant,
     /// The last request for a grant, and the requests that wait for it.
@@ -84,9 +75,8 @@
         Customer {
             plan: claim.plan,
             gateway_set: assignment.gateway_set,
-            tokens: claim.tokens,
-            withheld_tokens: plan.burst - claim.tokens,
-            remote_rate: claim.remote_rate,
+            bucket: QuotaBucket::new(plan, claim.tokens),
+            remote: RemoteUsage::with_rate(claim.remote_rate),
             refilled_at: now,
             hard_limit: HardLimitShare {
                 owners: assignment.hard_limit_owners,
@@ -120,7 +110,7 @@
         let knows_others = self.is_quota_owner || self.granted_at > Instant::ZERO;
         let floor = if knows_others { MIN_OWN_RATE } else { 1.0 };
         let own_rate = self.own_rate.max(plan.rate / self.gateway_set.size.max(1.0) * floor);
-        own_rate / (own_rate + self.remote_rate).max(MIN_TOTAL_RATE)
+        own_rate / (own_rate + self.remote.rate()).max(MIN_TOTAL_RATE)
     }
 
     /// Refills both token buckets up to now.
@@ -128,21 +118,21 @@
         let remaining = decay(self.refilled_at, now, USAGE_RATE_TIME_CONSTANT);
         self.own_rate *= remaining;
         let refill_rate = if self.is_quota_owner {
-            self.remote_rate *= remaining;
+            self.remote.decay_rate(remaining);
             plan.rate
         } else {
             // Between two grants the usage of other gateways goes on unreported: it is taken off the refill.
-            (plan.rate - self.remote_rate).max(plan.rate * self.own_share(plan))
+            (plan.rate - self.remote.rate()).max(plan.rate * self.own_share(plan))
         };
         let elapsed_seconds = now.duration_since(self.refilled_at).as_secs_f64();
-        self.tokens = (self.tokens + refill_rate * elapsed_seconds).min(plan.burst);
+        self.bucket.refill(plan, refill_rate, elapsed_seconds);
         self.hard_limit.refill(plan, elapsed_seconds);
         self.refilled_at = now;
     }
 
     /// Draws units from both buckets; negative units are given back.
     pub(super) fn charge(&mut self, plan: &Plan, units: f64) {
-        self.tokens = (self.tokens - units).clamp(-plan.burst, plan.burst);
+        self.bucket.charge(plan, units);
         self.hard_limit.charge(plan, units);
         self.total_units += units;
         self.own_rate = (self.own_rate + units / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
@@ -151,7 +141,7 @@
     /// Records the end of an attempt, and by how many units it took more than was charged.
     pub(super) fn end_attempt(&mut self, correction_units: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.tokens -= correction_units;
+        self.bucket.deduct(correction_units);
         self.total_units += correction_units;
     }
 
@@ -170,7 +160,8 @@
             plan: self.plan.min(MAX_PLAN) as u8,
             total_units: wrap_total(self.total_units),
             in_flight: self.in_flight.min(u32::from(MAX_REPORTED_IN_FLIGHT)) as u8,
-            tokens_level: burst.map_or(TokenLevel::UNKNOWN, |burst| TokenLevel::of(self.tokens, burst)),
+            tokens_level: burst
+                .map_or(TokenLevel::UNKNOWN, |burst| TokenLevel::of(self.bucket.tokens(), burst)),
             gateway_set_start: self.gateway_set.start,
             gateway_set_size: self.gateway_set.size as u16,
             requests_grant: false,
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -86,14 +86,14 @@
     }
 }
 
-impl QuotaManager {
-    /// How long a request may wait for a grant from a time on: as long as a fifth of its latency objective,
-    /// or of the time until its deadline.
-    pub(crate) fn grant_wait(from: Instant, deadline: Instant, latency_objective: Duration) -> Duration {
-        let left = deadline.duration_since(from).min(latency_objective);
-        MAX_GRANT_WAIT.min(left / GRANT_WAITS_PER_REQUEST)
-    }
+/// How long a request may wait for a grant from a time on: as long as a fifth of its latency objective,
+/// or of the time until its deadline.
+pub(crate) fn grant_wait(from: Instant, deadline: Instant, latency_objective: Duration) -> Duration {
+    let left = deadline.duration_since(from).min(latency_objective);
+    MAX_GRANT_WAIT.min(left / GRANT_WAITS_PER_REQUEST)
+}
 
+impl QuotaManager {
     /// Has a request wait for a grant, and tells whether one has to be requested now.
     pub(crate) fn await_grant(
         &mut self,
@@ -136,7 +136,7 @@
             && has_concurrency_quota
             && !customer.is_quota_owner
             && is_recent(now, customer.granted_at)
-            && draw * customer.remote_rate > max_request_rate
+            && draw * customer.remote.rate() > max_request_rate
     }
 
     /// Handles the answer of an owner, a grant or that there is none; none if nothing was asked of the
@@ -177,13 +177,13 @@
 impl Customer {
     /// Sets the bucket to what an owner says, less the usage that the owner cannot know of yet.
     fn apply_grant(&mut self, plan: &Plan, grant: &QuotaGrant, now: Instant) {
-        self.remote_rate = grant.remote_rate;
-        self.remote_in_flight = u32::from(grant.remote_in_flight);
+        self.remote.replace(grant.remote_rate, u32::from(grant.remote_in_flight));
         self.granted_at = now;
-        self.tokens = grant.tokens - wrapping_delta(grant.receiver_total, wrap_total(self.total_units));
+        let unreported_units = wrapping_delta(grant.receiver_total, wrap_total(self.total_units));
+        self.bucket.set(grant.tokens - unreported_units);
         // What the owner granted it has charged, too: it need not be reported again.
         let had_tokens = plan.burst <= 0.0 || grant.tokens >= self.grant_request.units;
-        let in_flight = self.remote_in_flight + self.in_flight;
+        let in_flight = self.remote.in_flight() + self.in_flight;
         let had_concurrency = plan.concurrency_quota == 0 || in_flight < plan.concurrency_quota;
         self.grant_request.charged_by_owner = had_tokens && had_concurrency;
     }
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -122,7 +122,7 @@
         let reports_again = start == PeerStart::Restarted || ownership.reports_to_new_peers();
         let mut unreported = Vec::new();
         for (id, customer) in &mut self.customers {
-            customer.forget_usage_of(peer);
+            customer.remote.forget(peer);
             let is_active = now.duration_since(customer.last_seen_at) < ACTIVE_CUSTOMER_TIME;
             if reports_again && is_active && customer.quota_owners.contains(&peer) {
                 unreported.push(*id);
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -244,10 +244,10 @@
     let customer = CustomerId(7);
     manager.observe_request(START, &request(customer, RATE_QUOTA, 1.0));
     assert!(manager.withholds_tokens());
-    assert_eq!(manager.customers[&customer].tokens, 20.0 / 3.0, "this gateway's share");
+    assert_eq!(manager.customers[&customer].bucket.tokens(), 20.0 / 3.0, "this gateway's share");
     manager.release_withheld_tokens();
     assert!(!manager.withholds_tokens());
-    assert!((manager.customers[&customer].tokens - 20.0).abs() < 1e-9);
+    assert!((manager.customers[&customer].bucket.tokens() - 20.0).abs() < 1e-9);
 }
 
 /// An owner restarts, and has forgotten all usage. The gateway that was active for a customer a moment ago
@@ -275,7 +275,7 @@
     let mut tokens_left = |total_units| {
         let usage = UsageReport { requests_grant: false, ..report(customer, 0, total_units, 0) };
         assert_eq!(manager.on_usage_report(now, 1, PeerAge::Older, &usage), None, "no grant was requested");
-        manager.customers[&customer].tokens
+        manager.customers[&customer].bucket.tokens()
     };
     assert_eq!(tokens_left(4000), 20.0, "a thousand units, of any time");
     assert_eq!(tokens_left(4008), 18.0, "two units, since the first report");
--- a/src/policy/quota/token_wait.rs
+++ b/src/policy/quota/token_wait.rs
@@ -79,7 +79,7 @@
             || is_recent(facts.now, customer.granted_at);
         // Peers have used some units since their last reports.
         let unreported_units =
-            customer.remote_rate * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND;
+            customer.remote.rate() * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND;
         let rate_wait = customer.wait_for_rate(plan, unreported_units, units).filter(|_| usage_known);
         let at_concurrency_quota = plan.concurrency_quota > 0
             && if usage_known {
@@ -105,8 +105,9 @@
     /// it has them now, or if there is no quota on the rate.
     fn wait_for_rate(&self, plan: &Plan, unreported_units: f64, units: f64) -> Option<f64> {
         // The usage of peers is taken off, up to their share of the tokens.
-        let peers_tokens = self.tokens.max(0.0) * (1.0 - self.own_share(plan));
-        let available = self.tokens - unreported_units.min(peers_tokens);
+        let tokens = self.bucket.tokens();
+        let peers_tokens = tokens.max(0.0) * (1.0 - self.own_share(plan));
+        let available = tokens - unreported_units.min(peers_tokens);
         time_to_refill(available, units, plan.rate).filter(|_| plan.rate > 0.0)
     }
 
@@ -115,7 +116,7 @@
     /// and begin one each.
     fn estimated_in_flight(&self, unreported_units: f64, units: f64) -> u32 {
         let unreported_attempts = (unreported_units / units.max(MIN_UNITS_PER_ATTEMPT)) as u32;
-        self.in_flight + self.remote_in_flight + unreported_attempts
+        self.in_flight + self.remote.in_flight() + unreported_attempts
     }
 
     /// Whether owners that sent no grant are taken to be overloaded by a customer far beyond its concurrency
--- a/src/policy/quota/token_wait/tests.rs
+++ b/src/policy/quota/token_wait/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::policy::quota::tests::plan;
-use crate::policy::quota::{GatewaySet, GrantRequest};
+use crate::policy::quota::{GatewaySet, GrantRequest, QuotaBucket, RemoteUsage};
 use crate::RequestId;
 
 /// The time of the requests under test.
@@ -24,12 +24,17 @@
 #[test]
 fn unreported_usage_of_peers_is_taken_off_up_to_their_share() {
     let set = GatewaySet { start: 0, size: 2.0 };
-    let shared =
-        Customer { tokens: 10.0, own_rate: 5.0, remote_rate: 5.0, gateway_set: set, ..Customer::default() };
+    let shared = Customer {
+        bucket: QuotaBucket::new(&plan(), 10.0),
+        own_rate: 5.0,
+        remote: RemoteUsage::with_rate(5.0),
+        gateway_set: set,
+        ..Customer::default()
+    };
     assert_eq!(shared.wait_for_rate(&plan(), 3.0, 7.0), None);
     assert_eq!(shared.wait_for_rate(&plan(), 3.0, 8.0), Some(0.1), "one unit at 10 a second");
     assert_eq!(shared.wait_for_rate(&plan(), 300.0, 5.0), None, "half of the tokens are this gateway's");
-    let alone = Customer { remote_rate: 0.0, ..shared };
+    let alone = Customer { remote: RemoteUsage::default(), ..shared };
     assert_eq!(alone.wait_for_rate(&plan(), 300.0, 10.0), None);
 }
 
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -2,9 +2,9 @@
 //! it.
 
 use super::customer::{record_lifetime, Role, MAX_REPORTED_IN_FLIGHT};
-use super::{Customer, GatewaySet, GatewayUsage, IdentityClaim, QuotaManager, USAGE_RATE_TIME_CONSTANT};
+use super::{Customer, GatewaySet, GatewayUsage, IdentityClaim, QuotaManager};
 use crate::gossip::{floor_to_wire_units, wrapping_delta, PeerAge, QuotaGrant, UsageReport};
-use crate::{Duration, Instant, Plan};
+use crate::{Instant, Plan};
 
 /// Most units, as a part of the burst, that the first report of an older gateway may be believed to add.
 const MAX_FIRST_UNITS: f64 = 0.25;
@@ -48,7 +48,7 @@
             return None;
         }
         customer.last_seen_at = customer.last_seen_at.max(now);
-        let known_usage = customer.usage_by_gateway.get(&from).copied();
+        let known_usage = customer.remote.of_gateway(from);
         let mut usage = known_usage.unwrap_or_default();
         customer.reset_total_of_forgetful_sender(plan, &mut usage, now, from, report);
         let scope = if may_predate && known_usage.is_none() {
@@ -57,18 +57,18 @@
             TotalScope::SinceLastReport
         };
         let units = customer.new_units(plan, usage.reported_total, scope, report);
-        let lowest_tokens = ownership.lowest_tokens(plan, customer.tokens);
-        customer.tokens = (customer.tokens + usage.granted_units - units).clamp(lowest_tokens, plan.burst);
+        let lowest_tokens = ownership.lowest_tokens(plan, customer.bucket.tokens());
+        customer.bucket.settle(plan, usage.granted_units, units, lowest_tokens);
         if ownership.counts_grant_requests(plan) {
             // This rate is one of the whole customer, the sender's own requests included.
             usage.record(now, report.total_units, 0.0);
-            customer.raise_remote_rate(f64::from(u8::from(report.requests_grant)));
+            customer.remote.raise_rate(f64::from(u8::from(report.requests_grant)));
         } else {
             usage.record(now, report.total_units, units);
-            customer.raise_remote_rate(units);
+            customer.remote.raise_rate(units);
         }
         let grant = customer.grant(plan, &mut usage, from, report);
-        customer.usage_by_gateway.insert(from, usage);
+        customer.remote.insert(from, usage);
         report.requests_grant.then_some(grant)
     }
 
@@ -115,9 +115,9 @@
         let may_predate = scope == TotalScope::MayPredateThisStart;
         if may_predate && units.abs() > plan.burst * MAX_FIRST_UNITS {
             // The peer's view of the bucket is all that is left to go by.
-            self.withheld_tokens -= units;
+            self.bucket.deduct_withheld(units);
             if let Some(tokens) = report.tokens_level.tokens(plan.burst) {
-                self.tokens = self.tokens.min((tokens - self.total_units).max(0.0));
+                self.bucket.lower_to((tokens - self.total_units).max(0.0));
             }
             return 0.0;
         }
@@ -129,11 +129,6 @@
         }
     }
 
-    /// Adds units, or requests, to the rate of other gateways.
-    fn raise_remote_rate(&mut self, count: f64) {
-        self.remote_rate = (self.remote_rate + count / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
-    }
-
     /// The answer to a usage report. What is granted is charged at once, since other gateways may ask before
     /// the next report comes.
     fn grant(
@@ -143,9 +138,9 @@
         from: u16,
         report: &UsageReport,
     ) -> QuotaGrant {
-        let others_in_flight = self.in_flight_without(usage);
+        let others_in_flight = self.in_flight + self.remote.in_flight_without(usage);
         let decision = self.decide_grant(plan, others_in_flight, report);
-        let tokens = self.tokens;
+        let tokens = self.bucket.tokens();
         self.reserve(usage, report, decision);
         let hard_limit_grant = self.grant_hard_limit(report);
         if decision != GrantDecision::NotRequested {
@@ -159,7 +154,7 @@
             customer: report.customer,
             receiver_total: report.total_units,
             tokens,
-            remote_rate: (self.own_rate + self.remote_rate - usage.rate).max(0.0),
+            remote_rate: (self.own_rate + self.remote.rate() - usage.rate).max(0.0),
             remote_in_flight: others_in_flight.min(u32::from(MAX_REPORTED_IN_FLIGHT)) as u8,
             hard_limit_grant,
         }
@@ -168,7 +163,7 @@
     /// Whether what a report requests is granted, where so many attempts are in flight from gateways but the
     /// sender.
     fn decide_grant(&self, plan: &Plan, others_in_flight: u32, report: &UsageReport) -> GrantDecision {
-        let has_tokens = plan.burst == 0.0 || self.tokens >= report.requested_units;
+        let has_tokens = plan.burst == 0.0 || self.bucket.tokens() >= report.requested_units;
         let in_flight = others_in_flight + u32::from(report.in_flight);
         let has_concurrency = plan.concurrency_quota == 0 || in_flight < plan.concurrency_quota;
         match report.requests_grant {
@@ -183,12 +178,10 @@
     /// attempt, and the units that it requests.
     fn reserve(&mut self, usage: &mut GatewayUsage, report: &UsageReport, decision: GrantDecision) {
         let is_granted = decision == GrantDecision::Granted;
-        let others_in_flight = self.in_flight_without(usage);
         let is_countable = report.in_flight < MAX_REPORTED_IN_FLIGHT;
-        usage.in_flight = report.in_flight + u8::from(is_granted && is_countable);
-        self.remote_in_flight = others_in_flight - self.in_flight + u32::from(usage.in_flight);
+        self.remote.set_in_flight(usage, report.in_flight + u8::from(is_granted && is_countable));
         usage.granted_units = if is_granted { report.requested_units } else { 0.0 };
-        self.tokens -= usage.granted_units;
+        self.bucket.deduct(usage.granted_units);
     }
 
     /// Units of the hard limit for a gateway, deducted here first: a lost message loses them.
@@ -199,25 +192,4 @@
         self.hard_limit.tokens -= units;
         units
     }
-
-    /// Attempts in flight from all gateways but the one with this usage.
-    fn in_flight_without(&self, usage: &GatewayUsage) -> u32 {
-        self.in_flight + self.remote_in_flight.saturating_sub(u32::from(usage.in_flight))
-    }
-
-    /// Drops what a gateway reported before it restarted.
-    pub(super) fn forget_usage_of(&mut self, gateway: u16) {
-        if let Some(usage) = self.usage_by_gateway.remove(&gateway) {
-            self.remote_in_flight -= u32::from(usage.in_flight).min(self.remote_in_flight);
-        }
-    }
-
-    /// Drops the attempts in flight of gateways whose last report is older than `lifetime`.
-    pub(super) fn expire_reported_in_flight(&mut self, now: Instant, lifetime: Duration) {
-        let is_old = |usage: &&mut GatewayUsage| now.duration_since(usage.reported_at) > lifetime;
-        for usage in self.usage_by_gateway.values_mut().filter(is_old) {
-            usage.in_flight = 0;
-        }
-        self.remote_in_flight = self.usage_by_gateway.values().map(|usage| u32::from(usage.in_flight)).sum();
-    }
 }
