--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -3,16 +3,16 @@
 
 mod admission;
 mod attempts;
+mod backend_health;
+mod forwarding;
 mod peers;
 
 use crate::gossip::PeerExchange;
 use crate::policy::discovery_schedule::PeriodicPoll;
 use crate::policy::quota::{QuotaManager, ReportPurpose};
-use crate::policy::{initial_baseline, RetryPolicy};
 use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
-use crate::policy::{RejectReason, MAX_REPORTED_QUEUE_DEPTH};
-use crate::state::RequestTable;
-use crate::state::{BackendTable, DecayingRate, LatencyBaseline};
+use crate::policy::{LoadBalancer, OutlierDetector, RejectReason, RetryPolicy};
+use crate::state::{BackendTable, RequestTable};
 use crate::{Action, AttemptEnded, BackendId, Class, CustomerId, Endpoint, EndpointUpdate, Event};
 use crate::{Duration, Instant, Outcome, Plan, Request, RequestId, Settings};
 
@@ -41,8 +41,10 @@
     pub(crate) peers: PeerExchange,
     /// Backends, their health and the index of the ready ones.
     pub(crate) backends: BackendTable,
-    /// By class.
-    pub(crate) latency_baselines: Vec<LatencyBaseline>,
+    /// Finds backends and zones that fail, and latencies that are not normal.
+    pub(crate) outlier_detector: OutlierDetector,
+    /// Chooses backends for attempts.
+    pub(crate) load_balancer: LoadBalancer,
     /// How far recent latencies are from the highest that pass for normal.
     pub(crate) pressure: Pressure,
     /// Decides which customers are shed.
@@ -51,8 +53,6 @@
     pub(crate) concurrency_limiter: ConcurrencyLimiter,
     /// Decides on further attempts.
     pub(crate) retry_policy: RetryPolicy,
-    /// Attempts sent by this gateway.
-    pub(crate) send_rate: DecayingRate,
 }
 
 /// What the end of an attempt means for others.
@@ -81,7 +81,8 @@
             quota,
             peers: PeerExchange::new(&settings, now, send_interval),
             backends: BackendTable::new(&settings),
-            latency_baselines: settings.classes.iter().map(|class| initial_baseline(class, now)).collect(),
+            outlier_detector: OutlierDetector::new(&settings.classes, now),
+            load_balancer: LoadBalancer::new(&settings, fleet_size),
             retry_policy: RetryPolicy::new(&settings, fleet_size),
             fleet_size,
             settings,
@@ -93,7 +94,7 @@
     pub(crate) fn load(&self) -> GatewayLoad {
         GatewayLoad {
             in_flight: self.requests.in_flight,
-            ready_backends: self.backends.ready.len(),
+            ready_backends: self.backends.ready_count(),
             fleet_size: self.fleet_size,
         }
     }
@@ -235,8 +236,7 @@
     pub(crate) fn record_queue_depth(&mut self, ended: &AttemptEnded) {
         let Some(depth) = ended.load_report.and_then(|report| report.queue_depth) else { return };
         let Some(backend) = self.backends.get_mut(ended.backend) else { return };
-        backend.reported_queue_depth = depth.clamp(0.0, MAX_REPORTED_QUEUE_DEPTH);
-        backend.reported_at = self.now;
+        backend.reported_queue.report(depth, self.now);
     }
 
     /// Notes the end of an attempt with its request, backend and customer; none if it was not in flight.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -2,6 +2,7 @@
 //! from the seed alone.
 
 pub(crate) mod admission;
+mod attempt_expiry;
 mod concurrency_limit;
 pub mod discovery_schedule;
 mod gateway;
@@ -15,12 +16,16 @@
 mod retry;
 mod start_times;
 
+pub(crate) use attempt_expiry::{attempt_expiry, ExpiryFacts};
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
-pub(crate) use load_balancing::MAX_REPORTED_QUEUE_DEPTH;
+pub(crate) use load_balancing::{ChoiceFacts, LoadBalancer, NoBackend, RecentSends, ReportedQueue};
 pub(crate) use load_shedding::{
     Familiarity, LoadShedder, SheddingFacts, StageChange, NOT_SERVED_RETRY_AFTER,
 };
-pub(crate) use outlier_detection::initial_baseline;
+pub(crate) use outlier_detection::{
+    AnswerFacts, BackendHealth, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, OutlierDetector,
+    SilenceVerdict, Source, REJECTION_LATENCY_RATIO,
+};
 pub(crate) use pressure::Pressure;
 pub(crate) use reasons::{EjectionReason, RejectReason};
 pub(crate) use retry::{
