--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -24,6 +24,10 @@
         let observed = self.quota.observe_request(self.now, &request);
         request.plan = observed.plan;
         if evades_hard_limit(&self.settings.plans, claimed_plan, observed.plan) {
+            tracing::debug!(
+                target: "policy", request = request.id.0, claimed_plan, recorded_plan = observed.plan,
+                "hard limit evaded"
+            );
             return self.reject(request.id, RejectReason::OverQuota, Duration::MAX, actions);
         }
         if !self.passes_load_shedding(&request, observed.familiarity) {
@@ -150,8 +154,9 @@
         };
         let decision = facts.decide();
         tracing::debug!(
-            target: "policy", request = id.0, customer = request.customer.0, ?point, ?shortage, ?decision,
-            "quota decided"
+            target: "policy", request = id.0, customer = request.customer.0, ?point, ?shortage, ?answers,
+            in_flight = facts.in_flight, queue_length = facts.queue_length,
+            concurrency_limit = facts.concurrency_limit, ?decision, "admission decided"
         );
         match decision {
             AdmissionDecision::KeepWaiting => {}
--- a/src/policy/quota/token_wait.rs
+++ b/src/policy/quota/token_wait.rs
@@ -1,7 +1,7 @@
 //! How long a request has to wait until its customer's quota and hard limit allow it.
 
 use super::{time_to_refill, Customer, QuotaManager};
-use crate::state::{hash, MICROS_PER_SECOND};
+use crate::state::{hash, Salt, MICROS_PER_SECOND};
 use crate::{Duration, Instant, Plan, Request};
 
 /// How long a grant holds where no newer one comes. After that a customer is admitted: most are inside their
@@ -9,9 +9,9 @@
 pub(super) const GRANT_LIFETIME: Duration = Duration::from_secs(2);
 /// The fewest units of a request by which the attempts of peers are estimated from the units that they used.
 const MIN_UNITS_PER_ATTEMPT: f64 = 0.1;
-/// Bits by which a gateway's start, in microseconds, is shifted before it is mixed with a request's
-/// identifier.
-const START_SALT_SHIFT: u32 = 24;
+/// Mixes the start of a gateway, in microseconds, into the draws for its requests: each gateway draws by
+/// itself.
+const START_SALT: Salt = Salt::from_bit(24);
 
 /// A limit of a customer's plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -134,7 +134,7 @@
         if self.grant_request.requested_at == Instant::ZERO {
             return false;
         }
-        let draw = hash(facts.request.id.0 ^ started_at.as_micros() << START_SALT_SHIFT);
+        let draw = hash(facts.request.id.0 ^ START_SALT.of(started_at.as_micros()));
         let loses_draw = draw * (1.0 + plan.over_quota_cost) > 1.0;
         let is_alive = |owner: &u16| last_heard_at(*owner).is_some_and(|heard| is_recent(facts.now, heard));
         loses_draw || self.quota_owners.iter().all(is_alive)
