--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -11,7 +11,7 @@
     pub customer: CustomerId,
     /// Index of the customer's plan.
     pub plan: u8,
-    /// Units sent on since the gateway's start, see [`super::wrap_total`].
+    /// Units forwarded since the gateway's start, see [`super::wrap_total`].
     pub total_units: u16,
     /// Attempts in flight, 127 at most.
     pub in_flight: u8,
--- a/src/gossip/peer/tests.rs
+++ b/src/gossip/peer/tests.rs
@@ -7,6 +7,7 @@
     Instant::from_micros(micros)
 }
 
+/// Datagrams are repeated and overtake each other. Each is handled once, and none after a later one; sequence numbers wrap.
 #[test]
 fn repeats_and_overtaken_messages_are_outdated() {
     let mut peer = Peer::default();
@@ -18,6 +19,8 @@
     assert_eq!(peer.last_heard_at, at(40));
 }
 
+/// A peer restarts and counts its messages from one. They are handled, while those of the process before that are still on
+/// their way are not.
 #[test]
 fn a_restarted_peer_counts_its_messages_anew() {
     let mut peer = Peer::default();
@@ -27,6 +30,8 @@
     assert_eq!(peer.receive(6, 2, at(40)), Receipt::Current);
 }
 
+/// More customers change than a message holds. The next message begins where the last one ended, so that each customer is
+/// reported in its turn; a grant is requested with the first report alone.
 #[test]
 fn batches_go_round_an_outbox_with_more_than_a_message_holds() {
     let count = MAX_USAGE_REPORTS as u64 + 1;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -40,7 +40,7 @@
 use customer::{record_lifetime, Customer, Role};
 use gateway_set::GatewaySet;
 use grant_request::GrantRequest;
-use hard_limit::HardLimitShare;
+use hard_limit::{HardLimitShare, HARD_LIMIT_OWNERS};
 use identity::{IdentityClaim, CUSTOMER_IDLE_TIME};
 use owner_assignment::OwnerAssignment;
 use remote_usage::{GatewayUsage, RemoteUsage};
--- a/src/policy/quota/hard_limit/tests.rs
+++ b/src/policy/quota/hard_limit/tests.rs
@@ -16,6 +16,8 @@
     }
 }
 
+/// Gateways each have a part of a hard limit. A share of a half refills at half the rate, up to half of the
+/// burst.
 #[test]
 fn a_share_refills_by_its_fraction() {
     let mut share = HardLimitShare { fraction: 0.5, ..HardLimitShare::default() };
@@ -25,6 +27,8 @@
     assert_eq!(share.tokens, 5.0, "its part of the burst");
 }
 
+/// Units that an owner granted are for the requests that wait now, and would lapse: they are used before
+/// those of the bucket. What a request gives back goes to the bucket.
 #[test]
 fn granted_units_are_used_before_the_bucket() {
     let mut share = HardLimitShare { fraction: 0.5, tokens: 4.0, granted: 1.0, ..HardLimitShare::default() };
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -1,6 +1,6 @@
 //! What requests and reports say of a customer's plan and gateways, and which of it is believed.
 
-use super::{Customer, GatewaySet, QuotaManager};
+use super::{Customer, GatewaySet, QuotaManager, HARD_LIMIT_OWNERS};
 use crate::policy::load_shedding::Familiarity;
 use crate::{CustomerId, Duration, Instant, Request};
 use std::collections::btree_map::Entry;
@@ -68,7 +68,7 @@
         let grant = GrantStatus {
             is_quota_owner: customer.is_quota_owner,
             grant_age: now.duration_since(customer.granted_at),
-            hard_limit_is_elsewhere: customer.hard_limit.owners != [own_id; 2],
+            hard_limit_is_elsewhere: customer.hard_limit.owners != [own_id; HARD_LIMIT_OWNERS],
         };
         ObservedCustomer { plan: customer.plan as u16, familiarity, grant }
     }
--- a/src/policy/quota/owner_assignment.rs
+++ b/src/policy/quota/owner_assignment.rs
@@ -1,14 +1,12 @@
 //! The assignment of a customer's quota, and of its hard limit, to gateways.
 
-use super::{GatewaySet, QuotaSettings};
+use super::{GatewaySet, QuotaSettings, HARD_LIMIT_OWNERS};
 use crate::state::hash;
 use crate::{CustomerId, Plan};
 
 /// Part of a hard limit that two gateways hold and grant on request. The rest is spread evenly over all
 /// gateways of the customer, for when no owner answers.
 const POOLED_HARD_LIMIT: f64 = 0.5;
-/// Gateways that hold the pooled part.
-const HARD_LIMIT_OWNERS: f64 = 2.0;
 
 /// Who owns the quota of a customer. All gateways come to the same result, each by itself.
 pub(super) struct OwnerAssignment {
@@ -19,7 +17,7 @@
     /// Whether this gateway is one of them.
     pub is_quota_owner: bool,
     /// The two gateways that hold most of its hard limit; the same one twice where it is alone.
-    pub hard_limit_owners: [u16; 2],
+    pub hard_limit_owners: [u16; HARD_LIMIT_OWNERS],
     /// The share of the hard limit that is this gateway's own.
     pub hard_limit_fraction: f64,
 }
@@ -40,7 +38,7 @@
         let is_quota_owner = quota_owners.contains(&own_id);
         let owned = hard_limit_owners.iter().filter(|owner| **owner == own_id).count() as f64;
         let hard_limit_fraction =
-            (1.0 - POOLED_HARD_LIMIT) / set.size + owned * POOLED_HARD_LIMIT / HARD_LIMIT_OWNERS;
+            (1.0 - POOLED_HARD_LIMIT) / set.size + owned * POOLED_HARD_LIMIT / HARD_LIMIT_OWNERS as f64;
         OwnerAssignment {
             gateway_set: set,
             quota_owners,
@@ -53,7 +51,7 @@
 
 /// The positions of two different members of a set of so many gateways, drawn by the customer's identifier.
 /// They are the same where the set has but one.
-fn owner_positions(id: CustomerId, set_size: f64) -> [u64; 2] {
+fn owner_positions(id: CustomerId, set_size: f64) -> [u64; HARD_LIMIT_OWNERS] {
     let first = (hash(id.0) * set_size) as u64;
     let distance = 1 + (hash(!id.0) * (set_size - 1.0)) as u64;
     [first, first + distance]
--- a/src/policy/quota/ownership.rs
+++ b/src/policy/quota/ownership.rs
@@ -1,6 +1,6 @@
 //! Which gateways own the quota of a customer, and all that follows from it.
 
-use super::GatewaySet;
+use super::{GatewaySet, HARD_LIMIT_OWNERS};
 use crate::{Duration, Limits, Plan};
 
 /// Report interval up to which all gateways of a customer own its quota.
@@ -18,6 +18,9 @@
 /// attempt counted as in flight for long.
 const SHARED_REPORT_COPIES: u8 = 2;
 
+/// Times that a grant is requested of a designated owner for a request that waits.
+const DESIGNATED_GRANT_ATTEMPTS: u64 = 2;
+
 /// The two ways in which a fleet counts the usage of a customer against its quota.
 ///
 /// A quota holds for all gateways together, and no gateway sees the requests of the others. A *quota owner*
@@ -73,7 +76,7 @@
         self,
         set: GatewaySet,
         gateway_count: u16,
-        hard_limit_owners: [u16; 2],
+        hard_limit_owners: [u16; HARD_LIMIT_OWNERS],
         plan: &Plan,
     ) -> Vec<u16> {
         match self {
@@ -109,7 +112,7 @@
     pub(crate) fn grant_attempts(self) -> u64 {
         match self {
             Self::AllGateways { .. } => 1,
-            Self::Designated => 2,
+            Self::Designated => DESIGNATED_GRANT_ATTEMPTS,
         }
     }
 
