--- a/src/bin/ingress/config.rs
+++ b/src/bin/ingress/config.rs
@@ -1,4 +1,12 @@
 //! The configuration file and the environment variables that override it.
+//!
+//! The keys of `settings` are [`SettingsReader`]'s concern. Of the others, these differ from the terms in the code:
+//!
+//! | key | term in the code |
+//! | --- | --- |
+//! | `known` | `cached_endpoints` |
+//! | `limits.sockets`, `limits.memory_mb` | `max_descriptors`, `max_memory` |
+//! | `peer_listen`, `peers`, `peers_all` | [`PeerAddresses`]: `listen_address`, `by_gateway`, `broadcast` |
 
 mod error;
 mod flatten;
@@ -24,7 +32,7 @@
     pub listen_address: SocketAddr,
     /// Where the endpoint list is watched.
     pub discovery_address: SocketAddr,
-    /// The seed of all that is drawn by chance.
+    /// The seed of all random numbers.
     pub seed: u64,
     /// The most file descriptors.
     pub max_descriptors: usize,
@@ -32,16 +40,14 @@
     pub max_memory: usize,
     /// Where peers' messages come in; none where the settings allow no messages.
     pub peers: Option<PeerAddresses>,
-    /// The endpoint list as last held, perhaps stale.
+    /// The endpoint list that the process had before its restart; it may be stale.
     pub cached_endpoints: EndpointList,
-    /// What the gateway is given.
+    /// The gateway's settings.
     pub settings: Settings,
     /// What clients' commands are checked against.
     pub command_schema: CommandSchema,
     /// The names of zones and machine types in endpoint lists.
     pub location_names: LocationNames,
-    /// How long a connection to a backend may take to come up.
-    pub connect_timeout: Duration,
     /// How long a backend keeps an idle connection open.
     pub keepalive_timeout: Duration,
 }
@@ -94,7 +100,7 @@
         }
         let command_schema = parse_command_schema(&reader, &settings)?;
         let location_names =
-            LocationNames { zones: reader.list("zones")?, machine_types: reader.list("skus")? };
+            LocationNames { zones: reader.zone_names()?, machine_types: reader.machine_type_names()? };
         let cached_endpoints = parse_cached_endpoints(&json, &location_names)?;
         let peers = parse_peers(&json, &settings)?;
         let address = |name: &'static str, key: &'static str| match variable(name) {
@@ -109,8 +115,7 @@
             max_memory: positive_number(&json, "limits", "memory_mb")?.saturating_mul(MEGABYTE),
             peers,
             cached_endpoints,
-            connect_timeout: reader.duration("limits.connect_timeout_us")?,
-            keepalive_timeout: reader.duration("limits.keepalive_us")?,
+            keepalive_timeout: reader.keepalive_timeout()?,
             settings,
             command_schema,
             location_names,
@@ -128,9 +133,9 @@
 fn parse_command_schema(reader: &SettingsReader, settings: &Settings) -> Result<CommandSchema, ConfigError> {
     let class = |(name, class): (String, &Class)| ClassSchema { name, idempotency: class.idempotency };
     Ok(CommandSchema {
-        classes: reader.names("grades")?.into_iter().zip(&settings.classes).map(class).collect(),
-        max_units: reader.number_or("family_info.most_units", f64::MAX)?,
-        plans: reader.names("contracts")?,
+        classes: reader.class_names()?.into_iter().zip(&settings.classes).map(class).collect(),
+        max_units: reader.max_request_units()?,
+        plans: reader.plan_names()?,
         gateway_count: u64::from(settings.gateway_count),
     })
 }
--- a/tests/fleet_quota.rs
+++ b/tests/fleet_quota.rs
@@ -39,7 +39,6 @@
             max_retry_after: SECOND,
             max_open_requests: 20_000,
             connect_timeout: Duration::from_millis(250),
-            ..Limits::default()
         },
         rules: Rules {
             slow_start_floor: 0.2,
