--- a/src/policy/quota/token_wait.rs
+++ b/src/policy/quota/token_wait.rs
@@ -1,7 +1,7 @@
 //! How long a request has to wait until its customer's quota and hard limit allow it.
 
 use super::{time_to_refill, Customer, QuotaManager};
-use crate::state::{hash, MICROS_PER_SECOND};
+use crate::state::{hash, Salt, MICROS_PER_SECOND};
 use crate::{Duration, Instant, Plan, Request};
 
 /// How long a grant holds where no newer one comes. After that a customer is admitted: most are inside their
@@ -9,9 +9,9 @@
 pub(super) const GRANT_LIFETIME: Duration = Duration::from_secs(2);
 /// The fewest units of a request by which the attempts of peers are estimated from the units that they used.
 const MIN_UNITS_PER_ATTEMPT: f64 = 0.1;
-/// Bits by which a gateway's start, in microseconds, is shifted before it is mixed with a request's
-/// identifier.
-const START_SALT_SHIFT: u32 = 24;
+/// Mixes the start of a gateway, in microseconds, into the draws for its requests: each gateway draws by
+/// itself.
+const START_SALT: Salt = Salt::from_bit(24);
 
 /// A limit of a customer's plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,7 +79,7 @@
             || is_recent(facts.now, customer.granted_at);
         // Peers have used some units since their last reports.
         let unreported_units =
-            customer.remote_rate * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND;
+            customer.remote.rate() * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND;
         let rate_wait = customer.wait_for_rate(plan, unreported_units, units).filter(|_| usage_known);
         let at_concurrency_quota = plan.concurrency_quota > 0
             && if usage_known {
@@ -105,8 +105,9 @@
     /// it has them now, or if there is no quota on the rate.
     fn wait_for_rate(&self, plan: &Plan, unreported_units: f64, units: f64) -> Option<f64> {
         // The usage of peers is taken off, up to their share of the tokens.
-        let peers_tokens = self.tokens.max(0.0) * (1.0 - self.own_share(plan));
-        let available = self.tokens - unreported_units.min(peers_tokens);
+        let tokens = self.bucket.tokens();
+        let peers_tokens = tokens.max(0.0) * (1.0 - self.own_share(plan));
+        let available = tokens - unreported_units.min(peers_tokens);
         time_to_refill(available, units, plan.rate).filter(|_| plan.rate > 0.0)
     }
 
@@ -115,7 +116,7 @@
     /// and begin one each.
     fn estimated_in_flight(&self, unreported_units: f64, units: f64) -> u32 {
         let unreported_attempts = (unreported_units / units.max(MIN_UNITS_PER_ATTEMPT)) as u32;
-        self.in_flight + self.remote_in_flight + unreported_attempts
+        self.in_flight + self.remote.in_flight() + unreported_attempts
     }
 
     /// Whether owners that sent no grant are taken to be overloaded by a customer far beyond its concurrency
@@ -133,7 +134,7 @@
         if self.grant_request.requested_at == Instant::ZERO {
             return false;
         }
-        let draw = hash(facts.request.id.0 ^ started_at.as_micros() << START_SALT_SHIFT);
+        let draw = hash(facts.request.id.0 ^ START_SALT.of(started_at.as_micros()));
         let loses_draw = draw * (1.0 + plan.over_quota_cost) > 1.0;
         let is_alive = |owner: &u16| last_heard_at(*owner).is_some_and(|heard| is_recent(facts.now, heard));
         loses_draw || self.quota_owners.iter().all(is_alive)
