--- a/src/bin/ingress/config.rs
+++ b/src/bin/ingress/config.rs
@@ -28,9 +28,9 @@
 
 /// The configuration of an ingress.
 pub struct Config {
-    /// Where clients connect to.
+    /// The address at which clients connect.
     pub listen_address: SocketAddr,
-    /// Where the endpoint list is watched.
+    /// The address of discovery.
     pub discovery_address: SocketAddr,
     /// The seed of all random numbers.
     pub seed: u64,
@@ -38,13 +38,13 @@
     pub max_descriptors: usize,
     /// The most bytes of memory.
     pub max_memory: usize,
-    /// Where peers' messages come in; none where the settings allow no messages.
+    /// The addresses for gossip; none where the settings allow no messages between gateways.
     pub peers: Option<PeerAddresses>,
     /// The endpoint list that the process had before its restart; it may be stale.
     pub cached_endpoints: EndpointList,
     /// The gateway's settings.
     pub settings: Settings,
-    /// What clients' commands are checked against.
+    /// The classes, plans and limits that commands are checked against.
     pub command_schema: CommandSchema,
     /// The names of zones and machine types in endpoint lists.
     pub location_names: LocationNames,
@@ -55,11 +55,11 @@
 /// The addresses of an ingress and its peers.
 #[derive(Clone)]
 pub struct PeerAddresses {
-    /// Where this ingress receives messages.
+    /// The address at which this ingress receives messages.
     pub listen_address: SocketAddr,
-    /// All gateways by their index, this one among them.
+    /// The addresses of all gateways by index, this one's included.
     pub by_gateway: Vec<SocketAddr>,
-    /// Where a message to all of them is sent.
+    /// The address for messages to all gateways.
     pub broadcast: Option<SocketAddr>,
 }
 
@@ -74,7 +74,7 @@
         Config::from_file(path, std::fs::read_to_string(path), variable)
     }
 
-    /// Takes what reading the file at a path gave; `variable` looks up the environment.
+    /// Parses the result of reading the file at a path; `variable` looks up the environment.
     pub fn from_file(
         path: &str,
         text: io::Result<String>,
@@ -85,7 +85,7 @@
             .map_err(|source| ConfigFileError::Invalid { path: path.to_string(), source })
     }
 
-    /// Reads the file's text; `variable` looks up the environment.
+    /// Parses the file's text; `variable` looks up the environment.
     pub(crate) fn parse(
         text: &str,
         variable: impl Fn(&str) -> Option<String>,
@@ -140,7 +140,7 @@
     })
 }
 
-/// The endpoint list as cached before the start.
+/// The endpoint list that was cached before the start.
 fn parse_cached_endpoints(json: &Value, location_names: &LocationNames) -> Result<EndpointList, ConfigError> {
     let list = json.get("known").ok_or(ConfigError::Missing("known"))?;
     EndpointList::from_json(list, location_names).map_err(ConfigError::CachedEndpoints)
@@ -163,7 +163,7 @@
     Ok(Some(PeerAddresses { listen_address, by_gateway, broadcast }))
 }
 
-/// An IP address with a port; `key` is named where it is none.
+/// Parses an IP address with a port; `key` is named in the error.
 fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::NotAnAddress { key, text: text.to_string() })
 }
--- a/src/bin/ingress/config/error.rs
+++ b/src/bin/ingress/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration was not taken. Every text names the key at fault; the text of a source is not repeated in that
+//! Why a configuration is rejected. Every text names the key at fault; the text of a source is not repeated in that
 //! of the error around it.
 
 use crate::discovery::EndpointListError;
--- a/src/bin/ingress/config/flatten.rs
+++ b/src/bin/ingress/config/flatten.rs
@@ -1,4 +1,4 @@
-//! Nested settings as the pairs of path and value that [`ingress::SettingsReader`] takes.
+//! Flattens nested settings into the pairs of path and value that [`ingress::SettingsReader`] takes.
 
 use serde_json::Value;
 
--- a/src/bin/ingress/error_chain.rs
+++ b/src/bin/ingress/error_chain.rs
@@ -1,9 +1,9 @@
-//! The text of an error with that of the errors behind it.
+//! Formats an error together with its sources.
 
 use std::error::Error;
 use std::fmt;
 
-/// Shows an error and its sources in one line, such as `config.json: the file is no JSON: EOF at line 1`.
+/// Displays an error and its sources in one line, such as `config.json: the file is no JSON: EOF at line 1`.
 pub struct ErrorChain<'a>(pub &'a dyn Error);
 
 impl fmt::Display for ErrorChain<'_> {
--- a/src/bin/ingress/logging.rs
+++ b/src/bin/ingress/logging.rs
@@ -1,5 +1,7 @@
-//! The log: events of `tracing`, written to standard error by a thread of its own. A log that cannot be written, or only
-//! slowly, costs lines of the log and nothing else.
+//! The log: events of `tracing`, written to standard error by a thread of its own.
+//!
+//! A standard error that is full or closed must not block the event loop, which would show as late answers. Events go
+//! through a bounded buffer, and lines that do not fit are dropped.
 
 use std::fmt::{self, Write};
 use std::io;
@@ -11,16 +13,16 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Names the least severe level that is logged: `error`, `warn`, `info`, `debug`, `trace` or `off`.
+/// The environment variable with the least severe level that is logged: `error`, `warn`, `info`, `debug`, `trace` or `off`.
 pub const LEVEL_VARIABLE: &str = "LB_LOG";
-/// The target of an event whose message says itself where it comes from.
+/// The target of an event whose message names its origin itself.
 pub const UNTITLED: &str = "";
-/// The level where none is named.
+/// The level if the variable is not set or not valid.
 const DEFAULT_LEVEL: LevelFilter = LevelFilter::INFO;
-/// The most lines that wait to be written; further ones are dropped.
+/// The most lines in the buffer; further ones are dropped.
 const MAX_BUFFERED_LINES: usize = 4096;
 
-/// Starts the log at a level, by its name. What waits to be written is written when the guard is dropped.
+/// Starts the log at the level of this name. Dropping the guard writes the buffered lines.
 pub fn start(level: Option<String>) -> WorkerGuard {
     let (writer, guard) = buffered_writer(io::stderr());
     let parsed = level.as_deref().map_or(Ok(DEFAULT_LEVEL), str::parse);
@@ -34,7 +36,7 @@
     guard
 }
 
-/// A writer that never blocks: it drops lines where too many wait.
+/// A writer that never blocks: it drops lines when its buffer is full.
 fn buffered_writer(log: impl io::Write + Send + 'static) -> (NonBlocking, WorkerGuard) {
     NonBlockingBuilder::default()
         .lossy(true)
@@ -43,7 +45,7 @@
         .finish(log)
 }
 
-/// Lines of the form `ingress: target: what happened, key=value key=value`.
+/// Formats lines as `ingress: target: message, key=value key=value`.
 struct LineFormat;
 
 impl<S, N> FormatEvent<S, N> for LineFormat
@@ -71,9 +73,9 @@
 /// The parts of a line.
 #[derive(Default)]
 struct Line {
-    /// What happened.
+    /// The message.
     message: String,
-    /// With the comma that stands before the first field.
+    /// The fields, after a comma.
     fields: String,
 }
 
@@ -88,7 +90,7 @@
 }
 
 impl Line {
-    /// Adds a field, or takes the message.
+    /// Adds a field or the message.
     fn record(&mut self, field: &Field, value: fmt::Arguments) {
         let separator = if self.fields.is_empty() { ", " } else { " " };
         // Writing to a string does not fail.
--- a/src/bin/ingress/main.rs
+++ b/src/bin/ingress/main.rs
@@ -1,4 +1,4 @@
-//! The ingress: clients, backends, discovery and peers on sockets, around the policy of a gateway.
+//! The ingress: connects the policy of one gateway with the sockets of clients, backends, discovery and peers.
 
 mod backends;
 mod clients;
@@ -22,13 +22,13 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Names the configuration file.
+/// The environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
 
 /// Why the ingress could not start or had to end.
 #[derive(Debug, Error)]
 enum IngressError {
-    /// No configuration file is named.
+    /// The environment variable is not set.
     #[error("{CONFIG_VARIABLE} is not set")]
     NoConfigFile,
     /// The configuration file cannot be used.
@@ -42,7 +42,7 @@
 /// Starts the ingress and runs it to its end.
 fn run() -> Result<(), IngressError> {
     let path = environment_variable(CONFIG_VARIABLE).ok_or(IngressError::NoConfigFile)?;
-    // From here on no signal ends the process: the event loop handles those that come while it starts.
+    // From here on no signal ends the process: the event loop handles those that arrive while it starts.
     let retry = StartRetry::new();
     let signals = event_loop::register_signals(retry)?;
     let text = retry.run(|| std::fs::read_to_string(&path));
@@ -52,7 +52,7 @@
 }
 
 fn main() -> ExitCode {
-    // Dropped last: what is still buffered is written, as far as that goes at once.
+    // Dropped last, which writes the buffered lines.
     let _log = logging::start(environment_variable(logging::LEVEL_VARIABLE));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/bin/ingress/peers.rs
+++ b/src/bin/ingress/peers.rs
@@ -1,28 +1,29 @@
-//! Messages between ingresses: UDP datagrams, whose sender is known by its address.
+//! The transport of gossip: UDP datagrams between ingresses, which are identified by their addresses.
 
 use crate::config::PeerAddresses;
 use ingress::GatewayId;
 use mio::net::UdpSocket;
 use mio::{Interest, Registry, Token};
 use std::io;
+use std::net::SocketAddr;
 
 /// The most bytes of a message.
 const MAX_MESSAGE_BYTES: usize = 256;
-/// The most datagrams received at once, so that a flood of them cannot keep the event loop from its other work.
+/// The most datagrams per receive, so that a flood of them does not starve the event loop's other work.
 const MAX_DATAGRAMS_PER_RECEIVE: usize = 64;
 
 /// The socket for messages to and from peers.
 pub struct PeerSocket {
-    /// Bound to this ingress's own address.
+    /// The socket, bound to this ingress's own address.
     socket: UdpSocket,
-    /// Where the others are.
+    /// The addresses of all ingresses.
     addresses: PeerAddresses,
 }
 
-/// What is left in the socket after a receive.
+/// The datagrams that are left in the socket after a receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Backlog {
-    /// Nothing.
+    /// There are none.
     Empty,
     /// There may be more datagrams.
     MayHaveMore,
@@ -36,27 +37,33 @@
         Ok(PeerSocket { socket, addresses })
     }
 
-    /// Hands over the messages that have come from peers; datagrams from others are dropped.
+    /// Passes the messages that have arrived to `on_message`. Datagrams that are too long or not from a peer are dropped.
     pub fn receive(&mut self, mut on_message: impl FnMut(GatewayId, Vec<u8>)) -> Backlog {
-        let mut buffer = [0; MAX_MESSAGE_BYTES + 1]; // one more than allowed: a longer datagram shows as such
+        // One byte more than allowed, to detect datagrams that are too long.
+        let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_RECEIVE {
             match self.socket.recv_from(&mut buffer) {
                 Ok((length, sender)) => {
-                    let index = self.addresses.by_gateway.iter().position(|address| *address == sender);
-                    let index = index.and_then(|index| u16::try_from(index).ok());
-                    if let Some(index) = index.filter(|_| length <= MAX_MESSAGE_BYTES) {
-                        on_message(GatewayId(index), buffer[..length].to_vec());
+                    let gateway = self.gateway_at(sender).filter(|_| length <= MAX_MESSAGE_BYTES);
+                    if let Some(gateway) = gateway {
+                        on_message(gateway, buffer[..length].to_vec());
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Backlog::Empty,
-                // An earlier message could not be delivered (a peer is down): the next read goes on.
+                // The system reports that an earlier message could not be delivered; the next receive succeeds.
                 Err(_) => {}
             }
         }
         Backlog::MayHaveMore
     }
 
-    /// Sends a message to one peer or to all; one that cannot be sent is lost, as it could be on the way.
+    /// The gateway with an address; none if it is no peer's.
+    fn gateway_at(&self, address: SocketAddr) -> Option<GatewayId> {
+        let index = self.addresses.by_gateway.iter().position(|known| *known == address)?;
+        u16::try_from(index).ok().map(GatewayId)
+    }
+
+    /// Sends a message to one peer or to all. A message that cannot be sent is dropped: gossip tolerates losses.
     pub fn send(&self, to: Option<GatewayId>, bytes: &[u8]) {
         let address = match to {
             Some(gateway) => self.addresses.by_gateway.get(usize::from(gateway.0)),
--- a/src/bin/ingress/reload.rs
+++ b/src/bin/ingress/reload.rs
@@ -1,52 +1,52 @@
-//! Reading the configuration file again on SIGHUP, while serving. Only discovery's address takes effect: all else is
-//! fixed from the start on.
+//! Reloads the configuration file on SIGHUP. Only the address of discovery takes effect; all other values are fixed from
+//! the start on.
 
-use crate::config::{environment_variable, Config, DISCOVERY_VARIABLE};
+use crate::config::{environment_variable, Config, ConfigFileError, DISCOVERY_VARIABLE};
 use crate::error_chain::ErrorChain;
 use ingress::{Duration, Instant};
 use std::net::SocketAddr;
 
-/// The delay before a file that could not be read is read again: it may be half written.
+/// The delay before a file that cannot be used is read again: it may be incomplete yet.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The delay doubles with each failure, up to this.
+/// The delay doubles with each failure up to this.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// The file to read again, and when.
+/// The state of reloads.
 pub struct Reload {
     /// The configuration file.
     path: String,
-    /// The delay after the next failure; none while no reload is pending.
+    /// The delay after the next failure; none if no reload is pending.
     retry_delay: Option<Duration>,
     /// When the next attempt is due.
     next_attempt_at: Instant,
-    /// Only the first failure of a reload is logged.
+    /// The first failure of the pending reload was logged; further ones are not.
     failure_logged: bool,
 }
 
-/// What an attempt to reload came to.
+/// The result of an attempt to reload.
 pub enum ReloadOutcome {
-    /// The file was read, and has this address of discovery.
+    /// The file was read; this is the address of discovery in it.
     Applied(SocketAddr),
-    /// The file could not be used; the next attempt is due at this time.
+    /// The file cannot be used; the next attempt is due at this time.
     RetryAt(Instant),
-    /// Nothing is due, as when the reload of a later signal has succeeded meanwhile.
+    /// No reload is due, as when that of a later signal has succeeded.
     NotDue,
 }
 
 impl Reload {
-    /// No reload is pending yet.
+    /// A state without a pending reload.
     pub fn new(path: String) -> Self {
         Reload { path, retry_delay: None, next_attempt_at: Instant::ZERO, failure_logged: false }
     }
 
-    /// Makes a reload due at once; it is tried until it succeeds.
+    /// Requests a reload, which is due at once and retried until it succeeds.
     pub fn request(&mut self) {
         self.retry_delay = Some(INITIAL_RETRY_DELAY);
         self.next_attempt_at = Instant::ZERO;
         self.failure_logged = false;
     }
 
-    /// Reads the file if that is due. Its address of discovery takes precedence over that of the environment.
+    /// Reads the file if that is due. Its address of discovery takes precedence over the environment's.
     pub fn attempt(&mut self, now: Instant) -> ReloadOutcome {
         let Some(retry_delay) = self.retry_delay.filter(|_| now >= self.next_attempt_at) else {
             return ReloadOutcome::NotDue;
@@ -59,14 +59,20 @@
                 ReloadOutcome::Applied(config.discovery_address)
             }
             Err(error) => {
-                if !std::mem::replace(&mut self.failure_logged, true) {
-                    let (retry_in_ms, error) = (retry_delay.as_millis(), ErrorChain(&error));
-                    tracing::info!(target: "reload", retry_in_ms, %error, "configuration kept");
-                }
+                self.log_failure(retry_delay, &error);
                 self.next_attempt_at = now + retry_delay;
                 self.retry_delay = Some((retry_delay * 2).min(MAX_RETRY_DELAY));
                 ReloadOutcome::RetryAt(self.next_attempt_at)
             }
         }
     }
+
+    /// Logs a failure, unless one of the pending reload was logged.
+    fn log_failure(&mut self, retry_delay: Duration, error: &ConfigFileError) {
+        if std::mem::replace(&mut self.failure_logged, true) {
+            return;
+        }
+        let retry_in_ms = retry_delay.as_millis();
+        tracing::info!(target: "reload", retry_in_ms, error = %ErrorChain(error), "configuration kept");
+    }
 }
