--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -9,39 +9,64 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The client has closed its end.
-    ClientGone,
-    /// It broke, as a read or a write has shown.
+    Disconnected,
+    /// A read or a write has failed.
     Broken,
     /// It was idle, and its descriptor was needed.
-    MadeRoom,
-    /// It was idle, and the process ends.
+    DescriptorNeeded,
+    /// It was idle during the shutdown.
     Draining,
-    /// No command ever came.
-    Silent,
-    /// The client was told of the end, and had its time to read that.
-    Lingered,
+    /// No command has ever arrived on it.
+    NoCommand,
+    /// The time for reading the last reply is over.
+    LingerTimeout,
     /// The client does not read its replies.
-    NotReading,
-    /// Clients hold all the memory that they may, and this one has unread replies.
+    WriteTimeout,
+    /// The memory limit of all clients is reached, and this one has unread replies.
     OutOfMemory,
 }
 
 impl CloseReason {
     /// All reasons.
     pub const ALL: [CloseReason; 8] = [
-        CloseReason::ClientGone,
+        CloseReason::Disconnected,
         CloseReason::Broken,
-        CloseReason::MadeRoom,
+        CloseReason::DescriptorNeeded,
         CloseReason::Draining,
-        CloseReason::Silent,
-        CloseReason::Lingered,
-        CloseReason::NotReading,
+        CloseReason::NoCommand,
+        CloseReason::LingerTimeout,
+        CloseReason::WriteTimeout,
         CloseReason::OutOfMemory,
     ];
 
     /// Whether replies may go with the connection: nobody waits for them.
     fn may_drop_replies(self) -> bool {
-        !matches!(self, CloseReason::MadeRoom | CloseReason::Draining | CloseReason::Silent)
+        !matches!(self, CloseReason::DescriptorNeeded | CloseReason::Draining | CloseReason::NoCommand)
+    }
+}
+
+/// The order in which idle connections are closed for their descriptors, the least first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct IdleCloseOrder {
+    /// It has sent a command, or is active in this iteration. Others are closed first.
+    ///
+    /// A descriptor is freed before it is known whether a client waits for it, so a connection that was accepted in this
+    /// iteration would be closed before its first command has arrived.
+    has_priority: bool,
+    /// When it was last active.
+    last_active_at: Instant,
+    /// Of connections that were last active at the same time, the one accepted first is closed.
+    serial: u64,
+}
+
+impl IdleCloseOrder {
+    /// The place of a connection in this order.
+    fn of(connection: &Connection, now: Instant) -> IdleCloseOrder {
+        IdleCloseOrder {
+            has_priority: connection.has_sent_command() || connection.last_active_at >= now,
+            last_active_at: connection.last_active_at,
+            serial: connection.serial,
+        }
     }
 }
 
@@ -50,19 +75,10 @@
     pub fn close_longest_idle(&mut self, now: Instant) -> bool {
         loop {
             let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
-            // Those that never sent a command go first, except those of this very turn: descriptors are freed before
-            // it is known whether anybody waits for one, and what the latest client sends may not have arrived.
-            // Many fall idle at one clock: of these the one accepted first goes.
-            let order = |connection: &Connection| {
-                let is_spared = connection.has_sent_command() || connection.last_active_at >= now;
-                (is_spared, connection.last_active_at, connection.serial)
-            };
-            let longest = idle.min_by_key(|(_, connection)| order(connection));
-            let Some((key, idle_since)) = longest.map(|(key, connection)| (key, connection.last_active_at))
-            else {
-                return false;
-            };
-            self.close_if_silent(key, idle_since, CloseReason::MadeRoom);
+            let longest = idle.min_by_key(|(_, connection)| IdleCloseOrder::of(connection, now));
+            let Some((key, connection)) = longest else { return false };
+            let idle_since = connection.last_active_at;
+            self.close_if_still_idle(key, idle_since, CloseReason::DescriptorNeeded);
             if !self.connections.contains(key) {
                 return true;
             }
@@ -79,7 +95,7 @@
         let closable = self.keys_of(|connection| {
             connection.is_idle() && (connection.has_sent_command() || accepting == Accepting::Stop)
         });
-        closable.into_iter().for_each(|key| self.close_if_silent(key, now, CloseReason::Draining));
+        closable.into_iter().for_each(|key| self.close_if_still_idle(key, now, CloseReason::Draining));
     }
 
     /// Closes connections whose clients take too long to send, to read, or to end.
@@ -94,7 +110,7 @@
             let connection = self.connections.get(key);
             if connection.is_some_and(|connection| connection.is_shut_down() || connection.output.is_empty())
             {
-                self.remove(key, CloseReason::Lingered);
+                self.remove(key, CloseReason::LingerTimeout);
             }
         }
     }
@@ -104,7 +120,7 @@
     fn close_late_clients(&mut self, now: Instant) {
         let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
         let not_reading = self.keys_of(|connection| connection.output.is_timed_out(now));
-        not_reading.into_iter().for_each(|key| self.remove(key, CloseReason::NotReading));
+        not_reading.into_iter().for_each(|key| self.remove(key, CloseReason::WriteTimeout));
         for key in overdue {
             // The rest may have arrived by now.
             self.read(key, now);
@@ -113,7 +129,7 @@
                 continue;
             };
             if connection.input.is_empty() {
-                self.close_if_silent(key, now, CloseReason::Silent);
+                self.close_if_still_idle(key, now, CloseReason::NoCommand);
                 continue;
             }
             connection.abort_command(ClientError::CommandTimeout);
@@ -135,12 +151,15 @@
     /// Closes a connection that has fallen idle while all are to be closed.
     pub(super) fn close_if_drained(&mut self, key: usize, now: Instant) {
         if self.draining && self.connections.get(key).is_some_and(Connection::is_idle) {
-            self.close_if_silent(key, now, CloseReason::Draining);
+            self.close_if_still_idle(key, now, CloseReason::Draining);
         }
     }
 
-    /// Closes an idle connection unless a command has arrived on it that was not read yet.
-    fn close_if_silent(&mut self, key: usize, now: Instant, reason: CloseReason) {
+    /// Closes an idle connection, unless a command has arrived on it meanwhile.
+    ///
+    /// A request in the socket's buffer would be lost with the connection: its client would see a close in place of a
+    /// reply. So the buffer is read to its end right before the close.
+    fn close_if_still_idle(&mut self, key: usize, now: Instant, reason: CloseReason) {
         self.read(key, now);
         if self.connections.get(key).is_some_and(Connection::is_idle) {
             self.remove(key, reason);
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -41,7 +41,7 @@
     /// looked at any more.
     pub fn on_disconnect(&mut self, key: usize) {
         if self.connections.contains(key) {
-            self.remove(key, CloseReason::ClientGone);
+            self.remove(key, CloseReason::Disconnected);
         }
     }
 
@@ -81,7 +81,7 @@
             }
             let connection = &mut self.connections[key];
             let received = match connection.stream.read(&mut self.read_buffer) {
-                Ok(0) => return self.remove(key, CloseReason::ClientGone),
+                Ok(0) => return self.remove(key, CloseReason::Disconnected),
                 Ok(received) => received,
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
