--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -1,8 +1,8 @@
-//! The clients' side of the ingress: accepts connections, parses their commands, and sends each connection its
-//! replies in the order of its requests.
+//! The connections of clients: accepts them, parses their commands, and sends each its replies in the order of its
+//! requests.
 //!
-//! Nothing about requests is decided here. Connections are bounded, one by one and all together, in the memory, the
-//! descriptors and the time that they take, so that no client can use up what the others need.
+//! Memory, descriptors and time are limited for each connection and for all together, so that no client can exhaust
+//! what the others need.
 
 mod accepting;
 mod closing;
@@ -27,31 +27,31 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
-/// The reply to a request that was not executed: trying again is harmless.
+/// The reply to a request that was not executed and may be retried.
 pub const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
 
-/// Where a reply belongs.
+/// The place of a reply: a connection, and the order on it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplyHandle {
-    /// The connection's key, which a later connection may have again.
+    /// The connection's key, which a later connection may reuse.
     key: usize,
-    /// The connection's serial number, which none has again.
+    /// The connection's serial number, which is never reused.
     serial: u64,
-    /// The request's place in the order of the connection's requests.
+    /// The request's number on its connection.
     sequence: u64,
 }
 
-/// What happened on a connection.
+/// An event on a client's connection.
 pub enum ClientEvent {
     /// A request arrived.
     Command {
         /// The id that the request has in this process.
         id: RequestId,
-        /// Where its reply belongs.
+        /// The place of its reply.
         reply_to: ReplyHandle,
-        /// When it arrived at this machine, at the earliest.
+        /// The earliest time at which it can have arrived at this machine.
         arrived_at: Instant,
-        /// What the client sent.
+        /// The parsed command.
         command: Command,
     },
     /// The client disconnected before this request had its reply.
@@ -63,35 +63,35 @@
 pub enum Capacity {
     /// The connection can be served.
     Available,
-    /// The connection can only be told that the ingress is busy.
+    /// The connection can be accepted, but only to reject its first request.
     OverLimit,
-    /// The connection cannot even be accepted.
+    /// The connection cannot be accepted.
     Exhausted,
 }
 
-/// What ended the accepting of connections.
+/// Why accepting connections has ended for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptOutcome {
     /// No further connection is waiting.
     Drained,
     /// Further connections may be waiting.
     MorePending,
-    /// There is no descriptor for a further connection.
+    /// A descriptor or memory is lacking for a further connection.
     NoDescriptor,
 }
 
 /// Whether a draining ingress still accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accepting {
-    /// Clients that have not noticed the shutdown may still connect.
+    /// The listener is open, for clients that have not noticed the shutdown.
     Continue,
-    /// The listening port is closed.
+    /// The listener is closed.
     Stop,
 }
 
 /// All client connections.
 pub struct Clients {
-    /// `None` once the listening port is closed.
+    /// None once it is closed.
     listener: Option<TcpListener>,
     /// By their keys, which tokens are made from.
     connections: Slab<Connection>,
@@ -101,47 +101,47 @@
     last_request_id: u64,
     /// The token under which a connection is registered, by its key.
     token_of: fn(usize) -> Token,
-    /// What commands are checked against.
+    /// The classes, plans and limits that commands are checked against.
     schema: CommandSchema,
-    /// What the last read brought.
+    /// The bytes of the latest read.
     read_buffer: Vec<u8>,
-    /// Where the arguments of the last command are.
+    /// The places of the latest command's arguments.
     argument_ranges: Vec<Range<usize>>,
-    /// Connections with something to write.
+    /// Connections with output to write.
     write_queue: Vec<usize>,
-    /// Connections whose writes found no memory, to be written to again a little later.
+    /// Connections whose writes failed for lack of memory, to be retried in the next iteration.
     write_retries: Vec<usize>,
-    /// Connections to be read from again though their sockets do not show as ready.
+    /// Connections to be read from again without a readiness event.
     read_queue: Vec<usize>,
     /// Connections are closed as soon as they are idle.
     draining: bool,
-    /// How many connections have an end to their lingering.
+    /// The number of connections with a time by which they are closed.
     lingering_count: usize,
-    /// How many connections were accepted only to be told that the ingress is busy.
+    /// The number of connections that were accepted over the limit.
     over_limit_count: usize,
-    /// What all connections hold in memory, and may hold.
+    /// The memory of all connections, and its limit.
     memory: MemoryBudget,
-    /// What was not taken yet, in order.
+    /// The events that were not taken yet, in order.
     events: VecDeque<ClientEvent>,
     /// When the latest connection was accepted.
     pub last_accepted_at: Instant,
-    /// A connection that was accepted and could not be registered with the poll yet.
+    /// An accepted connection whose registration with the poll has failed and is retried.
     unregistered: Option<TcpStream>,
-    /// When what is read now has arrived, at the earliest.
+    /// The earliest time at which the input of this iteration can have arrived.
     arrival_time: Instant,
-    /// Since when connections may wait to be accepted; none while the queue was last found empty.
+    /// Since when connections may be waiting to be accepted; none if the queue was empty when it was last read.
     queued_since: Option<Instant>,
     /// Since when every attempt to accept a connection has failed.
     accept_failing_since: Option<Instant>,
-    /// How many connections were closed, by reason.
+    /// The number of closed connections by reason.
     close_counts: [u64; CloseReason::ALL.len()],
-    /// Connections that were closed by this side with replies owed, each with one request that had none. There should be
-    /// none.
+    /// Connections that this side has closed with replies owed, each with one request without a reply. Such a close
+    /// violates an invariant.
     abandoned: Vec<Option<RequestId>>,
 }
 
 impl Clients {
-    /// Starts from a listener that is registered already; `memory_limit` is what all connections may take together.
+    /// Accepts from a listener that is registered already; `memory_limit` is the most bytes of all connections together.
     pub fn new(
         listener: TcpListener,
         schema: CommandSchema,
@@ -185,17 +185,17 @@
         self.events.pop_front()
     }
 
-    /// Sets when what is read from now on has arrived, at the earliest.
+    /// Sets the earliest time at which the input that is read from now on can have arrived.
     pub fn set_arrival_time(&mut self, arrival_time: Instant) {
         self.arrival_time = arrival_time;
     }
 
-    /// Whether there is something to do before any socket shows as ready.
+    /// Whether there is work that no readiness event will report.
     pub fn has_pending_work(&self) -> bool {
         !(self.read_queue.is_empty() && self.write_queue.is_empty() && self.events.is_empty())
     }
 
-    /// Whether writes are to be tried again, of which the poll does not tell.
+    /// Whether writes are to be retried, which no readiness event will report.
     pub fn has_write_retries(&self) -> bool {
         !self.write_retries.is_empty()
     }
@@ -210,13 +210,13 @@
         self.last_serial
     }
 
-    /// How many connections were closed so far, by reason; reasons that never occurred are left out.
+    /// The number of closed connections by reason; reasons that never occurred are left out.
     pub fn close_counts(&self) -> impl Iterator<Item = (CloseReason, u64)> + '_ {
         let counts = CloseReason::ALL.into_iter().zip(self.close_counts);
         counts.filter(|(_, count)| *count > 0)
     }
 
-    /// Takes the connections that were closed by this side with replies owed.
+    /// Takes the connections that this side has closed with replies owed, each with one request without a reply.
     pub fn take_abandoned(&mut self) -> Vec<Option<RequestId>> {
         std::mem::take(&mut self.abandoned)
     }
@@ -227,7 +227,7 @@
         self.connections.iter().filter(|(_, connection)| connection.is_idle()).count()
     }
 
-    /// How many connections were accepted only to be told that the ingress is busy.
+    /// The number of connections that were accepted over the limit.
     pub fn over_limit_count(&self) -> usize {
         self.over_limit_count
     }
@@ -237,14 +237,14 @@
         self.connections.iter().filter(|(_, connection)| connection.is_busy()).count()
     }
 
-    /// Has a connection's output written with the next [`Clients::flush`].
+    /// Schedules a connection's output for the next [`Clients::flush`].
     fn queue_for_write(&mut self, key: usize) {
         if !std::mem::replace(&mut self.connections[key].queued_for_write, true) {
             self.write_queue.push(key);
         }
     }
 
-    /// Has a connection read from with the next [`Clients::resume_reads`].
+    /// Schedules a connection for the next [`Clients::resume_reads`].
     fn queue_for_read(&mut self, key: usize) {
         if !std::mem::replace(&mut self.connections[key].queued_for_read, true) {
             self.read_queue.push(key);
--- a/src/bin/ingress/clients/accepting.rs
+++ b/src/bin/ingress/clients/accepting.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Accepts connections.
 
 use super::connection::Connection;
 use super::{AcceptOutcome, Capacity, Clients};
@@ -7,14 +7,13 @@
 use mio::{Interest, Registry};
 use std::io::{self, ErrorKind};
 
-/// The most connections accepted in a turn.
-const MAX_ACCEPTS_PER_TURN: usize = 64;
-/// How long accepting has to fail until idle connections are closed for it: several tries, since a moment's failure is
-/// no reason to close anybody.
-const ACCEPT_FAILURE_PATIENCE: Duration = Duration::from_millis(100);
+/// The most connections accepted in an iteration.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
+/// How long accepting has to fail before idle connections are closed: several retries, since a failure may be transient.
+const MIN_ACCEPT_FAILURE_TIME: Duration = Duration::from_millis(100);
 
-/// Whether accepting failed for the connection that was to be accepted alone: Linux also reports errors that the
-/// connection met before.
+/// Whether an error of accepting concerns only the connection that was to be accepted: Linux also reports errors of the
+/// connection itself.
 fn concerns_one_connection(error: &io::Error) -> bool {
     use ErrorKind::{
         ConnectionAborted, HostUnreachable, Interrupted, NetworkDown, NetworkUnreachable, TimedOut,
@@ -26,16 +25,16 @@
 }
 
 impl Clients {
-    /// Accepts waiting connections for as long as `capacity` finds a descriptor for one more.
+    /// Accepts waiting connections while `capacity` finds a descriptor for one more.
     pub fn accept(
         &mut self,
         registry: &Registry,
         now: Instant,
         mut capacity: impl FnMut(&mut Self) -> Capacity,
     ) -> AcceptOutcome {
-        // What waits in the queue may have come as early as the first of it that could not be accepted.
+        // A connection in the queue may have waited as long as the first one that could not be accepted.
         self.queued_since.get_or_insert(self.arrival_time);
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let capacity = capacity(self);
             if capacity == Capacity::Exhausted {
                 return AcceptOutcome::NoDescriptor;
@@ -64,7 +63,7 @@
         AcceptOutcome::MorePending
     }
 
-    /// The connection that could not be registered before, or the next one that waits.
+    /// The connection whose registration is to be retried, or the next one in the queue.
     fn next_connection(&mut self) -> io::Result<TcpStream> {
         if let Some(stream) = self.unregistered.take() {
             return Ok(stream);
@@ -73,11 +72,11 @@
         listener.accept().map(|(stream, _)| stream)
     }
 
-    /// Out of descriptors or memory in spite of the limits. Accepting is tried again a little later; where it keeps
-    /// failing, closing an idle connection may help.
+    /// Handles a lack of descriptors or memory in spite of the limits. The caller retries a little later; if accepting goes
+    /// on failing, an idle connection is closed.
     fn on_accept_failure(&mut self, now: Instant) {
         let failing_since = *self.accept_failing_since.get_or_insert(now);
-        if now >= failing_since + ACCEPT_FAILURE_PATIENCE {
+        if now >= failing_since + MIN_ACCEPT_FAILURE_TIME {
             self.close_longest_idle(now);
         }
     }
@@ -93,10 +92,11 @@
         let entry = self.connections.vacant_entry();
         let token = (self.token_of)(entry.key());
         if registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_err() {
-            // A source whose registration failed counts as registered with mio: only a new one can be tried again.
+            // mio takes a source whose registration failed for registered: only a new one can be registered.
             return Err(TcpStream::from_std(stream.into()));
         }
-        let _ = stream.set_nodelay(true); // A reply is one write: there is nothing to wait for.
+        // A reply is one write, which must not wait for the acknowledgement of an earlier one.
+        let _ = stream.set_nodelay(true);
         self.last_serial += 1;
         self.last_accepted_at = now;
         let mut connection = Connection::new(stream, self.last_serial, capacity, now);
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -1,4 +1,4 @@
-//! Closing connections: those that are done with, idle or too slow, and all of them at a shutdown.
+//! Closes connections: those that have ended, are idle or too slow, and all of them at a shutdown.
 
 use super::connection::Connection;
 use super::error::ClientError;
@@ -39,7 +39,7 @@
         CloseReason::OutOfMemory,
     ];
 
-    /// Whether replies may go with the connection: nobody waits for them.
+    /// Whether replies may be lost with the connection, since the client does not wait for them.
     fn may_drop_replies(self) -> bool {
         !matches!(self, CloseReason::DescriptorNeeded | CloseReason::Draining | CloseReason::NoCommand)
     }
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Closes connections as soon as they are idle, from now on. While connections are still accepted, those that
-    /// have not sent a command yet are kept.
+    /// Closes connections as soon as they are idle, from now on. While connections are still accepted, those that have not
+    /// sent a command yet stay open.
     pub fn drain(&mut self, now: Instant, accepting: Accepting) {
         self.draining = true;
         if accepting == Accepting::Stop {
@@ -98,14 +98,14 @@
         closable.into_iter().for_each(|key| self.close_if_still_idle(key, now, CloseReason::Draining));
     }
 
-    /// Closes connections whose clients take too long to send, to read, or to end.
+    /// Closes connections whose clients take too long to send, to read or to close their end.
     pub fn close_expired(&mut self, now: Instant) {
         self.close_late_clients(now);
         if self.lingering_count == 0 {
             return;
         }
         for key in self.keys_of(|connection| connection.is_linger_over(now)) {
-            // A client over the limit may have sent its request by now: once it is told so, the next call closes it.
+            // A client over the limit may have sent its request by now. It is answered first, and closed by the next call.
             self.read(key, now);
             let connection = self.connections.get(key);
             if connection.is_some_and(|connection| connection.is_shut_down() || connection.output.is_empty())
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Closes connections that send nothing, leave a command incomplete or read nothing for too long: they hold
+    /// Closes connections that send nothing, leave a command incomplete or read nothing for too long, since they use
     /// descriptors and memory.
     fn close_late_clients(&mut self, now: Instant) {
         let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Moves a connection on to its end if nothing is left to be written.
+    /// Shuts down or closes a connection whose replies are all written, if it is to end.
     pub(super) fn close_if_done(&mut self, key: usize, now: Instant) {
         let connection = &mut self.connections[key];
         if connection.is_ready_for_shutdown() {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Closes a connection that has fallen idle while all are to be closed.
+    /// Closes a connection that has become idle during the shutdown.
     pub(super) fn close_if_drained(&mut self, key: usize, now: Instant) {
         if self.draining && self.connections.get(key).is_some_and(Connection::is_idle) {
             self.close_if_still_idle(key, now, CloseReason::Draining);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Closes and forgets a connection, and reports its requests that have no reply yet.
+    /// Closes and removes a connection, and reports its requests without a reply as disconnected.
     pub(super) fn remove(&mut self, key: usize, reason: CloseReason) {
         let connection = self.connections.remove(key); // Dropping it closes the socket and ends its polling.
         let replies_owed = connection.replies.len();
@@ -186,12 +186,12 @@
         self.lingering_count -= usize::from(connection.linger_until.is_some());
         self.over_limit_count -= usize::from(connection.over_limit);
         self.memory.release(&connection);
-        // The latest first: a request that waits in a queue must not be started in the place of an earlier one, only
+        // The latest first: otherwise the end of an earlier request would start a later one of this client, only for it
         // to be cancelled.
         let pending = connection.replies.pending_latest_first();
         let disconnected: Vec<ClientEvent> = pending.map(ClientEvent::Disconnected).collect();
         if !disconnected.is_empty() {
-            // Commands that were not taken yet need not be started.
+            // Commands that were not handled yet are dropped.
             self.events.retain(|event| {
                 !matches!(event, ClientEvent::Command { reply_to, .. } if reply_to.serial == connection.serial)
             });
@@ -199,7 +199,7 @@
         }
     }
 
-    /// The keys of the connections that are `selected`.
+    /// The keys of the connections that fulfil a condition.
     fn keys_of(&self, selected: impl Fn(&Connection) -> bool) -> Vec<usize> {
         let connections = self.connections.iter().filter(|(_, connection)| selected(connection));
         connections.map(|(key, _)| key).collect()
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: what it has sent, what it is owed, and how it ends.
+//! The state of one client's connection: its input, its replies, and how it is closed.
 
 use super::error::ClientError;
 use super::output::OutputBuffer;
@@ -10,26 +10,26 @@
 use mio::net::TcpStream;
 use std::net::Shutdown;
 
-/// The most replies that a connection may be owed until no more is read from it. As many clients as there are
-/// descriptors, sending and never reading, must fit in the memory.
+/// The most replies that a connection may be owed before reading from it pauses. All clients together, sending and never
+/// reading, must fit in the memory.
 const MAX_PENDING_REPLIES: usize = 256;
-/// The most bytes of replies that a connection may leave unread until no more is read from it.
+/// The most bytes of unread replies of a connection before reading from it pauses.
 const MAX_UNREAD_BYTES: usize = 64 * 1024;
-/// Errors in a row after which a connection is closed: each costs a reply, and some clients never give up.
+/// Errors in a row after which a connection is closed: each costs a reply, and some clients go on for ever.
 const MAX_CONSECUTIVE_ERRORS: u32 = 8;
-/// How long a new connection may send nothing, and how long an incomplete command may stay incomplete.
+/// How long the first command, or the rest of an incomplete one, may take to arrive.
 pub const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client may take to read its last replies, counted anew whenever it sends more.
+/// How long a client may take to read its last replies; each further input restarts it.
 pub const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a client that keeps sending may take to read its last replies.
+/// How long a client that goes on sending may take to read its last replies.
 const MAX_LINGER: Duration = Duration::from_secs(5);
 
-/// How far the end of a connection has come.
+/// The state of closing a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseState {
     /// Commands are accepted.
     Open,
-    /// Further input is discarded; the sending side is shut down once all replies are written.
+    /// Further input is discarded. The sending side is shut down once all replies are written.
     Closing,
     /// The sending side is shut down; the client may still read its last replies.
     ShutDown,
@@ -39,32 +39,31 @@
 pub struct Connection {
     /// The socket.
     pub stream: TcpStream,
-    /// The number of the connection; unlike its key, no other has it again.
+    /// The number of the connection, which unlike its key is never reused.
     pub serial: u64,
-    /// What was received and not parsed: at most one incomplete command, unless reading is paused.
+    /// Received bytes that are not parsed: at most one incomplete command, unless reading is paused.
     pub input: Vec<u8>,
     /// The replies that are owed.
     pub replies: ReplyQueue,
     /// The replies that are being written.
     pub output: OutputBuffer,
-    /// The memory that the connection was last found to hold.
+    /// The connection's part of the accounted memory.
     pub accounted_memory: usize,
-    /// When it was accepted, last sent a command, or last had all its replies written.
+    /// The latest of its acceptance, its last command, and the time when all its replies were written.
     pub last_active_at: Instant,
-    /// When the incomplete command in `input` began to arrive; without one, as long as no command ever came, when the
-    /// connection was accepted.
+    /// When the incomplete command in `input` began to arrive; before the first command, when the connection was accepted.
     command_started_at: Instant,
     /// Rejected commands since the last valid one.
     consecutive_errors: u32,
-    /// How far its end has come.
+    /// The state of closing it.
     close_state: CloseState,
-    /// When it is closed though the client has not ended it. One over the limit has this from the start.
+    /// When it is closed even if the client has not closed its end. A connection over the limit has this from the start.
     pub linger_until: Option<Instant>,
-    /// It was accepted only to be told with its first request that the ingress is busy.
+    /// It was accepted over the limit: its first request is rejected.
     pub over_limit: bool,
-    /// Nothing is read since too many replies are owed or unread.
+    /// Reading is paused since too many replies are owed or unread.
     pub reading_paused: bool,
-    /// Since when something may be unread, where it was not read to the end.
+    /// Since when input may be unread; none if the socket was read to its end.
     pub unread_since: Option<Instant>,
     /// It is in the queue of connections to be written to.
     pub queued_for_write: bool,
@@ -106,18 +105,18 @@
         may_close_client(facts).is_ok()
     }
 
-    /// Whether it awaits or is being sent a reply.
+    /// Whether a reply is owed or not completely written.
     pub fn is_busy(&self) -> bool {
         !self.replies.is_empty() || !self.output.is_empty()
     }
 
-    /// Whether so much is owed or unread that no further command is parsed.
+    /// Whether so many replies are owed or unread that no further command is parsed.
     pub fn is_backlogged(&self) -> bool {
         let unread_bytes = self.replies.ready_bytes() + self.output.unwritten();
         self.replies.len() >= MAX_PENDING_REPLIES || unread_bytes >= MAX_UNREAD_BYTES
     }
 
-    /// Whether its end has begun: what it still sends is discarded.
+    /// Whether it is being closed: further input is discarded.
     pub fn is_closing(&self) -> bool {
         self.close_state != CloseState::Open
     }
@@ -132,12 +131,12 @@
         self.replies.was_used()
     }
 
-    /// Whether it waits for the client: for the rest of a command, or for it to read.
+    /// Whether it waits for its client to send the rest of a command, or to read.
     pub fn is_client_late(&self) -> bool {
         !self.input.is_empty() || self.output.is_blocked()
     }
 
-    /// Whether its first command, or the rest of a command, has not arrived in time.
+    /// Whether its first command, or the rest of an incomplete one, has not arrived in time.
     pub fn is_command_overdue(&self, now: Instant) -> bool {
         let is_exempt = self.is_closing() || self.over_limit || self.reading_paused;
         let awaits_command =
@@ -150,15 +149,15 @@
         self.linger_until.is_some_and(|until| until <= now)
     }
 
-    /// The memory that it holds.
-    pub fn memory_held(&self) -> usize {
+    /// The memory that its buffers take.
+    pub fn memory_size(&self) -> usize {
         self.input.capacity() + self.replies.ready_bytes() + self.output.bytes.capacity()
     }
 
-    /// Takes in bytes that arrived.
+    /// Appends received bytes to the input.
     pub fn receive(&mut self, bytes: &[u8], now: Instant) {
         if self.is_closing() {
-            // They had to be read, or the kernel would reset the connection before the client has its replies.
+            // Reading and discarding them prevents a reset by the kernel, which would lose the client's last replies.
             return self.extend_lingering(now);
         }
         if self.input.is_empty() && self.has_sent_command() {
@@ -167,18 +166,18 @@
         self.input.extend_from_slice(bytes);
     }
 
-    /// Notes that a complete command was parsed.
+    /// Records a complete command.
     pub fn record_command(&mut self, now: Instant) {
         self.last_active_at = now.max(self.last_active_at);
         self.command_started_at = now.max(self.command_started_at);
     }
 
-    /// Notes a command that was accepted.
+    /// Records a valid command.
     pub fn record_valid_command(&mut self) {
         self.consecutive_errors = 0;
     }
 
-    /// Notes a command that was rejected; after too many in a row the connection is closed behind its reply.
+    /// Records an invalid command; after too many in a row the connection is closed after its reply.
     pub fn record_protocol_error(&mut self) {
         self.consecutive_errors += 1;
         if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS {
@@ -186,52 +185,52 @@
         }
     }
 
-    /// Forgets the input that was parsed.
+    /// Removes parsed input.
     pub fn consume_input(&mut self, len: usize) {
         self.input.drain(..len);
         if self.input.is_empty() {
-            self.input = Vec::new(); // Many connections are idle: none keeps memory that it does not need.
+            self.input = Vec::new(); // Frees the memory: many connections are idle.
         }
     }
 
-    /// Replies to what was just parsed.
+    /// Replies to the command that was just parsed.
     pub fn reply_immediately(&mut self, reply: &[u8]) {
         self.replies.push_ready(reply, &mut self.output.bytes);
     }
 
-    /// Replies with an error to what was just parsed.
+    /// Replies with an error to the input that was just parsed.
     pub fn reply_error(&mut self, error: ClientError) {
         self.reply_immediately(&error_line(error));
     }
 
-    /// Ends the connection in the middle of a command, once the client is told why.
+    /// Closes the connection in the middle of a command, after an error reply.
     pub fn abort_command(&mut self, error: ClientError) {
         self.reply_error(error);
         self.start_closing();
         self.input = Vec::new();
     }
 
-    /// Accepts no further command: the connection ends with the replies that it is owed.
+    /// Begins to close the connection: no further command is accepted, and owed replies are still written.
     pub fn start_closing(&mut self) {
         if self.close_state == CloseState::Open {
             self.close_state = CloseState::Closing;
         }
     }
 
-    /// Whether its end has begun and all replies are written, so that it can be shut down.
+    /// Whether it is being closed and all replies are written, so that it can be shut down.
     pub fn is_ready_for_shutdown(&self) -> bool {
         self.close_state == CloseState::Closing && !self.is_busy()
     }
 
-    /// Shuts the sending side down and lets the client read its last replies. Closed at once, the connection would be
-    /// reset by what the client still sends, and the replies lost.
+    /// Shuts down the sending side and leaves the connection open for a while. If it were closed at once, input that is
+    /// still arriving would reset it, and the client would lose its last replies.
     pub fn start_lingering_close(&mut self, now: Instant) {
         let _ = self.stream.shutdown(Shutdown::Write);
         self.close_state = CloseState::ShutDown;
         self.linger_until = Some(now + LINGER_TIMEOUT);
     }
 
-    /// Gives a client that still sends more time to notice the end.
+    /// Gives a client that still sends more time to read its last replies.
     fn extend_lingering(&mut self, now: Instant) {
         let latest = self.last_active_at + MAX_LINGER;
         if let Some(until) = self.linger_until.as_mut().filter(|_| self.close_state == CloseState::ShutDown) {
@@ -240,7 +239,7 @@
     }
 }
 
-/// The RESP2 error line that tells a client of an error.
+/// The RESP2 error line for an error.
 pub fn error_line(error: ClientError) -> Vec<u8> {
     let mut line = Vec::new();
     resp::write_error(&mut line, &error.to_string());
--- a/src/bin/ingress/clients/error.rs
+++ b/src/bin/ingress/clients/error.rs
@@ -1,4 +1,4 @@
-//! What clients are told is wrong.
+//! The errors that are sent to clients.
 
 use crate::command::CommandError;
 use crate::resp::ProtocolError;
@@ -10,7 +10,7 @@
     /// What the client sent is not RESP2.
     #[error("protocol error: {0}")]
     Protocol(ProtocolError),
-    /// The command is none that the ingress knows.
+    /// The command's verb is unknown.
     #[error("unknown command")]
     UnknownCommand,
     /// The command's arguments are not acceptable.
@@ -19,10 +19,10 @@
     /// A request with the same id is in flight or has just ended.
     #[error("the id is not new")]
     DuplicateRequestId,
-    /// Client connections hold all the memory that they may, and this one the most.
+    /// The memory limit of all clients is reached, and this connection takes the most.
     #[error("no memory for the rest of a command")]
     OutOfMemory,
-    /// A command was begun and not completed.
+    /// A command was not completed in time.
     #[error("the rest of a command did not come in time")]
     CommandTimeout,
 }
--- a/src/bin/ingress/clients/memory.rs
+++ b/src/bin/ingress/clients/memory.rs
@@ -1,47 +1,48 @@
-//! The memory that all client connections hold together.
+//! The memory of all client connections.
 
 use super::closing::CloseReason;
 use super::connection::Connection;
 use super::error::ClientError;
 use super::Clients;
 
-/// How much memory connections hold, and how much they may.
+/// The memory that connections take, and its limit.
 pub struct MemoryBudget {
-    /// Bytes held by all connections together.
+    /// Bytes of all connections together.
     used: usize,
-    /// Bytes that they may hold.
+    /// The most bytes of all connections together.
     limit: usize,
 }
 
 impl MemoryBudget {
-    /// Nothing is used yet.
+    /// A budget of which nothing is used.
     pub fn new(limit: usize) -> Self {
         MemoryBudget { used: 0, limit }
     }
 
-    /// Brings what is accounted for a connection up to date.
+    /// Updates the accounted memory of a connection.
     pub fn account(&mut self, connection: &mut Connection) {
-        let held = connection.memory_held();
-        self.used = self.used - connection.accounted_memory + held;
-        connection.accounted_memory = held;
+        let memory = connection.memory_size();
+        self.used = self.used - connection.accounted_memory + memory;
+        connection.accounted_memory = memory;
     }
 
-    /// Gives back what is accounted for a connection that is removed.
+    /// Subtracts the memory of a connection that is removed.
     pub fn release(&mut self, connection: &Connection) {
         self.used -= connection.accounted_memory;
     }
 
-    /// Whether connections hold more than they may.
+    /// Whether the limit is exceeded.
     fn is_exceeded(&self) -> bool {
         self.used > self.limit
     }
 }
 
 impl Clients {
-    /// Accounts for what a connection holds. The limits of single connections do not bound all of them together:
-    /// beyond the common limit, the connection with the longest incomplete command is told so and closed, or the one
-    /// with the most unread replies. Replies that were not written yet are not the client's fault and are sent
-    /// within the turn.
+    /// Accounts for the memory of a connection, and closes connections while the limit of all is exceeded.
+    ///
+    /// The limits of single connections do not bound their sum. The connection that takes the most is closed, of those
+    /// that wait for their clients: with an error if it has an incomplete command. A connection with replies that the
+    /// ingress has not written yet is not closed.
     pub(super) fn enforce_memory_limit(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         self.memory.account(connection);
--- a/src/bin/ingress/clients/output.rs
+++ b/src/bin/ingress/clients/output.rs
@@ -1,32 +1,32 @@
-//! What is to be written to a connection.
+//! The output buffer of a connection.
 
 use crate::socket_error::is_out_of_memory;
 use ingress::{Duration, Instant};
 use mio::net::TcpStream;
 use std::io::{self, Write};
 
-/// What an idle connection may keep of its buffer.
+/// The capacity of its buffer that an idle connection keeps, in bytes.
 const IDLE_CAPACITY: usize = 2 * 1024;
-/// How long a client may accept nothing of its replies until its connection is closed.
+/// How long a client may read nothing before its connection is closed.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What a call to write came to.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// All was written, or as much as the client accepts: the poll tells when it accepts more.
+    /// All was written, or as much as the socket takes; a readiness event follows.
     Made,
-    /// The system has no memory for it at the moment; it is to be tried again.
+    /// The system lacks memory; the write is to be retried.
     OutOfMemory,
 }
 
 /// Bytes that are still to be written to a connection.
 #[derive(Default)]
 pub struct OutputBuffer {
-    /// The bytes, those already written among them until all are.
+    /// The bytes; those already written are removed once all are.
     pub bytes: Vec<u8>,
     /// How many of the bytes are written.
     written: usize,
-    /// Since when the client accepts nothing.
+    /// Since when the socket takes nothing.
     blocked_since: Option<Instant>,
 }
 
@@ -41,17 +41,17 @@
         self.bytes.len() - self.written
     }
 
-    /// Whether the client accepts nothing at present.
+    /// Whether the socket took nothing at the latest write.
     pub fn is_blocked(&self) -> bool {
         self.blocked_since.is_some()
     }
 
-    /// Whether the client has accepted nothing for too long.
+    /// Whether the client has read nothing for too long.
     pub fn is_timed_out(&self, now: Instant) -> bool {
         self.blocked_since.is_some_and(|since| now > since + WRITE_TIMEOUT)
     }
 
-    /// Writes as much as the client accepts; an error means that the connection is broken.
+    /// Writes as much as the socket takes; an error means that the connection is broken.
     pub fn write_to(&mut self, stream: &mut TcpStream, now: Instant) -> io::Result<WriteProgress> {
         while self.unwritten() > 0 {
             match stream.write(&self.bytes[self.written..]) {
@@ -72,7 +72,7 @@
         Ok(WriteProgress::Made)
     }
 
-    /// Forgets what is written and gives most of its memory back.
+    /// Removes the written bytes and frees most of their memory.
     pub fn clear(&mut self) {
         self.written = 0;
         self.bytes.clear();
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -1,4 +1,4 @@
-//! Reading from connections and parsing their commands.
+//! Reads from connections and parses their commands.
 
 use super::closing::CloseReason;
 use super::error::ClientError;
@@ -12,23 +12,23 @@
 
 /// The most bytes read at once.
 pub const READ_BUFFER_LEN: usize = 16 * 1024;
-/// The most reads from one connection in a turn: a fast client must not hold up the others.
-const MAX_READS_PER_TURN: usize = 4;
+/// The most reads from one connection in an iteration, so that a fast client does not delay the others.
+const MAX_READS_PER_ITERATION: usize = 4;
 
 /// The reply to a `PING`.
 const PONG_REPLY: &[u8] = b"+PONG\r\n";
 
-/// Whether a connection may be read from.
+/// Whether further commands of a connection are parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Intake {
-    /// Further commands can be taken in.
+    /// They are.
     Open,
     /// Too many replies are owed or unread.
     Paused,
 }
 
 impl Clients {
-    /// Handles a connection whose socket shows as ready.
+    /// Handles a connection whose socket is ready.
     pub fn on_ready(&mut self, key: usize, now: Instant, writable: bool) {
         let Some(connection) = self.connections.get(key) else { return };
         if writable && !connection.output.is_empty() {
@@ -37,15 +37,14 @@
         self.read(key, now);
     }
 
-    /// Handles a connection that the client has closed or half-closed: the client has gone, and what it sent is not
-    /// looked at any more.
+    /// Closes a connection that the client has closed or half-closed; its unread input is dropped.
     pub fn on_disconnect(&mut self, key: usize) {
         if self.connections.contains(key) {
             self.remove(key, CloseReason::Disconnected);
         }
     }
 
-    /// Reads on from connections that were not read to the end.
+    /// Continues reading from connections whose sockets were not read to the end.
     pub fn resume_reads(&mut self, now: Instant) {
         for key in std::mem::take(&mut self.read_queue) {
             if let Some(connection) = self.connections.get_mut(key) {
@@ -56,13 +55,13 @@
         }
     }
 
-    /// Reads from all connections, whether or not their sockets showed as ready.
+    /// Reads from all connections, without regard to readiness events.
     pub fn read_all(&mut self, now: Instant) {
         let keys: Vec<usize> = self.connections.iter().map(|(key, _)| key).collect();
         keys.into_iter().for_each(|key| self.read(key, now));
     }
 
-    /// Reads from a connection and accounts for the memory that this takes.
+    /// Reads from a connection and enforces the memory limit.
     pub(super) fn read(&mut self, key: usize, now: Instant) {
         if self.connections.contains(key) {
             self.read_and_parse(key, now);
@@ -70,11 +69,12 @@
         }
     }
 
-    /// Reads from a connection and parses its commands, within the bound of a turn. A read that does not fill the buffer
-    /// does not say that nothing is left, and the poll tells of each arrival once: only a read that finds nothing ends
-    /// it before that bound.
+    /// Reads from a connection and parses its commands, up to the limit of an iteration.
+    ///
+    /// A request would be lost if reading ended after a short read: the poll reports each arrival once, and a short read
+    /// does not mean that the socket is empty. Only a read that would block ends the loop before its limit.
     fn read_and_parse(&mut self, key: usize, now: Instant) {
-        for _ in 0..MAX_READS_PER_TURN {
+        for _ in 0..MAX_READS_PER_ITERATION {
             if self.parse_commands(key, now) == Intake::Paused {
                 self.pause_reading(key);
                 return;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Leaves the rest of what a connection has sent for later. Its time is running.
+    /// Leaves unread input for the next iteration. The timeouts of its commands count from now.
     fn read_later(&mut self, key: usize) {
         let connection = &mut self.connections[key];
         connection.reading_paused = false;
@@ -107,7 +107,7 @@
         self.queue_for_read(key);
     }
 
-    /// Reads no further until replies have left. The time of what is unread is running.
+    /// Pauses reading until replies are written. The timeouts of unread commands count from now.
     fn pause_reading(&mut self, key: usize) {
         let connection = &mut self.connections[key];
         connection.reading_paused = true;
@@ -120,7 +120,7 @@
         loop {
             let connection = &mut self.connections[key];
             if connection.is_closing() {
-                parsed = connection.input.len(); // What follows the last command that gets a reply is discarded.
+                parsed = connection.input.len(); // Input after the last command that gets a reply is discarded.
             }
             if connection.is_backlogged() || parsed >= connection.input.len() {
                 break;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Handles the command that was last parsed, at this place in the connection's input.
+    /// Handles the command that was just parsed, at `position` in the connection's input.
     fn handle_command(&mut self, key: usize, position: Range<usize>, now: Instant) {
         let connection = &mut self.connections[key];
         connection.record_command(now);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Passes a request on.
+    /// Passes a request to the event loop.
     fn accept_command(&mut self, key: usize, command: Command) {
         self.last_request_id += 1;
         let id = RequestId(self.last_request_id);
@@ -178,13 +178,13 @@
         self.events.push_back(ClientEvent::Command { id, reply_to, arrived_at, command });
     }
 
-    /// Replies with an error to a command that is not acceptable.
+    /// Replies with an error to an invalid command.
     fn reject_command(&mut self, key: usize, error: ClientError) {
         self.connections[key].record_protocol_error();
         self.reply_error(key, error);
     }
 
-    /// Replies with an error to what was just parsed.
+    /// Replies with an error to the input that was just parsed.
     fn reply_error(&mut self, key: usize, error: ClientError) {
         self.connections[key].reply_error(error);
         self.queue_for_write(key);
--- a/src/bin/ingress/clients/reply_queue.rs
+++ b/src/bin/ingress/clients/reply_queue.rs
@@ -1,24 +1,24 @@
-//! The replies of a connection, sent in the order of its requests in whatever order they become known.
+//! Sends the replies of a connection in the order of its requests, in whatever order they become known.
 
 use ingress::RequestId;
 use std::collections::VecDeque;
 
 /// The place of a reply.
 enum ReplySlot {
-    /// The request is not replied to yet.
+    /// The reply is not known yet.
     Pending(RequestId),
-    /// The reply waits for those before it.
+    /// The reply is known and waits for those before it.
     Ready(Vec<u8>),
 }
 
-/// The replies that a connection is owed from its oldest pending request on.
+/// The replies that a connection is owed, from its oldest pending request on.
 #[derive(Default)]
 pub struct ReplyQueue {
     /// The places of the replies, in the order of their requests.
     slots: VecDeque<ReplySlot>,
     /// The sequence number of the first slot: how many replies have left the queue.
     first_sequence: u64,
-    /// The bytes of all replies that are ready.
+    /// The bytes of all replies in the queue.
     ready_bytes: usize,
 }
 
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Fills in the reply at a sequence number and moves all replies that are no longer held up to `out`; false if
-    /// the reply has left the queue before.
+    /// Sets the reply at a sequence number, and moves the replies that wait for no earlier one to `out`; false if the
+    /// reply has left the queue before.
     pub fn complete(&mut self, sequence: u64, reply: &[u8], out: &mut Vec<u8>) -> bool {
         let Some(index) = sequence.checked_sub(self.first_sequence) else { return false };
         let index = index as usize;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The requests that are not replied to, the latest first.
+    /// The requests without a reply, the latest first.
     pub fn pending_latest_first(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.slots.iter().rev().filter_map(|slot| match slot {
             ReplySlot::Pending(id) => Some(*id),
--- a/src/bin/ingress/clients/writing.rs
+++ b/src/bin/ingress/clients/writing.rs
@@ -1,4 +1,4 @@
-//! Replying to requests and writing to connections.
+//! Replies to requests and writes to connections.
 
 use super::closing::CloseReason;
 use super::connection::error_line;
@@ -8,7 +8,7 @@
 use ingress::Instant;
 
 impl Clients {
-    /// Replies with an error to a request that is not acceptable; a connection may have a few of them in a row.
+    /// Replies with an error to an invalid request; too many in a row close the connection.
     pub fn reject(&mut self, reply_to: ReplyHandle, error: ClientError) {
         let connection = self.connections.get_mut(reply_to.key);
         if let Some(connection) = connection.filter(|connection| connection.serial == reply_to.serial) {
@@ -17,7 +17,7 @@
         self.reply(reply_to, &error_line(error));
     }
 
-    /// Gives a request its final reply, a whole RESP2 value.
+    /// Sends a request its final reply, a complete RESP2 value.
     pub fn reply(&mut self, reply_to: ReplyHandle, reply: &[u8]) {
         let connection = self.connections.get_mut(reply_to.key);
         let Some(connection) = connection.filter(|connection| connection.serial == reply_to.serial) else {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Writes what there is to write: one write for all replies that a connection got in a turn.
+    /// Writes the output of all connections, with one write for all replies of a connection in an iteration.
     pub fn flush(&mut self, now: Instant) {
         let mut queue = std::mem::take(&mut self.write_retries);
         queue.append(&mut self.write_queue);
@@ -53,7 +53,7 @@
                 connection.output.clear();
                 self.memory.account(connection);
             }
-            // Commands that were held back by the backlog of replies are taken up again.
+            // Commands that waited for the backlog of replies are parsed now.
             if connection.reading_paused && !connection.is_backlogged() {
                 connection.reading_paused = false;
                 self.queue_for_read(key);
