--- a/src/bin/ingress/backends/assignment.rs
+++ b/src/bin/ingress/backends/attempt.rs
@@ -11,36 +11,36 @@
     pub number: u16,
 }
 
-/// How much of a command is written. Only a backend that has its last byte may have begun to execute it.
+/// How much of a command is written. Only a backend that has its last byte can have begun to execute it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandState {
     /// At least one byte is still to be written.
     Unsent,
-    /// All of it is written.
+    /// It is completely written.
     Sent,
 }
 
-/// Identifies a connection for as long as it lives: keys are used again, serial numbers are not.
+/// Identifies a connection: keys are reused, serial numbers are not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId {
-    /// Its place in the table of connections.
+    /// Its index in the table of connections.
     pub(super) key: usize,
-    /// Counts all connections of the process.
+    /// Its number among all connections of the process.
     pub(super) serial: u64,
 }
 
-/// A connection that has been given an attempt.
+/// The connection of an attempt that has been assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AssignedConnection {
     /// The connection.
     pub connection: ConnectionId,
-    /// How much of the command could be written at once.
+    /// How much of the command was written at once.
     pub command: CommandState,
 }
 
-/// An attempt of whose command the first byte was written.
+/// An attempt whose first byte was written.
 #[derive(Clone, Copy, Debug)]
-pub struct Begun {
+pub struct BegunAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// The backend that the connection leads to.
@@ -53,23 +53,23 @@
 
 /// Why a connection to a backend was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConnectionEnd {
-    /// Its attempt was cancelled, or timed out.
+pub enum CloseReason {
+    /// Its attempt was cancelled or has timed out.
     Cancelled,
-    /// It did not come up, or its command could not be written, in time.
+    /// It was not established, or its command not completely written, in time.
     ConnectTimeout,
-    /// It broke, or the backend ended it.
+    /// It failed, or the backend has closed it.
     Broken,
-    /// What came on it does not allow another use.
+    /// The bytes received on it do not allow another use.
     Unusable,
-    /// A reply that had begun did not go on.
+    /// A reply was not completed in time.
     Stalled,
-    /// It was idle for as long as it may be.
+    /// It was idle for too long.
     Expired,
     /// Its descriptor was needed.
-    MadeRoom,
-    /// Its backend drains, was removed or has moved.
-    BackendClosed,
+    DescriptorNeeded,
+    /// Its backend is draining, was removed or has another address.
+    BackendUnavailable,
 }
 
 /// The timeout that a command states to its backend, which is true at the time of its encoding.
@@ -89,7 +89,7 @@
     pub backend: BackendId,
     /// How it ended.
     pub outcome: Outcome,
-    /// When the connection was given the attempt.
+    /// When the attempt was assigned to the connection.
     pub started_at: Instant,
     /// The requests that wait at the backend, where it reported them.
     pub reported_queue_depth: Option<f64>,
--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -11,47 +11,47 @@
 pub struct Connection {
     /// The socket.
     pub stream: TcpStream,
-    /// Tells connections apart that have the same key one after another.
+    /// Distinguishes connections that have the same key one after another.
     pub serial: u64,
     /// The backend it was opened for.
     pub backend: BackendId,
-    /// The address it was opened to, which the backend may have left.
+    /// The address it was opened to; the backend may have another one by now.
     pub address: SocketAddr,
     /// Whether it is established.
     pub is_connected: bool,
     /// The attempt that it carries; none while it is idle.
     pub attempt: Option<AttemptId>,
-    /// When it was given its attempt, or when it fell idle.
+    /// When its attempt was assigned, or when it became idle.
     pub state_since: Instant,
-    /// How long it was idle before its attempt; none at its first one.
+    /// How long it was idle before its attempt; none for the first attempt on it.
     pub idle_before: Option<Duration>,
-    /// When the first byte of the reply came.
+    /// When the first byte of the reply arrived.
     pub reply_started_at: Instant,
     /// The command of the attempt.
     pub command: Vec<u8>,
     /// The timeout that the command states.
     pub stated_timeout: StatedTimeout,
-    /// How many bytes of the command are written.
+    /// The bytes of the command that are written.
     pub written: usize,
-    /// What has come of the reply.
+    /// The received bytes of the reply.
     pub received: Vec<u8>,
 }
 
-/// What a single read came to.
+/// The result of a single read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadStep {
-    /// Bytes came, and more may be waiting, however few they were.
+    /// Bytes were received, and more may be waiting, even after a short read.
     Received,
-    /// A signal came in between.
+    /// A signal interrupted the call.
     Interrupted,
-    /// Nothing is there yet.
+    /// No bytes are waiting.
     Blocked,
     /// The connection has ended.
     Ended,
 }
 
 impl Connection {
-    /// A connection that is being established, with no attempt.
+    /// A connection that is being established, without an attempt.
     pub fn new(
         stream: TcpStream,
         serial: u64,
@@ -90,7 +90,7 @@
         self.written == 0 && self.attempt.is_some()
     }
 
-    /// What the end of the connection means for its attempt.
+    /// The outcome of its attempt if the connection ends now.
     pub fn failure_outcome(&self) -> Outcome {
         match self.command_state() {
             CommandState::Sent => Outcome::Reset,
@@ -108,7 +108,7 @@
                     self.is_connected = true;
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // The socket will show as writable.
+                // A readiness event follows.
                 Err(error) if is_not_ready(&error) => break,
                 Err(error) => return Err(error),
             }
@@ -133,7 +133,10 @@
         }
     }
 
-    /// Whether an idle connection is open with nothing unread: bytes that nobody asked for, or its end, may have come.
+    /// Whether an idle connection is open and has no unread bytes.
+    ///
+    /// A duplicate reply would be taken for the reply to the next command, since replies carry no id, and a command on a
+    /// connection that the backend has closed would fail. The read detects both right before the connection is used.
     pub fn is_quiet(&mut self) -> bool {
         let read = self.stream.read(&mut [0]);
         read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -1,17 +1,18 @@
-//! Exchanges: a command and its reply on a connection, from the assignment of an attempt to its completion.
+//! The exchange of a command and its reply on a connection.
 
+use super::attempt::CloseReason;
 use super::connection::{Connection, ReadStep};
 use super::idle_reuse::IdleReuse;
 use super::reply::{self, ExchangeResult};
-use super::{AssignedConnection, AttemptId, Backends, Begun, CommandState, Completion};
-use super::{ConnectionEnd, ConnectionId, StatedTimeout};
+use super::{AssignedConnection, AttemptId, Backends, BegunAttempt, CommandState, Completion};
+use super::{ConnectionId, StatedTimeout};
 use crate::resp;
 use ingress::{BackendId, Duration, Instant, Outcome};
 use mio::Registry;
 
-/// The most bytes of a reply that is waited for. The parser gives up far earlier; this bounds a turn whatever it does.
+/// The most bytes of a reply. The parser rejects a reply far earlier; this limits the reads of an iteration in any case.
 const MAX_REPLY_BYTES: usize = 256 * 1024;
-/// A failure this soon after the assignment of an attempt says that the connection was dead already.
+/// A failure this soon after the assignment of an attempt means that the connection was dead before.
 const IMMEDIATE_FAILURE: Duration = Duration::from_millis(10);
 
 /// Whether a connection can still be used.
@@ -24,8 +25,8 @@
 }
 
 impl Backends {
-    /// Begins an attempt with the command that `encode` appends, now, which is when it tells the time in
-    /// it. Returns none if it has failed, which is among the completions.
+    /// Assigns an attempt to a connection, and writes the command that `encode` appends. Returns none if that has failed;
+    /// the end of the attempt is among the completions then.
     pub fn assign(
         &mut self,
         registry: &Registry,
@@ -36,7 +37,8 @@
     ) -> Option<AssignedConnection> {
         let now = stated_timeout.stated_at;
         if let Err(refusal) = self.may_assign(backend) {
-            tracing::debug!(target: "attempt", ?attempt, backend = backend.0, %refusal, "not sent");
+            let (request, number) = (attempt.request.0, attempt.number);
+            tracing::debug!(target: "attempt", request, attempt = number, backend = backend.0, ?refusal, "not sent");
             let result = ExchangeResult::without_reply(Outcome::NotSent);
             self.push_completion(attempt, backend, now, result);
             return None;
@@ -61,7 +63,7 @@
         Some(AssignedConnection { connection: id, command })
     }
 
-    /// The attempt of a connection of whose command nothing is written yet.
+    /// The attempt on a connection if nothing of its command is written yet.
     pub fn not_yet_written(&self, key: usize) -> Option<AttemptId> {
         self.connections
             .get(key)
@@ -69,7 +71,7 @@
             .and_then(|connection| connection.attempt)
     }
 
-    /// Replaces a command of which nothing is written yet by what `encode` appends, which tells another time.
+    /// Replaces a command of which nothing is written yet by the one that `encode` appends, with another stated timeout.
     pub fn rewrite_command(
         &mut self,
         key: usize,
@@ -84,18 +86,18 @@
         }
     }
 
-    /// The connection meant, if it still lives.
+    /// The connection with an id, if it is still open.
     fn connection(&self, id: ConnectionId) -> Option<&Connection> {
         self.connections.get(id.key).filter(|connection| connection.serial == id.serial)
     }
 
-    /// Whether a connection lives whose command is not written to its last byte, so that the backend cannot have begun to
+    /// Whether a connection is open and its command not completely written, so that the backend cannot have begun to
     /// execute it.
     pub fn is_unsent(&self, id: ConnectionId) -> bool {
         self.connection(id).is_some_and(|connection| connection.command_state() == CommandState::Unsent)
     }
 
-    /// Closes a connection, if it still lives and carries this attempt, and returns how much of its command was written.
+    /// Closes a connection if it is still open and carries this attempt, and returns how much of the command was written.
     /// There is no completion: the caller accounts for the end of the attempt.
     pub fn cancel(&mut self, id: ConnectionId, attempt: AttemptId) -> Option<CommandState> {
         let connection = self.connection(id)?;
@@ -103,23 +105,24 @@
             return None;
         }
         let command = connection.command_state();
-        self.remove(id.key, ConnectionEnd::Cancelled);
+        self.remove(id.key, CloseReason::Cancelled);
         Some(command)
     }
 
-    /// Ends an exchange whose connection is not established, or whose command is not written, in time: a command that
-    /// begins later than the gateway counts on might begin after the window of its idempotency key.
+    /// Ends an attempt whose connection is not established, or whose command is not completely written, in time.
+    ///
+    /// A command that is written later might reach the backend after the window of its idempotency key, and be executed
+    /// twice. The policy relies on this timeout when it judges the window.
     pub fn on_connect_timeout(&mut self, id: ConnectionId, attempt: AttemptId) {
         let carries_attempt =
             self.connection(id).is_some_and(|connection| connection.attempt == Some(attempt));
         if carries_attempt && self.is_unsent(id) {
             self.complete(id.key, ExchangeResult::without_reply(Outcome::ConnectFailed), None);
-            self.remove(id.key, ConnectionEnd::ConnectTimeout);
+            self.remove(id.key, CloseReason::ConnectTimeout);
         }
     }
 
-    /// Does what a connection is ready for, which is `writable` where there is room to write. If it falls idle, that is at
-    /// `now`.
+    /// Reads from a ready connection, and writes to it if it is `writable`. If it becomes idle, it does so at `now`.
     pub fn on_ready(&mut self, key: usize, now: Instant, writable: bool) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         if writable && !connection.is_connected && connection.stream.peer_addr().is_ok() {
@@ -141,7 +144,7 @@
         if was_unwritten && connection.written > 0 {
             let StatedTimeout { stated_at: at, timeout: stated_timeout } = connection.stated_timeout;
             let backend = connection.backend;
-            self.begun.extend(connection.attempt.map(|attempt| Begun {
+            self.begun.extend(connection.attempt.map(|attempt| BegunAttempt {
                 attempt,
                 backend,
                 at,
@@ -158,33 +161,33 @@
         if self.connection(id).is_some() {
             let result = ExchangeResult::without_reply(Outcome::ConnectFailed);
             self.complete(key, result, Some(assigned_at));
-            self.remove(key, ConnectionEnd::Broken);
+            self.remove(key, CloseReason::Broken);
         }
     }
 
-    /// Reads what has come, until nothing more is there or the connection has ended: the poll tells of each arrival once.
+    /// Reads until a read would block or the connection has ended, since the poll reports each arrival once.
     fn read(&mut self, key: usize, now: Instant) {
         while self.connections[key].received.len() <= MAX_REPLY_BYTES {
             let step = self.connections[key].read_once(&mut self.read_buffer, now);
             match step {
                 ReadStep::Interrupted => {}
                 ReadStep::Blocked => return,
-                ReadStep::Ended => return self.fail(key, now, ConnectionEnd::Broken),
+                ReadStep::Ended => return self.fail(key, now, CloseReason::Broken),
                 ReadStep::Received => {
                     if self.process_received(key, now) == Usability::Unusable {
-                        return self.remove(key, ConnectionEnd::Unusable);
+                        return self.remove(key, CloseReason::Unusable);
                     }
                 }
             }
         }
-        // No reply is that long, and a backend that sends without end is not waited for.
-        self.fail(key, now, ConnectionEnd::Unusable);
+        // No reply is that long: the backend sends without end.
+        self.fail(key, now, CloseReason::Unusable);
     }
 
     /// Completes the exchange if the reply is complete or malformed.
     fn process_received(&mut self, key: usize, now: Instant) -> Usability {
         let connection = &self.connections[key];
-        // Without an attempt no command was sent to which this could be the reply.
+        // Bytes on an idle connection are the reply to no command.
         if connection.attempt.is_none() {
             return Usability::Unusable;
         }
@@ -197,7 +200,7 @@
         let result = parsed
             .as_ref()
             .and_then(|(reply, _)| reply::interpret(&connection.received, reply))
-            // A reply to part of a command can only be a rejection.
+            // The reply to an incomplete command can only be a rejection.
             .filter(|result| is_sent || result.outcome == Outcome::Rejected);
         let has_nothing_behind = parsed.is_some_and(|(_, length)| length == connection.received.len());
         let is_clean = result.is_some() && is_sent && has_nothing_behind;
@@ -211,15 +214,15 @@
         }
     }
 
-    /// Ends a connection that broke, and the exchange on it.
-    pub(super) fn fail(&mut self, key: usize, now: Instant, end: ConnectionEnd) {
+    /// Closes a connection that has failed, and ends the attempt on it.
+    pub(super) fn fail(&mut self, key: usize, now: Instant, reason: CloseReason) {
         let outcome = self.connections[key].failure_outcome();
         self.complete(key, ExchangeResult::without_reply(outcome), Some(now));
-        self.remove(key, end);
+        self.remove(key, reason);
     }
 
-    /// Records how a connection's exchange ended, if it has one. Without `ended_at` a failure does not say that the
-    /// connection was dead before.
+    /// Records the end of the attempt on a connection, if it carries one. Without `ended_at` a failure does not count
+    /// against the reuse of idle connections.
     pub(super) fn complete(&mut self, key: usize, result: ExchangeResult, ended_at: Option<Instant>) {
         let connection = &self.connections[key];
         let Some(attempt) = connection.attempt else { return };
@@ -236,7 +239,7 @@
         self.push_completion(attempt, backend, started_at, result);
     }
 
-    /// Adds a completion.
+    /// Adds the end of an attempt to the completions.
     fn push_completion(
         &mut self,
         attempt: AttemptId,
--- a/src/bin/ingress/backends/idle_reuse.rs
+++ b/src/bin/ingress/backends/idle_reuse.rs
@@ -1,43 +1,46 @@
-//! How long a connection may be idle and still be used again, learned from how such uses end.
+//! Determines for how long a connection may be idle and still be reused, from the results of earlier reuses.
 
 use ingress::Duration;
 
-/// The fraction of uses after some idle time that may find the connection stale.
+/// The greatest accepted fraction of reuses that find the connection dead.
 const MAX_STALE_FRACTION: f64 = 0.2;
-/// The fewest uses after some idle time from which a fraction is taken.
+/// The fewest reuses from which the fraction is computed.
 const MIN_USES: f64 = 3.0;
-/// What a sweep leaves of the counts: half of them in some ten seconds.
+/// The factor on all counts at each sweep, which halves them in some ten seconds.
 const RETAINED_PER_SWEEP: f64 = 0.97;
-/// Classes of idle time, each twice as long as the one before; the first one ends at 2 ms.
+/// The number of classes of idle times. Each is twice as long as the one before; the first one ends at 2 ms.
 const BUCKET_COUNT: usize = 16;
 
-/// How the use of an idle connection ended.
+/// The result of the reuse of an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleReuse {
     /// The connection worked.
     Alive,
-    /// It was reset at once.
+    /// It was dead: it was reset at once.
     Stale,
 }
 
-/// The uses after one class of idle times, with older ones decayed.
+/// The reuses after one class of idle times, with decay.
 #[derive(Clone, Copy, Default)]
 struct Bucket {
-    /// All of them.
+    /// All reuses.
     uses: f64,
-    /// Those that found the connection stale.
+    /// Those that found the connection dead.
     stale_uses: f64,
 }
 
 impl Bucket {
-    /// Whether connections that were idle for such a time should not be used.
+    /// Whether connections with such an idle time should not be reused.
     fn is_stale(&self) -> bool {
         self.uses >= MIN_USES && self.stale_uses > self.uses * MAX_STALE_FRACTION
     }
 }
 
-/// Counts how uses of idle connections end, by the idle time before: on some networks a connection that is idle for a
-/// fraction of a second is dead, and shows it only once the next command is written, which may have been executed.
+/// Counts the results of reuses by the idle time before them.
+///
+/// On some networks a connection is dead after a fraction of a second without traffic. That shows only once a command is
+/// written, which then counts as possibly executed and often cannot be retried. So idle times after which many reuses
+/// fail are avoided.
 #[derive(Default)]
 pub struct IdleReuseTracker {
     /// By the binary logarithm of the idle milliseconds.
@@ -45,7 +48,7 @@
 }
 
 impl IdleReuseTracker {
-    /// Records the use of a connection that had been idle for `idle_time`.
+    /// Records the reuse of a connection that had been idle for `idle_time`.
     pub fn record(&mut self, idle_time: Duration, reuse: IdleReuse) {
         let index = idle_time.as_millis().max(1).ilog2() as usize;
         let bucket = &mut self.buckets[index.min(BUCKET_COUNT - 1)];
@@ -55,13 +58,13 @@
         }
     }
 
-    /// How long a connection may be idle and still be used.
+    /// For how long a connection may be idle and still be reused.
     pub fn max_idle_time(&self) -> Duration {
         let shortest_stale = self.buckets.iter().position(Bucket::is_stale);
         shortest_stale.map_or(Duration::MAX, |index| Duration::from_millis(1 << index))
     }
 
-    /// Lets the past count for less; called at each sweep.
+    /// Decays the counts; called at each sweep.
     pub fn decay(&mut self) {
         for bucket in &mut self.buckets {
             bucket.uses *= RETAINED_PER_SWEEP;
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -1,10 +1,10 @@
-//! The pools of connections, one for each backend: where to connect to, which connections are idle, and when these are
-//! used again or closed.
+//! The pools of connections, one for each backend: the backend's address, and the idle connections to it.
 
+use super::attempt::CloseReason;
 use super::connection::Connection;
 use super::idle_reuse::IdleReuseTracker;
 use super::reply::ExchangeResult;
-use super::{Begun, Completion, ConnectionEnd};
+use super::{BegunAttempt, Completion};
 use crate::discovery::{EndpointEntry, EndpointList};
 use crate::socket_error::is_local_shortage;
 use ingress::permissions::{may_reuse_connection, may_send_to, BackendRefusal, ReuseLimits};
@@ -15,20 +15,27 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// Bytes read at once, and the capacity that an idle connection's buffers may keep.
+/// Bytes of a read, and the capacity that the buffers of an idle connection keep.
 pub const BUFFER_SIZE: usize = 32 * 1024;
-/// How long a connection stays idle after a reply at the least: stray bytes or a duplicate reply must arrive before the
-/// next command, which could be served with them, since replies bear no id. They come up to some milliseconds late.
+/// The least time for which a connection is idle after a reply.
+///
+/// A duplicate reply would be taken for the reply to the next command, since replies carry no id. It arrives some
+/// milliseconds after the first one, so it is found before the connection is reused.
 pub const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
-/// How long the rest of a reply may take to come once it has begun.
+/// Idle connections are closed after four fifths of the backends' keep-alive timeout. If both ends closed them at the
+/// same time, a command could be written to a connection that the backend is closing.
+const IDLE_TIME_FACTOR: u64 = 4;
+/// See [`IDLE_TIME_FACTOR`].
+const IDLE_TIME_DIVISOR: u64 = 5;
+/// How long a reply may take to arrive completely after its first byte.
 const MAX_REPLY_DURATION: Duration = Duration::from_millis(500);
 
 /// The connections to one backend that are idle.
 #[derive(Default)]
 pub struct Pool {
-    /// Where to connect to.
+    /// The backend's address.
     pub address: Option<SocketAddr>,
-    /// How the backend is listed.
+    /// The backend's availability in the endpoint list.
     pub availability: Availability,
     /// Keys of the idle connections, the newest last.
     pub idle: Vec<usize>,
@@ -42,24 +49,24 @@
     pub(super) pools: HashMap<BackendId, Pool>,
     /// The serial number of the latest connection.
     last_serial: u64,
-    /// What a read fills first.
+    /// The buffer for reads.
     pub(super) read_buffer: Vec<u8>,
-    /// Idle connections are closed after this, before the backend does.
+    /// Idle connections are closed after this time, before the backend closes them.
     max_idle_time: Duration,
-    /// Shortens the idle time further where connections turn out to be stale.
+    /// Shortens that time if reused connections turn out to be dead.
     pub(super) idle_reuse: IdleReuseTracker,
     /// The poll's token of the connection with a key.
     token: fn(usize) -> Token,
-    /// What [`Backends::take_completions`] returns next.
+    /// The ends of attempts that were not taken yet.
     pub(super) completions: Vec<Completion>,
-    /// What [`Backends::take_begun`] returns next.
-    pub(super) begun: Vec<Begun>,
-    /// How many connections were opened.
+    /// The begun attempts that were not taken yet.
+    pub(super) begun: Vec<BegunAttempt>,
+    /// The number of connections opened so far.
     pub opened_count: u64,
 }
 
 impl Backends {
-    /// No backend yet. Backends close connections that have been idle for `keepalive_timeout`; `token` gives the
+    /// Without any backend. Backends close connections that have been idle for `keepalive_timeout`; `token` returns the
     /// poll's token of the connection with a key.
     pub fn new(keepalive_timeout: Duration, token: fn(usize) -> Token) -> Self {
         Backends {
@@ -67,8 +74,7 @@
             pools: HashMap::new(),
             last_serial: 0,
             read_buffer: vec![0; BUFFER_SIZE],
-            // Where both ends close at the same moment a command may be written to a dead connection.
-            max_idle_time: keepalive_timeout / 5 * 4,
+            max_idle_time: keepalive_timeout / IDLE_TIME_DIVISOR * IDLE_TIME_FACTOR,
             idle_reuse: IdleReuseTracker::default(),
             token,
             completions: Vec::new(),
@@ -77,13 +83,13 @@
         }
     }
 
-    /// The completions since the last call, in order.
+    /// Takes the ends of attempts, in order.
     pub fn take_completions(&mut self) -> Vec<Completion> {
         std::mem::take(&mut self.completions)
     }
 
-    /// The attempts that have begun since the last call, in order.
-    pub fn take_begun(&mut self) -> Vec<Begun> {
+    /// Takes the attempts whose first byte was written, in order.
+    pub fn take_begun(&mut self) -> Vec<BegunAttempt> {
         std::mem::take(&mut self.begun)
     }
 
@@ -92,7 +98,7 @@
         self.connections.len()
     }
 
-    /// Takes over the addresses of an endpoint list, and returns the backends that are no longer listed.
+    /// Applies the addresses and availabilities of an endpoint list, and returns the backends that are no longer listed.
     pub fn update_endpoints(&mut self, endpoints: &EndpointList) -> Vec<BackendId> {
         let mut removed = self.missing_backends(endpoints);
         let mut closed_to_new_work = HashSet::new();
@@ -103,14 +109,14 @@
                 continue;
             }
             if self.has_moved(entry) || entry.endpoint.availability == Availability::Draining {
-                self.close_idle(backend, ConnectionEnd::BackendClosed);
+                self.close_idle(backend, CloseReason::BackendUnavailable);
                 closed_to_new_work.insert(backend);
             }
             let pool = self.pools.entry(backend).or_default();
             (pool.address, pool.availability) = (entry.address, entry.endpoint.availability);
         }
         for backend in &removed {
-            self.close_idle(*backend, ConnectionEnd::BackendClosed);
+            self.close_idle(*backend, CloseReason::BackendUnavailable);
             self.pools.remove(backend);
             closed_to_new_work.insert(*backend);
         }
@@ -118,7 +124,7 @@
         removed
     }
 
-    /// The backends that a snapshot no longer has.
+    /// The backends that a snapshot no longer lists.
     fn missing_backends(&self, endpoints: &EndpointList) -> Vec<BackendId> {
         if !endpoints.is_snapshot {
             return Vec::new();
@@ -128,21 +134,20 @@
         self.pools.keys().filter(|backend| !listed.contains(backend)).copied().collect()
     }
 
-    /// Whether a backend has an address other than before.
+    /// Whether a backend has another address than before.
     fn has_moved(&self, entry: &EndpointEntry) -> bool {
         self.pools.get(&entry.endpoint.backend).is_some_and(|pool| pool.address != entry.address)
     }
 
-    /// Ends attempts of which nothing is written yet, since their connections are still being established, at
-    /// backends that are closed to new work: they would begin later, and perhaps at another backend that has the address
-    /// then.
+    /// Ends attempts of which nothing is written yet at backends that take no new work: they would begin once their
+    /// connections are established, perhaps at another backend with the same address.
     fn cancel_unsent(&mut self, closed_to_new_work: &HashSet<BackendId>) {
         let is_unsent = |connection: &Connection| {
             connection.is_not_yet_written() && closed_to_new_work.contains(&connection.backend)
         };
         for key in self.keys_where(is_unsent) {
             self.complete(key, ExchangeResult::without_reply(Outcome::NotSent), None);
-            self.remove(key, ConnectionEnd::BackendClosed);
+            self.remove(key, CloseReason::BackendUnavailable);
         }
     }
 
@@ -151,18 +156,17 @@
         self.connections.iter().filter(|(_, connection)| condition(connection)).map(|(key, _)| key).collect()
     }
 
-    /// Whether a backend may be given something new.
+    /// Whether a backend may be sent a new attempt.
     pub(super) fn may_assign(&self, backend: BackendId) -> Result<(), BackendRefusal> {
         may_send_to(self.pools.get(&backend).map(|pool| pool.availability))
     }
 
-    /// Whether an attempt at a backend would need a new connection. `now` is the time to the microsecond, not that of
-    /// the tick.
+    /// Whether an attempt at a backend would need a new connection. `now` is the exact time, not that of the tick.
     pub fn needs_connection(&self, backend: BackendId, now: Instant) -> bool {
         self.pools.get(&backend).is_some_and(|pool| self.newest_reusable(pool, now).is_none())
     }
 
-    /// The place in a pool of the newest idle connection that may be used.
+    /// The index in a pool of the newest idle connection that may be reused.
     fn newest_reusable(&self, pool: &Pool, now: Instant) -> Option<usize> {
         let max_idle_time = self.idle_reuse.max_idle_time().min(self.max_idle_time);
         let limits = ReuseLimits { min_idle_time: MIN_IDLE_TIME, max_idle_time };
@@ -170,7 +174,7 @@
         pool.idle.iter().rposition(|key| may_reuse_connection(idle_time(*key), limits).is_ok())
     }
 
-    /// The key of an idle connection to a backend, which leaves the pool, or of a new one; else how the attempt ends.
+    /// Takes an idle connection to a backend or opens a new one, and returns its key; the error is the attempt's outcome.
     pub(super) fn acquire(
         &mut self,
         registry: &Registry,
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Takes the newest idle connection to a backend that may be used, and closes those that turn out to be unusable.
+    /// Takes the newest idle connection to a backend that may be reused, and closes those that turn out to be unusable.
     fn take_idle(&mut self, backend: BackendId, now: Instant) -> Option<usize> {
         loop {
             let position = self.newest_reusable(self.pools.get(&backend)?, now)?;
@@ -193,12 +197,12 @@
                 connection.idle_before = Some(now.duration_since(connection.state_since));
                 return Some(key);
             }
-            // Its descriptor serves the next one.
-            self.remove(key, ConnectionEnd::Broken);
+            // Frees its descriptor for the next connection.
+            self.remove(key, CloseReason::Broken);
         }
     }
 
-    /// Begins to connect to a backend. That no socket can be had here is no failure of the backend's.
+    /// Begins to open a connection to a backend. A shortage of sockets on this machine is no failure of the backend's.
     fn connect(&mut self, registry: &Registry, backend: BackendId, now: Instant) -> Result<usize, Outcome> {
         let address = self.pools.get(&backend).and_then(|pool| pool.address).ok_or(Outcome::ConnectFailed)?;
         let mut stream = TcpStream::connect(address).map_err(|error| {
@@ -213,7 +217,7 @@
         let key = slot.key();
         let interest = Interest::READABLE | Interest::WRITABLE;
         registry.register(&mut stream, (self.token)(key), interest).map_err(|_| Outcome::NotSent)?;
-        // Without it the second of two small writes would wait for the first one's acknowledgement.
+        // Otherwise the second of two small writes would wait for the first one's acknowledgement.
         let _ = stream.set_nodelay(true);
         self.last_serial += 1;
         self.opened_count += 1;
@@ -221,8 +225,8 @@
         Ok(key)
     }
 
-    /// Puts a connection whose exchange is over into its backend's pool. Returns false if the backend has left the
-    /// connection's address.
+    /// Returns a connection whose attempt has ended to its backend's pool; false if the backend has another address by
+    /// now.
     pub(super) fn release(&mut self, key: usize, now: Instant) -> bool {
         let connection = &mut self.connections[key];
         let Some(pool) = self.pools.get_mut(&connection.backend) else { return false };
@@ -239,14 +243,14 @@
     }
 
     /// Closes a connection.
-    pub(super) fn remove(&mut self, key: usize, end: ConnectionEnd) {
-        let connection = self.connections.remove(key); // dropping it closes and deregisters it
+    pub(super) fn remove(&mut self, key: usize, reason: CloseReason) {
+        let connection = self.connections.remove(key); // Dropping it closes and deregisters it.
         tracing::debug!(
             target: "backend_connection",
             connection = connection.serial,
             backend = connection.backend.0,
             attempt = ?connection.attempt,
-            reason = ?end,
+            ?reason,
             "closed"
         );
         if connection.attempt.is_none() {
@@ -257,14 +261,14 @@
     }
 
     /// Closes the idle connections to a backend.
-    fn close_idle(&mut self, backend: BackendId, end: ConnectionEnd) {
+    fn close_idle(&mut self, backend: BackendId, reason: CloseReason) {
         let idle = self.pools.get_mut(&backend).map(|pool| std::mem::take(&mut pool.idle));
         for key in idle.into_iter().flatten() {
-            self.remove(key, end);
+            self.remove(key, reason);
         }
     }
 
-    /// Closes connections that have been idle for too long, or whose reply has stalled. Called every half second.
+    /// Closes connections that have been idle for too long, or whose reply is not completed in time. Called at intervals.
     pub fn sweep(&mut self, now: Instant) {
         self.idle_reuse.decay();
         self.close_expired(now);
@@ -278,17 +282,17 @@
             connection.attempt.is_none() && now.duration_since(connection.state_since) > max_idle_time
         };
         for key in self.keys_where(is_expired) {
-            self.remove(key, ConnectionEnd::Expired);
+            self.remove(key, CloseReason::Expired);
         }
     }
 
-    /// A reply that has begun and does not go on will not become complete: a line or a length without an end.
+    /// Closes connections whose reply is not completed in time, such as a line or a length without an end.
     fn close_stalled(&mut self, now: Instant) {
         let is_stalled = |connection: &Connection| {
             !connection.received.is_empty() && now > connection.reply_started_at + MAX_REPLY_DURATION
         };
         for key in self.keys_where(is_stalled) {
-            self.fail(key, now, ConnectionEnd::Stalled);
+            self.fail(key, now, CloseReason::Stalled);
         }
     }
 
@@ -297,7 +301,7 @@
         let idle = self.connections.iter().filter(|(_, connection)| connection.attempt.is_none());
         let longest = idle.min_by_key(|(_, connection)| (connection.state_since, connection.serial));
         let Some(key) = longest.map(|(key, _)| key) else { return false };
-        self.remove(key, ConnectionEnd::MadeRoom);
+        self.remove(key, CloseReason::DescriptorNeeded);
         true
     }
 }
--- a/src/bin/ingress/backends/reply.rs
+++ b/src/bin/ingress/backends/reply.rs
@@ -1,4 +1,4 @@
-//! What a backend's reply means.
+//! Interprets the replies of backends.
 
 use crate::resp::{Element, ElementKind, Reply};
 use ingress::{LoadReportField, Outcome};
@@ -6,7 +6,7 @@
 /// The first word of the error by which a backend rejects a command without executing it.
 const REJECTION: &[u8] = b"BUSY";
 
-/// The result of a command.
+/// The result of an exchange.
 #[derive(Debug)]
 pub struct ExchangeResult {
     /// How it ended.
@@ -18,13 +18,13 @@
 }
 
 impl ExchangeResult {
-    /// A result that no reply gave.
+    /// A result without a reply.
     pub fn without_reply(outcome: Outcome) -> ExchangeResult {
         ExchangeResult { outcome, value: Vec::new(), reported_queue_depth: None }
     }
 }
 
-/// Interprets a reply whose elements are places in `buffer`; none if it is no reply to a request.
+/// Interprets a reply whose elements are ranges of `buffer`; none if it is no valid reply to a request.
 pub fn interpret(buffer: &[u8], reply: &Reply) -> Option<ExchangeResult> {
     match reply {
         Reply::Array(elements) => interpret_value(buffer, elements),
@@ -35,7 +35,7 @@
     }
 }
 
-/// An array of a value, something that is not used here, and a load report.
+/// Interprets an array of a value, an element that is not used, and a load report.
 fn interpret_value(buffer: &[u8], elements: &[Element]) -> Option<ExchangeResult> {
     let [value, _, load] = elements else { return None };
     if value.kind != ElementKind::Bulk {
@@ -47,7 +47,7 @@
     Some(ExchangeResult { outcome: Outcome::Ok, value, reported_queue_depth })
 }
 
-/// An error, whose last word may be a load report.
+/// Interprets an error, whose last word may be a load report.
 fn interpret_error(text: &[u8]) -> ExchangeResult {
     let is_space = |byte: &u8| *byte == b' ';
     let is_rejection = text.split(is_space).next() == Some(REJECTION);
