--- a/src/bin/ingress/backends.rs
+++ b/src/bin/ingress/backends.rs
@@ -3,6 +3,7 @@
 //! A connection carries one command at a time, since cancelling an attempt means closing its connection.
 
 mod attempt;
+mod closing;
 mod connection;
 mod exchange;
 mod idle_reuse;
--- a/src/bin/ingress/backends/attempt.rs
+++ b/src/bin/ingress/backends/attempt.rs
@@ -51,27 +51,6 @@
     pub stated_timeout: Duration,
 }
 
-/// Why a connection to a backend was closed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CloseReason {
-    /// Its attempt was cancelled or has timed out.
-    Cancelled,
-    /// It was not established, or its command not completely written, in time.
-    ConnectTimeout,
-    /// It failed, or the backend has closed it.
-    Broken,
-    /// The bytes received on it do not allow another use.
-    Unusable,
-    /// A reply was not completed in time.
-    Stalled,
-    /// It was idle for too long.
-    Expired,
-    /// Its descriptor was needed.
-    DescriptorNeeded,
-    /// Its backend is draining, was removed or has another address.
-    BackendUnavailable,
-}
-
 /// The timeout that a command states to its backend, which is true at the time of its encoding.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StatedTimeout {
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -1,6 +1,6 @@
 //! The exchange of a command and its reply on a connection.
 
-use super::attempt::CloseReason;
+use super::closing::CloseReason;
 use super::connection::{Connection, ReadStep};
 use super::idle_reuse::IdleReuse;
 use super::reply::{self, ExchangeResult};
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -1,6 +1,6 @@
 //! The pools of connections, one for each backend: the backend's address, and the idle connections to it.
 
-use super::attempt::CloseReason;
+use super::closing::CloseReason;
 use super::connection::Connection;
 use super::idle_reuse::IdleReuseTracker;
 use super::reply::ExchangeResult;
@@ -27,8 +27,6 @@
 const IDLE_TIME_FACTOR: u64 = 4;
 /// See [`IDLE_TIME_FACTOR`].
 const IDLE_TIME_DIVISOR: u64 = 5;
-/// How long a reply may take to arrive completely after its first byte.
-const MAX_REPLY_DURATION: Duration = Duration::from_millis(500);
 
 /// The connections to one backend that are idle.
 #[derive(Default)]
@@ -52,7 +50,7 @@
     /// The buffer for reads.
     pub(super) read_buffer: Vec<u8>,
     /// Idle connections are closed after this time, before the backend closes them.
-    max_idle_time: Duration,
+    pub(super) max_idle_time: Duration,
     /// Shortens that time if reused connections turn out to be dead.
     pub(super) idle_reuse: IdleReuseTracker,
     /// The poll's token of the connection with a key.
@@ -152,7 +150,7 @@
     }
 
     /// The keys of all connections that fulfil a condition.
-    fn keys_where(&self, condition: impl Fn(&Connection) -> bool) -> Vec<usize> {
+    pub(super) fn keys_where(&self, condition: impl Fn(&Connection) -> bool) -> Vec<usize> {
         self.connections.iter().filter(|(_, connection)| condition(connection)).map(|(key, _)| key).collect()
     }
 
@@ -241,67 +239,4 @@
         pool.idle.push(key);
         true
     }
-
-    /// Closes a connection.
-    pub(super) fn remove(&mut self, key: usize, reason: CloseReason) {
-        let connection = self.connections.remove(key); // Dropping it closes and deregisters it.
-        tracing::debug!(
-            target: "backend_connection",
-            connection = connection.serial,
-            backend = connection.backend.0,
-            attempt = ?connection.attempt,
-            ?reason,
-            "closed"
-        );
-        if connection.attempt.is_none() {
-            if let Some(pool) = self.pools.get_mut(&connection.backend) {
-                pool.idle.retain(|idle_key| *idle_key != key);
-            }
-        }
-    }
-
-    /// Closes the idle connections to a backend.
-    fn close_idle(&mut self, backend: BackendId, reason: CloseReason) {
-        let idle = self.pools.get_mut(&backend).map(|pool| std::mem::take(&mut pool.idle));
-        for key in idle.into_iter().flatten() {
-            self.remove(key, reason);
-        }
-    }
-
-    /// Closes connections that have been idle for too long, or whose reply is not completed in time. Called at intervals.
-    pub fn sweep(&mut self, now: Instant) {
-        self.idle_reuse.decay();
-        self.close_expired(now);
-        self.close_stalled(now);
-    }
-
-    /// Closes connections that have been idle for too long.
-    fn close_expired(&mut self, now: Instant) {
-        let max_idle_time = self.max_idle_time.min(self.idle_reuse.max_idle_time());
-        let is_expired = |connection: &Connection| {
-            connection.attempt.is_none() && now.duration_since(connection.state_since) > max_idle_time
-        };
-        for key in self.keys_where(is_expired) {
-            self.remove(key, CloseReason::Expired);
-        }
-    }
-
-    /// Closes connections whose reply is not completed in time, such as a line or a length without an end.
-    fn close_stalled(&mut self, now: Instant) {
-        let is_stalled = |connection: &Connection| {
-            !connection.received.is_empty() && now > connection.reply_started_at + MAX_REPLY_DURATION
-        };
-        for key in self.keys_where(is_stalled) {
-            self.fail(key, now, CloseReason::Stalled);
-        }
-    }
-
-    /// Closes the connection that has been idle for longest, to free its descriptor. Returns false if none is idle.
-    pub fn close_longest_idle(&mut self) -> bool {
-        let idle = self.connections.iter().filter(|(_, connection)| connection.attempt.is_none());
-        let longest = idle.min_by_key(|(_, connection)| (connection.state_since, connection.serial));
-        let Some(key) = longest.map(|(key, _)| key) else { return false };
-        self.remove(key, CloseReason::DescriptorNeeded);
-        true
-    }
 }
