--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -85,7 +85,7 @@
 
     /// The limits that a request has to wait for.
     fn token_wait(&mut self, request: &Request) -> TokenWait {
-        let unloaded_micros = self.latency_baselines[usize::from(request.class)].unloaded;
+        let unloaded_micros = self.outlier_detector.unloaded_micros(request.class.into());
         let answer_seconds = unloaded_micros / MICROS_PER_SECOND;
         let facts = TokenFacts { now: self.now, request, answer_seconds };
         let peers = &self.peers;
