--- a/src/action.rs
+++ b/src/action.rs
@@ -1,27 +1,29 @@
-//! What a gateway asks its host to do.
+//! The actions that a gateway requests from its host.
 
 use crate::{BackendId, Duration, GatewayId, Instant, RequestId};
 
-/// What a gateway asks its host to do; several are carried out in their order.
+/// An action that a gateway requests from its host.
+///
+/// Several actions are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to a backend.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The backend.
         backend: BackendId,
-        /// When to give the attempt up; none for the client's deadline.
+        /// When the attempt times out; none for the client's deadline.
         expires_at: Option<Instant>,
     },
-    /// Final answer: rejected, trying again is harmless.
+    /// Final answer: rejected. Retrying the request is safe.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should keep away; 0 gives no advice.
+        /// After which time to retry; zero for no advice.
         retry_after: Duration,
     },
-    /// Final answer: failed, with no promise.
+    /// Final answer: failed. The request may have been executed.
     Fail(RequestId),
     /// Cancel an attempt.
     Cancel {
@@ -30,11 +32,11 @@
         /// The number of the attempt, from 0.
         attempt: u16,
     },
-    /// Wake the gateway after `delay` with [`Event::Timer`](crate::Event::Timer).
+    /// Send the gateway, after `delay`, an [`Event::Timer`](crate::Event::Timer).
     SetTimer {
-        /// From now.
+        /// The time from now on.
         delay: Duration,
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u32,
     },
     /// Send a message of at most 256 bytes to one peer, or to all.
--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -27,7 +27,7 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
-/// The reply to a request that was not executed and may be retried.
+/// The reply to a rejected request: retrying it is safe.
 pub const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
 
 /// The place of a reply: a connection, and the order on it.
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -16,9 +16,9 @@
 pub(super) enum Answer {
     /// The value that a backend gave.
     Served,
-    /// It was not executed.
+    /// A rejection: retrying the request is safe.
     Rejected,
-    /// It may have been executed.
+    /// A failure: the request may have been executed.
     Failed,
 }
 
--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -1,4 +1,4 @@
-//! What ends the adapter: input that is cut short or malformed, and output that cannot be written.
+//! The errors that end the adapter: input that is cut short or malformed, and output that cannot be written.
 
 use ingress::SettingsError;
 use std::io;
@@ -51,7 +51,7 @@
     pub records: u32,
 }
 
-/// A field of a record that cannot be used, and where it stands.
+/// An error in a field of a record, with its place.
 #[derive(Debug, Error)]
 #[error("batch {batch}, record {index}, field {field}: {problem}")]
 pub struct RecordError {
@@ -68,14 +68,14 @@
 /// What is wrong with a field.
 #[derive(Debug, Error)]
 pub enum FieldProblem {
-    /// It points outside the tail of its batch.
+    /// It refers to a place outside the tail of its batch.
     #[error("offset {offset} and count {count} leave the tail of {tail_length} bytes")]
     OutsideTail {
-        /// Where the part of the tail starts.
+        /// The place's beginning in the tail.
         offset: usize,
-        /// How many items it holds.
+        /// The number of items there.
         count: usize,
-        /// The bytes that the tail has.
+        /// The length of the tail in bytes.
         tail_length: usize,
     },
     /// No outcome has this code.
--- a/src/bin/simulator-adapter/instances.rs
+++ b/src/bin/simulator-adapter/instances.rs
@@ -1,4 +1,4 @@
-//! The running instances: each is a gateway that one process of the simulator stands for.
+//! The running instances: each is the gateway of one simulated process.
 
 use crate::error::{FieldProblem, RecordError};
 use crate::wire::{Batch, InstanceId, Record, RecordContent, Reply};
@@ -25,14 +25,14 @@
 /// All running instances by their numbers on the wire.
 #[derive(Default)]
 pub struct Instances {
-    /// Those that were started and not yet stopped.
+    /// Instances that were started and not stopped.
     running: BTreeMap<InstanceId, Instance>,
-    /// The actions for one event; kept to reuse its memory.
+    /// A reused buffer for the actions of one event.
     actions: Vec<Action>,
 }
 
 impl Instances {
-    /// Hands the records of a batch to their instances in order; returns the frame of the reply.
+    /// Passes the records of a batch to their instances in order, and returns the frame of the reply.
     pub fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, RecordError> {
         let mut reply = Reply::new(batch.number);
         for record in batch.records() {
@@ -41,7 +41,7 @@
         Ok(reply.finish())
     }
 
-    /// Starts or stops an instance, or hands it an event.
+    /// Starts or stops an instance, or passes an event to it.
     fn handle_record(&mut self, record: &Record, now: Instant, reply: &mut Reply) -> Result<(), RecordError> {
         let id = record.instance();
         let report_fields =
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// Hands an event to its instance, whose actions go into the reply.
+    /// Passes an event to its instance, and adds the instance's actions to the reply.
     fn handle_event(&mut self, record: &Record, event: Event, now: Instant, reply: &mut Reply) {
         let id = record.instance();
         match self.running.get_mut(&id) {
--- a/src/bin/simulator-adapter/wire/batch.rs
+++ b/src/bin/simulator-adapter/wire/batch.rs
@@ -55,11 +55,11 @@
 pub struct Batch<'a> {
     /// Its number, which the reply repeats.
     pub number: u32,
-    /// The time of all that it tells.
+    /// The time of its records.
     pub clock: Instant,
     /// The bytes of all records.
     records: &'a [u8],
-    /// What records point into.
+    /// The tail, which records point into.
     tail: &'a [u8],
 }
 
--- a/src/bin/simulator-adapter/wire/field_reader.rs
+++ b/src/bin/simulator-adapter/wire/field_reader.rs
@@ -5,8 +5,8 @@
 /// Bytes of a backend's identifier on the wire.
 pub const BACKEND_ID_SIZE: usize = 6;
 
-/// The fields of a record that are still to be read. Reading beyond the record's end is a mistake in its
-/// layout and panics.
+/// The fields of a record that are still to be read. Reading beyond the record's end is an error of the layout and
+/// panics.
 pub struct FieldReader<'a> {
     /// The bytes from the next field on.
     rest: &'a [u8],
@@ -18,7 +18,7 @@
         FieldReader { rest: bytes }
     }
 
-    /// Passes over bytes that nobody needs.
+    /// Skips bytes.
     pub fn skip(&mut self, count: usize) {
         self.rest = &self.rest[count..];
     }
@@ -57,7 +57,7 @@
         Instant::from_micros(self.u64())
     }
 
-    /// When a backend started; 0 says that this is long ago.
+    /// The time when a backend started; none for 0, which stands for long ago.
     pub fn start(&mut self) -> Option<Instant> {
         Some(self.instant()).filter(|start| *start != Instant::ZERO)
     }
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -12,7 +12,7 @@
 pub const RECORD_SIZE: usize = 48;
 /// Bytes of an endpoint in the tail.
 const ENDPOINT_SIZE: usize = 24;
-/// Bytes of an endpoint update between its kind and its rows, which the decision module has no use for.
+/// Bytes of an endpoint update between its kind and its rows, which no decision uses: the version of the list.
 const ENDPOINT_UPDATE_SKIPPED: usize = 8;
 /// Bytes before the outcome of a health check: the backend.
 const HEALTH_CHECK_OUTCOME_OFFSET: usize = BACKEND_ID_SIZE;
@@ -23,18 +23,29 @@
 /// Bytes of the metered use of a customer, which no decision uses.
 const METERED_USE_SIZE: usize = size_of::<u16>();
 
-/// The codes of records.
+/// The codes of records, with their names on the wire.
 mod code {
+    /// `Call`.
     pub const REQUEST: u8 = 10;
+    /// `Settled`.
     pub const ATTEMPT_ENDED: u8 = 20;
+    /// `ProbeDone`.
     pub const HEALTH_CHECK_ENDED: u8 = 30;
+    /// `Reckoned`.
     pub const COUNTER_UPDATED: u8 = 40;
+    /// `Provision`.
     pub const START: u8 = 50;
+    /// `RosterChange`.
     pub const ENDPOINTS: u8 = 60;
+    /// `DeadlineHit`.
     pub const TIMER: u8 = 70;
+    /// `NeighbourSays`.
     pub const PEER_MESSAGE: u8 = 80;
+    /// `Withdrawn`.
     pub const CLIENT_DISCONNECTED: u8 = 90;
+    /// `FirstByte`.
     pub const FIRST_BYTE: u8 = 100;
+    /// `PowerOff`.
     pub const STOP: u8 = 110;
 }
 
@@ -50,13 +61,13 @@
     pub tail: &'a [u8],
 }
 
-/// What a record says.
+/// The content of a record.
 pub enum RecordContent<'a> {
     /// The instance starts.
     Start {
-        /// Seed of all that it draws.
+        /// The seed of its random numbers.
         seed: u64,
-        /// Its settings, a line each.
+        /// Its settings, one on each line.
         settings: &'a str,
     },
     /// The instance was killed.
@@ -75,12 +86,12 @@
         InstanceId(fields.u16())
     }
 
-    /// The error that something is wrong with a field of this record.
+    /// An error about a field of this record.
     pub fn error(&self, field: &'static str, problem: FieldProblem) -> RecordError {
         RecordError { batch: self.batch, index: self.index, field, problem }
     }
 
-    /// What the record says. `report_fields` are the values in a load report.
+    /// Decodes the record. `report_fields` are the values in a load report.
     pub fn decode(&self, report_fields: &[LoadReportField]) -> Result<RecordContent<'a>, RecordError> {
         let mut fields = FieldReader::new(self.body);
         let code = fields.u8();
@@ -102,7 +113,7 @@
         Ok(RecordContent::Event(event))
     }
 
-    /// Seed, and where the settings stand.
+    /// Reads a seed and the place of the settings.
     fn start(&self, fields: &mut FieldReader) -> Result<RecordContent<'a>, RecordError> {
         let seed = fields.u64();
         let text = self.tail_part(fields, "conf", 1)?;
@@ -111,7 +122,7 @@
         Ok(RecordContent::Start { seed, settings })
     }
 
-    /// Kind, and where the rows stand.
+    /// Reads the kind of an endpoint update and the place of its rows.
     fn endpoints(&self, fields: &mut FieldReader) -> Result<Event, RecordError> {
         let update = match fields.u8() {
             0 => EndpointUpdate::Delta,
@@ -127,7 +138,7 @@
         Ok(Event::Endpoints(update, endpoints?))
     }
 
-    /// A row of an endpoint list.
+    /// Reads a row of an endpoint list.
     fn endpoint(&self, row: &[u8]) -> Result<Endpoint, RecordError> {
         let mut fields = FieldReader::new(row);
         Ok(Endpoint {
@@ -141,7 +152,7 @@
         })
     }
 
-    /// An endpoint's state.
+    /// Reads an endpoint's availability.
     fn availability(&self, fields: &mut FieldReader) -> Result<Availability, RecordError> {
         match fields.u8() {
             0 => Ok(Availability::Draining),
@@ -151,14 +162,14 @@
         }
     }
 
-    /// The end of something that no decision asks for; only its outcome, at this offset, is checked.
+    /// Reads an event that no decision uses; only its outcome, at this offset, is checked.
     fn unused_event(&self, fields: &mut FieldReader, outcome_offset: usize) -> Result<Event, RecordError> {
         fields.skip(outcome_offset);
         self.outcome(fields)?;
         Ok(Event::Unused)
     }
 
-    /// The end of an attempt.
+    /// Reads the end of an attempt.
     fn attempt_ended(
         &self,
         fields: &mut FieldReader,
@@ -185,14 +196,14 @@
         }))
     }
 
-    /// Sender, and where the message stands.
+    /// Reads a sender and the place of its message.
     fn peer_message(&self, fields: &mut FieldReader) -> Result<Event, RecordError> {
         let from = GatewayId(fields.u16());
         let bytes = self.tail_part(fields, "octets", 1)?.to_vec();
         Ok(Event::PeerMessage { from, bytes })
     }
 
-    /// How an attempt, a health check or a call to the counter ended.
+    /// Reads an outcome.
     fn outcome(&self, fields: &mut FieldReader) -> Result<Outcome, RecordError> {
         Ok(match fields.u16() {
             200 => Outcome::Ok,
@@ -223,7 +234,7 @@
     }
 }
 
-/// A client's request.
+/// Reads a client's request.
 fn request(fields: &mut FieldReader) -> Request {
     Request {
         id: RequestId(fields.u64()),
@@ -237,7 +248,7 @@
     }
 }
 
-/// The queue depth in a load report, which is a count, then as many values.
+/// Reads a load report, a count and as many values, and returns the queue depth in it.
 fn queue_depth(fields: &mut FieldReader, report_fields: &[LoadReportField]) -> Option<f64> {
     let count = usize::from(fields.u8()).min(MAX_REPORT_VALUES);
     let mut queue_depth = None;
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -11,15 +11,23 @@
 /// The receiver of a message to all peers.
 const ALL_PEERS: GatewayId = GatewayId(u16::MAX);
 
-/// The codes of actions.
+/// The codes of actions, with their names on the wire.
 mod code {
+    /// `Deliver`.
     pub const SEND: u8 = 10;
+    /// `TurnAway`.
     pub const REJECT: u8 = 20;
+    /// `Fail`.
     pub const FAIL: u8 = 30;
+    /// `Revoke`.
     pub const CANCEL: u8 = 40;
+    /// `SetAlarm`.
     pub const SET_TIMER: u8 = 50;
+    /// `WritePeer`.
     pub const SEND_TO_PEER: u8 = 80;
+    /// `Record`.
     pub const LOG: u8 = 90;
+    /// `Listen`.
     pub const WATCH_ENDPOINTS: u8 = 110;
 }
 
@@ -29,7 +37,7 @@
     batch: u32,
     /// The records so far.
     records: Vec<u8>,
-    /// What the records point into, so far.
+    /// The tail so far, which records point into.
     tail: Vec<u8>,
 }
 
@@ -53,7 +61,7 @@
     fn write_fields(&mut self, record: &mut FieldWriter<ACTION_SIZE>, action: &Action) {
         match action {
             Action::Send { id, backend, expires_at } => {
-                // 0 leaves the attempt the client's time.
+                // 0 stands for the client's deadline.
                 let expires_at = expires_at.map_or(0, Instant::as_micros);
                 record.request(*id).u64(expires_at).backend(*backend);
             }
@@ -80,7 +88,7 @@
         }
     }
 
-    /// Puts bytes into the tail, and where they stand there into the record.
+    /// Appends bytes to the tail, and writes their place there into the record.
     fn write_tail(&mut self, record: &mut FieldWriter<ACTION_SIZE>, bytes: &[u8]) {
         record.u32(self.tail.len() as u32).u32(bytes.len() as u32);
         self.tail.extend_from_slice(bytes);
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,25 +1,25 @@
-//! What a gateway sees: requests, the ends of attempts, endpoint lists, peers' messages and timers.
+//! The events that a gateway handles: requests, ends of attempts, endpoint lists, peers' messages and timers.
 
 use crate::{BackendId, CustomerId, Duration, Endpoint, EndpointUpdate, GatewayId, Instant, RequestId};
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend has served it.
     Ok,
-    /// An error answer; it may have been executed.
+    /// The backend replied with an error; it may have been executed.
     Error,
-    /// Rejected unseen.
+    /// The backend rejected it without executing it.
     Rejected,
-    /// No answer in time; it may have been executed.
+    /// It timed out; it may have been executed.
     TimedOut,
-    /// No connection; it was never executed.
+    /// No connection was established; it was never executed.
     ConnectFailed,
     /// The connection broke; it may have been executed.
     Reset,
     /// Cancelled; it may have been executed.
     Cancelled,
-    /// Never sent.
+    /// It was not sent.
     NotSent,
 }
 
@@ -33,21 +33,21 @@
 /// A client's request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request {
-    /// Its name.
+    /// Its id.
     pub id: RequestId,
     /// Index into [`Settings::classes`](crate::Settings::classes).
     pub class: u8,
     /// Index into [`Settings::plans`](crate::Settings::plans).
     pub plan: u16,
-    /// Whose it is.
+    /// The customer that sent it.
     pub customer: CustomerId,
-    /// When the client abandons it.
+    /// The client's deadline.
     pub deadline: Instant,
-    /// What it draws from the quota.
+    /// The units that it takes from the customer's quota.
     pub units: f64,
-    /// Over how many gateways the customer's requests come.
+    /// The number of gateways that receive the customer's requests.
     pub gateway_set_size: f64,
-    /// The first of these gateways; the others follow it by index, and gateway 0 follows the last.
+    /// The first of these gateways; the others follow it by index, and gateway 0 follows the last one.
     pub gateway_set_start: f64,
 }
 
@@ -58,7 +58,7 @@
     pub id: RequestId,
     /// The number of the attempt, from 0.
     pub attempt: u16,
-    /// Where it went.
+    /// The backend that it was sent to.
     pub backend: BackendId,
     /// How it ended.
     pub outcome: Outcome,
@@ -66,31 +66,31 @@
     pub answered: bool,
     /// How long it was in flight.
     pub elapsed: Duration,
-    /// True units, where they are settled afterwards.
+    /// The units that the request really took, where they are known only afterwards.
     pub charged_units: Option<f64>,
     /// The requests that wait at the backend, where it reported them.
     pub reported_queue_depth: Option<f64>,
 }
 
-/// What a gateway sees.
+/// An event that a gateway handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An endpoint list, or a change of it.
+    /// An endpoint list, or a change of the list.
     Endpoints(EndpointUpdate, Vec<Endpoint>),
     /// A request arrived.
     Request(Request),
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// A streamed answer began; the attempt is the client's from now on.
+    /// A streamed answer began: from now on this attempt serves the client.
     FirstByte {
         /// The request.
         id: RequestId,
         /// The number of the attempt.
         attempt: u16,
     },
-    /// The client disconnected; no answer is owed.
+    /// The client disconnected; no answer is owed any more.
     ClientDisconnected(RequestId),
-    /// A timer came due.
+    /// A timer with this token is due.
     Timer(u32),
     /// A peer's message.
     PeerMessage {
