--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -6,7 +6,8 @@
 use super::reply::{self, ExchangeResult};
 use super::{AssignedConnection, AttemptId, Backends, BegunAttempt, CommandState, Completion};
 use super::{ConnectionId, StatedTimeout};
-use crate::resp;
+use crate::readiness::Readiness;
+use crate::resp::{self, ParsedReply};
 use ingress::{BackendId, Duration, Instant, Outcome};
 use mio::Registry;
 
@@ -17,7 +18,7 @@
 
 /// Whether a connection can still be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Usability {
+pub enum Usability {
     /// It stays open.
     Usable,
     /// It is to be closed.
@@ -122,14 +123,14 @@
         }
     }
 
-    /// Reads from a ready connection, and writes to it if it is `writable`. If it becomes idle, it does so at `now`.
-    pub fn on_ready(&mut self, key: usize, now: Instant, writable: bool) {
+    /// Reads from a ready connection, and writes to it if it is writable. If it becomes idle, it does so at `now`.
+    pub fn on_ready(&mut self, key: usize, now: Instant, readiness: Readiness) {
         let Some(connection) = self.connections.get_mut(key) else { return };
-        if writable && !connection.is_connected && connection.stream.peer_addr().is_ok() {
-            connection.is_connected = true;
-        }
-        if writable && connection.command_state() == CommandState::Unsent {
-            self.write(key);
+        if readiness == Readiness::Writable {
+            connection.is_connected = connection.is_connected || connection.stream.peer_addr().is_ok();
+            if connection.command_state() == CommandState::Unsent {
+                self.write(key);
+            }
         }
         if self.connections.contains(key) {
             self.read(key, now);
@@ -199,16 +200,17 @@
         let is_sent = connection.command_state() == CommandState::Sent;
         let result = parsed
             .as_ref()
-            .and_then(|(reply, _)| reply::interpret(&connection.received, reply))
+            .and_then(|parsed| reply::interpret(&connection.received, &parsed.reply))
             // The reply to an incomplete command can only be a rejection.
             .filter(|result| is_sent || result.outcome == Outcome::Rejected);
-        let has_nothing_behind = parsed.is_some_and(|(_, length)| length == connection.received.len());
+        let has_nothing_behind =
+            parsed.is_some_and(|ParsedReply { length, .. }| length == connection.received.len());
         let is_clean = result.is_some() && is_sent && has_nothing_behind;
         let failure = connection.failure_outcome();
         let result = result.unwrap_or_else(|| ExchangeResult::without_reply(failure));
         self.complete(key, result, Some(now));
-        if is_clean && self.release(key, now) {
-            Usability::Usable
+        if is_clean {
+            self.release(key, now)
         } else {
             Usability::Unusable
         }
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -2,6 +2,7 @@
 
 use super::closing::CloseReason;
 use super::connection::Connection;
+use super::exchange::Usability;
 use super::idle_reuse::IdleReuseTracker;
 use super::reply::ExchangeResult;
 use super::{BegunAttempt, Completion};
@@ -223,13 +224,12 @@
         Ok(key)
     }
 
-    /// Returns a connection whose attempt has ended to its backend's pool; false if the backend has another address by
-    /// now.
-    pub(super) fn release(&mut self, key: usize, now: Instant) -> bool {
+    /// Returns a connection whose attempt has ended to its backend's pool, unless the backend has another address by now.
+    pub(super) fn release(&mut self, key: usize, now: Instant) -> Usability {
         let connection = &mut self.connections[key];
-        let Some(pool) = self.pools.get_mut(&connection.backend) else { return false };
+        let Some(pool) = self.pools.get_mut(&connection.backend) else { return Usability::Unusable };
         if pool.address != Some(connection.address) {
-            return false;
+            return Usability::Unusable;
         }
         connection.attempt = None;
         connection.state_since = now;
@@ -237,6 +237,6 @@
         connection.received.shrink_to(BUFFER_SIZE);
         connection.command.shrink_to(BUFFER_SIZE);
         pool.idle.push(key);
-        true
+        Usability::Usable
     }
 }
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -3,6 +3,7 @@
 use super::pool::MIN_IDLE_TIME;
 use super::*;
 use crate::discovery::{EndpointEntry, EndpointList};
+use crate::readiness::Readiness;
 use ingress::{Availability, BackendId, Duration, Endpoint, Instant, Outcome, RequestId, UnixTime};
 use mio::{Poll, Token};
 use std::io::Write;
@@ -48,7 +49,7 @@
         let assigned =
             self.backends.assign(registry, BACKEND, attempt(request), no_time(now), encode).unwrap();
         while self.backends.is_unsent(assigned.connection) {
-            self.backends.on_ready(assigned.connection.key, now, true);
+            self.backends.on_ready(assigned.connection.key, now, Readiness::Writable);
         }
         assigned.connection
     }
@@ -59,7 +60,7 @@
             if let Some(completion) = self.backends.completions.pop() {
                 return completion;
             }
-            self.backends.on_ready(connection.key, now, false);
+            self.backends.on_ready(connection.key, now, Readiness::Readable);
         }
         panic!("nothing has ended");
     }
@@ -108,7 +109,7 @@
     let assigned = rig.backends.assign(registry, BACKEND, attempt(1), no_time(START), encode).unwrap();
     let connection = assigned.connection;
     let peer = rig.listener.accept().unwrap().0;
-    rig.backends.on_ready(connection.key, START, true);
+    rig.backends.on_ready(connection.key, START, Readiness::Writable);
     assert_eq!(assigned.command, CommandState::Unsent);
     assert!(rig.backends.connections[connection.key].is_connected);
     assert!(rig.backends.is_unsent(connection));
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -4,6 +4,7 @@
 use super::error::ClientError;
 use super::{ClientEvent, Clients, ReplyHandle, BUSY_REPLY};
 use crate::command::Command;
+use crate::readiness::Readiness;
 use crate::resp;
 use crate::socket_error::is_out_of_memory;
 use ingress::{Instant, RequestId};
@@ -29,9 +30,9 @@
 
 impl Clients {
     /// Handles a connection whose socket is ready.
-    pub fn on_ready(&mut self, key: usize, now: Instant, writable: bool) {
+    pub fn on_ready(&mut self, key: usize, now: Instant, readiness: Readiness) {
         let Some(connection) = self.connections.get(key) else { return };
-        if writable && !connection.output.is_empty() {
+        if readiness == Readiness::Writable && !connection.output.is_empty() {
             self.queue_for_write(key);
         }
         self.read(key, now);
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -25,6 +25,7 @@
 use crate::clients::Clients;
 use crate::discovery::Watch;
 use crate::peers::PeerSocket;
+use crate::readiness::Readiness;
 use crate::reload::Reload;
 use arrival_clock::ArrivalClock;
 use clock::Clock;
@@ -186,23 +187,23 @@
 
     /// Reads from, writes to or accepts from one ready socket.
     fn process_socket(&mut self, socket: &ReadySocket) {
-        let writable = socket.writable;
+        let readiness = socket.readiness;
         match socket.source() {
             Source::Discovery => {} // Was handled first.
             Source::Listener => self.accept_pending = true,
             Source::Signals => self.handle_signals(),
             Source::Peers => self.receive_peer_messages(),
             Source::Backend(key) => {
-                if writable {
+                if readiness == Readiness::Writable {
                     self.prepare_to_write(key);
                 }
                 // The exact time: the least idle time of a connection may be less than a tick.
-                self.backends.on_ready(key, self.clock.now(), writable);
+                self.backends.on_ready(key, self.clock.now(), readiness);
                 self.audit_begun_attempts();
                 self.run_policy();
             }
             Source::Client(key) => {
-                self.clients.on_ready(key, self.now, writable);
+                self.clients.on_ready(key, self.now, readiness);
                 self.process_client_events();
             }
         }
--- a/src/bin/ingress/event_loop/source.rs
+++ b/src/bin/ingress/event_loop/source.rs
@@ -1,5 +1,6 @@
 //! The sockets that the poll watches, and their tokens.
 
+use crate::readiness::Readiness;
 use mio::event::Event;
 use mio::Token;
 
@@ -54,8 +55,8 @@
 pub struct ReadySocket {
     /// As the poll reported it.
     token: Token,
-    /// It can be written to.
-    pub writable: bool,
+    /// Whether it can be written to.
+    pub readiness: Readiness,
     /// The other side has closed its end, or the connection has failed.
     pub closed: bool,
 }
@@ -87,7 +88,7 @@
     fn from(event: &Event) -> ReadySocket {
         ReadySocket {
             token: event.token(),
-            writable: event.is_writable(),
+            readiness: if event.is_writable() { Readiness::Writable } else { Readiness::Readable },
             closed: event.is_read_closed() || event.is_error(),
         }
     }
--- a/src/bin/ingress/event_loop/source/tests.rs
+++ b/src/bin/ingress/event_loop/source/tests.rs
@@ -15,7 +15,8 @@
 /// first one came in good faith.
 #[test]
 fn sockets_of_one_kind_are_handled_in_the_order_in_which_they_became_ready() {
-    let socket = |source: Source| ReadySocket { token: source.into(), writable: false, closed: false };
+    let socket =
+        |source: Source| ReadySocket { token: source.into(), readiness: Readiness::Readable, closed: false };
     let clients: Vec<usize> = (0..200).map(|number| number * 73 % 200).collect();
     let mut ready: Vec<ReadySocket> = clients.iter().map(|key| socket(Source::Client(*key))).collect();
     ready.push(socket(Source::Backend(7)));
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -8,6 +8,7 @@
 use crate::config::Config;
 use crate::discovery::{EndpointEntry, EndpointList};
 use crate::error_chain::ErrorChain;
+use crate::readiness::Readiness;
 use crate::resp;
 use crate::start_retry::StartRetry;
 use ingress::{BackendId, Endpoint, EndpointUpdate, UnixTime};
@@ -384,7 +385,9 @@
     let mut accepted = Vec::new();
     let mut accept_all = || accepted.extend(std::iter::from_fn(|| listener.accept().ok()));
     let mut ready = Vec::new();
-    let is_up = |socket: &ReadySocket| matches!(socket.source(), Source::Backend(_)) && socket.writable;
+    let is_up = |socket: &ReadySocket| {
+        matches!(socket.source(), Source::Backend(_)) && socket.readiness == Readiness::Writable
+    };
     while !ready.iter().any(is_up) {
         accept_all();
         ready.extend(testbed.poll_until(|_| true));
--- a/src/bin/ingress/main.rs
+++ b/src/bin/ingress/main.rs
@@ -9,6 +9,7 @@
 mod event_loop;
 mod logging;
 mod peers;
+mod readiness;
 mod reload;
 mod resp;
 mod socket_error;
--- a/src/bin/ingress/resp.rs
+++ b/src/bin/ingress/resp.rs
@@ -11,7 +11,7 @@
 mod encode;
 mod error;
 
-pub use decode::{parse_command, parse_reply, Element, ElementKind, Reply};
+pub use decode::{parse_command, parse_reply, Element, ElementKind, ParsedReply, Reply};
 pub use encode::{write_array_header, write_bulk_string, write_error};
 pub use error::ProtocolError;
 
--- a/src/bin/ingress/resp/decode.rs
+++ b/src/bin/ingress/resp/decode.rs
@@ -39,6 +39,15 @@
     Array(Vec<Element>),
 }
 
+/// A reply, and its place in the buffer.
+#[derive(Debug, PartialEq, Eq)]
+pub struct ParsedReply {
+    /// The reply.
+    pub reply: Reply,
+    /// The bytes that it takes from the beginning of the buffer.
+    pub length: usize,
+}
+
 /// A line of text.
 struct Line {
     /// Where the text is, less the line's terminator.
@@ -178,8 +187,8 @@
     }
 }
 
-/// Parses the reply at the beginning of `buffer` and returns it with its length.
-pub fn parse_reply(buffer: &[u8]) -> Parsed<(Reply, usize)> {
+/// Parses the reply at the beginning of `buffer`.
+pub fn parse_reply(buffer: &[u8]) -> Parsed<ParsedReply> {
     if buffer.first() != Some(&b'*') {
         let element = parse_element(buffer, 0, MAX_VALUE_LEN)?;
         return Ok(element.map(single_reply));
@@ -198,11 +207,11 @@
         remaining = remaining.saturating_sub(element.payload.len());
         elements.push(element);
     }
-    Ok(Some((Reply::Array(elements), position)))
+    Ok(Some(ParsedReply { reply: Reply::Array(elements), length: position }))
 }
 
-/// The reply that consists of one element, with its length.
-fn single_reply(element: Element) -> (Reply, usize) {
+/// The reply that consists of one element.
+fn single_reply(element: Element) -> ParsedReply {
     let length = element.span.end;
-    (Reply::Single(element), length)
+    ParsedReply { reply: Reply::Single(element), length }
 }
--- a/src/bin/ingress/resp/tests.rs
+++ b/src/bin/ingress/resp/tests.rs
@@ -53,7 +53,9 @@
 #[test]
 fn a_reply_is_parsed_with_its_nulls_and_within_its_limits() {
     let complete = b"*3\r\n$2\r\nhi\r\n*-1\r\n$9\r\nutil=0.61\r\n";
-    let Ok(Some((Reply::Array(elements), length))) = parse_reply(complete) else { panic!("not an array") };
+    let Ok(Some(ParsedReply { reply: Reply::Array(elements), length })) = parse_reply(complete) else {
+        panic!("not an array")
+    };
     assert_eq!(length, complete.len());
     assert_eq!(&complete[elements[0].span.clone()], b"$2\r\nhi\r\n");
     assert_eq!(
