--- a/src/audit.rs
+++ b/src/audit.rs
@@ -122,11 +122,11 @@
         if since == now {
             self.closing_order.push_back(ClosedBackend { backend, since });
         }
-        self.forget_closed_backends(now);
+        self.expire_closed_backends(now);
     }
 
     /// Removes the backends that have taken no new work for the time of retention.
-    fn forget_closed_backends(&mut self, now: Instant) {
+    fn expire_closed_backends(&mut self, now: Instant) {
         while let Some(oldest) = self.closing_order.front() {
             if oldest.since + CLOSED_BACKEND_RETENTION > now {
                 return;
--- a/src/audit/violation.rs
+++ b/src/audit/violation.rs
@@ -2,7 +2,7 @@
 
 use crate::RequestId;
 
-/// Which invariant was violated. Their numbers in `docs/INVARIANTS.md` stand in brackets.
+/// The invariant that was violated, with its number in `docs/INVARIANTS.md` in brackets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViolationKind {
     /// A request got a second final answer (R1).
--- a/src/bin/ingress/command/error.rs
+++ b/src/bin/ingress/command/error.rs
@@ -1,4 +1,4 @@
-//! What makes a command unacceptable.
+//! Why a command is rejected.
 
 use thiserror::Error;
 
--- a/src/bin/ingress/command/template.rs
+++ b/src/bin/ingress/command/template.rs
@@ -1,28 +1,28 @@
-//! A command's encoded bytes, to be sent again with another timeout.
+//! A command's encoded bytes, which are sent with the timeout of each attempt.
 
 use crate::resp;
 use ingress::Duration;
 use std::ops::Range;
 
-/// How many bytes an encoded command is expected to take besides its options and body.
+/// The expected bytes of an encoded command besides its options and body.
 const EXPECTED_OVERHEAD: usize = 96;
-/// How many bytes an encoded body is expected to take besides the body itself.
+/// The expected bytes of an encoded body besides the body itself.
 const EXPECTED_BODY_OVERHEAD: usize = 16;
-/// How many arguments come before the options.
+/// The number of arguments before the options.
 const ARGUMENTS_BEFORE_OPTIONS: usize = 3;
 
-/// An encoded command without the two things that change with its timeout: the options' length and the timeout.
+/// An encoded command without the two parts that depend on the timeout: the length of the options, and the timeout.
 #[derive(Debug)]
 pub struct CommandTemplate {
-    /// Where the request's id is.
+    /// The range of the request's id.
     request_id: Range<usize>,
     /// The encoded arguments, the options without their length and timeout.
     bytes: Vec<u8>,
-    /// Where the options begin.
+    /// The position of the options.
     options_start: usize,
-    /// Where the timeout belongs.
+    /// The position of the timeout.
     timeout_position: usize,
-    /// Where the options end.
+    /// The position after the options.
     options_end: usize,
 }
 
--- a/src/bin/ingress/config/error.rs
+++ b/src/bin/ingress/config/error.rs
@@ -14,7 +14,7 @@
     Unreadable {
         /// The file's path.
         path: String,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// The file's content is not a configuration.
@@ -30,22 +30,22 @@
 /// What is wrong with the content of a configuration file.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file does not hold JSON.
+    /// The file's content is not JSON.
     #[error("the file is no JSON")]
     NotJson(#[source] serde_json::Error),
-    /// A key with an object or a value is not there.
+    /// A key is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A list is not there, or something else is.
+    /// A list is missing, or the value is no list.
     #[error("{0} is missing or no list")]
     NotAList(&'static str),
-    /// A text is not there, or something else is.
+    /// A text is missing, or the value is no text.
     #[error("{0} is missing or no text")]
     NotText(&'static str),
-    /// A positive whole number is not there, or something else is.
+    /// A positive whole number is missing, or the value is none.
     #[error("{object}.{key} is missing or no whole number above 0")]
     NotPositive {
-        /// The object that holds it.
+        /// The object with the key.
         object: &'static str,
         /// Its key there.
         key: &'static str,
@@ -55,7 +55,7 @@
     NotAnAddress {
         /// The key, or the variable's name.
         key: &'static str,
-        /// What stands there.
+        /// The value.
         text: String,
     },
     /// The seed is not hexadecimal.
--- a/src/bin/ingress/discovery/error.rs
+++ b/src/bin/ingress/discovery/error.rs
@@ -10,7 +10,7 @@
     /// The list's version is missing.
     #[error("index is missing or no whole number")]
     Index,
-    /// The flag that tells a snapshot from a delta is missing.
+    /// The flag that distinguishes a snapshot from a delta is missing.
     #[error("snapshot is missing or no flag")]
     Snapshot,
     /// The entries are missing.
--- a/src/bin/ingress/discovery/http.rs
+++ b/src/bin/ingress/discovery/http.rs
@@ -22,7 +22,7 @@
     (memory / MEMORY_PER_BODY).max(MIN_BODY_LIMIT)
 }
 
-/// Whether more bytes may come from a connection.
+/// Whether more bytes may arrive on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamState {
     /// The peer may send more.
@@ -79,8 +79,8 @@
     let rest = &received[head.len..];
     match head.framing {
         Framing::Chunked => {
-            let may_be_whole = stream == StreamState::Ended || rest.ends_with(b"\r\n\r\n");
-            if rest.len() > LONG_CHUNKED_BODY && !may_be_whole {
+            let may_be_complete = stream == StreamState::Ended || rest.ends_with(b"\r\n\r\n");
+            if rest.len() > LONG_CHUNKED_BODY && !may_be_complete {
                 return Ok(None);
             }
             let bytes = decode_chunks(rest, max_body_bytes)?.map(Cow::Owned);
--- a/src/bin/ingress/discovery/poll.rs
+++ b/src/bin/ingress/discovery/poll.rs
@@ -5,7 +5,7 @@
 use ingress::Duration;
 use std::net::SocketAddr;
 
-/// What a poll asks for.
+/// The request of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollRequest {
     /// A snapshot of the list, at once.
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -12,7 +12,7 @@
 use mio::{Registry, Token};
 use std::net::SocketAddr;
 
-/// How long after a poll's timeout its response is waited for. Changes that a lost response held count as known 2 s after
+/// How long after a poll's timeout its response is waited for. Changes in a lost response count as known 2 s after
 /// the timeout, so the next poll has to be answered by then.
 const RESPONSE_GRACE: Duration = Duration::from_millis(750);
 /// The delay after an immediate empty response. A watch counts as unbroken if the next poll follows within 200 ms.
@@ -43,7 +43,7 @@
 
 /// A request to be sent to discovery.
 struct NextRequest {
-    /// What it asks for.
+    /// The request.
     request: PollRequest,
     /// How long its response is waited for.
     response_timeout: Duration,
@@ -241,8 +241,8 @@
         }
     }
 
-    /// Closes a connection that has ended between two polls, or on which bytes arrived that no poll asked for: those would
-    /// be parsed as the response to the next poll.
+    /// Closes a connection that has ended between two polls, or on which bytes arrived then: those would be parsed
+    /// as the response to the next poll.
     fn on_input_between_polls(&mut self, now: Instant, stream_state: StreamState) {
         let has_input = self.connection.as_ref().is_some_and(|connection| !connection.received().is_empty());
         if stream_state == StreamState::Ended || has_input {
--- a/src/bin/ingress/event_loop/arrival_clock.rs
+++ b/src/bin/ingress/event_loop/arrival_clock.rs
@@ -1,9 +1,8 @@
 //! Estimates when the input that the poll reports arrived.
 //!
-//! Guards against counting a client's timeout from too late a time, which shows as a late answer and as a timeout
-//! stated to a backend that exceeds the client's. The loop reads its clock only after the poll has returned, so a
-//! process that was delayed before that, as on an overloaded machine, takes old input for new. The duration of a call
-//! of the poll beyond its timeout, and the time between two calls, bound how old the input can be.
+//! A process that is delayed between two readings of its clock, as on an overloaded machine, would count clients'
+//! timeouts from too late a time. That shows as late answers and as attempts that state more time than the client has.
+//! The time between calls of the poll, and what a call takes beyond its timeout, bound how old the input can be.
 
 use ingress::{Duration, Instant};
 
--- a/src/bin/ingress/event_loop/request_table.rs
+++ b/src/bin/ingress/event_loop/request_table.rs
@@ -73,7 +73,7 @@
 /// The id of a request that has ended.
 struct EndedId {
     /// When the id may be used again.
-    forget_at: Instant,
+    expires_at: Instant,
     /// The hash of the id that its client gave it.
     id_hash: IdHash,
 }
@@ -184,14 +184,14 @@
         }
         if let Some(request) = self.requests.remove(&id) {
             self.memory -= request.command.memory_size();
-            let ended = EndedId { forget_at: now + ENDED_ID_RETENTION, id_hash: request.id_hash };
+            let ended = EndedId { expires_at: now + ENDED_ID_RETENTION, id_hash: request.id_hash };
             self.ended_ids.push_back(ended);
         }
     }
 
-    /// Forgets the ids of requests that ended long enough ago.
-    pub fn forget_ended_ids(&mut self, now: Instant) {
-        while let Some(ended) = self.ended_ids.front().filter(|ended| ended.forget_at <= now) {
+    /// Removes the ids of requests whose time of retention is over.
+    pub fn expire_ended_ids(&mut self, now: Instant) {
+        while let Some(ended) = self.ended_ids.front().filter(|ended| ended.expires_at <= now) {
             self.known_ids.remove(&ended.id_hash);
             self.ended_ids.pop_front();
         }
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -47,7 +47,7 @@
     fn sweep(&mut self) {
         self.backends.sweep(self.now);
         self.clients.close_expired(self.now);
-        self.requests.forget_ended_ids(self.now);
+        self.requests.expire_ended_ids(self.now);
         self.start_times.observe_clock(self.clock.now(), unix_time());
         self.timers.schedule(self.now + SWEEP_INTERVAL, Timer::Sweep);
     }
--- a/src/bin/ingress/resp/decode.rs
+++ b/src/bin/ingress/resp/decode.rs
@@ -19,14 +19,14 @@
     Null,
 }
 
-/// An element of a reply, by its places in the buffer.
+/// An element of a reply, by ranges of the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Element {
     /// The element's type.
     pub kind: ElementKind,
     /// The text or body alone.
     pub payload: Range<usize>,
-    /// The whole encoded element, with its header and terminator.
+    /// The complete encoded element, with its header and terminator.
     pub span: Range<usize>,
 }
 
@@ -50,17 +50,17 @@
 
 /// A line of text.
 struct Line {
-    /// Where the text is, less the line's terminator.
+    /// The range of the text, without the line's terminator.
     text: Range<usize>,
-    /// Where the bytes after the line begin.
+    /// The position after the line.
     end: usize,
 }
 
 /// The header of a bulk string or array.
 struct LengthHeader {
-    /// How many bytes or elements follow; `None` for a null.
+    /// The number of bytes or elements that follow; none for a null.
     length: Option<usize>,
-    /// Where the bytes after the header begin.
+    /// The position after the header.
     end: usize,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// Parses the digits of a length of at most `max`; `None` for the -1 of a null.
+/// Parses the digits of a length of at most `max`; none for the -1 of a null.
 fn parse_length(digits: &[u8], max: usize) -> Parsed<usize> {
     if digits == b"-1" {
         return Ok(None);
@@ -95,13 +95,13 @@
     Ok(Some(length))
 }
 
-/// Parses the header whose type marker stands at `start`, with a length of at most `max`.
+/// Parses the header whose type marker is at `start`, with a length of at most `max`.
 fn parse_length_header(buffer: &[u8], start: usize, max: usize) -> Parsed<LengthHeader> {
     let Some(line) = parse_line(buffer, start + 1, MAX_LENGTH_DIGITS)? else { return Ok(None) };
     Ok(Some(LengthHeader { length: parse_length(&buffer[line.text], max)?, end: line.end }))
 }
 
-/// Where a bulk string ends whose body is `body`, terminator included.
+/// The position after the bulk string whose body is `body`, terminator included.
 fn bulk_string_end(buffer: &[u8], body: &Range<usize>) -> Parsed<usize> {
     match buffer.get(body.end..).unwrap_or_default() {
         [b'\r', b'\n', ..] => Ok(Some(body.end + 2)),
@@ -110,7 +110,7 @@
     }
 }
 
-/// Parses the command at the beginning of `buffer`, an array of bulk strings. Replaces `arguments` by their places
+/// Parses the command at the beginning of `buffer`, an array of bulk strings. Replaces `arguments` by their ranges
 /// and returns the command's length.
 pub fn parse_command(buffer: &[u8], arguments: &mut Vec<Range<usize>>) -> Parsed<usize> {
     arguments.clear();
@@ -158,7 +158,7 @@
     Ok(Some(Element { kind: ElementKind::Bulk, payload, span: start..end }))
 }
 
-/// A null between these places.
+/// A null between these positions.
 fn null_element(start: usize, end: usize) -> Element {
     Element { kind: ElementKind::Null, payload: end..end, span: start..end }
 }
--- a/src/bin/ingress/resp/encode.rs
+++ b/src/bin/ingress/resp/encode.rs
@@ -3,7 +3,7 @@
 use super::MAX_LINE_LEN;
 use std::io::Write;
 
-/// What an error line holds besides its message: the `-ERR ` before it and the line's end, rounded up.
+/// The bytes of an error line besides its message, rounded up: `-ERR ` and the line's end.
 const ERROR_LINE_OVERHEAD: usize = 8;
 
 /// Appends the header of an array of `count` elements.
@@ -19,8 +19,8 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends an error line. Control characters of the message become spaces and its excess is cut off, since either
-/// would break the line.
+/// Appends an error line. Control characters of the message become spaces and it is cut to the longest line, since
+/// either would break the line.
 pub fn write_error(out: &mut Vec<u8>, message: &str) {
     let printable = message.bytes().map(|byte| if byte.is_ascii_control() { b' ' } else { byte });
     out.extend_from_slice(b"-ERR ");
--- a/src/bin/ingress/resp/error.rs
+++ b/src/bin/ingress/resp/error.rs
@@ -1,8 +1,8 @@
-//! What makes bytes unacceptable as RESP2.
+//! Why bytes are rejected as RESP2.
 
 use thiserror::Error;
 
-/// Why bytes are not accepted as RESP2.
+/// Why bytes are rejected as RESP2.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ProtocolError {
     /// A line feed without a carriage return before it.
@@ -14,10 +14,10 @@
     /// A length that is not written in digits.
     #[error("a length is no number")]
     InvalidLength,
-    /// A length beyond what this end accepts.
+    /// A length over the limit.
     #[error("a length is over the limit")]
     LengthOverLimit,
-    /// A bulk string whose announced length does not lead to its terminator.
+    /// A bulk string without a terminator after its length.
     #[error("a bulk string does not end with CR LF")]
     UnterminatedBulkString,
     /// A command that is not an array.
--- a/src/event.rs
+++ b/src/event.rs
@@ -66,7 +66,7 @@
     pub answered: bool,
     /// How long it was in flight.
     pub elapsed: Duration,
-    /// The units that the request really took, where they are known only afterwards.
+    /// The units that the request really took, where its own number is an estimate.
     pub charged_units: Option<f64>,
     /// The requests that wait at the backend, where it reported them.
     pub reported_queue_depth: Option<f64>,
@@ -101,7 +101,7 @@
     },
     /// Something that no decision uses.
     ///
-    /// The simulator's wire has events of this kind: ends of health checks and of calls to a shared counter. Each
-    /// still tells the time, which the gateway acts on, so the host hands them over like the others.
+    /// The simulator's wire has such events: ends of health checks and of calls to a shared counter. Each still tells
+    /// the time, which the gateway acts on, so the host passes them to it like the others.
     Unused,
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -51,7 +51,7 @@
     pub late_weight: f64,
     /// Whether it may be executed again.
     pub idempotency: Idempotency,
-    /// The answer comes as a stream.
+    /// The answer is a stream.
     pub streaming: bool,
 }
 
@@ -114,7 +114,7 @@
     pub max_poll_interval: Duration,
 }
 
-/// How the endpoint list comes.
+/// How the endpoint list is delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Discovery {
     /// It is pushed: a watch delivers each change.
@@ -155,7 +155,7 @@
     pub limits: Limits,
     /// The figures of the rules.
     pub rules: Rules,
-    /// How the endpoint list comes.
+    /// How the endpoint list is delivered.
     pub discovery: Discovery,
     /// What the sizes of endpoints mean.
     pub size_meaning: SizeMeaning,
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,6 +1,6 @@
-//! Why settings were not taken. Each text names the key at fault.
+//! Why settings are rejected. Each text names the key at fault.
 
-/// Why settings were not taken.
+/// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A line is not of the form `path=value`.
@@ -20,7 +20,7 @@
     NotANumber {
         /// The path of the setting.
         key: String,
-        /// What stands there.
+        /// The value.
         value: String,
     },
     /// A value is not a whole number in its range.
@@ -30,7 +30,7 @@
         key: String,
         /// The greatest number allowed.
         max: u64,
-        /// What stands there.
+        /// The value.
         value: String,
     },
     /// A value is neither `true` nor `false`.
@@ -38,7 +38,7 @@
     NotABoolean {
         /// The path of the setting.
         key: String,
-        /// What stands there.
+        /// The value.
         value: String,
     },
     /// A list has items beyond its count.
@@ -51,18 +51,18 @@
         /// A path beyond it.
         key: String,
     },
-    /// A value is none of the known words.
+    /// A value is none of the allowed ones.
     #[error("setting {key} is unknown: {value}")]
     UnknownValue {
         /// The path of the setting.
         key: String,
-        /// What stands there.
+        /// The value.
         value: String,
     },
 }
 
 impl SettingsError {
-    /// A word at a path that is none of those known there.
+    /// A value that is none of those allowed at its path.
     pub(super) fn unknown_value(key: &str, value: &str) -> SettingsError {
         SettingsError::UnknownValue { key: key.to_string(), value: value.to_string() }
     }
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -36,7 +36,7 @@
 const CLASSES: &str = "grades";
 /// The list of plans.
 const PLANS: &str = "contracts";
-/// The highest number that fits the settings that are kept in four bytes.
+/// The highest number of settings with four bytes.
 const MAX_U32: u64 = u32::MAX as u64;
 /// The highest number of a zone.
 const MAX_ZONE: u64 = u8::MAX as u64;
@@ -97,7 +97,7 @@
         Values::from_lines(text).map(SettingsReader)
     }
 
-    /// All that a gateway is told at its start.
+    /// The settings of a gateway.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let SettingsReader(values) = self;
         let class_indices = 0..values.count(CLASSES)?;
@@ -246,7 +246,7 @@
         })
     }
 
-    /// How the endpoint list comes.
+    /// How the endpoint list is delivered.
     fn discovery(&self) -> Result<Discovery, SettingsError> {
         let key = "membership_mode";
         match self.0.text(key)? {
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -1,4 +1,4 @@
-//! Settings as values by path, with the checks that every value goes through.
+//! Settings as values by path, and the checks of the values by type.
 
 use super::SettingsError;
 use crate::Duration;
@@ -9,7 +9,7 @@
 /// The longest time span, so that sums of some of them stay in range.
 const MAX_MICROS: u64 = u64::MAX >> 12;
 
-/// The settings as they came: values by path, such as `limits.max_open`.
+/// Unparsed values by path, such as `limits.max_open`.
 pub struct Values(HashMap<String, String>);
 
 impl Values {
@@ -33,7 +33,7 @@
         self.0.contains_key(key)
     }
 
-    /// The value at a path as it came.
+    /// The unparsed value at a path.
     pub fn text(&self, key: &str) -> Result<&str, SettingsError> {
         self.0.get(key).map(String::as_str).ok_or_else(|| SettingsError::Missing { key: key.to_string() })
     }
@@ -79,12 +79,12 @@
         }
     }
 
-    /// A list of plain values, which stand at its path with commas between them.
+    /// The list of plain values at a path, separated by commas.
     pub fn list(&self, key: &str) -> Result<Vec<String>, SettingsError> {
         Ok(self.text(key)?.split(',').filter(|value| !value.is_empty()).map(String::from).collect())
     }
 
-    /// The length of a list of objects; an item beyond the stated count is an error.
+    /// The length of a list of objects; an item with an index beyond its count is an error.
     pub fn count(&self, list: &str) -> Result<u64, SettingsError> {
         let count = self.whole_number(&format!("{list}.count"), MAX_COUNT)?;
         let prefix = format!("{list}.");
