--- a/fault-plan/src/lib.rs
+++ b/fault-plan/src/lib.rs
@@ -1,17 +1,21 @@
-//! Faults of system calls, as a plan that one process hands another in an environment variable.
+//! Faults of system calls, as a plan that one process passes to another in an environment variable.
 //!
-//! `fault-shim`, loaded into an ingress, carries a plan out; tests and `fault-soak` write it. A plan draws from its own
-//! seed, so that the same calls in the same order are hit by the same faults.
+//! `fault-shim`, loaded into an ingress, executes a plan; tests and `fault-soak` write it. A plan has its own seed, so that
+//! the same calls in the same order get the same faults.
+//!
+//! A [`SystemCallFault`] is one way in which a system call of one process fails. A `FaultScenario` of `fault-soak` is
+//! larger: it affects an ingress, a backend, discovery or clients, and may consist of several system call faults, or of
+//! none.
 
 use serde::{Deserialize, Serialize};
 
 /// The environment variable that holds a plan as JSON.
 pub const PLAN_VARIABLE: &str = "FAULT_SHIM";
 
-/// What goes wrong with a system call, or with the clock.
+/// A way in which a system call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum FaultKind {
+pub enum SystemCallFault {
     /// A read from a TCP connection returns 1 to 16 bytes, whatever else is waiting.
     ShortRead,
     /// A write to a TCP connection takes 1 to 16 bytes only.
@@ -34,30 +38,30 @@
     FailedConnect,
     /// Registering a socket with epoll fails: ENOMEM.
     FailedRegistration,
-    /// Writing the log fails: ENOSPC or EIO.
+    /// Writing the log, on standard error, fails: ENOSPC or EIO.
     FailedLog,
 }
 
-/// A fault, how often it is met, and when.
+/// A system call fault, how often it is injected, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fault {
-    /// What goes wrong.
-    pub kind: FaultKind,
-    /// The part of the calls that it is met in, from 0 to 1.
+pub struct ScheduledFault {
+    /// How the call fails.
+    pub kind: SystemCallFault,
+    /// The probability that a call gets it, from 0 to 1.
     pub probability: f64,
-    /// From when on, in milliseconds since the process started.
+    /// When it begins, in milliseconds since the process started.
     pub from_ms: u64,
-    /// Until when, in milliseconds since the process started.
+    /// When it ends, in milliseconds since the process started.
     pub until_ms: u64,
 }
 
-impl Fault {
-    /// A fault that is met from the start to the end of the process.
-    pub fn always(kind: FaultKind, probability: f64) -> Fault {
-        Fault { kind, probability, from_ms: 0, until_ms: u64::MAX }
+impl ScheduledFault {
+    /// A fault that is active from the start to the end of the process.
+    pub fn always(kind: SystemCallFault, probability: f64) -> ScheduledFault {
+        ScheduledFault { kind, probability, from_ms: 0, until_ms: u64::MAX }
     }
 
-    /// Whether it may be met so long after the start.
+    /// Whether it is active at a time since the start.
     pub fn is_active(&self, elapsed_ms: u64) -> bool {
         (self.from_ms..self.until_ms).contains(&elapsed_ms)
     }
@@ -68,27 +72,31 @@
 pub struct ClockStep {
     /// When, in milliseconds since the process started.
     pub at_ms: u64,
-    /// By how much, in milliseconds; negative for back.
+    /// By how much, in milliseconds; negative to set it back.
     pub by_ms: i64,
 }
 
-/// All that goes wrong in one process.
+/// All faults of one process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FaultPlan {
-    /// The seed of what is drawn.
+    /// The seed of the random draws.
     pub seed: u64,
     /// Faults of system calls.
     #[serde(default)]
-    pub faults: Vec<Fault>,
+    pub faults: Vec<ScheduledFault>,
     /// Steps of the wall clock.
     #[serde(default)]
     pub clock_steps: Vec<ClockStep>,
 }
 
 impl FaultPlan {
-    /// A plan with one fault from the start to the end.
-    pub fn single(kind: FaultKind, probability: f64) -> FaultPlan {
-        FaultPlan { seed: 1, faults: vec![Fault::always(kind, probability)], clock_steps: Vec::new() }
+    /// A plan with one fault, active from the start to the end.
+    pub fn single(kind: SystemCallFault, probability: f64) -> FaultPlan {
+        FaultPlan {
+            seed: 1,
+            faults: vec![ScheduledFault::always(kind, probability)],
+            clock_steps: Vec::new(),
+        }
     }
 
     /// The plan as the value of [`PLAN_VARIABLE`].
@@ -101,13 +109,13 @@
         serde_json::from_str(json)
     }
 
-    /// How likely a fault is met so long after the start; faults of one kind add up.
-    pub fn probability(&self, kind: FaultKind, elapsed_ms: u64) -> f64 {
+    /// The probability of a fault at a time since the start; faults of one kind add up.
+    pub fn probability(&self, kind: SystemCallFault, elapsed_ms: u64) -> f64 {
         let active = self.faults.iter().filter(|fault| fault.kind == kind && fault.is_active(elapsed_ms));
         active.map(|fault| fault.probability).sum()
     }
 
-    /// By how many milliseconds the wall clock is off so long after the start.
+    /// By how many milliseconds the wall clock is off at a time since the start.
     pub fn clock_offset_ms(&self, elapsed_ms: u64) -> i64 {
         self.clock_steps.iter().filter(|step| step.at_ms <= elapsed_ms).map(|step| step.by_ms).sum()
     }
--- a/fault-plan/src/tests.rs
+++ b/fault-plan/src/tests.rs
@@ -6,7 +6,12 @@
 fn a_plan_survives_the_environment() {
     let plan = FaultPlan {
         seed: 7,
-        faults: vec![Fault { kind: FaultKind::ShortRead, probability: 0.25, from_ms: 10, until_ms: 20 }],
+        faults: vec![ScheduledFault {
+            kind: SystemCallFault::ShortRead,
+            probability: 0.25,
+            from_ms: 10,
+            until_ms: 20,
+        }],
         clock_steps: vec![ClockStep { at_ms: 3000, by_ms: -3_600_000 }],
     };
     assert_eq!(FaultPlan::from_json(&plan.to_json()).unwrap(), plan);
@@ -14,13 +19,16 @@
 }
 
 #[test]
-fn faults_are_met_between_their_times_only() {
-    let fault =
-        |from_ms, until_ms| Fault { from_ms, until_ms, ..Fault::always(FaultKind::FailedAccept, 0.5) };
+fn faults_are_active_between_their_times_only() {
+    let fault = |from_ms, until_ms| ScheduledFault {
+        from_ms,
+        until_ms,
+        ..ScheduledFault::always(SystemCallFault::FailedAccept, 0.5)
+    };
     let plan = FaultPlan { faults: vec![fault(10, 30), fault(20, 30)], ..FaultPlan::default() };
-    let at = |elapsed| plan.probability(FaultKind::FailedAccept, elapsed);
+    let at = |elapsed| plan.probability(SystemCallFault::FailedAccept, elapsed);
     assert_eq!([at(9), at(10), at(20), at(30)], [0.0, 0.5, 1.0, 0.0]);
-    assert_eq!(plan.probability(FaultKind::FailedSocket, 20), 0.0);
+    assert_eq!(plan.probability(SystemCallFault::FailedSocket, 20), 0.0);
 }
 
 #[test]
--- a/fault-shim/src/decision.rs
+++ b/fault-shim/src/decision.rs
@@ -1,7 +1,7 @@
-//! What the plan says of a call: whether it fails, and how.
+//! Decides by the plan whether a call fails, and how.
 
 use crate::real;
-use fault_plan::{FaultKind, FaultPlan, PLAN_VARIABLE};
+use fault_plan::{FaultPlan, SystemCallFault, PLAN_VARIABLE};
 use libc::{c_int, timespec};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
@@ -17,15 +17,17 @@
 /// Bits of a number that a probability is compared with.
 const PROBABILITY_BITS: u32 = 53;
 
-/// The plan of this process, and when it was first looked at.
+/// The plan of this process, and when it was read.
 struct Context {
+    /// The plan.
     plan: FaultPlan,
+    /// When the plan was read, by the monotonic clock.
     started_ms: u64,
     /// The state of the generator, which all threads share.
     random: AtomicU64,
 }
 
-/// Milliseconds of the monotonic clock, which no plan steps.
+/// The time of the monotonic clock, which no plan steps, in milliseconds.
 fn monotonic_ms() -> u64 {
     let mut time = timespec { tv_sec: 0, tv_nsec: 0 };
     // SAFETY: the time is a local that outlives the call.
@@ -33,25 +35,26 @@
     time.tv_sec as u64 * MILLIS_PER_SECOND + time.tv_nsec as u64 / NANOS_PER_MILLI
 }
 
-/// Reads the plan, if there is one that can be read.
+/// Reads the plan; none if there is none, or it cannot be parsed.
 fn read_context() -> Option<Context> {
     let plan = FaultPlan::from_json(&std::env::var(PLAN_VARIABLE).ok()?).ok()?;
     let random = AtomicU64::new(plan.seed);
     Some(Context { plan, started_ms: monotonic_ms(), random })
 }
 
-/// The plan of this process; none if it has none.
+/// The plan of this process; none if it has none. It is read at the first call.
 fn context() -> Option<&'static Context> {
     static CONTEXT: OnceLock<Option<Context>> = OnceLock::new();
     CONTEXT.get_or_init(read_context).as_ref()
 }
 
 impl Context {
+    /// The time since the plan was read, in milliseconds.
     fn elapsed_ms(&self) -> u64 {
         monotonic_ms() - self.started_ms
     }
 
-    /// The next number of the generator.
+    /// The next number of the generator (SplitMix64).
     fn draw(&self) -> u64 {
         let state = self.random.fetch_add(STATE_INCREMENT, Ordering::Relaxed).wrapping_add(STATE_INCREMENT);
         let mixed = (state ^ state >> 30).wrapping_mul(MIXERS[0]);
@@ -60,8 +63,8 @@
     }
 }
 
-/// Whether this call meets a fault.
-pub fn is_met(kind: FaultKind) -> bool {
+/// Whether a call is to fail in this way.
+pub fn should_inject(kind: SystemCallFault) -> bool {
     let Some(context) = context() else { return false };
     if context.plan.faults.iter().all(|fault| fault.kind != kind) {
         return false;
--- a/fault-shim/src/lib.rs
+++ b/fault-shim/src/lib.rs
@@ -1,25 +1,25 @@
-//! A library for `LD_PRELOAD`: it stands in front of the C library's system calls and has some of them fail, as the plan
-//! in the environment says (see [`fault_plan`]). Without a plan each call goes through unchanged.
+//! A library for `LD_PRELOAD`: it interposes system calls of the C library and makes some of them fail, as the plan in the
+//! environment says (see [`fault_plan`]). Without a plan each call goes through unchanged.
 //!
-//! Only faults that Linux documents are made up, and only on the process that loads the library: no descriptor, file or
-//! clock outside of it is touched. Reads and writes fail on TCP connections over IPv4 only, so that the pipes and files
-//! of the process work on.
+//! It injects only faults that Linux documents, and only into the process that loads it: no descriptor, file or clock
+//! outside of that process is touched. Reads and writes fail on TCP connections over IPv4 only, so that pipes and files of
+//! the process keep working.
 
 mod decision;
 mod real;
 
-use decision::{draw_errno, draw_length, is_met, wall_clock_offset_ms};
-use fault_plan::FaultKind;
+use decision::{draw_errno, draw_length, should_inject, wall_clock_offset_ms};
+use fault_plan::SystemCallFault;
 use libc::{c_int, c_void, clockid_t, epoll_event, size_t, sockaddr, socklen_t, ssize_t, timespec};
 
 /// Nanoseconds in a millisecond.
 const NANOS_PER_MILLI: i64 = 1_000_000;
 /// Nanoseconds in a second.
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
-/// The most bytes of a read or write that is made short.
+/// The most bytes that a shortened read or write moves.
 const MAX_SHORT_LENGTH: usize = 16;
 
-/// Has the calling function fail with an error number.
+/// Sets `errno`, and returns the result of a call that failed.
 fn fail(errno: c_int) -> c_int {
     // SAFETY: the location is this thread's own and always valid.
     unsafe { *libc::__errno_location() = errno };
@@ -40,15 +40,15 @@
 }
 
 /// How many of the wanted bytes a read or write may move.
-fn allowed_length(kind: FaultKind, wanted: size_t) -> size_t {
-    if wanted > 1 && is_met(kind) {
+fn allowed_length(kind: SystemCallFault, wanted: size_t) -> size_t {
+    if wanted > 1 && should_inject(kind) {
         wanted.min(draw_length(MAX_SHORT_LENGTH))
     } else {
         wanted
     }
 }
 
-/// Stands in front of `recv`.
+/// Interposes `recv`.
 ///
 /// # Safety
 /// As for `recv`: `buffer` has room for `length` bytes.
@@ -61,16 +61,16 @@
 ) -> ssize_t {
     let mut length = length;
     if is_tcp(descriptor) {
-        if is_met(FaultKind::InterruptedRead) {
+        if should_inject(SystemCallFault::InterruptedRead) {
             return fail(libc::EINTR) as ssize_t;
         }
-        length = allowed_length(FaultKind::ShortRead, length);
+        length = allowed_length(SystemCallFault::ShortRead, length);
     }
     // SAFETY: the caller's promise; the length has not grown.
     unsafe { real::recv()(descriptor, buffer, length, flags) }
 }
 
-/// Stands in front of `send`.
+/// Interposes `send`.
 ///
 /// # Safety
 /// As for `send`: `buffer` holds `length` bytes.
@@ -83,35 +83,35 @@
 ) -> ssize_t {
     let mut length = length;
     if is_tcp(descriptor) {
-        if is_met(FaultKind::InterruptedWrite) {
+        if should_inject(SystemCallFault::InterruptedWrite) {
             return fail(libc::EINTR) as ssize_t;
         }
-        if is_met(FaultKind::NoBufferForWrite) {
+        if should_inject(SystemCallFault::NoBufferForWrite) {
             return fail(libc::ENOBUFS) as ssize_t;
         }
-        if is_met(FaultKind::ZeroWrite) {
+        if should_inject(SystemCallFault::ZeroWrite) {
             return 0;
         }
-        length = allowed_length(FaultKind::ShortWrite, length);
+        length = allowed_length(SystemCallFault::ShortWrite, length);
     }
     // SAFETY: the caller's promise; the length has not grown.
     unsafe { real::send()(descriptor, buffer, length, flags) }
 }
 
-/// Stands in front of `write`; only the log, on standard error, fails.
+/// Interposes `write`; only writes to standard error, where the log goes, fail.
 ///
 /// # Safety
 /// As for `write`: `buffer` holds `length` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    if descriptor == libc::STDERR_FILENO && is_met(FaultKind::FailedLog) {
+    if descriptor == libc::STDERR_FILENO && should_inject(SystemCallFault::FailedLog) {
         return fail(draw_errno(&[libc::ENOSPC, libc::EIO])) as ssize_t;
     }
     // SAFETY: the caller's promise, passed on unchanged.
     unsafe { real::write()(descriptor, buffer, length) }
 }
 
-/// Stands in front of `accept4`.
+/// Interposes `accept4`.
 ///
 /// # Safety
 /// As for `accept4`: `address` and `length` are null or valid.
@@ -122,7 +122,7 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if is_met(FaultKind::FailedAccept) {
+    if should_inject(SystemCallFault::FailedAccept) {
         const ERRORS: [c_int; 6] =
             [libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::EMFILE, libc::ENOMEM, libc::EINTR];
         return fail(draw_errno(&ERRORS));
@@ -131,33 +131,33 @@
     unsafe { real::accept4()(descriptor, address, length, flags) }
 }
 
-/// Stands in front of `socket`.
+/// Interposes `socket`.
 ///
 /// # Safety
 /// As for `socket`, which asks for nothing.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if domain == libc::AF_INET && is_met(FaultKind::FailedSocket) {
+    if domain == libc::AF_INET && should_inject(SystemCallFault::FailedSocket) {
         return fail(draw_errno(&[libc::EMFILE, libc::ENFILE, libc::ENOBUFS]));
     }
     // SAFETY: the call takes no memory of ours.
     unsafe { real::socket()(domain, kind, protocol) }
 }
 
-/// Stands in front of `connect`.
+/// Interposes `connect`.
 ///
 /// # Safety
 /// As for `connect`: `address` points to `length` bytes.
 #[no_mangle]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    if is_tcp(descriptor) && is_met(FaultKind::FailedConnect) {
+    if is_tcp(descriptor) && should_inject(SystemCallFault::FailedConnect) {
         return fail(draw_errno(&[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EINTR]));
     }
     // SAFETY: the caller's promise, passed on unchanged.
     unsafe { real::connect()(descriptor, address, length) }
 }
 
-/// Stands in front of `epoll_wait`.
+/// Interposes `epoll_wait`.
 ///
 /// # Safety
 /// As for `epoll_wait`: `events` has room for `capacity` events.
@@ -168,14 +168,14 @@
     capacity: c_int,
     timeout: c_int,
 ) -> c_int {
-    if is_met(FaultKind::InterruptedWait) {
+    if should_inject(SystemCallFault::InterruptedWait) {
         return fail(libc::EINTR);
     }
     // SAFETY: the caller's promise, passed on unchanged.
     unsafe { real::epoll_wait()(descriptor, events, capacity, timeout) }
 }
 
-/// Stands in front of `epoll_ctl`; only the registration of a TCP socket fails.
+/// Interposes `epoll_ctl`; only the registration of a TCP socket fails.
 ///
 /// # Safety
 /// As for `epoll_ctl`: `event` is null or valid.
@@ -186,14 +186,17 @@
     descriptor: c_int,
     event: *mut epoll_event,
 ) -> c_int {
-    if operation == libc::EPOLL_CTL_ADD && is_tcp(descriptor) && is_met(FaultKind::FailedRegistration) {
+    if operation == libc::EPOLL_CTL_ADD
+        && is_tcp(descriptor)
+        && should_inject(SystemCallFault::FailedRegistration)
+    {
         return fail(libc::ENOMEM);
     }
     // SAFETY: the caller's promise, passed on unchanged.
     unsafe { real::epoll_ctl()(poll, operation, descriptor, event) }
 }
 
-/// Stands in front of `clock_gettime`: the wall clock is stepped, the others run on.
+/// Interposes `clock_gettime`: the wall clock is stepped, the other clocks are not.
 ///
 /// # Safety
 /// As for `clock_gettime`: `time` is valid.
--- a/fault-shim/src/real.rs
+++ b/fault-shim/src/real.rs
@@ -1,10 +1,10 @@
-//! The functions of the C library that this library stands in front of.
+//! The functions of the C library that this library interposes.
 
 use libc::{c_int, c_void, clockid_t, epoll_event, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::ffi::CStr;
 use std::sync::OnceLock;
 
-/// The address of the next function with this name, behind this library's own.
+/// The address of the next function with this name after this library's own, in the order of symbol lookup.
 fn next(name: &CStr) -> usize {
     // SAFETY: the name is a string that ends with a zero byte.
     let address = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
@@ -12,7 +12,7 @@
     address as usize
 }
 
-/// Defines a function that looks up one of the C library's and keeps its address.
+/// Defines a function that looks up one of the C library's and caches its address.
 macro_rules! real_function {
     ($name:ident, $symbol:literal, fn($($argument:ty),*) -> $result:ty) => {
         /// The C library's function of this name.
--- a/fault-soak/src/plan.rs
+++ b/fault-soak/src/plan.rs
@@ -1,6 +1,6 @@
 //! What goes wrong in a run, drawn from its seed before it begins: the same seed gives the same plan.
 
-use fault_plan::{ClockStep, Fault, FaultKind, FaultPlan};
+use fault_plan::{ClockStep, FaultPlan, ScheduledFault, SystemCallFault};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -131,22 +131,22 @@
     ];
 
     /// The faults of system calls that it consists of, each with its probability.
-    fn system_call_faults(self) -> &'static [(FaultKind, f64)] {
+    fn system_call_faults(self) -> &'static [(SystemCallFault, f64)] {
         match self {
-            TroubleKind::ShortReads => &[(FaultKind::ShortRead, 0.1)],
-            TroubleKind::ShortWrites => &[(FaultKind::ShortWrite, 0.1)],
+            TroubleKind::ShortReads => &[(SystemCallFault::ShortRead, 0.1)],
+            TroubleKind::ShortWrites => &[(SystemCallFault::ShortWrite, 0.1)],
             TroubleKind::Interruptions => &[
-                (FaultKind::InterruptedRead, 0.05),
-                (FaultKind::InterruptedWrite, 0.05),
-                (FaultKind::InterruptedWait, 0.05),
+                (SystemCallFault::InterruptedRead, 0.05),
+                (SystemCallFault::InterruptedWrite, 0.05),
+                (SystemCallFault::InterruptedWait, 0.05),
             ],
-            TroubleKind::FailedAccepts => &[(FaultKind::FailedAccept, 0.3)],
+            TroubleKind::FailedAccepts => &[(SystemCallFault::FailedAccept, 0.3)],
             TroubleKind::FailedConnects => {
-                &[(FaultKind::FailedSocket, 0.05), (FaultKind::FailedConnect, 0.05)]
+                &[(SystemCallFault::FailedSocket, 0.05), (SystemCallFault::FailedConnect, 0.05)]
             }
-            TroubleKind::FailedRegistrations => &[(FaultKind::FailedRegistration, 0.1)],
-            TroubleKind::NoBuffers => &[(FaultKind::NoBufferForWrite, 0.03)],
-            TroubleKind::FailedLog => &[(FaultKind::FailedLog, 0.5)],
+            TroubleKind::FailedRegistrations => &[(SystemCallFault::FailedRegistration, 0.1)],
+            TroubleKind::NoBuffers => &[(SystemCallFault::NoBufferForWrite, 0.03)],
+            TroubleKind::FailedLog => &[(SystemCallFault::FailedLog, 0.5)],
             _ => &[],
         }
     }
@@ -267,7 +267,7 @@
         let faults = own_troubles.flat_map(|trouble| {
             let times =
                 (trouble.from_ms.saturating_sub(started_ms), trouble.until_ms.saturating_sub(started_ms));
-            trouble.kind.system_call_faults().iter().map(move |(kind, probability)| Fault {
+            trouble.kind.system_call_faults().iter().map(move |(kind, probability)| ScheduledFault {
                 kind: *kind,
                 probability: *probability,
                 from_ms: times.0,
--- a/fault-soak/tests/plan.rs
+++ b/fault-soak/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Plans are drawn from their seeds alone.
 
-use fault_plan::FaultKind;
+use fault_plan::SystemCallFault;
 use fault_soak::plan::{Shape, SoakPlan, Trouble, TroubleKind};
 
 const SHAPE: Shape = Shape { ingresses: 10, backends: 6, clients: 24, seconds: 8 };
@@ -41,7 +41,7 @@
     let plan = plan_of(&[short, step]);
     let struck = plan.shim_plan(4, 2600);
     assert_eq!(struck.faults.len(), 1);
-    assert_eq!((struck.faults[0].kind, struck.faults[0].from_ms), (FaultKind::ShortRead, 400));
+    assert_eq!((struck.faults[0].kind, struck.faults[0].from_ms), (SystemCallFault::ShortRead, 400));
     assert_eq!(struck.clock_offset_ms(0), -3_600_000, "stepped before the process started");
     let other = plan.shim_plan(5, 0);
     assert!(other.faults.is_empty());
--- a/tests/system_call_faults.rs
+++ b/tests/system_call_faults.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use fault_plan::{ClockStep, Fault, FaultKind, FaultPlan};
+use fault_plan::{ClockStep, FaultPlan, ScheduledFault, SystemCallFault};
 use std::io::Write;
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
@@ -20,7 +20,7 @@
 fn requests_are_answered_though_every_read_is_short() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
-    setup.faults = Some(FaultPlan::single(FaultKind::ShortRead, 1.0));
+    setup.faults = Some(FaultPlan::single(SystemCallFault::ShortRead, 1.0));
     let ingress = setup.start();
     let mut client = ingress.client();
     for number in 0..40 {
@@ -35,7 +35,7 @@
 fn new_clients_are_served_though_accepting_fails_for_a_moment() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
-    setup.faults = Some(FaultPlan::single(FaultKind::FailedAccept, 0.5));
+    setup.faults = Some(FaultPlan::single(SystemCallFault::FailedAccept, 0.5));
     let ingress = setup.start();
     let mut clients: Vec<Client> = (0..24).map(|_| ingress.client()).collect();
     ingress.wait_until_input_is_processed();
@@ -99,7 +99,7 @@
     let reply = format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len());
     let backend = Backend::start(move |_| BackendReply::Bytes(reply.clone().into_bytes()));
     let mut setup = IngressSetup::with_backends(&[&backend]);
-    setup.faults = Some(FaultPlan::single(FaultKind::ShortRead, 1.0));
+    setup.faults = Some(FaultPlan::single(SystemCallFault::ShortRead, 1.0));
     let ingress = setup.start();
     let reply = ingress.client().round_trip(&encode_request("refer", "r1", 5000));
     assert!(reply == value, "{} bytes, beginning with {:.40}", reply.len(), reply);
@@ -126,7 +126,7 @@
 fn requests_are_answered_though_the_log_cannot_be_written() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
-    setup.faults = Some(FaultPlan::single(FaultKind::FailedLog, 1.0));
+    setup.faults = Some(FaultPlan::single(SystemCallFault::FailedLog, 1.0));
     let mut ingress = setup.start();
     ingress.signal("HUP");
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q1", 900)), "value of q1");
@@ -150,20 +150,21 @@
 /// Guards against closing a client's connection, with the replies that it is owed, for a moment without buffers.
 #[test]
 fn replies_are_written_though_there_is_no_buffer_for_a_moment() {
-    assert_all_are_answered(FaultPlan::single(FaultKind::NoBufferForWrite, 0.5));
+    assert_all_are_answered(FaultPlan::single(SystemCallFault::NoBufferForWrite, 0.5));
 }
 
 /// Guards against closing a client that was just accepted since its socket cannot be registered for a moment.
 #[test]
 fn clients_are_served_though_registering_fails_for_a_moment() {
-    assert_all_are_answered(FaultPlan::single(FaultKind::FailedRegistration, 0.5));
+    assert_all_are_answered(FaultPlan::single(SystemCallFault::FailedRegistration, 0.5));
 }
 
 /// Guards against trying for good to write to a connection that takes nothing and reports no error.
 #[test]
 fn a_write_that_takes_nothing_does_not_stop_the_ingress() {
     let mut setup = IngressSetup::with_backends(&[]);
-    let zero_writes = Fault { from_ms: 1000, ..Fault::always(FaultKind::ZeroWrite, 1.0) };
+    let zero_writes =
+        ScheduledFault { from_ms: 1000, ..ScheduledFault::always(SystemCallFault::ZeroWrite, 1.0) };
     setup.faults = Some(FaultPlan { faults: vec![zero_writes], ..FaultPlan::default() });
     let mut ingress = setup.start();
     // Until the fault begins a PING is answered; from then on the connection is closed.
@@ -177,7 +178,8 @@
 fn the_ingress_starts_though_no_socket_can_be_made_for_a_moment() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
-    let no_sockets = Fault { until_ms: 400, ..Fault::always(FaultKind::FailedSocket, 1.0) };
+    let no_sockets =
+        ScheduledFault { until_ms: 400, ..ScheduledFault::always(SystemCallFault::FailedSocket, 1.0) };
     setup.faults = Some(FaultPlan { faults: vec![no_sockets], ..FaultPlan::default() });
     let ingress = setup.start();
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q1", 900)), "value of q1");
@@ -192,7 +194,8 @@
     // Each request needs a connection of its own, which fails for nothing else.
     setup.replace_setting("\"keepalive_us\":15000000", "\"keepalive_us\":20000");
     setup.replace_setting("\"connect_timeout_us\":250000", "\"connect_timeout_us\":8000000");
-    let no_sockets = Fault { from_ms: 1000, ..Fault::always(FaultKind::FailedSocket, 1.0) };
+    let no_sockets =
+        ScheduledFault { from_ms: 1000, ..ScheduledFault::always(SystemCallFault::FailedSocket, 1.0) };
     setup.faults = Some(FaultPlan { faults: vec![no_sockets], ..FaultPlan::default() });
     let mut ingress = setup.start();
     let mut client = ingress.client();
