--- a/fault-soak/src/lib.rs
+++ b/fault-soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! A soak under faults: real ingresses on loopback between stand-ins for clients, backends and discovery, with troubles
-//! that overlap in time, drawn from a seed before the run. An oracle judges what the stand-ins saw.
+//! A soak test with fault injection: real ingresses on loopback between stand-ins for clients, backends and discovery,
+//! with faults that overlap in time, drawn from a seed before the run. An oracle judges what the stand-ins observed.
 
 pub mod counters;
 pub mod ingress;
@@ -8,5 +8,6 @@
 pub mod record;
 pub mod report;
 pub mod run;
+pub mod scenario;
 pub mod settings;
 pub mod stand_in;
--- a/fault-soak/src/main.rs
+++ b/fault-soak/src/main.rs
@@ -1,12 +1,13 @@
-//! Plays troubles around real ingresses, and reports what they broke.
+//! Injects faults around real ingresses, and reports which invariants they broke.
 
 use anyhow::{bail, Context};
 use clap::{Parser, Subcommand};
 use fault_soak::ingress::{Ingress, Programs};
 use fault_soak::oracle::{judge, judge_logs};
-use fault_soak::plan::{Shape, SoakPlan, TroubleKind};
+use fault_soak::plan::{Shape, SoakPlan};
 use fault_soak::report::{page, RunResult};
 use fault_soak::run::play;
+use fault_soak::scenario::FaultScenario;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -32,9 +33,9 @@
     /// The library that has system calls fail.
     #[arg(long, default_value = "target/release/libfault_shim.so")]
     shim: PathBuf,
-    /// Troubles of this kind alone; may be given more than once.
+    /// A kind of fault to draw from, instead of all; may be given more than once.
     #[arg(long, value_enum)]
-    only: Vec<TroubleKind>,
+    only: Vec<FaultScenario>,
     /// How many ingresses run, 40 at most.
     #[arg(long, default_value_t = 10)]
     ingresses: usize,
@@ -78,7 +79,7 @@
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Drops troubles from the plan of a seed for as long as the same rule is broken.
+    /// Removes faults from the plan of a seed for as long as the same rule is broken.
     Shrink {
         /// The seed.
         seed: u64,
@@ -142,7 +143,7 @@
             clients: self.clients,
             seconds: self.seconds.min(60),
         };
-        let kinds = if self.only.is_empty() { &TroubleKind::ALL[..] } else { &self.only };
+        let kinds = if self.only.is_empty() { FaultScenario::all() } else { &self.only };
         SoakPlan::draw(seed, shape, kinds)
     }
 
@@ -190,10 +191,10 @@
 
 /// Prints the line of a run.
 fn print(result: &RunResult) {
-    let kinds: Vec<TroubleKind> = result.plan.troubles.iter().map(|trouble| trouble.kind).collect();
+    let kinds: Vec<FaultScenario> = result.plan.faults.iter().map(|fault| fault.kind).collect();
     let totals = &result.totals;
     println!(
-        "seed {}: {} requests, {} served, longest {:.0} ms, stall {} ms, quota {:.2}, violations {:?}, troubles {kinds:?}",
+        "seed {}: {} requests, {} served, longest {:.0} ms, stall {} ms, quota {:.2}, violations {:?}, faults {kinds:?}",
         result.plan.seed,
         totals.requests,
         totals.served,
@@ -206,8 +207,8 @@
 
 /// Prints each violation, and what the ingresses logged of its request.
 fn print_in_full(result: &RunResult, programs: &Programs) {
-    for trouble in &result.plan.troubles {
-        println!("{trouble:?}");
+    for fault in &result.plan.faults {
+        println!("{fault:?}");
     }
     for violation in &result.violations {
         println!("{:?} {:?}: {}", violation.rule, violation.request, violation.detail);
@@ -231,13 +232,13 @@
     log.lines().filter(tells).for_each(|line| println!("    {number}: {line}"));
 }
 
-/// Drops troubles one by one for as long as the same rule stays broken.
+/// Removes faults one by one for as long as the same rule stays broken.
 fn shrink(options: &RunOptions, seed: u64) -> anyhow::Result<()> {
     let mut smallest = options.run(options.plan(seed))?;
     print(&smallest);
     let Some(rule) = smallest.counts.keys().next().copied() else { bail!("seed {seed} breaks no rule") };
     let mut index = 0;
-    while index < smallest.plan.troubles.len() {
+    while index < smallest.plan.faults.len() {
         let result = options.run(smallest.plan.without(index))?;
         print(&result);
         if result.counts.contains_key(&rule) {
@@ -247,7 +248,7 @@
         }
     }
     println!("{rule:?} remains with:");
-    smallest.plan.troubles.iter().for_each(|trouble| println!("{trouble:?}"));
+    smallest.plan.faults.iter().for_each(|fault| println!("{fault:?}"));
     Ok(())
 }
 
--- a/fault-soak/src/oracle.rs
+++ b/fault-soak/src/oracle.rs
@@ -5,8 +5,9 @@
 
 pub use ingresses::{judge_logs, quota_use};
 
-use crate::plan::{SoakPlan, TroubleKind};
+use crate::plan::SoakPlan;
 use crate::record::{ArrivalRecord, Class, Ending, Micros, ProcessEvent, RequestRecord, Seen};
+use crate::scenario::FaultScenario;
 use crate::settings;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -28,7 +29,7 @@
 
 /// By how much an ingress may be late since the plan has it stand still.
 fn pause_slack(plan: &SoakPlan) -> Micros {
-    let pauses = plan.troubles.iter().any(|trouble| trouble.kind == TroubleKind::Pauses);
+    let pauses = plan.includes(FaultScenario::Pauses);
     if pauses {
         PAUSE
     } else {
--- a/fault-soak/src/plan.rs
+++ b/fault-soak/src/plan.rs
@@ -1,183 +1,72 @@
-//! What goes wrong in a run, drawn from its seed before it begins: the same seed gives the same plan.
+//! The plan of a run: which faults are injected, when and where. The same seed draws the same plan.
 
-use fault_plan::{ClockStep, FaultPlan, ScheduledFault, SystemCallFault};
+use crate::scenario::FaultScenario;
+use fault_plan::{ClockStep, FaultPlan, ScheduledFault};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
+use std::ops::RangeInclusive;
 
 /// An hour, by which clocks are stepped, in milliseconds.
 const HOUR_MS: i64 = 3_600_000;
-/// When the first trouble begins: clients have got answers by then.
-const FIRST_TROUBLE_MS: u64 = 1500;
-/// How long before the end the last trouble ends: what it has left behind is still to be seen.
+/// When the first fault begins, in milliseconds: clients have had answers by then.
+const FIRST_FAULT_MS: u64 = 1500;
+/// The time without faults at the end, in milliseconds, in which their consequences are still observed.
 const QUIET_END_MS: u64 = 1500;
-
-/// A kind of trouble.
-#[derive(
-    Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, clap::ValueEnum,
-)]
-#[serde(rename_all = "snake_case")]
-#[value(rename_all = "snake_case")]
-pub enum TroubleKind {
-    /// Reads of an ingress are short.
-    ShortReads,
-    /// Writes of an ingress are short.
-    ShortWrites,
-    /// Reads, writes and waits of an ingress are interrupted.
-    Interruptions,
-    /// Accepting fails at an ingress.
-    FailedAccepts,
-    /// Sockets and connections cannot be made by an ingress.
-    FailedConnects,
-    /// Sockets cannot be registered with epoll.
-    FailedRegistrations,
-    /// Writes find no buffer.
-    NoBuffers,
-    /// The log of an ingress cannot be written.
-    FailedLog,
-    /// The wall clock of all machines is set back by an hour.
-    ClockBack,
-    /// The wall clock of all machines is set forward by an hour.
-    ClockForward,
-    /// An ingress is told to end, and started again.
-    Terminate,
-    /// An ingress is killed, and started again.
-    Kill,
-    /// An ingress is told to read its configuration again, which is half written at first.
-    Reload,
-    /// An ingress stands still for up to 0.15 s, again and again.
-    Pauses,
-    /// A backend takes long.
-    SlowBackend,
-    /// A backend answers with errors.
-    FailingBackend,
-    /// A backend rejects.
-    RejectingBackend,
-    /// A backend resets connections in the middle of its replies.
-    ResettingBackend,
-    /// A backend resets connections as soon as the first bytes of a command come: it never runs.
-    CuttingBackend,
-    /// A backend sends its replies a few bytes at a time.
-    TricklingBackend,
-    /// A backend sends its replies twice, the second time some milliseconds later.
-    DoublingBackend,
-    /// A backend takes commands and answers nothing.
-    HangingBackend,
-    /// A backend's machine is cut off: it neither reads nor writes, and resets its connections once it is back.
-    SilentBackend,
-    /// A backend closes its idle connections.
-    ClosingBackend,
-    /// A backend is listed as draining, and later as up.
-    DrainingBackend,
-    /// A backend starts anew, and is cold.
-    RestartedBackend,
-    /// Discovery answers nothing.
-    SilentDiscovery,
-    /// Discovery closes every connection.
-    BrokenDiscovery,
-    /// Discovery sends its answers a few bytes at a time, and cuts every other one in the middle.
-    CuttingDiscovery,
-    /// Clients leave before their answer.
-    LeavingClients,
-    /// Clients stop in the middle of a command, and stay.
-    StoppingClients,
-    /// Clients send their commands a few bytes at a time.
-    TricklingClients,
-    /// Clients send several commands at once.
-    PipeliningClients,
-    /// Clients send what is no command.
-    RudeClients,
-}
-
-impl TroubleKind {
-    /// All kinds.
-    pub const ALL: [TroubleKind; 34] = [
-        TroubleKind::ShortReads,
-        TroubleKind::ShortWrites,
-        TroubleKind::Interruptions,
-        TroubleKind::FailedAccepts,
-        TroubleKind::FailedConnects,
-        TroubleKind::FailedRegistrations,
-        TroubleKind::NoBuffers,
-        TroubleKind::FailedLog,
-        TroubleKind::ClockBack,
-        TroubleKind::ClockForward,
-        TroubleKind::Terminate,
-        TroubleKind::Kill,
-        TroubleKind::Reload,
-        TroubleKind::Pauses,
-        TroubleKind::SlowBackend,
-        TroubleKind::FailingBackend,
-        TroubleKind::RejectingBackend,
-        TroubleKind::ResettingBackend,
-        TroubleKind::CuttingBackend,
-        TroubleKind::TricklingBackend,
-        TroubleKind::DoublingBackend,
-        TroubleKind::HangingBackend,
-        TroubleKind::SilentBackend,
-        TroubleKind::ClosingBackend,
-        TroubleKind::DrainingBackend,
-        TroubleKind::RestartedBackend,
-        TroubleKind::SilentDiscovery,
-        TroubleKind::BrokenDiscovery,
-        TroubleKind::CuttingDiscovery,
-        TroubleKind::LeavingClients,
-        TroubleKind::StoppingClients,
-        TroubleKind::TricklingClients,
-        TroubleKind::PipeliningClients,
-        TroubleKind::RudeClients,
-    ];
-
-    /// The faults of system calls that it consists of, each with its probability.
-    fn system_call_faults(self) -> &'static [(SystemCallFault, f64)] {
-        match self {
-            TroubleKind::ShortReads => &[(SystemCallFault::ShortRead, 0.1)],
-            TroubleKind::ShortWrites => &[(SystemCallFault::ShortWrite, 0.1)],
-            TroubleKind::Interruptions => &[
-                (SystemCallFault::InterruptedRead, 0.05),
-                (SystemCallFault::InterruptedWrite, 0.05),
-                (SystemCallFault::InterruptedWait, 0.05),
-            ],
-            TroubleKind::FailedAccepts => &[(SystemCallFault::FailedAccept, 0.3)],
-            TroubleKind::FailedConnects => {
-                &[(SystemCallFault::FailedSocket, 0.05), (SystemCallFault::FailedConnect, 0.05)]
-            }
-            TroubleKind::FailedRegistrations => &[(SystemCallFault::FailedRegistration, 0.1)],
-            TroubleKind::NoBuffers => &[(SystemCallFault::NoBufferForWrite, 0.03)],
-            TroubleKind::FailedLog => &[(SystemCallFault::FailedLog, 0.5)],
-            _ => &[],
-        }
-    }
-}
-
-/// Something that goes wrong for a time.
+/// How many groups of faults a plan has.
+const GROUPS: RangeInclusive<usize> = 1..=2;
+/// How many faults overlap in a group.
+const GROUP_SIZE: RangeInclusive<usize> = 2..=3;
+/// The least time from the first fault to the middle of a group, in milliseconds.
+const MIN_LEAD_MS: u64 = 500;
+/// The least time for which a fault is active before the middle of its group, in milliseconds.
+const MIN_TIME_BEFORE_MS: u64 = 100;
+/// How long a fault stays active after the middle of its group, in milliseconds.
+const TIME_AFTER_MS: RangeInclusive<u64> = 200..=2500;
+/// Targets are drawn below this number, and taken modulo the number of members.
+const TARGET_COUNT: usize = 1000;
+
+/// A fault of a run: a scenario, when it is active, and what it affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct InjectedFault {
     /// What goes wrong.
-    pub kind: TroubleKind,
+    pub kind: FaultScenario,
     /// When it begins, in milliseconds since the start of the load.
     pub from_ms: u64,
-    /// When it ends.
+    /// When it ends, in milliseconds since the start of the load.
     pub until_ms: u64,
-    /// The number of the ingress, backend or client that it affects, where it affects one.
+    /// The ingress, backend or client that it affects, modulo how many there are.
     pub target: usize,
 }
 
-impl Trouble {
-    /// Whether it is there at a time.
+impl InjectedFault {
+    /// Whether it is active at a time.
     pub fn is_active(&self, at_ms: u64) -> bool {
         (self.from_ms..self.until_ms).contains(&at_ms)
     }
 
-    /// Whether it is there at a time at which another one is.
-    pub fn overlaps(&self, other: &Trouble) -> bool {
+    /// Whether both faults are active at some time.
+    pub fn overlaps(&self, other: &InjectedFault) -> bool {
         self.from_ms < other.until_ms && other.from_ms < self.until_ms
     }
+
+    /// Draws a fault that is active at `middle_ms`, and ends at `last_ms` at the latest.
+    fn draw(random: &mut StdRng, scenarios: &[FaultScenario], middle_ms: u64, last_ms: u64) -> InjectedFault {
+        let max_time_before = (middle_ms - FIRST_FAULT_MS).max(MIN_TIME_BEFORE_MS + 1);
+        let before = random.random_range(MIN_TIME_BEFORE_MS..=max_time_before);
+        let after = random.random_range(TIME_AFTER_MS);
+        InjectedFault {
+            kind: *scenarios.choose(random).unwrap_or(&FaultScenario::ShortReads),
+            from_ms: middle_ms - before.min(middle_ms),
+            until_ms: (middle_ms + after).min(last_ms),
+            target: random.random_range(0..TARGET_COUNT),
+        }
+    }
 }
 
-/// How large a run is.
+/// The size of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shape {
     /// Ingresses.
@@ -186,7 +75,7 @@
     pub backends: usize,
     /// Clients.
     pub clients: usize,
-    /// How long clients send, in seconds.
+    /// How long clients send requests, in seconds.
     pub seconds: u64,
 }
 
@@ -195,89 +84,87 @@
 pub struct SoakPlan {
     /// The seed that it is drawn from.
     pub seed: u64,
-    /// Its size.
+    /// The size of the run.
     pub shape: Shape,
-    /// Whether the settings allow two attempts in flight together.
+    /// Whether the settings allow hedged requests.
     pub hedging: bool,
     /// Whether the settings allow attempts to be cancelled.
     pub cancellation: bool,
-    /// What goes wrong.
-    pub troubles: Vec<Trouble>,
+    /// The faults to inject.
+    #[serde(alias = "troubles")]
+    pub faults: Vec<InjectedFault>,
 }
 
 impl SoakPlan {
-    /// Draws a plan with troubles of the given kinds: groups of two or three that overlap in time.
-    pub fn draw(seed: u64, shape: Shape, kinds: &[TroubleKind]) -> SoakPlan {
+    /// Draws a plan with faults of the given scenarios: groups of two or three that overlap in time.
+    ///
+    /// The order of the draws decides what a seed stands for, and stays as it is.
+    pub fn draw(seed: u64, shape: Shape, scenarios: &[FaultScenario]) -> SoakPlan {
         let mut random = StdRng::seed_from_u64(seed);
-        let last_ms = (shape.seconds * 1000).saturating_sub(QUIET_END_MS).max(FIRST_TROUBLE_MS + 1000);
-        let (hedging, cancellation) = (random.random_bool(0.5), random.random_bool(0.7));
-        let groups = random.random_range(1..=2);
-        let mut troubles = Vec::new();
+        let last_ms = (shape.seconds * 1000).saturating_sub(QUIET_END_MS).max(FIRST_FAULT_MS + 1000);
+        let hedging = random.random_bool(0.5);
+        let cancellation = random.random_bool(0.7);
+        let groups = random.random_range(GROUPS);
+        let mut faults = Vec::new();
         for _ in 0..groups {
-            let middle = random.random_range(FIRST_TROUBLE_MS + 500..last_ms);
-            for _ in 0..random.random_range(2..=3) {
-                let before = random.random_range(100..=(middle - FIRST_TROUBLE_MS).max(101));
-                let after = random.random_range(200..=2500);
-                troubles.push(Trouble {
-                    kind: *kinds.choose(&mut random).unwrap_or(&TroubleKind::ShortReads),
-                    from_ms: middle - before.min(middle),
-                    until_ms: (middle + after).min(last_ms),
-                    target: random.random_range(0..1000),
-                });
+            let middle_ms = random.random_range(FIRST_FAULT_MS + MIN_LEAD_MS..last_ms);
+            for _ in 0..random.random_range(GROUP_SIZE) {
+                faults.push(InjectedFault::draw(&mut random, scenarios, middle_ms, last_ms));
             }
         }
-        troubles.retain(|trouble| trouble.from_ms < trouble.until_ms);
-        SoakPlan { seed, shape, hedging, cancellation, troubles }
+        faults.retain(|fault| fault.from_ms < fault.until_ms);
+        SoakPlan { seed, shape, hedging, cancellation, faults }
     }
 
-    /// The troubles of a kind that affect the member with this number of so many, at a time.
-    pub fn active(&self, kind: TroubleKind, member: usize, count: usize, at_ms: u64) -> bool {
-        self.troubles.iter().any(|trouble| {
-            trouble.kind == kind && trouble.is_active(at_ms) && trouble.target % count == member
-        })
+    /// Whether a scenario affects the member with this number, out of `count`, at a time.
+    pub fn affects(&self, scenario: FaultScenario, member: usize, count: usize, at_ms: u64) -> bool {
+        let affects = |fault: &InjectedFault| fault.is_active(at_ms) && fault.target % count == member;
+        self.faults_of(scenario).any(affects)
     }
 
-    /// Whether a trouble that affects all is there at a time.
-    pub fn is_anywhere(&self, kind: TroubleKind, at_ms: u64) -> bool {
-        self.troubles.iter().any(|trouble| trouble.kind == kind && trouble.is_active(at_ms))
+    /// Whether a scenario that affects all members is active at a time.
+    pub fn is_active(&self, scenario: FaultScenario, at_ms: u64) -> bool {
+        self.faults_of(scenario).any(|fault| fault.is_active(at_ms))
     }
 
-    /// By how much wall clocks are off at a time, in milliseconds.
+    /// Whether a scenario is part of the plan.
+    pub fn includes(&self, scenario: FaultScenario) -> bool {
+        self.faults_of(scenario).next().is_some()
+    }
+
+    /// The faults of a scenario.
+    fn faults_of(&self, scenario: FaultScenario) -> impl Iterator<Item = &InjectedFault> {
+        self.faults.iter().filter(move |fault| fault.kind == scenario)
+    }
+
+    /// By how many milliseconds wall clocks are off at a time.
     pub fn clock_offset_ms(&self, at_ms: u64) -> i64 {
-        self.clock_steps().iter().filter(|step| step.at_ms <= at_ms).map(|step| step.by_ms).sum()
+        self.clock_steps().filter(|step| step.at_ms <= at_ms).map(|step| step.by_ms).sum()
     }
 
     /// The steps of the wall clocks.
-    fn clock_steps(&self) -> Vec<ClockStep> {
-        let step = |trouble: &Trouble| {
-            let by_ms = match trouble.kind {
-                TroubleKind::ClockBack => -HOUR_MS,
-                TroubleKind::ClockForward => HOUR_MS,
+    fn clock_steps(&self) -> impl Iterator<Item = ClockStep> + '_ {
+        self.faults.iter().filter_map(|fault| {
+            let by_ms = match fault.kind {
+                FaultScenario::ClockBack => -HOUR_MS,
+                FaultScenario::ClockForward => HOUR_MS,
                 _ => return None,
             };
-            Some(ClockStep { at_ms: trouble.from_ms, by_ms })
-        };
-        self.troubles.iter().filter_map(step).collect()
+            Some(ClockStep { at_ms: fault.from_ms, by_ms })
+        })
     }
 
-    /// What the shim does in an ingress that starts at a time of the run.
+    /// The system call faults of an ingress whose process starts at `started_ms`, with times since that start.
     pub fn shim_plan(&self, ingress: usize, started_ms: u64) -> FaultPlan {
-        let own_troubles =
-            self.troubles.iter().filter(|trouble| trouble.target % self.shape.ingresses == ingress);
-        let faults = own_troubles.flat_map(|trouble| {
-            let times =
-                (trouble.from_ms.saturating_sub(started_ms), trouble.until_ms.saturating_sub(started_ms));
-            trouble.kind.system_call_faults().iter().map(move |(kind, probability)| ScheduledFault {
-                kind: *kind,
-                probability: *probability,
-                from_ms: times.0,
-                until_ms: times.1,
-            })
+        let own_faults = self.faults.iter().filter(|fault| fault.target % self.shape.ingresses == ingress);
+        let faults = own_faults.flat_map(|fault| {
+            let from_ms = fault.from_ms.saturating_sub(started_ms);
+            let until_ms = fault.until_ms.saturating_sub(started_ms);
+            let parts = fault.kind.system_call_faults().iter();
+            parts.map(move |&(kind, probability)| ScheduledFault { kind, probability, from_ms, until_ms })
         });
-        let clock_steps = self
-            .clock_steps()
-            .into_iter()
-            .map(|step| ClockStep { at_ms: step.at_ms.saturating_sub(started_ms), ..step });
+        let clock_steps =
+            self.clock_steps().map(|step| ClockStep { at_ms: step.at_ms.saturating_sub(started_ms), ..step });
         FaultPlan {
             seed: self.seed + ingress as u64,
             faults: faults.collect(),
@@ -285,11 +172,11 @@
         }
     }
 
-    /// The pairs of kinds that overlap in time.
-    pub fn overlapping_pairs(&self) -> BTreeSet<(TroubleKind, TroubleKind)> {
+    /// The pairs of scenarios that overlap in time, each in the order of declaration.
+    pub fn overlapping_pairs(&self) -> BTreeSet<(FaultScenario, FaultScenario)> {
         let mut pairs = BTreeSet::new();
-        for (index, first) in self.troubles.iter().enumerate() {
-            for second in &self.troubles[index + 1..] {
+        for (index, first) in self.faults.iter().enumerate() {
+            for second in &self.faults[index + 1..] {
                 if first.overlaps(second) {
                     pairs.insert((first.kind.min(second.kind), first.kind.max(second.kind)));
                 }
@@ -298,10 +185,10 @@
         pairs
     }
 
-    /// The plan without one of its troubles.
+    /// The plan without one of its faults.
     pub fn without(&self, index: usize) -> SoakPlan {
         let mut plan = self.clone();
-        plan.troubles.remove(index);
+        plan.faults.remove(index);
         plan
     }
 }
--- a/fault-soak/src/report.rs
+++ b/fault-soak/src/report.rs
@@ -1,8 +1,9 @@
 //! The line of a run, and what many of them add up to, as a page.
 
 use crate::oracle::{quota_use, Rule, Violation};
-use crate::plan::{SoakPlan, TroubleKind};
+use crate::plan::SoakPlan;
 use crate::record::{Ending, Seen};
+use crate::scenario::FaultScenario;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -98,8 +99,8 @@
     totals
 }
 
-/// How often each pair of troubles overlapped.
-fn pair_counts(results: &[RunResult]) -> BTreeMap<(TroubleKind, TroubleKind), usize> {
+/// How often each pair of scenarios overlapped.
+fn pair_counts(results: &[RunResult]) -> BTreeMap<(FaultScenario, FaultScenario), usize> {
     let mut counts = BTreeMap::new();
     for pair in results.iter().flat_map(|result| result.plan.overlapping_pairs()) {
         *counts.entry(pair).or_default() += 1;
@@ -107,7 +108,7 @@
     counts
 }
 
-/// A page on runs: what was met, what was broken, and a picture of the pairs of troubles that overlapped.
+/// A page on runs: the rules that were broken, the faults, and a picture of the pairs of faults that overlapped.
 pub fn page(results: &[RunResult]) -> String {
     let mut page = String::from("<!doctype html><meta charset=\"utf-8\"><title>Fault soak</title>\n");
     page += "<style>body{font:14px sans-serif;margin:2em}td,th{padding:2px 10px;text-align:left}</style>\n";
@@ -119,8 +120,8 @@
         results.len()
     );
     page += &rule_table(results);
-    page += &trouble_table(results);
-    page += "<h2>Pairs of troubles that overlapped in time</h2>\n";
+    page += &scenario_table(results);
+    page += "<h2>Pairs of faults that overlapped in time</h2>\n";
     page += &pair_picture(&pair_counts(results));
     page
 }
@@ -143,13 +144,12 @@
     table + "</table>\n"
 }
 
-/// A table of the troubles that there were.
-fn trouble_table(results: &[RunResult]) -> String {
-    let mut table = String::from(
-        "<h2>Troubles</h2><table><tr><th>kind</th><th>runs</th><th>with a violation</th></tr>\n",
-    );
-    for kind in TroubleKind::ALL {
-        let has = |result: &&RunResult| result.plan.troubles.iter().any(|trouble| trouble.kind == kind);
+/// A table of the scenarios that were injected.
+fn scenario_table(results: &[RunResult]) -> String {
+    let mut table =
+        String::from("<h2>Faults</h2><table><tr><th>kind</th><th>runs</th><th>with a violation</th></tr>\n");
+    for kind in FaultScenario::all().iter().copied() {
+        let has = |result: &&RunResult| result.plan.includes(kind);
         let runs = results.iter().filter(has).count();
         let broken = results.iter().filter(has).filter(|result| !result.counts.is_empty()).count();
         let _ = writeln!(table, "<tr><td>{kind:?}</td><td>{runs}</td><td>{broken}</td></tr>");
@@ -157,12 +157,12 @@
     table + "</table>\n"
 }
 
-/// A square of cells, the darker the more often two troubles overlapped.
-fn pair_picture(counts: &BTreeMap<(TroubleKind, TroubleKind), usize>) -> String {
+/// A square of cells, the darker the more often two scenarios overlapped.
+fn pair_picture(counts: &BTreeMap<(FaultScenario, FaultScenario), usize>) -> String {
     let most = counts.values().copied().max().unwrap_or(1) as f64;
-    let side = MARGIN + CELL * TroubleKind::ALL.len();
+    let side = MARGIN + CELL * FaultScenario::all().len();
     let mut picture = format!("<svg width=\"{side}\" height=\"{side}\" font-size=\"11\">\n");
-    for (row, first) in TroubleKind::ALL.into_iter().enumerate() {
+    for (row, first) in FaultScenario::all().iter().copied().enumerate() {
         let offset = MARGIN + row * CELL;
         let _ = writeln!(picture, "<text x=\"0\" y=\"{}\">{first:?}</text>", offset + CELL - 5);
         let _ = writeln!(
@@ -171,7 +171,7 @@
             offset + CELL - 5,
             MARGIN - 4
         );
-        for (column, second) in TroubleKind::ALL.into_iter().enumerate() {
+        for (column, second) in FaultScenario::all().iter().copied().enumerate() {
             let count = counts.get(&(first.min(second), first.max(second))).copied().unwrap_or(0);
             let shade = 255 - (count as f64 / most * 200.0) as u8;
             let left = MARGIN + column * CELL;
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -2,8 +2,9 @@
 
 use crate::counters;
 use crate::ingress::{Ingress, Programs};
-use crate::plan::{SoakPlan, Trouble, TroubleKind};
+use crate::plan::{InjectedFault, SoakPlan};
 use crate::record::{Listing, ProcessEvent, Recorder, Seen};
+use crate::scenario::FaultScenario;
 use crate::settings::Addresses;
 use crate::stand_in::backend::Backend;
 use crate::stand_in::client::{Client, Open};
@@ -123,20 +124,20 @@
         Ok(())
     }
 
-    /// Does what a trouble begins with. What takes a while goes on in a thread.
-    fn begin(&self, trouble: &Trouble) -> Option<JoinHandle<()>> {
-        let backend = trouble.target % self.backends.len();
-        let number = trouble.target % self.ingresses.len();
-        match trouble.kind {
-            TroubleKind::DrainingBackend => self.discovery.publish(backend, Listing::Draining, false),
-            TroubleKind::RestartedBackend => {
+    /// Begins a fault. What takes a while goes on in a thread.
+    fn begin(&self, fault: &InjectedFault) -> Option<JoinHandle<()>> {
+        let backend = fault.target % self.backends.len();
+        let number = fault.target % self.ingresses.len();
+        match fault.kind {
+            FaultScenario::DrainingBackend => self.discovery.publish(backend, Listing::Draining, false),
+            FaultScenario::RestartedBackend => {
                 self.backends[backend].restart();
                 self.discovery.publish(backend, Listing::Up, true);
             }
-            TroubleKind::Terminate => return Some(self.terminate(number)),
-            TroubleKind::Kill => return Some(self.kill(number)),
-            TroubleKind::Reload => return Some(self.reload(number)),
-            TroubleKind::Pauses => return Some(self.pause(number, trouble.until_ms)),
+            FaultScenario::Terminate => return Some(self.terminate(number)),
+            FaultScenario::Kill => return Some(self.kill(number)),
+            FaultScenario::Reload => return Some(self.reload(number)),
+            FaultScenario::Pauses => return Some(self.pause(number, fault.until_ms)),
             _ => {}
         }
         None
@@ -196,28 +197,28 @@
         })
     }
 
-    /// Does what a trouble ends with.
-    fn end(&self, trouble: &Trouble) {
-        if trouble.kind == TroubleKind::DrainingBackend {
-            self.discovery.publish(trouble.target % self.backends.len(), Listing::Up, false);
+    /// Ends a fault that does not end by itself.
+    fn end(&self, fault: &InjectedFault) {
+        if fault.kind == FaultScenario::DrainingBackend {
+            self.discovery.publish(fault.target % self.backends.len(), Listing::Up, false);
         }
     }
 
     /// Executes the plan, to the end of the run.
     fn execute_plan(&self) {
-        let mut begun: Vec<bool> = vec![false; self.plan.troubles.len()];
+        let mut begun: Vec<bool> = vec![false; self.plan.faults.len()];
         let mut ended = begun.clone();
         let mut threads = Vec::new();
         let end_ms = self.plan.shape.seconds * 1000;
         while self.recorder.now_ms() < end_ms && !self.interrupted.load(Ordering::SeqCst) {
-            for (index, trouble) in self.plan.troubles.iter().enumerate() {
+            for (index, fault) in self.plan.faults.iter().enumerate() {
                 let now = self.recorder.now_ms();
-                if now >= trouble.from_ms && !std::mem::replace(&mut begun[index], true) {
-                    tracing::debug!(?trouble, "begins");
-                    threads.extend(self.begin(trouble));
+                if now >= fault.from_ms && !std::mem::replace(&mut begun[index], true) {
+                    tracing::debug!(?fault, "begins");
+                    threads.extend(self.begin(fault));
                 }
-                if now >= trouble.until_ms && !std::mem::replace(&mut ended[index], true) {
-                    self.end(trouble);
+                if now >= fault.until_ms && !std::mem::replace(&mut ended[index], true) {
+                    self.end(fault);
                 }
             }
             for ingress in &self.ingresses {
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -1,8 +1,9 @@
 //! Backends that misbehave as the plan says, and note each command that comes whole.
 
 use super::resp::{parse_command, value_of};
-use crate::plan::{SoakPlan, TroubleKind};
+use crate::plan::SoakPlan;
 use crate::record::{ArrivalRecord, Micros, Recorder};
+use crate::scenario::FaultScenario;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -111,10 +112,10 @@
         }
     }
 
-    /// Whether this backend has a trouble now.
-    fn has(&self, kind: TroubleKind) -> bool {
+    /// Whether a scenario affects this backend now.
+    fn has(&self, kind: FaultScenario) -> bool {
         let Shared { number, plan, recorder, .. } = &self.shared;
-        plan.active(kind, *number, plan.shape.backends, recorder.now_ms())
+        plan.affects(kind, *number, plan.shape.backends, recorder.now_ms())
     }
 
     /// Whether it has to end: the run is over, or the backend has started anew.
@@ -133,11 +134,13 @@
                 return Ok(arguments);
             }
             self.stay_silent()?;
-            let closes_idle = self.received.is_empty() && self.has(TroubleKind::ClosingBackend);
+            let closes_idle = self.received.is_empty() && self.has(FaultScenario::IdleClosingBackend);
             if self.is_ended() || closes_idle {
                 return Err(Closed);
             }
-            if self.has(TroubleKind::CuttingBackend) && matches!(self.stream.peek(&mut chunk), Ok(1..)) {
+            if self.has(FaultScenario::EarlyResettingBackend)
+                && matches!(self.stream.peek(&mut chunk), Ok(1..))
+            {
                 return Err(Closed); // What is unread resets the connection.
             }
             match self.stream.read(&mut chunk) {
@@ -152,10 +155,10 @@
     /// Does nothing for as long as the backend is cut off, but to note that the other side has given the connection up;
     /// behind that it is reset.
     fn stay_silent(&self) -> Result<(), Closed> {
-        if !self.has(TroubleKind::SilentBackend) {
+        if !self.has(FaultScenario::PartitionedBackend) {
             return Ok(());
         }
-        while self.has(TroubleKind::SilentBackend) {
+        while self.has(FaultScenario::PartitionedBackend) {
             self.wait(IDLE_POLL_INTERVAL)?;
         }
         Err(Closed)
@@ -182,13 +185,13 @@
     /// Answers a command, and notes when it came and when it was over.
     fn answer(&mut self, arguments: &[String]) -> Result<(), Closed> {
         let [_, _, id, options, ..] = arguments else { return Err(Closed) };
-        let rejected = self.has(TroubleKind::RejectingBackend);
+        let rejected = self.has(FaultScenario::RejectingBackend);
         let index = self.note_arrival(id, options, rejected);
         let result = self.reply(id, rejected);
         let ended_at = self.shared.recorder.now();
         self.shared.recorder.seen().arrivals[index].ended_at = Some(ended_at);
         result?;
-        if self.has(TroubleKind::DoublingBackend) {
+        if self.has(FaultScenario::DuplicatingBackend) {
             thread::sleep(DUPLICATE_DELAY);
             self.write(&served(id))?;
         }
@@ -212,28 +215,28 @@
         arrivals.len() - 1
     }
 
-    /// Replies as the troubles of the moment have it.
+    /// Replies as the faults that are active now require.
     fn reply(&mut self, id: &str, rejected: bool) -> Result<(), Closed> {
         if rejected {
             return self.write(b"-BUSY\r\n");
         }
-        while self.has(TroubleKind::HangingBackend) {
+        while self.has(FaultScenario::HangingBackend) {
             self.wait(Duration::from_millis(20))?;
         }
-        let slow = self.has(TroubleKind::SlowBackend);
+        let slow = self.has(FaultScenario::SlowBackend);
         self.wait(if slow { SLOW_SERVICE_TIME } else { SERVICE_TIME })?;
         self.stay_silent()?;
         let reply = served(id);
-        if self.has(TroubleKind::FailingBackend) {
+        if self.has(FaultScenario::FailingBackend) {
             return self.write(b"-ERR failed\r\n");
         }
-        if self.has(TroubleKind::ResettingBackend) {
+        if self.has(FaultScenario::ResettingBackend) {
             // Half of the replies are cut in the middle, the others never begin.
             let length = if reply.len() % 2 == 0 { reply.len() / 2 } else { 0 };
             let _ = self.write(&reply[..length]);
             return Err(Closed);
         }
-        if self.has(TroubleKind::TricklingBackend) {
+        if self.has(FaultScenario::TricklingBackend) {
             for piece in reply.chunks(5) {
                 self.write(piece)?;
                 thread::sleep(TRICKLE_PAUSE);
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -1,8 +1,9 @@
 //! Clients: each keeps a connection to each ingress, sends one request after another, and notes how each ended.
 
 use super::resp::{encode_request, parse_reply, value_of, Customer, Reply};
-use crate::plan::{SoakPlan, TroubleKind};
+use crate::plan::SoakPlan;
 use crate::record::{BadClientRecord, Class, Ending, Micros, Recorder, RequestRecord};
+use crate::scenario::FaultScenario;
 use crate::settings::{MAX_TIMEOUT_MS, METERED_SET};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -115,7 +116,7 @@
     pub fn run(mut self) {
         while !self.is_over.load(Ordering::SeqCst) {
             let ingress = self.random.random_range(0..self.addresses.len());
-            if self.has(TroubleKind::StoppingClients) || self.has(TroubleKind::RudeClients) {
+            if self.has(FaultScenario::StalledClients) || self.has(FaultScenario::MalformedCommands) {
                 self.misbehave(ingress);
             } else {
                 self.send_requests(ingress);
@@ -124,9 +125,9 @@
         }
     }
 
-    /// Whether a trouble of clients affects this one now: a quarter of all.
-    fn has(&self, kind: TroubleKind) -> bool {
-        self.plan.active(kind, self.number % 4, 4, self.recorder.now_ms())
+    /// Whether a scenario of clients affects this one now; each affects a quarter of all clients.
+    fn has(&self, kind: FaultScenario) -> bool {
+        self.plan.affects(kind, self.number % 4, 4, self.recorder.now_ms())
     }
 
     /// Connects to an ingress, unless the front keeps new connections away from it.
@@ -160,7 +161,7 @@
             return; // the connection was closed between two requests, or is of no use
         }
         let count =
-            if self.has(TroubleKind::PipeliningClients) { self.random.random_range(2..=12) } else { 1 };
+            if self.has(FaultScenario::PipeliningClients) { self.random.random_range(2..=12) } else { 1 };
         let mut pending = Vec::new();
         let mut bytes = Vec::new();
         for _ in 0..count {
@@ -174,7 +175,7 @@
         }
         let sent_at = self.recorder.now();
         pending.iter_mut().for_each(|request| request.sent_at = sent_at);
-        if self.has(TroubleKind::LeavingClients) {
+        if self.has(FaultScenario::DisconnectingClients) {
             return self.leave(ingress, connection, pending);
         }
         if self.await_answers(ingress, &mut connection, pending) {
@@ -184,7 +185,7 @@
 
     /// Writes commands, at once or a few bytes at a time.
     fn write(&self, connection: &mut Connection, bytes: &[u8]) -> std::io::Result<()> {
-        if !self.has(TroubleKind::TricklingClients) {
+        if !self.has(FaultScenario::TricklingClients) {
             return connection.stream.write_all(bytes);
         }
         for piece in bytes.chunks(TRICKLE_PIECE) {
@@ -273,7 +274,7 @@
     fn misbehave(&mut self, ingress: usize) {
         let Some(mut stream) = self.connect(ingress) else { return };
         let command = encode_request(Class::Idempotent, "half", Customer::unmetered(1), 500);
-        let bytes = if self.has(TroubleKind::RudeClients) {
+        let bytes = if self.has(FaultScenario::MalformedCommands) {
             b"*1\r\n$-5\r\nGET / HTTP/1.1\r\n\r\n".to_vec()
         } else {
             command[..self.random.random_range(0..command.len())].to_vec()
--- a/fault-soak/src/stand_in/discovery.rs
+++ b/fault-soak/src/stand_in/discovery.rs
@@ -1,7 +1,8 @@
 //! Discovery: an agent for each ingress, which has every change at once, and may be silent or broken.
 
-use crate::plan::{SoakPlan, TroubleKind};
+use crate::plan::SoakPlan;
 use crate::record::{ListChange, Listing, Notification, Recorder};
+use crate::scenario::FaultScenario;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -134,9 +135,9 @@
         ))
     }
 
-    /// Whether a trouble of discovery is there now.
-    fn is_active(&self, kind: TroubleKind) -> bool {
-        self.plan.is_anywhere(kind, self.recorder.now_ms())
+    /// Whether a scenario of discovery is active now.
+    fn is_active(&self, kind: FaultScenario) -> bool {
+        self.plan.is_active(kind, self.recorder.now_ms())
     }
 
     /// Answers polls until the connection ends.
@@ -156,7 +157,7 @@
 
     /// Writes a response, or a part of it before the connection is closed.
     fn write(&self, stream: &mut TcpStream, response: &[u8], version: u64) -> std::io::Result<()> {
-        if !self.is_active(TroubleKind::CuttingDiscovery) {
+        if !self.is_active(FaultScenario::TruncatingDiscovery) {
             return stream.write_all(response);
         }
         let is_cut = self.cut_count.fetch_add(1, Ordering::SeqCst) % 2 == 0;
@@ -176,7 +177,7 @@
     fn read_head(&self, stream: &mut TcpStream) -> Option<String> {
         let (mut head, mut chunk) = (Vec::new(), [0; 1024]);
         while !head.ends_with(b"\r\n\r\n") {
-            if self.is_over.load(Ordering::SeqCst) || self.is_active(TroubleKind::BrokenDiscovery) {
+            if self.is_over.load(Ordering::SeqCst) || self.is_active(FaultScenario::UnavailableDiscovery) {
                 return None;
             }
             match stream.read(&mut chunk) {
@@ -192,10 +193,10 @@
     /// Waits until a poll has an answer; none once discovery is broken or the run over.
     fn wait_for_answer(&self, poll: &Poll) -> Option<(u64, String)> {
         loop {
-            if self.is_over.load(Ordering::SeqCst) || self.is_active(TroubleKind::BrokenDiscovery) {
+            if self.is_over.load(Ordering::SeqCst) || self.is_active(FaultScenario::UnavailableDiscovery) {
                 return None;
             }
-            if !self.is_active(TroubleKind::SilentDiscovery) {
+            if !self.is_active(FaultScenario::UnresponsiveDiscovery) {
                 if let Some(answer) = self.answer(poll.since) {
                     return Some(answer);
                 }
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -1,8 +1,9 @@
 //! The oracle finds each violation in what was seen, and none where there is none.
 
 use fault_soak::oracle::{judge, Rule};
-use fault_soak::plan::{Shape, SoakPlan, Trouble, TroubleKind};
+use fault_soak::plan::{InjectedFault, Shape, SoakPlan};
 use fault_soak::record::*;
+use fault_soak::scenario::FaultScenario;
 use fault_soak::settings::{METERED_BURST, METERED_RATE};
 
 /// A second.
@@ -10,13 +11,13 @@
 
 fn plan(hedging: bool) -> SoakPlan {
     let shape = Shape { ingresses: 2, backends: 2, clients: 2, seconds: 10 };
-    SoakPlan { hedging, ..SoakPlan::draw(1, shape, &TroubleKind::ALL) }
+    SoakPlan { hedging, ..SoakPlan::draw(1, shape, FaultScenario::all()) }
 }
 
 /// A plan in which no ingress stands still.
 fn plan_without_pauses(hedging: bool) -> SoakPlan {
     let mut plan = plan(hedging);
-    plan.troubles.retain(|trouble| trouble.kind != TroubleKind::Pauses);
+    plan.faults.retain(|fault| fault.kind != FaultScenario::Pauses);
     plan
 }
 
@@ -172,8 +173,8 @@
     let late = arrival(left.ended_at + 300_000);
     let seen = seen(left, vec![late]);
     let mut paused = plan_without_pauses(true);
-    let pause = Trouble { kind: TroubleKind::Pauses, from_ms: 0, until_ms: 1000, target: 0 };
-    paused.troubles.push(pause);
+    let pause = InjectedFault { kind: FaultScenario::Pauses, from_ms: 0, until_ms: 1000, target: 0 };
+    paused.faults.push(pause);
     assert_eq!(judge(&paused, &seen), []);
     assert_eq!(rules(true, &seen), [Rule::AttemptAfterDisconnect]);
 }
--- a/fault-soak/tests/plan.rs
+++ b/fault-soak/tests/plan.rs
@@ -1,48 +1,49 @@
 //! Plans are drawn from their seeds alone.
 
 use fault_plan::SystemCallFault;
-use fault_soak::plan::{Shape, SoakPlan, Trouble, TroubleKind};
+use fault_soak::plan::{InjectedFault, Shape, SoakPlan};
+use fault_soak::scenario::FaultScenario;
 
 const SHAPE: Shape = Shape { ingresses: 10, backends: 6, clients: 24, seconds: 8 };
 
 #[test]
 fn a_seed_gives_one_plan() {
-    let plan = |seed| SoakPlan::draw(seed, SHAPE, &TroubleKind::ALL);
+    let plan = |seed| SoakPlan::draw(seed, SHAPE, FaultScenario::all());
     assert_eq!(plan(7), plan(7));
-    assert_ne!(plan(7).troubles, plan(8).troubles);
+    assert_ne!(plan(7).faults, plan(8).faults);
 }
 
 #[test]
-fn troubles_overlap_and_end_before_the_run() {
+fn faults_overlap_and_end_before_the_run() {
     for seed in 1..300 {
-        let plan = SoakPlan::draw(seed, SHAPE, &TroubleKind::ALL);
-        assert!(plan.troubles.len() >= 2, "{plan:?}");
-        assert!(plan.troubles.iter().all(|trouble| trouble.until_ms <= 6500), "{plan:?}");
-        let first = plan.troubles[0];
-        assert!(plan.troubles[1..].iter().any(|other| other.overlaps(&first)), "{plan:?}");
+        let plan = SoakPlan::draw(seed, SHAPE, FaultScenario::all());
+        assert!(plan.faults.len() >= 2, "{plan:?}");
+        assert!(plan.faults.iter().all(|fault| fault.until_ms <= 6500), "{plan:?}");
+        let first = plan.faults[0];
+        assert!(plan.faults[1..].iter().any(|other| other.overlaps(&first)), "{plan:?}");
     }
 }
 
 #[test]
-fn troubles_of_given_kinds_alone_are_drawn() {
-    let plan = SoakPlan::draw(3, SHAPE, &[TroubleKind::Reload]);
-    assert!(plan.troubles.iter().all(|trouble| trouble.kind == TroubleKind::Reload));
+fn faults_of_given_kinds_alone_are_drawn() {
+    let plan = SoakPlan::draw(3, SHAPE, &[FaultScenario::Reload]);
+    assert!(plan.faults.iter().all(|fault| fault.kind == FaultScenario::Reload));
 }
 
-/// A plan with these troubles.
-fn plan_of(troubles: &[Trouble]) -> SoakPlan {
-    SoakPlan { troubles: troubles.to_vec(), ..SoakPlan::draw(1, SHAPE, &TroubleKind::ALL) }
+/// A plan with these faults.
+fn plan_of(faults: &[InjectedFault]) -> SoakPlan {
+    SoakPlan { faults: faults.to_vec(), ..SoakPlan::draw(1, SHAPE, FaultScenario::all()) }
 }
 
 #[test]
-fn the_shim_gets_what_strikes_its_process_by_the_clock_of_its_start() {
-    let short = Trouble { kind: TroubleKind::ShortReads, from_ms: 3000, until_ms: 5000, target: 14 };
-    let step = Trouble { kind: TroubleKind::ClockBack, from_ms: 2000, until_ms: 2500, target: 0 };
+fn the_shim_gets_the_faults_of_its_process_by_the_clock_of_its_start() {
+    let short = InjectedFault { kind: FaultScenario::ShortReads, from_ms: 3000, until_ms: 5000, target: 14 };
+    let step = InjectedFault { kind: FaultScenario::ClockBack, from_ms: 2000, until_ms: 2500, target: 0 };
     let plan = plan_of(&[short, step]);
-    let struck = plan.shim_plan(4, 2600);
-    assert_eq!(struck.faults.len(), 1);
-    assert_eq!((struck.faults[0].kind, struck.faults[0].from_ms), (SystemCallFault::ShortRead, 400));
-    assert_eq!(struck.clock_offset_ms(0), -3_600_000, "stepped before the process started");
+    let own = plan.shim_plan(4, 2600);
+    assert_eq!(own.faults.len(), 1);
+    assert_eq!((own.faults[0].kind, own.faults[0].from_ms), (SystemCallFault::ShortRead, 400));
+    assert_eq!(own.clock_offset_ms(0), -3_600_000, "stepped before the process started");
     let other = plan.shim_plan(5, 0);
     assert!(other.faults.is_empty());
     assert_eq!((other.clock_offset_ms(1999), other.clock_offset_ms(2000)), (0, -3_600_000));
