--- a/fault-soak/src/ingress.rs
+++ b/fault-soak/src/ingress.rs
@@ -97,7 +97,7 @@
     fn note(&self, event: ProcessEvent) {
         let record = ProcessRecord { ingress: self.number, event, at: self.recorder.now() };
         tracing::debug!(ingress = self.number, ?event, "process");
-        self.recorder.seen().processes.push(record);
+        self.recorder.observations().processes.push(record);
     }
 
     /// Starts its process, and waits until it answers.
@@ -165,9 +165,9 @@
     pub fn terminate(&mut self) {
         self.note(ProcessEvent::Terminated);
         self.signal(Signal::TERM);
-        let told = Instant::now();
+        let signalled_at = Instant::now();
         while !self.has_exited() {
-            if told.elapsed() > EXIT_TIMEOUT {
+            if signalled_at.elapsed() > EXIT_TIMEOUT {
                 self.note(ProcessEvent::Overdue);
                 return self.end();
             }
--- a/fault-soak/src/main.rs
+++ b/fault-soak/src/main.rs
@@ -170,17 +170,17 @@
         for signal in [SIGINT, SIGTERM] {
             signal_hook::flag::register(signal, programs.interrupted.clone())?;
         }
-        let seen = play(&plan, &programs)?;
+        let observations = play(&plan, &programs)?;
         if programs.interrupted.load(Ordering::SeqCst) {
             bail!("told to end, in the run of seed {}", plan.seed);
         }
-        let mut violations = judge(&plan, &seen);
+        let mut violations = judge(&plan, &observations);
         violations.extend(judge_logs(&programs.folder, plan.shape.ingresses));
         if !violations.is_empty() {
-            let file = programs.folder.join(format!("seen-{}.json", plan.seed));
-            std::fs::write(file, serde_json::to_string(&seen)?)?;
+            let file = programs.folder.join(format!("observations-{}.json", plan.seed));
+            std::fs::write(file, serde_json::to_string(&observations)?)?;
         }
-        let result = RunResult::new(plan, &seen, violations);
+        let result = RunResult::new(plan, &observations, violations);
         if let Some(output) = &self.output {
             let mut file = OpenOptions::new().create(true).append(true).open(output)?;
             writeln!(file, "{}", serde_json::to_string(&result)?)?;
@@ -217,7 +217,7 @@
             print_way(&programs.folder, number, id);
         }
     }
-    println!("logs and what was seen: {}", programs.folder.display());
+    println!("logs and what was observed: {}", programs.folder.display());
 }
 
 /// Prints the lines of a log that tell of a request, by the number that the ingress gave it.
--- a/fault-soak/src/oracle/backends.rs
+++ b/fault-soak/src/oracle/backends.rs
@@ -1,81 +1,126 @@
-//! What backends may be sent while they drain, and after their start.
+//! Rules about backends: what they may be sent while they drain, and during their slow start.
 
-use super::{ingress_of, observation_slack, pause_slack, Rule, Violation};
-use crate::plan::SoakPlan;
-use crate::record::{ArrivalRecord, Listing, Micros, Seen};
-use crate::settings;
+use super::{ingress_of, Oracle, Rule};
+use crate::record::{ArrivalRecord, EndpointChange, EndpointStatus, Micros};
+use crate::settings::{DRAIN_GRACE, OVERLOAD_FACTOR, OVERLOAD_WINDOW, SLOW_START_DURATION, SLOW_START_FLOOR};
 
-/// How long after a start the budget of a cold backend is looked at.
-const COLD_SPAN: Micros = 3_000_000;
+/// For how long after a start the budget of a backend is checked.
+const SLOW_START_CHECKED: Micros = 3_000_000;
+/// The capacity of a backend, in its even part of all requests.
+const CAPACITY_FACTOR: f64 = 1.25;
+/// Up to so many expected requests, chance may add three standard deviations.
+const SMALL_EXPECTATION: f64 = 30.0;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// When an ingress was first told a version of the list, or a later one.
-fn told_at(seen: &Seen, ingress: usize, version: u64) -> Option<Micros> {
-    let told = seen.notifications.iter();
-    told.filter(|told| told.ingress == ingress && told.version >= version).map(|told| told.at).min()
+/// The requests in a window, and the most that are allowed in it.
+struct WindowLoad {
+    /// Requests that arrived in the window.
+    count: f64,
+    /// The most that are allowed.
+    bound: f64,
 }
 
-/// Whether draining backends were left alone.
-pub(super) fn judge_draining(plan: &SoakPlan, seen: &Seen, found: &mut Vec<Violation>) {
-    for change in seen.changes.iter().filter(|change| change.listing == Listing::Draining) {
-        let later =
-            seen.changes.iter().filter(|later| later.backend == change.backend && later.at > change.at);
-        let until = later.map(|later| later.at).min().unwrap_or(Micros::MAX);
-        for arrival in seen.arrivals.iter().filter(|arrival| arrival.backend == change.backend) {
-            let Some(told) =
-                ingress_of(&arrival.id).and_then(|ingress| told_at(seen, ingress, change.version))
-            else {
-                continue;
-            };
-            let limit = told + settings::DRAIN_GRACE + pause_slack(plan) + observation_slack(seen);
-            if arrival.at > limit && arrival.at < until {
-                let detail = format!("{} ms after its ingress was told", (arrival.at - told) / 1000);
-                found.push(Violation::of(Rule::SentToDraining, &arrival.id, detail));
-            }
-        }
+impl WindowLoad {
+    /// The load as a part of what is allowed.
+    fn ratio(&self) -> f64 {
+        self.count / self.bound
     }
 }
 
-/// What a cold backend may be sent in a window, of `expected` requests that the settings allow then.
-fn cold_bound(expected: f64) -> f64 {
-    if expected < 30.0 {
+/// The most requests of a window in which so many are expected: chance may add some standard deviations.
+fn upper_bound(expected: f64) -> f64 {
+    if expected < SMALL_EXPECTATION {
         expected + 3.0 * expected.sqrt() + 3.0
     } else {
         expected + 2.0 * expected.sqrt() + 2.0
     }
 }
 
-/// Whether cold backends were spared.
-pub(super) fn judge_slow_start(plan: &SoakPlan, seen: &Seen, found: &mut Vec<Violation>) {
-    // A backend bears a quarter more than its even part of all that was sent.
-    let even = seen.arrivals.len() as f64 / plan.shape.backends as f64 / plan.shape.seconds.max(1) as f64;
-    let capacity = even * 1.25;
-    for start in seen.changes.iter().filter(|change| change.restarted) {
-        let told = |arrival: &&&ArrivalRecord| {
-            let told = ingress_of(&arrival.id).and_then(|ingress| told_at(seen, ingress, start.version));
-            told.is_some_and(|told| told <= arrival.at)
-        };
-        let times: Vec<Micros> = seen
-            .arrivals
-            .iter()
-            .filter(|arrival| arrival.backend == start.backend && arrival.at >= start.at)
-            .filter(|arrival| told(&arrival))
-            .map(|arrival| arrival.at)
-            .filter(|at| *at < start.at + COLD_SPAN)
-            .collect();
-        let fullest = times.iter().enumerate().map(|(index, end)| {
-            let begin = end.saturating_sub(settings::OVERLOAD_WINDOW);
-            let count = times[..=index].iter().filter(|at| **at > begin).count() as f64;
-            let age = (end - start.at) as f64 / settings::COLD_TIME as f64;
-            let share = settings::COLD_SHARE + (1.0 - settings::COLD_SHARE) * age.min(1.0);
-            let window = settings::OVERLOAD_WINDOW as f64 / 1e6;
-            (count, cold_bound(settings::OVERLOAD_FACTOR * share * capacity * window))
-        });
-        let worst = fullest
-            .filter(|(count, bound)| count > bound)
-            .max_by(|first, second| (first.0 / first.1).total_cmp(&(second.0 / second.1)));
-        if let Some((count, bound)) = worst {
-            let detail = format!("backend {}: {count} in a window of {bound:.1}", start.backend);
-            found.push(Violation::general(Rule::SlowStartExceeded, detail));
+/// The most requests that a backend may get in a window that ends at this age.
+fn slow_start_bound(age: Micros, capacity: f64) -> f64 {
+    let progress = (age as f64 / SLOW_START_DURATION as f64).min(1.0);
+    let share = SLOW_START_FLOOR + (1.0 - SLOW_START_FLOOR) * progress;
+    let window = OVERLOAD_WINDOW as f64 / MICROS_PER_SECOND;
+    upper_bound(OVERLOAD_FACTOR * share * capacity * window)
+}
+
+/// The fullest window after a start, by its ratio, of those that exceed their bounds.
+fn fullest_window(started_at: Micros, times: &[Micros], capacity: f64) -> Option<WindowLoad> {
+    let loads = times.iter().enumerate().map(|(index, end)| {
+        let begin = end.saturating_sub(OVERLOAD_WINDOW);
+        let count = times[..=index].iter().filter(|at| **at > begin).count() as f64;
+        WindowLoad { count, bound: slow_start_bound(end - started_at, capacity) }
+    });
+    let exceeding = loads.filter(|load| load.count > load.bound);
+    exceeding.max_by(|first, second| first.ratio().total_cmp(&second.ratio()))
+}
+
+impl Oracle<'_> {
+    /// When an ingress was first notified of a version of the list, or of a later one.
+    fn notified_at(&self, ingress: usize, version: u64) -> Option<Micros> {
+        let notifications = self.observations.notifications.iter();
+        let of_version = notifications.filter(|one| one.ingress == ingress && one.version >= version);
+        of_version.map(|notification| notification.at).min()
+    }
+
+    /// When the ingress of an attempt was notified of a change.
+    fn sender_notified_at(&self, arrival: &ArrivalRecord, change: &EndpointChange) -> Option<Micros> {
+        self.notified_at(ingress_of(&arrival.id)?, change.version)
+    }
+
+    /// When the status of a backend changed next.
+    fn next_change_at(&self, change: &EndpointChange) -> Option<Micros> {
+        let changes = self.observations.changes.iter();
+        let later = changes.filter(|later| later.backend == change.backend && later.at > change.at);
+        later.map(|later| later.at).min()
+    }
+
+    /// Whether draining backends got nothing new after the grace period.
+    pub(super) fn judge_draining(&mut self) {
+        let observations = self.observations;
+        for change in observations.changes.iter().filter(|change| change.status == EndpointStatus::Draining) {
+            let until = self.next_change_at(change).unwrap_or(Micros::MAX);
+            for arrival in observations.arrivals.iter().filter(|arrival| arrival.backend == change.backend) {
+                self.judge_arrival_at_draining(change, until, arrival);
+            }
+        }
+    }
+
+    /// Whether a backend that drains until `until` was allowed to get a request.
+    fn judge_arrival_at_draining(&mut self, change: &EndpointChange, until: Micros, arrival: &ArrivalRecord) {
+        let Some(notified_at) = self.sender_notified_at(arrival, change) else { return };
+        let limit = notified_at + DRAIN_GRACE + self.slack();
+        if arrival.at > limit && arrival.at < until {
+            let detail = format!("{} ms after its ingress was notified", (arrival.at - notified_at) / 1000);
+            self.report(Rule::SentToDraining, &arrival.id, detail);
+        }
+    }
+
+    /// Whether backends got no more than their budgets during their slow start.
+    pub(super) fn judge_slow_start(&mut self) {
+        let observations = self.observations;
+        let shape = self.plan.shape;
+        let even_part =
+            observations.arrivals.len() as f64 / shape.backends as f64 / shape.seconds.max(1) as f64;
+        let capacity = even_part * CAPACITY_FACTOR;
+        for start in observations.changes.iter().filter(|change| change.restarted) {
+            let times = self.arrivals_in_slow_start(start);
+            if let Some(WindowLoad { count, bound }) = fullest_window(start.at, &times, capacity) {
+                let detail = format!("backend {}: {count} in a window of {bound:.1}", start.backend);
+                self.report_general(Rule::SlowStartExceeded, detail);
+            }
         }
     }
+
+    /// When requests arrived at a backend that has started, from ingresses that were notified of its start.
+    fn arrivals_in_slow_start(&self, start: &EndpointChange) -> Vec<Micros> {
+        let checked = start.at..start.at + SLOW_START_CHECKED;
+        let is_notified = |arrival: &ArrivalRecord| {
+            self.sender_notified_at(arrival, start).is_some_and(|notified_at| notified_at <= arrival.at)
+        };
+        let arrivals = self.observations.arrivals.iter().filter(|arrival| arrival.backend == start.backend);
+        let in_time = arrivals.filter(|arrival| checked.contains(&arrival.at));
+        in_time.filter(|arrival| is_notified(arrival)).map(|arrival| arrival.at).collect()
+    }
 }
--- a/fault-soak/src/oracle/ingresses.rs
+++ b/fault-soak/src/oracle/ingresses.rs
@@ -1,99 +1,130 @@
-//! What ingresses owe as processes: to bad clients, to those who start and end them, to quotas, and in their logs.
+//! Rules about ingresses as processes: invalid input, starts and exits, quotas, counters and logs.
 
-use super::{ingress_of, observation_slack, pause_slack, Rule, Violation};
+use super::{ingress_of, Oracle, Rule, Violation};
 use crate::ingress::Ingress;
 use crate::plan::SoakPlan;
-use crate::record::{Ending, Micros, ProcessEvent, Seen};
-use crate::settings;
+use crate::record::{CounterRecord, Micros, Observations, Outcome, ProcessEvent};
+use crate::settings::{METERED_BURST, METERED_RATE};
 use std::collections::HashSet;
 use std::path::Path;
 
-/// How long a bad client may wait for its error or close.
-const BAD_CLIENT_TIMEOUT: Micros = 3_000_000;
-/// How many times the quotas of a run may be sent on: usage is reported late, and restarts forget some.
+/// How long an incomplete or malformed command may wait for an error or a close.
+const INVALID_INPUT_TIMEOUT: Micros = 3_000_000;
+/// How many times the quotas of a run may be forwarded: usage is reported late, and restarts lose some of it.
 const QUOTA_TOLERANCE: f64 = 1.5;
 
-/// Whether bad clients were told in time.
-pub(super) fn judge_bad_clients(plan: &SoakPlan, seen: &Seen, found: &mut Vec<Violation>) {
-    for client in &seen.bad_clients {
-        let limit = client.at + BAD_CLIENT_TIMEOUT + pause_slack(plan) + observation_slack(seen);
-        if client.told_at.is_none_or(|told_at| told_at > limit) {
-            let waited = client.told_at.map(|told_at| (told_at - client.at) / 1000);
-            let detail = format!("ingress {}: told after {waited:?} ms", client.ingress);
-            found.push(Violation::general(Rule::BadClientIgnored, detail));
-        }
-    }
+/// The quotas of all customers that have one, over a run, in requests.
+fn total_quota(plan: &SoakPlan) -> f64 {
+    let customer_quota = METERED_BURST + METERED_RATE * plan.shape.seconds as f64;
+    plan.shape.ingresses as f64 * customer_quota
 }
 
-/// Whether processes started and ended as they were told.
-pub(super) fn judge_processes(seen: &Seen, found: &mut Vec<Violation>) {
-    for record in &seen.processes {
-        let rule = match record.event {
-            ProcessEvent::Overdue => Rule::ShutdownOverdue,
-            ProcessEvent::Crashed | ProcessEvent::NotReady => Rule::Crashed,
-            _ => continue,
-        };
-        let detail = format!("ingress {}: {:?} at {} ms", record.ingress, record.event, record.at / 1000);
-        found.push(Violation::general(rule, detail));
-    }
+/// The requests of customers with a quota that were forwarded, as a part of what the quotas allow.
+pub fn quota_use(plan: &SoakPlan, observations: &Observations) -> f64 {
+    let forwarded: HashSet<&str> = observations.arrivals.iter().map(|arrival| arrival.id.as_str()).collect();
+    let metered = observations.requests.iter().filter(|request| request.metered_customer.is_some());
+    let count = metered.filter(|request| forwarded.contains(request.id.as_str())).count();
+    count as f64 / total_quota(plan)
 }
 
-/// What the customers with a quota may be sent on in a run, all together.
-fn quota_of_all(plan: &SoakPlan) -> f64 {
-    let units = settings::METERED_BURST + settings::METERED_RATE * plan.shape.seconds as f64;
-    plan.shape.ingresses as f64 * units
+/// What was observed of one ingress, to be compared with its counters.
+#[derive(Debug)]
+struct ObservedCounts {
+    /// Attempts that arrived at backends.
+    attempts: u64,
+    /// Requests that these belong to.
+    requests: u64,
+    /// Requests that clients got a value for.
+    served: u64,
 }
 
-/// The requests of customers with a quota that were sent on, as a part of what the quotas allow.
-pub fn quota_use(plan: &SoakPlan, seen: &Seen) -> f64 {
-    let arrived: HashSet<&str> = seen.arrivals.iter().map(|arrival| arrival.id.as_str()).collect();
-    let metered = seen.requests.iter().filter(|request| request.metered_customer.is_some());
-    let sent = metered.filter(|request| arrived.contains(request.id.as_str())).count() as f64;
-    sent / quota_of_all(plan)
-}
+impl ObservedCounts {
+    /// Counts what was observed of an ingress.
+    fn of(observations: &Observations, ingress: usize) -> ObservedCounts {
+        let ids = observations.arrivals.iter().map(|arrival| arrival.id.as_str());
+        let attempts: Vec<&str> = ids.filter(|id| ingress_of(id) == Some(ingress)).collect();
+        let requests: HashSet<&str> = attempts.iter().copied().collect();
+        let own_requests = observations.requests.iter().filter(|request| request.ingress == ingress);
+        let served = own_requests.filter(|request| request.outcome == Outcome::Served).count();
+        ObservedCounts {
+            attempts: attempts.len() as u64,
+            requests: requests.len() as u64,
+            served: served as u64,
+        }
+    }
 
-/// Whether quotas held over all ingresses, restarts and losses included.
-pub(super) fn judge_quotas(plan: &SoakPlan, seen: &Seen, found: &mut Vec<Violation>) {
-    let quota_use = quota_use(plan, seen);
-    if quota_use > QUOTA_TOLERANCE {
-        let detail = format!("{quota_use:.2} times what the quotas allow was sent on");
-        found.push(Violation::general(Rule::QuotaExceeded, detail));
+    /// Whether an ingress has counted at least as much.
+    fn is_covered_by(&self, counters: &CounterRecord) -> bool {
+        self.attempts <= counters.attempts_begun
+            && self.requests <= counters.requests
+            && self.served <= counters.answers.saturating_sub(counters.not_served)
     }
 }
 
-/// Whether what each ingress has counted covers what was seen of it.
-pub(super) fn judge_counters(seen: &Seen, found: &mut Vec<Violation>) {
-    for counted in &seen.counters {
-        let of_ingress = |id: &str| ingress_of(id) == Some(counted.ingress);
-        let arrivals = seen.arrivals.iter().filter(|arrival| of_ingress(&arrival.id));
-        let arrivals: Vec<&str> = arrivals.map(|arrival| arrival.id.as_str()).collect();
-        let requests: HashSet<&str> = arrivals.iter().copied().collect();
-        let own = seen.requests.iter().filter(|request| request.ingress == counted.ingress);
-        let served = own.filter(|request| request.ending == Ending::Served).count() as u64;
-        let disagrees = arrivals.len() as u64 > counted.attempts_begun
-            || requests.len() as u64 > counted.requests
-            || served > counted.answers.saturating_sub(counted.not_served);
-        if disagrees {
-            let (attempts, requests) = (arrivals.len(), requests.len());
-            let detail = format!("{attempts} attempts, {requests} requests, {served} served; {counted:?}");
-            found.push(Violation::general(Rule::CountersDisagree, detail));
+impl Oracle<'_> {
+    /// Whether incomplete and malformed commands got an error or a close in time.
+    pub(super) fn judge_invalid_input(&mut self) {
+        let observations = self.observations;
+        for input in &observations.invalid_inputs {
+            let limit = input.at + INVALID_INPUT_TIMEOUT + self.slack();
+            if input.responded_at.is_none_or(|responded_at| responded_at > limit) {
+                let waited_ms = input.responded_at.map(|responded_at| (responded_at - input.at) / 1000);
+                let detail = format!("ingress {}: error or close after {waited_ms:?} ms", input.ingress);
+                self.report_general(Rule::InvalidInputIgnored, detail);
+            }
+        }
+    }
+
+    /// Whether processes started in time, and ended only when they were to.
+    pub(super) fn judge_processes(&mut self) {
+        let observations = self.observations;
+        for record in &observations.processes {
+            let rule = match record.event {
+                ProcessEvent::Overdue => Rule::ShutdownOverdue,
+                ProcessEvent::Crashed | ProcessEvent::NotReady => Rule::Crashed,
+                _ => continue,
+            };
+            let detail = format!("ingress {}: {:?} at {} ms", record.ingress, record.event, record.at / 1000);
+            self.report_general(rule, detail);
+        }
+    }
+
+    /// Whether quotas held over all ingresses, restarts and losses included.
+    pub(super) fn judge_quotas(&mut self) {
+        let quota_use = quota_use(self.plan, self.observations);
+        if quota_use > QUOTA_TOLERANCE {
+            let detail = format!("{quota_use:.2} times what the quotas allow was forwarded");
+            self.report_general(Rule::QuotaExceeded, detail);
+        }
+    }
+
+    /// Whether the counters of each ingress cover what was observed of it.
+    pub(super) fn judge_counters(&mut self) {
+        let observations = self.observations;
+        for counters in &observations.counters {
+            let observed = ObservedCounts::of(observations, counters.ingress);
+            if !observed.is_covered_by(counters) {
+                self.report_general(Rule::CountersDisagree, format!("{observed:?}, {counters:?}"));
+            }
         }
     }
 }
 
-/// The violations that the ingresses have logged of themselves, and panics. A late answer is judged by its client: a
-/// process that is made to stand still finds one itself.
+/// The violations and panics in the logs of the ingresses. A late answer is left to the observations of its client, since
+/// a process that the plan pauses reports one itself.
 pub fn judge_logs(folder: &Path, ingresses: usize) -> Vec<Violation> {
-    let mut found = Vec::new();
+    let mut violations = Vec::new();
     for number in 0..ingresses {
         let log = std::fs::read_to_string(Ingress::log_file(folder, number)).unwrap_or_default();
-        let reported = |line: &&str| {
-            let violated = line.contains("invariant: violated") && !line.contains("kind=LateAnswer");
-            violated || line.contains("panicked")
-        };
-        for line in log.lines().filter(reported) {
-            found.push(Violation::general(Rule::Reported, format!("ingress {number}: {line}")));
+        for line in log.lines().filter(|line| reports_violation(line)) {
+            violations.push(Violation::general(Rule::Reported, format!("ingress {number}: {line}")));
         }
     }
-    found
+    violations
+}
+
+/// Whether a line of a log reports a violation or a panic.
+fn reports_violation(line: &str) -> bool {
+    let violated = line.contains("invariant: violated") && !line.contains("kind=LateAnswer");
+    violated || line.contains("panicked")
 }
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -1,4 +1,4 @@
-//! What clients, backends, discovery and the supervisor of the ingresses saw, with the times at which they saw it.
+//! What clients, backends, discovery and the supervisor of the ingresses observe, with the times of it.
 
 use serde::Serialize;
 use std::sync::{Mutex, MutexGuard};
@@ -7,62 +7,62 @@
 /// Microseconds since the run began.
 pub type Micros = u64;
 
-/// The class of a request, which says whether it may be executed again.
+/// The class of a request, by whether it may be executed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Class {
-    /// At will.
+pub enum RequestClass {
+    /// It may always be executed again.
     Idempotent,
-    /// Within the window of its key.
+    /// It may be executed again within the window of its idempotency key.
     Keyed,
-    /// Never.
+    /// It may never be executed again.
     NonIdempotent,
 }
 
-/// How a request came to its end, as its client saw it.
+/// How a request ended, as its client observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Ending {
-    /// Served with the value that belongs to it.
+pub enum Outcome {
+    /// It got its value.
     Served,
-    /// Served with something else.
+    /// It got another value.
     WrongValue,
-    /// `-BUSY`.
+    /// It got `-BUSY`.
     Rejected,
-    /// Any other error.
+    /// It got another error.
     Failed,
-    /// The connection was closed with no answer.
+    /// The connection was closed without an answer.
     Closed,
     /// No answer came in time.
     Unanswered,
-    /// The client left.
-    Left,
+    /// The client disconnected first.
+    Disconnected,
 }
 
-/// A request, as its client saw it.
+/// A request, as its client observed it.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestRecord {
     /// Its id.
     pub id: String,
     /// Its class.
-    pub class: Class,
+    pub class: RequestClass,
     /// The ingress that it was sent to.
     pub ingress: usize,
     /// When its last byte was written.
     pub sent_at: Micros,
-    /// How long the client waits, in microseconds.
+    /// How long the client waits for the answer, in microseconds.
     pub timeout: Micros,
     /// How it ended.
-    pub ending: Ending,
-    /// When.
+    pub outcome: Outcome,
+    /// When it ended.
     pub ended_at: Micros,
-    /// It is on a connection on which a request was answered before, and may cross its close.
+    /// The connection had answered a request before, so that its close may cross this one.
     pub may_cross_close: bool,
-    /// Requests that the client had out on this connection before it.
+    /// Requests that were in flight on the connection before it.
     pub pipelined_behind: usize,
-    /// Its customer, if that has a quota.
+    /// Its customer, if that has a quota within reach.
     pub metered_customer: Option<u64>,
 }
 
-/// A command that came whole to a backend.
+/// A complete command that a backend received: an attempt of an ingress.
 #[derive(Clone, Debug, Serialize)]
 pub struct ArrivalRecord {
     /// The id of the request.
@@ -71,46 +71,46 @@
     pub backend: usize,
     /// When its last byte was read.
     pub at: Micros,
-    /// The time that it was told to have, in microseconds.
-    pub time_told: Micros,
-    /// The backend rejected it, so that it never ran.
+    /// The time that the ingress announced for it, in microseconds.
+    pub time_budget: Micros,
+    /// The backend rejected it, and did not execute it.
     pub rejected: bool,
     /// When its reply was written, or its connection ended.
     pub ended_at: Option<Micros>,
 }
 
-/// How a backend is listed.
+/// The status of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Listing {
-    /// As up, with a start of long ago or of a moment ago.
+pub enum EndpointStatus {
+    /// It takes requests.
     Up,
-    /// As draining.
+    /// It takes no new requests.
     Draining,
 }
 
-/// A change of the list.
+/// A change of the endpoint list.
 #[derive(Clone, Debug, Serialize)]
-pub struct ListChange {
-    /// The version that it makes.
+pub struct EndpointChange {
+    /// The version of the list that it makes.
     pub version: u64,
     /// The backend's number.
     pub backend: usize,
-    /// How it is listed from then on.
-    pub listing: Listing,
-    /// The backend has started anew.
+    /// Its status from then on.
+    pub status: EndpointStatus,
+    /// The backend was restarted.
     pub restarted: bool,
     /// When it was published.
     pub at: Micros,
 }
 
-/// A version of the list was written to an ingress.
+/// An ingress was notified of a version of the endpoint list.
 #[derive(Clone, Debug, Serialize)]
 pub struct Notification {
     /// The ingress's number.
     pub ingress: usize,
     /// The version.
     pub version: u64,
-    /// When its last byte was written.
+    /// When the last byte of the response was written.
     pub at: Micros,
 }
 
@@ -121,19 +121,19 @@
     Started,
     /// It answered its first PING.
     Ready,
-    /// It was told to end.
+    /// It was sent SIGTERM.
     Terminated,
-    /// It has ended by itself after that.
+    /// It exited after SIGTERM.
     Exited,
-    /// It was killed, as the plan says.
+    /// It was killed by the plan.
     Killed,
-    /// It was killed since it had not ended in time.
+    /// It was killed since it had not exited in time after SIGTERM.
     Overdue,
-    /// It ended though nobody told it to.
+    /// It exited by itself.
     Crashed,
     /// It was not ready in time.
     NotReady,
-    /// It stood still from here on, for up to 0.15 s.
+    /// It was stopped, for up to 0.15 s.
     Paused,
 }
 
@@ -148,23 +148,23 @@
     pub at: Micros,
 }
 
-/// A client that stopped in the middle of a command, or sent none.
+/// An incomplete or malformed command of a client that stays connected.
 #[derive(Clone, Debug, Serialize)]
-pub struct BadClientRecord {
+pub struct InvalidInputRecord {
     /// The ingress's number.
     pub ingress: usize,
     /// When its last byte was written.
     pub at: Micros,
-    /// When it got an error or a close; none if it never did.
-    pub told_at: Option<Micros>,
+    /// When the client got an error or a close; none if it got neither.
+    pub responded_at: Option<Micros>,
 }
 
-/// What an ingress that ran all the time has counted, by its log.
+/// The counters of an ingress that ran from the start to the end of the load, from its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CounterRecord {
     /// The ingress's number.
     pub ingress: usize,
-    /// Requests that were opened.
+    /// Requests that it received.
     pub requests: u64,
     /// Final answers.
     pub answers: u64,
@@ -174,41 +174,41 @@
     pub attempts_begun: u64,
 }
 
-/// All that was seen in a run.
+/// All that was observed in a run.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Seen {
-    /// By clients.
+pub struct Observations {
+    /// Requests, by clients.
     pub requests: Vec<RequestRecord>,
-    /// By backends.
+    /// Attempts, by backends.
     pub arrivals: Vec<ArrivalRecord>,
-    /// Changes that discovery published.
-    pub changes: Vec<ListChange>,
-    /// What it told whom.
+    /// Changes of the endpoint list, by discovery.
+    pub changes: Vec<EndpointChange>,
+    /// Notifications, by discovery.
     pub notifications: Vec<Notification>,
-    /// By the supervisor.
+    /// Processes, by the supervisor.
     pub processes: Vec<ProcessRecord>,
-    /// By clients that misbehave.
-    pub bad_clients: Vec<BadClientRecord>,
-    /// Bytes that came to clients behind an answer: the ids of the requests before them.
+    /// Incomplete and malformed commands, by clients.
+    pub invalid_inputs: Vec<InvalidInputRecord>,
+    /// Bytes that clients received after a final answer.
     pub stray_bytes: Vec<String>,
-    /// What the ingresses have counted themselves.
+    /// The counters of the ingresses.
     pub counters: Vec<CounterRecord>,
-    /// The longest time for which this machine let a thread of the soak wait for its turn: by so much its other threads
-    /// may have been late to see something.
+    /// The longest time for which a thread of the soak was not scheduled. Other threads may have been as late to observe
+    /// something.
     pub longest_stall: Micros,
 }
 
-/// Collects what is seen, from all threads.
+/// Collects the observations of all threads.
 pub struct Recorder {
     /// When the run began.
     started: Instant,
-    /// What was seen so far.
-    seen: Mutex<Seen>,
+    /// The observations so far.
+    observations: Mutex<Observations>,
 }
 
 impl Default for Recorder {
     fn default() -> Self {
-        Recorder { started: Instant::now(), seen: Mutex::new(Seen::default()) }
+        Recorder { started: Instant::now(), observations: Mutex::new(Observations::default()) }
     }
 }
 
@@ -223,8 +223,8 @@
         self.now() / 1000
     }
 
-    /// What was seen so far.
-    pub fn seen(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    /// The observations so far.
+    pub fn observations(&self) -> MutexGuard<'_, Observations> {
+        self.observations.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
--- a/fault-soak/src/report.rs
+++ b/fault-soak/src/report.rs
@@ -2,15 +2,15 @@
 
 use crate::oracle::{quota_use, Rule, Violation};
 use crate::plan::SoakPlan;
-use crate::record::{Ending, Seen};
+use crate::record::{Observations, Outcome};
 use crate::scenario::FaultScenario;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The longest answer time that is told apart, in microseconds.
-const LONGEST_ANSWER: u64 = 60_000_000;
+/// The longest answer time that the histogram resolves, in microseconds.
+const MAX_ANSWER_TIME: u64 = 60_000_000;
 /// The violations of a run that its line holds in full.
 const MAX_VIOLATIONS_IN_FULL: usize = 12;
 /// The side of a cell of the picture.
@@ -18,7 +18,7 @@
 /// The room for names beside the picture.
 const MARGIN: usize = 150;
 
-/// How the requests of a run ended, and how long answers took in milliseconds.
+/// How the requests of a run ended, and how long their answers took in milliseconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Totals {
     /// Requests that were sent.
@@ -31,26 +31,27 @@
     pub failed: u64,
     /// Closed with no answer, for whatever reason.
     pub closed: u64,
-    /// Left by their clients.
-    pub left: u64,
-    /// The median time of an answer.
+    /// Disconnected by their clients before an answer.
+    #[serde(alias = "left")]
+    pub disconnected: u64,
+    /// The median answer time.
     pub median_ms: f64,
-    /// The time that one answer in a hundred exceeds.
+    /// The 99th percentile of the answer times.
     pub p99_ms: f64,
-    /// The longest.
+    /// The longest answer time.
     pub longest_ms: f64,
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunResult {
-    /// The plan that was played.
+    /// The plan of the run.
     pub plan: SoakPlan,
-    /// The longest stall of the machine that was measured, in milliseconds: what may have been seen late.
+    /// The longest stall of the machine that was measured, in milliseconds: what may have been observed late.
     pub longest_stall_ms: u64,
     /// How requests ended.
     pub totals: Totals,
-    /// What was sent on for customers with a quota, as a part of what the quotas allow.
+    /// The forwarded requests of customers with a quota, as a part of what the quotas allow.
     #[serde(default)]
     pub quota_use: f64,
     /// How often each rule was broken.
@@ -61,14 +62,14 @@
 
 impl RunResult {
     /// The result of a plan.
-    pub fn new(plan: SoakPlan, seen: &Seen, violations: Vec<Violation>) -> RunResult {
+    pub fn new(plan: SoakPlan, observations: &Observations, violations: Vec<Violation>) -> RunResult {
         let mut counts = BTreeMap::new();
         violations.iter().for_each(|violation| *counts.entry(violation.rule).or_default() += 1);
         let violations = violations.into_iter().take(MAX_VIOLATIONS_IN_FULL).collect();
         RunResult {
-            longest_stall_ms: seen.longest_stall / 1000,
-            totals: totals(seen),
-            quota_use: quota_use(&plan, seen),
+            longest_stall_ms: observations.longest_stall / 1000,
+            totals: totals(observations),
+            quota_use: quota_use(&plan, observations),
             plan,
             counts,
             violations,
@@ -77,20 +78,21 @@
 }
 
 /// Counts how requests ended, and measures how long answers took.
-fn totals(seen: &Seen) -> Totals {
-    let count = |ending| seen.requests.iter().filter(|request| request.ending == ending).count() as u64;
+fn totals(observations: &Observations) -> Totals {
+    let count =
+        |outcome| observations.requests.iter().filter(|request| request.outcome == outcome).count() as u64;
     let mut totals = Totals {
-        requests: seen.requests.len() as u64,
-        served: count(Ending::Served),
-        rejected: count(Ending::Rejected),
-        failed: count(Ending::Failed),
-        closed: count(Ending::Closed),
-        left: count(Ending::Left),
+        requests: observations.requests.len() as u64,
+        served: count(Outcome::Served),
+        rejected: count(Outcome::Rejected),
+        failed: count(Outcome::Failed),
+        closed: count(Outcome::Closed),
+        disconnected: count(Outcome::Disconnected),
         ..Totals::default()
     };
-    if let Ok(mut times) = Histogram::<u64>::new_with_bounds(1, LONGEST_ANSWER, 2) {
-        let answered = |ending| matches!(ending, Ending::Served | Ending::Rejected | Ending::Failed);
-        for request in seen.requests.iter().filter(|request| answered(request.ending)) {
+    if let Ok(mut times) = Histogram::<u64>::new_with_bounds(1, MAX_ANSWER_TIME, 2) {
+        let answered = |outcome| matches!(outcome, Outcome::Served | Outcome::Rejected | Outcome::Failed);
+        for request in observations.requests.iter().filter(|request| answered(request.outcome)) {
             times.saturating_record(request.ended_at.saturating_sub(request.sent_at));
         }
         let at = |quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -1,9 +1,9 @@
-//! One run: the stand-ins and the ingresses are started, the plan is carried out, and what was seen is returned.
+//! One run: the stand-ins and the ingresses are started, the plan is carried out, and what was observed is returned.
 
 use crate::counters;
 use crate::ingress::{Ingress, Programs};
 use crate::plan::{InjectedFault, SoakPlan};
-use crate::record::{Listing, ProcessEvent, Recorder, Seen};
+use crate::record::{EndpointStatus, Observations, ProcessEvent, Recorder};
 use crate::scenario::FaultScenario;
 use crate::settings::Addresses;
 use crate::stand_in::backend::Backend;
@@ -41,7 +41,7 @@
 struct Stage {
     /// What goes wrong.
     plan: Arc<SoakPlan>,
-    /// What was seen.
+    /// What was observed.
     recorder: Arc<Recorder>,
     /// Where the ingresses are.
     addresses: Addresses,
@@ -129,10 +129,12 @@
         let backend = fault.target % self.backends.len();
         let number = fault.target % self.ingresses.len();
         match fault.kind {
-            FaultScenario::DrainingBackend => self.discovery.publish(backend, Listing::Draining, false),
+            FaultScenario::DrainingBackend => {
+                self.discovery.publish(backend, EndpointStatus::Draining, false)
+            }
             FaultScenario::RestartedBackend => {
                 self.backends[backend].restart();
-                self.discovery.publish(backend, Listing::Up, true);
+                self.discovery.publish(backend, EndpointStatus::Up, true);
             }
             FaultScenario::Terminate => return Some(self.terminate(number)),
             FaultScenario::Kill => return Some(self.kill(number)),
@@ -200,7 +202,7 @@
     /// Ends a fault that does not end by itself.
     fn end(&self, fault: &InjectedFault) {
         if fault.kind == FaultScenario::DrainingBackend {
-            self.discovery.publish(fault.target % self.backends.len(), Listing::Up, false);
+            self.discovery.publish(fault.target % self.backends.len(), EndpointStatus::Up, false);
         }
     }
 
@@ -243,9 +245,9 @@
     while !is_over.load(Ordering::SeqCst) {
         let before = recorder.now();
         thread::sleep(TICK);
-        let mut seen = recorder.seen();
+        let mut observations = recorder.observations();
         let stall = (recorder.now() - before).saturating_sub(TICK.as_micros() as u64);
-        seen.longest_stall = seen.longest_stall.max(stall);
+        observations.longest_stall = observations.longest_stall.max(stall);
     }
 }
 
@@ -279,12 +281,12 @@
         let ingress = ingress.clone();
         thread::spawn(move || lock(&ingress).terminate())
     };
-    let ending: Vec<JoinHandle<()>> = ingresses.iter().map(terminate).collect();
-    ending.into_iter().for_each(|thread| _ = thread.join());
+    let threads: Vec<JoinHandle<()>> = ingresses.iter().map(terminate).collect();
+    threads.into_iter().for_each(|thread| _ = thread.join());
 }
 
-/// Plays a plan, and returns what was seen.
-pub fn play(plan: &SoakPlan, programs: &Programs) -> anyhow::Result<Seen> {
+/// Plays a plan, and returns what was observed.
+pub fn play(plan: &SoakPlan, programs: &Programs) -> anyhow::Result<Observations> {
     std::fs::create_dir_all(&programs.folder)?;
     for number in 0..plan.shape.ingresses {
         let _ = std::fs::remove_file(Ingress::log_file(&programs.folder, number));
@@ -308,17 +310,17 @@
     is_over.store(true, Ordering::SeqCst);
     let _ = watchdog.join();
     terminate_all(&stage.ingresses);
-    let mut seen = std::mem::take(&mut *recorder.seen());
-    read_counters(&mut seen, programs, plan.shape.ingresses);
-    Ok(seen)
+    let mut observations = std::mem::take(&mut *recorder.observations());
+    read_counters(&mut observations, programs, plan.shape.ingresses);
+    Ok(observations)
 }
 
 /// Takes in what the ingresses that ran from the begin to the end have counted.
-fn read_counters(seen: &mut Seen, programs: &Programs, ingresses: usize) {
+fn read_counters(observations: &mut Observations, programs: &Programs, ingresses: usize) {
     for number in 0..ingresses {
-        let events = seen.processes.iter().filter(|record| record.ingress == number);
+        let events = observations.processes.iter().filter(|record| record.ingress == number);
         let starts = events.filter(|record| record.event == ProcessEvent::Started).count();
         let log = std::fs::read_to_string(Ingress::log_file(&programs.folder, number)).unwrap_or_default();
-        seen.counters.extend(counters::parse(number, &log).filter(|_| starts == 1));
+        observations.counters.extend(counters::parse(number, &log).filter(|_| starts == 1));
     }
 }
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -1,35 +1,37 @@
-//! The deployment that the soak plays, and the configuration of its ingresses.
+//! The deployment that the soak runs, and the configuration of its ingresses.
 
 use crate::plan::SoakPlan;
 use std::net::SocketAddr;
 
 /// How long the key of a keyed request is known, in microseconds.
 pub const KEY_WINDOW: u64 = 1_500_000;
-/// How long a draining backend may still be sent something new, in microseconds.
+/// How long a draining backend may still get new requests, in microseconds.
 pub const DRAIN_GRACE: u64 = 250_000;
-/// The longest that a client waits, in milliseconds.
+/// The longest time that a client waits for an answer, in milliseconds.
 pub const MAX_TIMEOUT_MS: u64 = 2000;
-/// The part of its capacity that a backend has at its start.
-pub const COLD_SHARE: f64 = 0.1;
-/// How long a backend takes to have its full capacity, in microseconds.
-pub const COLD_TIME: u64 = 6_000_000;
-/// A cold backend falls over at this multiple of its present capacity ...
+/// How long past its time an answer is still waited for, in microseconds: a late answer is told from a lost one.
+pub const ANSWER_SLACK: u64 = 600_000;
+/// The part of its capacity that a backend has at the begin of its slow start.
+pub const SLOW_START_FLOOR: f64 = 0.1;
+/// How long slow start takes, in microseconds.
+pub const SLOW_START_DURATION: u64 = 6_000_000;
+/// A backend in slow start is overloaded at this multiple of its present capacity ...
 pub const OVERLOAD_FACTOR: f64 = 1.5;
 /// ... over so long, in microseconds.
 pub const OVERLOAD_WINDOW: u64 = 1_000_000;
 /// The most attempts of a request.
 pub const MAX_ATTEMPTS: usize = 3;
 
-/// The plan of a quota that nobody reaches.
+/// The name of the plan with a quota that no customer reaches.
 pub const UNMETERED_PLAN: &str = "starter";
-/// The plan of a quota that customers ask several times as much as.
+/// The name of the plan with a quota that customers exceed several times.
 pub const METERED_PLAN: &str = "metered";
-/// Its units a second.
+/// The rate of that quota, in units a second.
 pub const METERED_RATE: f64 = 10.0;
-/// Its burst.
+/// The burst of that quota, in units.
 pub const METERED_BURST: f64 = 20.0;
 /// How many ingresses serve a customer of that plan.
-pub const METERED_SET: usize = 3;
+pub const METERED_SET_SIZE: usize = 3;
 
 /// The addresses of an ingress and of what it talks to.
 #[derive(Clone, Debug)]
@@ -73,7 +75,7 @@
   "peers":true,"retry_after":true,"max_retry_after_us":500000,"max_open":20000,"connect_timeout_us":250000,
   "keepalive_us":3000000}},
  "family_info":{{"peer_in_per_s":40.0,"has_counter":false,"meter_period_us":0,"post_paid":false}},
- "rules":{{"answer_slack_us":16000,"drain_grace_us":{DRAIN_GRACE},"cold_from":{COLD_SHARE},"cold_us":{COLD_TIME},
+ "rules":{{"answer_slack_us":16000,"drain_grace_us":{DRAIN_GRACE},"cold_from":{SLOW_START_FLOOR},"cold_us":{SLOW_START_DURATION},
   "overload_factor":{OVERLOAD_FACTOR},"fall_us":{OVERLOAD_WINDOW},"must_ask_in_us":10000000}},
  "membership_mode":"push","weights":"nominal","reporting":{{"how":"none","fields":[]}}}}}}"#
     )
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -39,7 +39,7 @@
     number: usize,
     /// What goes wrong.
     plan: Arc<SoakPlan>,
-    /// What was seen.
+    /// What was observed.
     recorder: Arc<Recorder>,
     /// The run is over.
     is_over: Arc<AtomicBool>,
@@ -113,7 +113,7 @@
     }
 
     /// Whether a scenario affects this backend now.
-    fn has(&self, kind: FaultScenario) -> bool {
+    fn is_affected_by(&self, kind: FaultScenario) -> bool {
         let Shared { number, plan, recorder, .. } = &self.shared;
         plan.affects(kind, *number, plan.shape.backends, recorder.now_ms())
     }
@@ -134,11 +134,12 @@
                 return Ok(arguments);
             }
             self.stay_silent()?;
-            let closes_idle = self.received.is_empty() && self.has(FaultScenario::IdleClosingBackend);
+            let closes_idle =
+                self.received.is_empty() && self.is_affected_by(FaultScenario::IdleClosingBackend);
             if self.is_ended() || closes_idle {
                 return Err(Closed);
             }
-            if self.has(FaultScenario::EarlyResettingBackend)
+            if self.is_affected_by(FaultScenario::EarlyResettingBackend)
                 && matches!(self.stream.peek(&mut chunk), Ok(1..))
             {
                 return Err(Closed); // What is unread resets the connection.
@@ -155,10 +156,10 @@
     /// Does nothing for as long as the backend is cut off, but to note that the other side has given the connection up;
     /// behind that it is reset.
     fn stay_silent(&self) -> Result<(), Closed> {
-        if !self.has(FaultScenario::PartitionedBackend) {
+        if !self.is_affected_by(FaultScenario::PartitionedBackend) {
             return Ok(());
         }
-        while self.has(FaultScenario::PartitionedBackend) {
+        while self.is_affected_by(FaultScenario::PartitionedBackend) {
             self.wait(IDLE_POLL_INTERVAL)?;
         }
         Err(Closed)
@@ -185,13 +186,13 @@
     /// Answers a command, and notes when it came and when it was over.
     fn answer(&mut self, arguments: &[String]) -> Result<(), Closed> {
         let [_, _, id, options, ..] = arguments else { return Err(Closed) };
-        let rejected = self.has(FaultScenario::RejectingBackend);
+        let rejected = self.is_affected_by(FaultScenario::RejectingBackend);
         let index = self.note_arrival(id, options, rejected);
         let result = self.reply(id, rejected);
         let ended_at = self.shared.recorder.now();
-        self.shared.recorder.seen().arrivals[index].ended_at = Some(ended_at);
+        self.shared.recorder.observations().arrivals[index].ended_at = Some(ended_at);
         result?;
-        if self.has(FaultScenario::DuplicatingBackend) {
+        if self.is_affected_by(FaultScenario::DuplicatingBackend) {
             thread::sleep(DUPLICATE_DELAY);
             self.write(&served(id))?;
         }
@@ -200,15 +201,15 @@
 
     /// Notes a command that has come whole; returns its place in the record.
     fn note_arrival(&self, id: &str, options: &str, rejected: bool) -> usize {
-        let told_ms = options.split(',').find_map(|option| option.strip_prefix("d="));
-        let told_ms = told_ms.and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
+        let budget_ms = options.split(',').find_map(|option| option.strip_prefix("d="));
+        let budget_ms = budget_ms.and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
         let at: Micros = self.shared.recorder.now();
-        let arrivals = &mut self.shared.recorder.seen().arrivals;
+        let arrivals = &mut self.shared.recorder.observations().arrivals;
         arrivals.push(ArrivalRecord {
             id: id.to_string(),
             backend: self.shared.number,
             at,
-            time_told: told_ms * 1000,
+            time_budget: budget_ms * 1000,
             rejected,
             ended_at: None,
         });
@@ -220,23 +221,23 @@
         if rejected {
             return self.write(b"-BUSY\r\n");
         }
-        while self.has(FaultScenario::HangingBackend) {
+        while self.is_affected_by(FaultScenario::HangingBackend) {
             self.wait(Duration::from_millis(20))?;
         }
-        let slow = self.has(FaultScenario::SlowBackend);
+        let slow = self.is_affected_by(FaultScenario::SlowBackend);
         self.wait(if slow { SLOW_SERVICE_TIME } else { SERVICE_TIME })?;
         self.stay_silent()?;
         let reply = served(id);
-        if self.has(FaultScenario::FailingBackend) {
+        if self.is_affected_by(FaultScenario::FailingBackend) {
             return self.write(b"-ERR failed\r\n");
         }
-        if self.has(FaultScenario::ResettingBackend) {
+        if self.is_affected_by(FaultScenario::ResettingBackend) {
             // Half of the replies are cut in the middle, the others never begin.
             let length = if reply.len() % 2 == 0 { reply.len() / 2 } else { 0 };
             let _ = self.write(&reply[..length]);
             return Err(Closed);
         }
-        if self.has(FaultScenario::TricklingBackend) {
+        if self.is_affected_by(FaultScenario::TricklingBackend) {
             for piece in reply.chunks(5) {
                 self.write(piece)?;
                 thread::sleep(TRICKLE_PAUSE);
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -2,9 +2,9 @@
 
 use super::resp::{encode_request, parse_reply, value_of, Customer, Reply};
 use crate::plan::SoakPlan;
-use crate::record::{BadClientRecord, Class, Ending, Micros, Recorder, RequestRecord};
+use crate::record::{InvalidInputRecord, Micros, Outcome, Recorder, RequestClass, RequestRecord};
 use crate::scenario::FaultScenario;
-use crate::settings::{MAX_TIMEOUT_MS, METERED_SET};
+use crate::settings::{ANSWER_SLACK, MAX_TIMEOUT_MS, METERED_SET_SIZE};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
@@ -15,8 +15,6 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long after its time an answer is still waited for, in microseconds.
-const ANSWER_SLACK: Micros = 600_000;
 /// The part of the requests that are sent on a new connection.
 const NEW_CONNECTION_SHARE: f64 = 0.1;
 /// How long the first command of a new connection may take to come, in milliseconds.
@@ -25,8 +23,8 @@
 const MAX_REST_MS: u64 = 15;
 /// How long a client that leaves waits before, at the most, in milliseconds.
 const MAX_STAY_MS: u64 = 60;
-/// How long a client that stops in the middle of a command waits to be told so.
-const BAD_CLIENT_PATIENCE: Micros = 4_500_000;
+/// How long a client with an incomplete or malformed command waits for an error or a close, in microseconds.
+const INVALID_INPUT_PATIENCE: Micros = 4_500_000;
 /// How long a read waits before the time is looked at.
 const READ_TIMEOUT: Duration = Duration::from_millis(2);
 /// How many bytes a client that trickles writes at once, and how long it rests then.
@@ -66,7 +64,7 @@
     /// Its id.
     id: String,
     /// Its class.
-    class: Class,
+    class: RequestClass,
     /// When its last byte was written.
     sent_at: Micros,
     /// How long the client waits.
@@ -81,7 +79,7 @@
     number: usize,
     /// What goes wrong.
     plan: Arc<SoakPlan>,
-    /// What was seen.
+    /// What was observed.
     recorder: Arc<Recorder>,
     /// No further request is sent.
     is_over: Arc<AtomicBool>,
@@ -116,7 +114,9 @@
     pub fn run(mut self) {
         while !self.is_over.load(Ordering::SeqCst) {
             let ingress = self.random.random_range(0..self.addresses.len());
-            if self.has(FaultScenario::StalledClients) || self.has(FaultScenario::MalformedCommands) {
+            if self.is_affected_by(FaultScenario::StalledClients)
+                || self.is_affected_by(FaultScenario::MalformedCommands)
+            {
                 self.misbehave(ingress);
             } else {
                 self.send_requests(ingress);
@@ -126,7 +126,7 @@
     }
 
     /// Whether a scenario of clients affects this one now; each affects a quarter of all clients.
-    fn has(&self, kind: FaultScenario) -> bool {
+    fn is_affected_by(&self, kind: FaultScenario) -> bool {
         self.plan.affects(kind, self.number % 4, 4, self.recorder.now_ms())
     }
 
@@ -160,8 +160,11 @@
         if !is_first && connection.has_stray_bytes(self.recorder.as_ref()) {
             return; // the connection was closed between two requests, or is of no use
         }
-        let count =
-            if self.has(FaultScenario::PipeliningClients) { self.random.random_range(2..=12) } else { 1 };
+        let count = if self.is_affected_by(FaultScenario::PipeliningClients) {
+            self.random.random_range(2..=12)
+        } else {
+            1
+        };
         let mut pending = Vec::new();
         let mut bytes = Vec::new();
         for _ in 0..count {
@@ -175,7 +178,7 @@
         }
         let sent_at = self.recorder.now();
         pending.iter_mut().for_each(|request| request.sent_at = sent_at);
-        if self.has(FaultScenario::DisconnectingClients) {
+        if self.is_affected_by(FaultScenario::DisconnectingClients) {
             return self.leave(ingress, connection, pending);
         }
         if self.await_answers(ingress, &mut connection, pending) {
@@ -185,7 +188,7 @@
 
     /// Writes commands, at once or a few bytes at a time.
     fn write(&self, connection: &mut Connection, bytes: &[u8]) -> std::io::Result<()> {
-        if !self.has(FaultScenario::TricklingClients) {
+        if !self.is_affected_by(FaultScenario::TricklingClients) {
             return connection.stream.write_all(bytes);
         }
         for piece in bytes.chunks(TRICKLE_PIECE) {
@@ -199,14 +202,14 @@
     fn draw_request(&mut self, ingress: usize) -> Pending {
         self.requests += 1;
         let class = match self.random.random_range(0..3) {
-            0 => Class::Idempotent,
-            1 => Class::Keyed,
-            _ => Class::NonIdempotent,
+            0 => RequestClass::Idempotent,
+            1 => RequestClass::Keyed,
+            _ => RequestClass::NonIdempotent,
         };
         let id = format!("i{ingress}-c{}-{}", self.number, self.requests);
         let timeout = self.random.random_range(TIMEOUTS_MS) * 1000;
         let metered = self.random.random_bool(METERED_SHARE).then(|| {
-            let (count, place) = (self.addresses.len(), self.random.random_range(0..METERED_SET));
+            let (count, place) = (self.addresses.len(), self.random.random_range(0..METERED_SET_SIZE));
             Customer::metered((ingress + count - place.min(count - 1)) % count, count)
         });
         Pending { id, class, sent_at: 0, timeout, metered }
@@ -219,15 +222,15 @@
         let mut is_open = true;
         for (position, request) in pending.into_iter().enumerate() {
             let limit = request.sent_at.max(waiting_since) + request.timeout + ANSWER_SLACK;
-            let ending = if is_open {
-                connection.await_ending(&self.recorder, &request.id, limit)
+            let outcome = if is_open {
+                connection.await_outcome(&self.recorder, &request.id, limit)
             } else {
-                Ending::Closed
+                Outcome::Closed
             };
-            is_open &= !matches!(ending, Ending::Closed | Ending::Unanswered | Ending::WrongValue);
+            is_open &= !matches!(outcome, Outcome::Closed | Outcome::Unanswered | Outcome::WrongValue);
             connection.answered += usize::from(is_open);
             waiting_since = self.recorder.now();
-            self.note(ingress, request, ending, waiting_since, was_used || position > 0, position);
+            self.note(ingress, request, outcome, waiting_since, was_used || position > 0, position);
         }
         is_open
     }
@@ -236,12 +239,13 @@
     fn leave(&mut self, ingress: usize, mut connection: Connection, pending: Vec<Pending>) {
         let stays_until = self.recorder.now() + self.random.random_range(0..=MAX_STAY_MS) * 1000;
         let Some(first) = pending.first() else { return };
-        let ending = connection.await_ending(&self.recorder, &first.id, stays_until);
+        let outcome = connection.await_outcome(&self.recorder, &first.id, stays_until);
         drop(connection);
         let now = self.recorder.now();
         for (position, request) in pending.into_iter().enumerate() {
-            let ending = if position == 0 && ending != Ending::Unanswered { ending } else { Ending::Left };
-            self.note(ingress, request, ending, now, true, position);
+            let outcome =
+                if position == 0 && outcome != Outcome::Unanswered { outcome } else { Outcome::Disconnected };
+            self.note(ingress, request, outcome, now, true, position);
         }
     }
 
@@ -250,19 +254,19 @@
         &self,
         ingress: usize,
         request: Pending,
-        ending: Ending,
+        outcome: Outcome,
         ended_at: Micros,
         may_cross_close: bool,
         pipelined_behind: usize,
     ) {
         let Pending { id, class, sent_at, timeout, metered } = request;
-        self.recorder.seen().requests.push(RequestRecord {
+        self.recorder.observations().requests.push(RequestRecord {
             id,
             class,
             ingress,
             sent_at,
             timeout,
-            ending,
+            outcome,
             ended_at,
             may_cross_close,
             pipelined_behind,
@@ -273,8 +277,8 @@
     /// Sends half a command or none, and stays; or sends what is no command.
     fn misbehave(&mut self, ingress: usize) {
         let Some(mut stream) = self.connect(ingress) else { return };
-        let command = encode_request(Class::Idempotent, "half", Customer::unmetered(1), 500);
-        let bytes = if self.has(FaultScenario::MalformedCommands) {
+        let command = encode_request(RequestClass::Idempotent, "half", Customer::unmetered(1), 500);
+        let bytes = if self.is_affected_by(FaultScenario::MalformedCommands) {
             b"*1\r\n$-5\r\nGET / HTTP/1.1\r\n\r\n".to_vec()
         } else {
             command[..self.random.random_range(0..command.len())].to_vec()
@@ -283,14 +287,14 @@
             return;
         }
         let at = self.recorder.now();
-        let mut told_at = None;
-        while told_at.is_none() && self.recorder.now() < at + BAD_CLIENT_PATIENCE {
+        let mut responded_at = None;
+        while responded_at.is_none() && self.recorder.now() < at + INVALID_INPUT_PATIENCE {
             match stream.read(&mut [0; 256]) {
                 Err(error) if is_timeout(&error) => {}
-                _ => told_at = Some(self.recorder.now()),
+                _ => responded_at = Some(self.recorder.now()),
             }
         }
-        self.recorder.seen().bad_clients.push(BadClientRecord { ingress, at, told_at });
+        self.recorder.observations().invalid_inputs.push(InvalidInputRecord { ingress, at, responded_at });
     }
 }
 
@@ -302,7 +306,7 @@
         let _ = self.stream.set_nonblocking(false);
         let is_stray = matches!(result, Ok(1..)) || !self.received.is_empty();
         if is_stray && self.answered > 0 {
-            recorder.seen().stray_bytes.push(String::from_utf8_lossy(&self.received).into_owned());
+            recorder.observations().stray_bytes.push(String::from_utf8_lossy(&self.received).into_owned());
         }
         is_stray || !result.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
@@ -326,14 +330,14 @@
     }
 
     /// Waits for the answer to a request until a time.
-    fn await_ending(&mut self, recorder: &Recorder, id: &str, limit: Micros) -> Ending {
+    fn await_outcome(&mut self, recorder: &Recorder, id: &str, limit: Micros) -> Outcome {
         match self.await_reply(recorder, limit) {
-            Wait::Reply(Reply::Value(value)) if value == value_of(id) => Ending::Served,
-            Wait::Reply(Reply::Value(_)) => Ending::WrongValue,
-            Wait::Reply(Reply::Line(line)) if line.starts_with("-BUSY") => Ending::Rejected,
-            Wait::Reply(Reply::Line(_)) => Ending::Failed,
-            Wait::Closed => Ending::Closed,
-            Wait::TimedOut => Ending::Unanswered,
+            Wait::Reply(Reply::Value(value)) if value == value_of(id) => Outcome::Served,
+            Wait::Reply(Reply::Value(_)) => Outcome::WrongValue,
+            Wait::Reply(Reply::Line(line)) if line.starts_with("-BUSY") => Outcome::Rejected,
+            Wait::Reply(Reply::Line(_)) => Outcome::Failed,
+            Wait::Closed => Outcome::Closed,
+            Wait::TimedOut => Outcome::Unanswered,
         }
     }
 }
--- a/fault-soak/src/stand_in/discovery.rs
+++ b/fault-soak/src/stand_in/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: an agent for each ingress, which has every change at once, and may be silent or broken.
 
 use crate::plan::SoakPlan;
-use crate::record::{ListChange, Listing, Notification, Recorder};
+use crate::record::{EndpointChange, EndpointStatus, Notification, Recorder};
 use crate::scenario::FaultScenario;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -24,7 +24,7 @@
     /// Where the backend is.
     address: SocketAddr,
     /// How it is listed.
-    listing: Listing,
+    status: EndpointStatus,
     /// When it last started, in Unix time; 0 for long ago.
     since_ms: i64,
     /// The version that its latest change made.
@@ -37,7 +37,7 @@
     entries: Mutex<Vec<Entry>>,
     /// What goes wrong.
     plan: Arc<SoakPlan>,
-    /// What was seen.
+    /// What was observed.
     recorder: Arc<Recorder>,
     /// The run is over.
     is_over: Arc<AtomicBool>,
@@ -73,8 +73,12 @@
         recorder: Arc<Recorder>,
         is_over: Arc<AtomicBool>,
     ) -> Discovery {
-        let entry =
-            |address: &SocketAddr| Entry { address: *address, listing: Listing::Up, since_ms: 0, version: 1 };
+        let entry = |address: &SocketAddr| Entry {
+            address: *address,
+            status: EndpointStatus::Up,
+            since_ms: 0,
+            version: 1,
+        };
         let entries = Mutex::new(addresses.iter().map(entry).collect());
         Discovery { entries, plan, recorder, is_over, cut_count: AtomicU64::new(0) }
     }
@@ -95,18 +99,18 @@
 
     /// Publishes how a backend is listed from now on; one that has started anew is listed with the time by the clocks of
     /// the plan.
-    pub fn publish(&self, backend: usize, listing: Listing, restarted: bool) {
+    pub fn publish(&self, backend: usize, status: EndpointStatus, restarted: bool) {
         let mut entries = self.entries();
         let version = entries.iter().map(|entry| entry.version).max().unwrap_or(1) + 1;
         let at = self.recorder.now();
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64;
         let entry = &mut entries[backend];
-        (entry.listing, entry.version) = (listing, version);
+        (entry.status, entry.version) = (status, version);
         if restarted {
             entry.since_ms = unix_time + self.plan.clock_offset_ms(at / 1000);
         }
-        let change = ListChange { version, backend, listing, restarted, at };
-        self.recorder.seen().changes.push(change);
+        let change = EndpointChange { version, backend, status, restarted, at };
+        self.recorder.observations().changes.push(change);
     }
 
     /// The whole list, as JSON.
@@ -151,7 +155,7 @@
                 return;
             }
             let at = self.recorder.now();
-            self.recorder.seen().notifications.push(Notification { ingress, version, at });
+            self.recorder.observations().notifications.push(Notification { ingress, version, at });
         }
     }
 
@@ -215,9 +219,9 @@
 
 /// An entry, as JSON.
 fn entry_json(number: usize, entry: &Entry) -> String {
-    let status = match entry.listing {
-        Listing::Up => "up",
-        Listing::Draining => "draining",
+    let status = match entry.status {
+        EndpointStatus::Up => "up",
+        EndpointStatus::Draining => "draining",
     };
     format!(
         r#"{{"name":"s-{number}","address":"{}","zone":"a","type":"m","group":0,"status":"{status}","weight":1.0,"since_ms":{}}}"#,
--- a/fault-soak/src/stand_in/resp.rs
+++ b/fault-soak/src/stand_in/resp.rs
@@ -1,7 +1,7 @@
 //! RESP2 as clients and backends write and read it.
 
-use crate::record::Class;
-use crate::settings::{METERED_PLAN, METERED_SET, UNMETERED_PLAN};
+use crate::record::RequestClass;
+use crate::settings::{METERED_PLAN, METERED_SET_SIZE, UNMETERED_PLAN};
 
 /// The number of the first customer with a quota; clients have lower ones.
 const FIRST_METERED_CUSTOMER: u64 = 100_000;
@@ -35,21 +35,25 @@
     /// The one with a quota that some ingresses in a row serve, from this one of so many on.
     pub fn metered(set_start: usize, ingresses: usize) -> Customer {
         let number = FIRST_METERED_CUSTOMER + set_start as u64;
-        Customer { number, plan: METERED_PLAN, set_size: METERED_SET.min(ingresses), set_start }
+        Customer { number, plan: METERED_PLAN, set_size: METERED_SET_SIZE.min(ingresses), set_start }
     }
 }
 
 /// A request of a class.
-pub fn encode_request(class: Class, id: &str, customer: Customer, timeout_ms: u64) -> Vec<u8> {
+pub fn encode_request(class: RequestClass, id: &str, customer: Customer, timeout_ms: u64) -> Vec<u8> {
     let Customer { number, plan, set_size, set_start } = customer;
     let customer = format!("{number:016x}");
     let options = |name: &str, key: &str| {
         format!("c={name},t={plan},d={timeout_ms}{key},units=1,spread={set_size},first={set_start}")
     };
     match class {
-        Class::Idempotent => encode_command(&["CALL.GET", &customer, id, &options("quote", "")]),
-        Class::Keyed => encode_command(&["CALL.POST", &customer, id, &options("save", ",k=00ff"), "BODY"]),
-        Class::NonIdempotent => encode_command(&["CALL.POST", &customer, id, &options("refer", ""), "BODY"]),
+        RequestClass::Idempotent => encode_command(&["CALL.GET", &customer, id, &options("quote", "")]),
+        RequestClass::Keyed => {
+            encode_command(&["CALL.POST", &customer, id, &options("save", ",k=00ff"), "BODY"])
+        }
+        RequestClass::NonIdempotent => {
+            encode_command(&["CALL.POST", &customer, id, &options("refer", ""), "BODY"])
+        }
     }
 }
 
--- a/fault-soak/tests/kept_results.rs
+++ b/fault-soak/tests/kept_results.rs
@@ -1,5 +1,6 @@
 //! Result files that were written before types, fields and scenarios were renamed are still read.
 
+use fault_soak::oracle::Rule;
 use fault_soak::plan::SoakPlan;
 use fault_soak::report::{page, RunResult};
 use fault_soak::scenario::FaultScenario;
@@ -46,7 +47,20 @@
         FaultScenario::Pauses,
     ];
     assert_eq!(scenarios, expected);
-    assert_eq!(of_seed(201).totals.left, 39);
+    assert_eq!(of_seed(201).totals.disconnected, 39);
+}
+
+/// A line of a kept file as it would be with a violation of the rule that was renamed.
+#[test]
+fn rules_with_former_names_are_read() {
+    let line = FIRST_HUNT.lines().next().unwrap();
+    let broken = line.replace(r#""counts":{}"#, r#""counts":{"bad_client_ignored":1}"#).replace(
+        r#""violations":[]"#,
+        r#""violations":[{"rule":"bad_client_ignored","request":null,"detail":"-"}]"#,
+    );
+    let result: RunResult = serde_json::from_str(&broken).unwrap();
+    assert_eq!(result.counts.get(&Rule::InvalidInputIgnored), Some(&1));
+    assert_eq!(result.violations[0].rule, Rule::InvalidInputIgnored);
 }
 
 /// A result that is written today is read again.
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle finds each violation in what was seen, and none where there is none.
+//! The oracle finds each violation in the observations, and none where there is none.
 
 use fault_soak::oracle::{judge, Rule};
 use fault_soak::plan::{InjectedFault, Shape, SoakPlan};
@@ -14,7 +14,7 @@
     SoakPlan { hedging, ..SoakPlan::draw(1, shape, FaultScenario::all()) }
 }
 
-/// A plan in which no ingress stands still.
+/// A plan that pauses no ingress.
 fn plan_without_pauses(hedging: bool) -> SoakPlan {
     let mut plan = plan(hedging);
     plan.faults.retain(|fault| fault.kind != FaultScenario::Pauses);
@@ -22,14 +22,14 @@
 }
 
 /// A request that is served half a second after it was sent.
-fn request(class: Class, ending: Ending) -> RequestRecord {
+fn request(class: RequestClass, outcome: Outcome) -> RequestRecord {
     RequestRecord {
         id: "i0-c1-1".into(),
         class,
         ingress: 0,
         sent_at: SECOND,
         timeout: 2 * SECOND,
-        ending,
+        outcome,
         ended_at: SECOND + SECOND / 2,
         may_cross_close: false,
         pipelined_behind: 0,
@@ -37,48 +37,52 @@
     }
 }
 
-/// An attempt that is told 100 ms, and over after 10 ms.
+/// An attempt that announces 100 ms, and ends after 10 ms.
 fn arrival(at: Micros) -> ArrivalRecord {
     ArrivalRecord {
         id: "i0-c1-1".into(),
         backend: 0,
         at,
-        time_told: SECOND / 10,
+        time_budget: SECOND / 10,
         rejected: false,
         ended_at: Some(at + 10_000),
     }
 }
 
-fn rules(hedging: bool, seen: &Seen) -> Vec<Rule> {
-    judge(&plan_without_pauses(hedging), seen).into_iter().map(|violation| violation.rule).collect()
+fn rules(hedging: bool, observations: &Observations) -> Vec<Rule> {
+    judge(&plan_without_pauses(hedging), observations).into_iter().map(|violation| violation.rule).collect()
 }
 
-fn seen(request: RequestRecord, arrivals: Vec<ArrivalRecord>) -> Seen {
-    Seen { requests: vec![request], arrivals, ..Seen::default() }
+fn observations(request: RequestRecord, arrivals: Vec<ArrivalRecord>) -> Observations {
+    Observations { requests: vec![request], arrivals, ..Observations::default() }
 }
 
 #[test]
 fn a_request_that_keeps_the_rules_is_no_violation() {
     let rejected = ArrivalRecord { rejected: true, ..arrival(SECOND + 1000) };
-    let served = request(Class::NonIdempotent, Ending::Served);
-    assert_eq!(rules(false, &seen(served, vec![rejected, arrival(SECOND + 20_000)])), []);
-    let retried = request(Class::Keyed, Ending::Served);
+    let served = request(RequestClass::NonIdempotent, Outcome::Served);
+    assert_eq!(rules(false, &observations(served, vec![rejected, arrival(SECOND + 20_000)])), []);
+    let retried = request(RequestClass::Keyed, Outcome::Served);
     let arrivals = vec![arrival(SECOND), arrival(SECOND + 200_000)];
-    assert_eq!(rules(false, &seen(retried, arrivals)), []);
+    assert_eq!(rules(false, &observations(retried, arrivals)), []);
 }
 
 #[test]
 fn answers_that_are_missing_or_wrong_are_found() {
-    for (ending, expected) in [
-        (Ending::Unanswered, vec![Rule::Lost]),
-        (Ending::Closed, vec![Rule::Lost]),
-        (Ending::WrongValue, vec![Rule::WrongValue]),
-        (Ending::Failed, vec![]),
-        (Ending::Left, vec![]),
+    for (outcome, expected) in [
+        (Outcome::Unanswered, vec![Rule::Lost]),
+        (Outcome::Closed, vec![Rule::Lost]),
+        (Outcome::WrongValue, vec![Rule::WrongValue]),
+        (Outcome::Failed, vec![]),
+        (Outcome::Disconnected, vec![]),
     ] {
-        assert_eq!(rules(false, &seen(request(Class::Keyed, ending), vec![])), expected, "{ending:?}");
+        assert_eq!(
+            rules(false, &observations(request(RequestClass::Keyed, outcome), vec![])),
+            expected,
+            "{outcome:?}"
+        );
     }
-    let stray = Seen { stray_bytes: vec!["+PONG".into()], ..Seen::default() };
+    let stray = Observations { stray_bytes: vec!["+PONG".into()], ..Observations::default() };
     assert_eq!(rules(false, &stray), [Rule::SecondAnswer]);
 }
 
@@ -86,67 +90,75 @@
 /// nobody.
 #[test]
 fn closes_are_excused_where_the_protocol_excuses_them() {
-    let crossing = RequestRecord { may_cross_close: true, ..request(Class::Keyed, Ending::Closed) };
-    assert_eq!(rules(false, &seen(crossing.clone(), vec![])), []);
-    assert_eq!(rules(false, &seen(crossing.clone(), vec![arrival(SECOND)])), [Rule::Lost]);
+    let crossing = RequestRecord { may_cross_close: true, ..request(RequestClass::Keyed, Outcome::Closed) };
+    assert_eq!(rules(false, &observations(crossing.clone(), vec![])), []);
+    assert_eq!(rules(false, &observations(crossing.clone(), vec![arrival(SECOND)])), [Rule::Lost]);
     let killed = ProcessRecord { ingress: 0, event: ProcessEvent::Killed, at: SECOND + 1000 };
-    let seen = Seen { processes: vec![killed], ..seen(crossing, vec![arrival(SECOND)]) };
-    assert_eq!(rules(false, &seen), []);
+    let observations =
+        Observations { processes: vec![killed], ..observations(crossing, vec![arrival(SECOND)]) };
+    assert_eq!(rules(false, &observations), []);
 }
 
 #[test]
 fn repeats_are_judged_by_class_and_settings() {
-    let twice =
-        |class, gap| seen(request(class, Ending::Served), vec![arrival(SECOND), arrival(SECOND + gap)]);
-    assert_eq!(rules(true, &twice(Class::NonIdempotent, 50_000)), [Rule::UnsafeRepeat]);
-    assert_eq!(rules(true, &twice(Class::Keyed, 1_600_001)), [Rule::KeyExpired]);
-    let mut beside = twice(Class::Idempotent, 20_000);
+    let twice = |class, gap| {
+        observations(request(class, Outcome::Served), vec![arrival(SECOND), arrival(SECOND + gap)])
+    };
+    assert_eq!(rules(true, &twice(RequestClass::NonIdempotent, 50_000)), [Rule::UnsafeRepeat]);
+    assert_eq!(rules(true, &twice(RequestClass::Keyed, 1_600_001)), [Rule::KeyExpired]);
+    let mut beside = twice(RequestClass::Idempotent, 20_000);
     beside.arrivals[0].ended_at = Some(SECOND + 200_000);
     assert_eq!(rules(false, &beside), [Rule::ConcurrentAttempts]);
     assert_eq!(rules(true, &beside), []);
     let many = (0..4).map(|index| arrival(SECOND + index * 20_000)).collect();
-    assert_eq!(rules(true, &seen(request(Class::Idempotent, Ending::Served), many)), [Rule::TooManyAttempts]);
+    assert_eq!(
+        rules(true, &observations(request(RequestClass::Idempotent, Outcome::Served), many)),
+        [Rule::TooManyAttempts]
+    );
 }
 
 #[test]
-fn times_told_and_attempts_for_nobody_are_found() {
-    let overstated = ArrivalRecord { time_told: 2 * SECOND, ..arrival(2 * SECOND) };
-    let served = request(Class::Keyed, Ending::Served);
-    assert_eq!(rules(true, &seen(served, vec![overstated])), [Rule::TimeOverstated]);
-    let left = request(Class::Keyed, Ending::Left);
-    let late = arrival(left.ended_at + 200_001);
-    assert_eq!(rules(true, &seen(left, vec![late])), [Rule::AttemptAfterDisconnect]);
-}
-
-/// A change of the list at 2 s, told to ingress 0 a moment later.
-fn told(listing: Listing, restarted: bool) -> Seen {
-    Seen {
-        changes: vec![ListChange { version: 2, backend: 0, listing, restarted, at: 2 * SECOND }],
+fn overstated_times_and_attempts_after_a_disconnect_are_found() {
+    let overstated = ArrivalRecord { time_budget: 2 * SECOND, ..arrival(2 * SECOND) };
+    let served = request(RequestClass::Keyed, Outcome::Served);
+    assert_eq!(rules(true, &observations(served, vec![overstated])), [Rule::TimeOverstated]);
+    let disconnected = request(RequestClass::Keyed, Outcome::Disconnected);
+    let late = arrival(disconnected.ended_at + 200_001);
+    assert_eq!(rules(true, &observations(disconnected, vec![late])), [Rule::AttemptAfterDisconnect]);
+}
+
+/// A change of the list at 2 s, of which ingress 0 is notified 10 ms later.
+fn notified(status: EndpointStatus, restarted: bool) -> Observations {
+    Observations {
+        changes: vec![EndpointChange { version: 2, backend: 0, status, restarted, at: 2 * SECOND }],
         notifications: vec![Notification { ingress: 0, version: 2, at: 2 * SECOND + 10_000 }],
-        ..Seen::default()
+        ..Observations::default()
     }
 }
 
 #[test]
-fn what_comes_to_a_draining_backend_past_the_grace_is_found() {
-    let at = |at| Seen { arrivals: vec![arrival(at)], ..told(Listing::Draining, false) };
+fn requests_to_a_draining_backend_after_the_grace_period_are_found() {
+    let at = |at| Observations { arrivals: vec![arrival(at)], ..notified(EndpointStatus::Draining, false) };
     assert_eq!(rules(true, &at(2 * SECOND + 360_000)), []);
     assert_eq!(rules(true, &at(2 * SECOND + 360_001)), [Rule::SentToDraining]);
 }
 
 #[test]
-fn a_cold_backend_that_gets_an_even_part_is_found() {
+fn a_backend_in_slow_start_that_gets_an_even_part_is_found() {
     // 100 requests a second for each of two backends, one of which has just started.
     let even = (0..1000).map(|index| arrival(index * 10_000));
     let other = even.clone().map(|arrival| ArrivalRecord { backend: 1, ..arrival });
     let all: Vec<ArrivalRecord> = even.chain(other.clone()).collect();
-    assert_eq!(rules(true, &Seen { arrivals: all, ..told(Listing::Up, true) }), [Rule::SlowStartExceeded]);
+    assert_eq!(
+        rules(true, &Observations { arrivals: all, ..notified(EndpointStatus::Up, true) }),
+        [Rule::SlowStartExceeded]
+    );
     let spared: Vec<ArrivalRecord> = other.clone().chain(other).collect();
-    assert_eq!(rules(true, &Seen { arrivals: spared, ..told(Listing::Up, true) }), []);
+    assert_eq!(rules(true, &Observations { arrivals: spared, ..notified(EndpointStatus::Up, true) }), []);
 }
 
 #[test]
-fn processes_and_bad_clients_are_judged() {
+fn processes_and_invalid_input_are_judged() {
     for (event, expected) in [
         (ProcessEvent::Crashed, vec![Rule::Crashed]),
         (ProcessEvent::NotReady, vec![Rule::Crashed]),
@@ -154,49 +166,57 @@
         (ProcessEvent::Killed, vec![]),
     ] {
         let processes = vec![ProcessRecord { ingress: 0, event, at: SECOND }];
-        assert_eq!(rules(true, &Seen { processes, ..Seen::default() }), expected, "{event:?}");
+        assert_eq!(
+            rules(true, &Observations { processes, ..Observations::default() }),
+            expected,
+            "{event:?}"
+        );
     }
-    for (told_at, expected) in [
+    for (responded_at, expected) in [
         (Some(4 * SECOND), vec![]),
-        (Some(4 * SECOND + 100_001), vec![Rule::BadClientIgnored]),
-        (None, vec![Rule::BadClientIgnored]),
+        (Some(4 * SECOND + 100_001), vec![Rule::InvalidInputIgnored]),
+        (None, vec![Rule::InvalidInputIgnored]),
     ] {
-        let bad_clients = vec![BadClientRecord { ingress: 0, at: SECOND, told_at }];
-        assert_eq!(rules(true, &Seen { bad_clients, ..Seen::default() }), expected, "{told_at:?}");
+        let invalid_inputs = vec![InvalidInputRecord { ingress: 0, at: SECOND, responded_at }];
+        assert_eq!(
+            rules(true, &Observations { invalid_inputs, ..Observations::default() }),
+            expected,
+            "{responded_at:?}"
+        );
     }
 }
 
-/// An ingress that stands still may be late by that.
+/// An ingress that is paused may be late by that.
 #[test]
 fn pauses_of_the_plan_are_allowed_for() {
-    let left = request(Class::Keyed, Ending::Left);
-    let late = arrival(left.ended_at + 300_000);
-    let seen = seen(left, vec![late]);
+    let disconnected = request(RequestClass::Keyed, Outcome::Disconnected);
+    let late = arrival(disconnected.ended_at + 300_000);
+    let observations = observations(disconnected, vec![late]);
     let mut paused = plan_without_pauses(true);
     let pause = InjectedFault { kind: FaultScenario::Pauses, from_ms: 0, until_ms: 1000, target: 0 };
     paused.faults.push(pause);
-    assert_eq!(judge(&paused, &seen), []);
-    assert_eq!(rules(true, &seen), [Rule::AttemptAfterDisconnect]);
+    assert_eq!(judge(&paused, &observations), []);
+    assert_eq!(rules(true, &observations), [Rule::AttemptAfterDisconnect]);
 }
 
 #[test]
-fn quotas_that_are_passed_by_far_are_found() {
+fn quotas_that_are_far_exceeded_are_found() {
     let plan = plan_without_pauses(true);
     let quota = plan.shape.ingresses as f64 * (METERED_BURST + METERED_RATE * plan.shape.seconds as f64);
     let sent = |factor: f64| {
         let numbers = 0..(quota * factor) as usize;
         let id = |number: usize| format!("i0-c1-{number}");
-        Seen {
+        Observations {
             requests: numbers
                 .clone()
                 .map(|number| RequestRecord {
                     id: id(number),
                     metered_customer: Some(7),
-                    ..request(Class::Idempotent, Ending::Served)
+                    ..request(RequestClass::Idempotent, Outcome::Served)
                 })
                 .collect(),
             arrivals: numbers.map(|number| ArrivalRecord { id: id(number), ..arrival(SECOND) }).collect(),
-            ..Seen::default()
+            ..Observations::default()
         }
     };
     assert_eq!(rules(true, &sent(1.0)), []);
@@ -205,16 +225,21 @@
 
 #[test]
 fn counters_that_miss_something_are_found() {
-    let counted = CounterRecord { ingress: 0, requests: 1, answers: 1, not_served: 0, attempts_begun: 1 };
-    for (counted, expected) in [
-        (counted, vec![]),
+    let counters = CounterRecord { ingress: 0, requests: 1, answers: 1, not_served: 0, attempts_begun: 1 };
+    for (counters, expected) in [
+        (counters, vec![]),
         (CounterRecord { ingress: 1, ..CounterRecord::default() }, vec![]),
-        (CounterRecord { requests: 0, ..counted }, vec![Rule::CountersDisagree]),
-        (CounterRecord { not_served: 1, ..counted }, vec![Rule::CountersDisagree]),
-        (CounterRecord { attempts_begun: 0, ..counted }, vec![Rule::CountersDisagree]),
+        (CounterRecord { requests: 0, ..counters }, vec![Rule::CountersDisagree]),
+        (CounterRecord { not_served: 1, ..counters }, vec![Rule::CountersDisagree]),
+        (CounterRecord { attempts_begun: 0, ..counters }, vec![Rule::CountersDisagree]),
     ] {
-        let served = seen(request(Class::Idempotent, Ending::Served), vec![arrival(SECOND + 1000)]);
-        assert_eq!(rules(true, &Seen { counters: vec![counted], ..served }), expected, "{counted:?}");
+        let served =
+            observations(request(RequestClass::Idempotent, Outcome::Served), vec![arrival(SECOND + 1000)]);
+        assert_eq!(
+            rules(true, &Observations { counters: vec![counters], ..served }),
+            expected,
+            "{counters:?}"
+        );
     }
 }
 
