--- a/fault-soak/src/ingress.rs
+++ b/fault-soak/src/ingress.rs
@@ -1,7 +1,7 @@
-//! The processes of the ingresses: started with their share of the plan, signalled, and ended with their handles.
+//! The processes of the ingresses: started with the system call faults of the plan, signalled, and ended.
 
-use crate::plan::SoakPlan;
-use crate::record::{ProcessEvent, ProcessRecord, Recorder};
+use crate::context::RunContext;
+use crate::record::{ProcessEvent, ProcessRecord};
 use crate::settings::{config_json, Addresses};
 use anyhow::Context;
 use fault_plan::PLAN_VARIABLE;
@@ -18,60 +18,52 @@
 
 /// How long an ingress may take to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long it may take to end after SIGTERM: the longest deadline and 0.7 s more.
+/// How long an ingress may take to exit after SIGTERM: the longest deadline and 0.7 s more.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(2700);
-/// How often that is looked at.
+/// How often the state of a process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What runs.
+/// The programs of a run, and where their files go.
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// The ingress.
     pub ingress: PathBuf,
-    /// The library that has system calls fail; none to run without.
+    /// The library that makes system calls fail; none to run without.
     pub shim: Option<PathBuf>,
     /// Where configurations and logs go.
     pub folder: PathBuf,
     /// The level of the logs.
     pub log_level: String,
-    /// This process was told to end: a run ends early, and leaves no ingress behind.
+    /// This process got SIGINT or SIGTERM: a run ends early, and leaves no ingress behind.
     pub interrupted: Arc<AtomicBool>,
 }
 
-/// An ingress, whose process may come and go.
+/// An ingress, whose process is started and ended several times in a run.
 pub struct Ingress {
     /// Its number in the fleet.
     number: usize,
-    /// What it runs.
+    /// The programs.
     programs: Programs,
-    /// What goes wrong.
-    plan: Arc<SoakPlan>,
-    /// Where its ends and starts are noted.
-    recorder: Arc<Recorder>,
+    /// The run that it belongs to.
+    context: Arc<RunContext>,
     /// Where clients connect to it.
     listen: SocketAddr,
-    /// Its process, while it has one.
+    /// Its process, while it runs.
     child: Option<Child>,
 }
 
 impl Ingress {
     /// An ingress that does not run yet.
-    pub fn new(
-        number: usize,
-        programs: Programs,
-        plan: Arc<SoakPlan>,
-        recorder: Arc<Recorder>,
-        addresses: &Addresses,
-    ) -> Ingress {
-        Ingress { number, programs, plan, recorder, listen: addresses.listen[number], child: None }
+    pub fn new(number: usize, programs: Programs, context: Arc<RunContext>, listen: SocketAddr) -> Ingress {
+        Ingress { number, programs, context, listen, child: None }
     }
 
-    /// Where its configuration is.
+    /// The file of its configuration.
     fn config_file(&self) -> PathBuf {
         self.programs.folder.join(format!("ingress-{}.json", self.number))
     }
 
-    /// Where its log is.
+    /// The file of its log.
     pub fn log_file(folder: &Path, number: usize) -> PathBuf {
         folder.join(format!("ingress-{number}.log"))
     }
@@ -81,9 +73,9 @@
         &self,
         addresses: &Addresses,
         discovery: SocketAddr,
-        known: &str,
+        known_endpoints: &str,
     ) -> anyhow::Result<()> {
-        let text = config_json(&self.plan, self.number, addresses, discovery, known);
+        let text = config_json(&self.context.plan, self.number, addresses, discovery, known_endpoints);
         fs::write(self.config_file(), text).context("cannot write a configuration")
     }
 
@@ -93,44 +85,47 @@
         fs::write(self.config_file(), &text[..text.len() / 2]).context("cannot write a configuration")
     }
 
-    /// Notes what happened to the process.
-    fn note(&self, event: ProcessEvent) {
-        let record = ProcessRecord { ingress: self.number, event, at: self.recorder.now() };
+    /// Records what happened to the process.
+    fn record(&self, event: ProcessEvent) {
+        let record = ProcessRecord { ingress: self.number, event, at: self.context.recorder.now() };
         tracing::debug!(ingress = self.number, ?event, "process");
-        self.recorder.observations().processes.push(record);
+        self.context.recorder.observations().processes.push(record);
     }
 
-    /// Starts its process, and waits until it answers.
+    /// Starts the process, and waits until it is ready.
     pub fn start(&mut self) -> anyhow::Result<()> {
-        let log: File = OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(Ingress::log_file(&self.programs.folder, self.number))?;
-        let mut command = Command::new(&self.programs.ingress);
-        command.env("LB_CONFIG", self.config_file()).env("LB_LOG", &self.programs.log_level);
-        for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
-            command.env_remove(name);
-        }
-        if let Some(shim) = &self.programs.shim {
-            let plan = self.plan.shim_plan(self.number, self.recorder.now_ms());
-            command.env("LD_PRELOAD", shim).env(PLAN_VARIABLE, plan.to_json());
-        }
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        self.child = Some(command.spawn().context("cannot start the ingress")?);
-        self.note(ProcessEvent::Started);
+        self.child = Some(self.command()?.spawn().context("cannot start the ingress")?);
+        self.record(ProcessEvent::Started);
         let started = Instant::now();
         while !self.answers_ping() {
             if self.has_exited() || started.elapsed() > READY_TIMEOUT {
-                self.note(ProcessEvent::NotReady);
+                self.record(ProcessEvent::NotReady);
                 return Ok(());
             }
             thread::sleep(POLL_INTERVAL);
         }
-        self.note(ProcessEvent::Ready);
+        self.record(ProcessEvent::Ready);
         Ok(())
     }
 
-    /// Whether it answers a PING.
+    /// The command that starts the process now, with its log and its system call faults.
+    fn command(&self) -> anyhow::Result<Command> {
+        let log_file = Ingress::log_file(&self.programs.folder, self.number);
+        let log: File = OpenOptions::new().create(true).append(true).open(log_file)?;
+        let mut command = Command::new(&self.programs.ingress);
+        command.env("LB_CONFIG", self.config_file()).env("LB_LOG", &self.programs.log_level);
+        for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
+            command.env_remove(name);
+        }
+        if let Some(shim) = &self.programs.shim {
+            let faults = self.context.plan.shim_plan(self.number, self.context.recorder.now_ms());
+            command.env("LD_PRELOAD", shim).env(PLAN_VARIABLE, faults.to_json());
+        }
+        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        Ok(command)
+    }
+
+    /// Whether the process answers a PING.
     fn answers_ping(&self) -> bool {
         let Ok(mut stream) = TcpStream::connect(self.listen) else { return false };
         let _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
@@ -140,7 +135,7 @@
             && &reply == b"+PONG\r\n"
     }
 
-    /// Whether there is no process, or none any more.
+    /// Whether no process runs.
     fn has_exited(&mut self) -> bool {
         self.child.as_mut().is_none_or(|child| !matches!(child.try_wait(), Ok(None)))
     }
@@ -153,33 +148,33 @@
         }
     }
 
-    /// Notes an end that nobody asked for.
+    /// Records an exit that nobody requested.
     pub fn check(&mut self) {
         if self.child.is_some() && self.has_exited() {
-            self.note(ProcessEvent::Crashed);
+            self.record(ProcessEvent::Crashed);
             self.child = None;
         }
     }
 
-    /// Tells it to end, and waits for that.
+    /// Sends the process SIGTERM, and waits until it has exited.
     pub fn terminate(&mut self) {
-        self.note(ProcessEvent::Terminated);
+        self.record(ProcessEvent::Terminated);
         self.signal(Signal::TERM);
         let signalled_at = Instant::now();
         while !self.has_exited() {
             if signalled_at.elapsed() > EXIT_TIMEOUT {
-                self.note(ProcessEvent::Overdue);
+                self.record(ProcessEvent::Overdue);
                 return self.end();
             }
             thread::sleep(POLL_INTERVAL);
         }
-        self.note(ProcessEvent::Exited);
+        self.record(ProcessEvent::Exited);
         self.child = None;
     }
 
-    /// Kills it.
+    /// Kills the process.
     pub fn kill(&mut self) {
-        self.note(ProcessEvent::Killed);
+        self.record(ProcessEvent::Killed);
         self.end();
     }
 
@@ -191,19 +186,19 @@
         }
     }
 
-    /// Has it read its configuration again.
+    /// Has the process reload its configuration.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Has it log its counters.
+    /// Has the process log its counters.
     pub fn log_counters(&self) {
         self.signal(Signal::USR1);
     }
 
-    /// Has it stand still for a while.
+    /// Stops the process for a while.
     pub fn pause(&self, time: Duration) {
-        self.note(ProcessEvent::Paused);
+        self.record(ProcessEvent::Paused);
         self.signal(Signal::STOP);
         thread::sleep(time);
         self.signal(Signal::CONT);
--- a/fault-soak/src/lib.rs
+++ b/fault-soak/src/lib.rs
@@ -1,13 +1,16 @@
 //! A soak test with fault injection: real ingresses on loopback between stand-ins for clients, backends and discovery,
 //! with faults that overlap in time, drawn from a seed before the run. An oracle judges what the stand-ins observed.
 
+pub mod context;
 pub mod counters;
 pub mod ingress;
 pub mod oracle;
 pub mod plan;
 pub mod record;
 pub mod report;
+pub mod rotation;
 pub mod run;
 pub mod scenario;
 pub mod settings;
 pub mod stand_in;
+pub mod testbed;
--- a/fault-soak/src/main.rs
+++ b/fault-soak/src/main.rs
@@ -6,7 +6,7 @@
 use fault_soak::oracle::{judge, judge_logs};
 use fault_soak::plan::{Shape, SoakPlan};
 use fault_soak::report::{page, RunResult};
-use fault_soak::run::play;
+use fault_soak::run::run;
 use fault_soak::scenario::FaultScenario;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::fs::OpenOptions;
@@ -170,7 +170,7 @@
         for signal in [SIGINT, SIGTERM] {
             signal_hook::flag::register(signal, programs.interrupted.clone())?;
         }
-        let observations = play(&plan, &programs)?;
+        let observations = run(&plan, &programs)?;
         if programs.interrupted.load(Ordering::SeqCst) {
             bail!("told to end, in the run of seed {}", plan.seed);
         }
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -48,7 +48,7 @@
     number: usize,
     addresses: &Addresses,
     discovery: SocketAddr,
-    known: &str,
+    known_endpoints: &str,
 ) -> String {
     let (listen, peer_listen) = (addresses.listen[number], addresses.peers[number]);
     let peers: Vec<String> = addresses.peers.iter().map(|address| format!("\"{address}\"")).collect();
@@ -57,7 +57,7 @@
     let SoakPlan { hedging, cancellation, .. } = plan;
     format!(
         r#"{{"name":"n{number}","listen":"{listen}","discovery":"{discovery}","seed":"{seed:016x}",
- "limits":{{"cores":1.0,"memory_mb":192,"sockets":512}},"known":{known},
+ "limits":{{"cores":1.0,"memory_mb":192,"sockets":512}},"known":{known_endpoints},
  "peer_listen":"{peer_listen}","peers":[{peers}],
  "settings":{{"n_instances":{fleet_size},"slot_no":{number},"zone":0,"tick_us":4000,"zones":["a"],"skus":["m"],
  "grades":[{{"name":"quote","effect":"repeatable","group":"all","window_us":0,"objective_us":800000,
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -1,12 +1,12 @@
 //! Backends that misbehave as the plan says, and note each command that comes whole.
 
 use super::resp::{parse_command, value_of};
-use crate::plan::SoakPlan;
-use crate::record::{ArrivalRecord, Micros, Recorder};
+use crate::context::RunContext;
+use crate::record::{ArrivalRecord, Micros};
 use crate::scenario::FaultScenario;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -37,12 +37,8 @@
 struct Shared {
     /// The backend's number.
     number: usize,
-    /// What goes wrong.
-    plan: Arc<SoakPlan>,
-    /// What was observed.
-    recorder: Arc<Recorder>,
-    /// The run is over.
-    is_over: Arc<AtomicBool>,
+    /// The run that it belongs to.
+    context: Arc<RunContext>,
     /// Counts the backend's starts.
     generation: Arc<AtomicU64>,
 }
@@ -52,22 +48,11 @@
 
 impl Backend {
     /// Starts a backend, which runs until the run is over.
-    pub fn start(
-        number: usize,
-        plan: &Arc<SoakPlan>,
-        recorder: &Arc<Recorder>,
-        is_over: &Arc<AtomicBool>,
-    ) -> std::io::Result<Backend> {
+    pub fn start(number: usize, context: &Arc<RunContext>) -> std::io::Result<Backend> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let generation = Arc::new(AtomicU64::new(0));
-        let shared = Shared {
-            number,
-            plan: plan.clone(),
-            recorder: recorder.clone(),
-            is_over: is_over.clone(),
-            generation: generation.clone(),
-        };
+        let shared = Shared { number, context: context.clone(), generation: generation.clone() };
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let shared = shared.clone();
@@ -114,13 +99,13 @@
 
     /// Whether a scenario affects this backend now.
     fn is_affected_by(&self, kind: FaultScenario) -> bool {
-        let Shared { number, plan, recorder, .. } = &self.shared;
-        plan.affects(kind, *number, plan.shape.backends, recorder.now_ms())
+        let Shared { number, context, .. } = &self.shared;
+        context.affects(kind, *number, context.plan.shape.backends)
     }
 
     /// Whether it has to end: the run is over, or the backend has started anew.
     fn is_ended(&self) -> bool {
-        self.shared.is_over.load(Ordering::SeqCst)
+        self.shared.context.has_run_ended()
             || self.shared.generation.load(Ordering::SeqCst) != self.generation
     }
 
@@ -189,8 +174,8 @@
         let rejected = self.is_affected_by(FaultScenario::RejectingBackend);
         let index = self.note_arrival(id, options, rejected);
         let result = self.reply(id, rejected);
-        let ended_at = self.shared.recorder.now();
-        self.shared.recorder.observations().arrivals[index].ended_at = Some(ended_at);
+        let ended_at = self.shared.context.recorder.now();
+        self.shared.context.recorder.observations().arrivals[index].ended_at = Some(ended_at);
         result?;
         if self.is_affected_by(FaultScenario::DuplicatingBackend) {
             thread::sleep(DUPLICATE_DELAY);
@@ -203,8 +188,8 @@
     fn note_arrival(&self, id: &str, options: &str, rejected: bool) -> usize {
         let budget_ms = options.split(',').find_map(|option| option.strip_prefix("d="));
         let budget_ms = budget_ms.and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
-        let at: Micros = self.shared.recorder.now();
-        let arrivals = &mut self.shared.recorder.observations().arrivals;
+        let at: Micros = self.shared.context.recorder.now();
+        let arrivals = &mut self.shared.context.recorder.observations().arrivals;
         arrivals.push(ArrivalRecord {
             id: id.to_string(),
             backend: self.shared.number,
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -1,8 +1,9 @@
 //! Clients: each keeps a connection to each ingress, sends one request after another, and notes how each ended.
 
 use super::resp::{encode_request, parse_reply, value_of, Customer, Reply};
-use crate::plan::SoakPlan;
+use crate::context::RunContext;
 use crate::record::{InvalidInputRecord, Micros, Outcome, Recorder, RequestClass, RequestRecord};
+use crate::rotation::Rotation;
 use crate::scenario::FaultScenario;
 use crate::settings::{ANSWER_SLACK, MAX_TIMEOUT_MS, METERED_SET_SIZE};
 use rand::rngs::StdRng;
@@ -10,7 +11,6 @@
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
@@ -36,9 +36,6 @@
 /// The least and the most that a client waits for an answer, in milliseconds.
 const TIMEOUTS_MS: std::ops::RangeInclusive<u64> = 300..=MAX_TIMEOUT_MS;
 
-/// Whether the front sends new connections to each ingress.
-pub type Open = Arc<Vec<AtomicBool>>;
-
 /// A connection to an ingress.
 struct Connection {
     /// The socket.
@@ -77,16 +74,12 @@
 pub struct Client {
     /// Its number.
     number: usize,
-    /// What goes wrong.
-    plan: Arc<SoakPlan>,
-    /// What was observed.
-    recorder: Arc<Recorder>,
-    /// No further request is sent.
-    is_over: Arc<AtomicBool>,
+    /// The run that it belongs to.
+    context: Arc<RunContext>,
     /// Where the ingresses are.
     addresses: Vec<SocketAddr>,
     /// Which of them get new connections.
-    open: Open,
+    rotation: Arc<Rotation>,
     /// Draws what it does.
     random: StdRng,
     /// The connections that it keeps, by ingress.
@@ -99,20 +92,18 @@
     /// A client of these ingresses.
     pub fn new(
         number: usize,
-        plan: Arc<SoakPlan>,
-        recorder: Arc<Recorder>,
-        is_over: Arc<AtomicBool>,
+        context: Arc<RunContext>,
         addresses: Vec<SocketAddr>,
-        open: Open,
+        rotation: Arc<Rotation>,
     ) -> Client {
-        let random = StdRng::seed_from_u64(plan.seed ^ (number as u64) << 32);
+        let random = StdRng::seed_from_u64(context.plan.seed ^ (number as u64) << 32);
         let connections = HashMap::new();
-        Client { number, plan, recorder, is_over, addresses, open, random, connections, requests: 0 }
+        Client { number, context, addresses, rotation, random, connections, requests: 0 }
     }
 
     /// Sends requests until the run is over.
     pub fn run(mut self) {
-        while !self.is_over.load(Ordering::SeqCst) {
+        while !self.context.has_load_ended() {
             let ingress = self.random.random_range(0..self.addresses.len());
             if self.is_affected_by(FaultScenario::StalledClients)
                 || self.is_affected_by(FaultScenario::MalformedCommands)
@@ -127,12 +118,12 @@
 
     /// Whether a scenario of clients affects this one now; each affects a quarter of all clients.
     fn is_affected_by(&self, kind: FaultScenario) -> bool {
-        self.plan.affects(kind, self.number % 4, 4, self.recorder.now_ms())
+        self.context.affects(kind, self.number % 4, 4)
     }
 
-    /// Connects to an ingress, unless the front keeps new connections away from it.
+    /// Connects to an ingress, unless it is out of rotation.
     fn connect(&self, ingress: usize) -> Option<TcpStream> {
-        if !self.open[ingress].load(Ordering::SeqCst) {
+        if !self.rotation.contains(ingress) {
             return None;
         }
         let stream = TcpStream::connect(self.addresses[ingress]).ok()?;
@@ -157,7 +148,7 @@
         let Some(mut connection) = self.take_connection(ingress) else { return };
         // A first command counts as sent with the connection, and only comes later: nobody may have closed that by now.
         let is_first = connection.answered == 0;
-        if !is_first && connection.has_stray_bytes(self.recorder.as_ref()) {
+        if !is_first && connection.has_stray_bytes(&self.context.recorder) {
             return; // the connection was closed between two requests, or is of no use
         }
         let count = if self.is_affected_by(FaultScenario::PipeliningClients) {
@@ -176,7 +167,7 @@
         if self.write(&mut connection, &bytes).is_err() {
             return; // not all of it was taken, or the connection had been closed before
         }
-        let sent_at = self.recorder.now();
+        let sent_at = self.context.recorder.now();
         pending.iter_mut().for_each(|request| request.sent_at = sent_at);
         if self.is_affected_by(FaultScenario::DisconnectingClients) {
             return self.leave(ingress, connection, pending);
@@ -223,13 +214,13 @@
         for (position, request) in pending.into_iter().enumerate() {
             let limit = request.sent_at.max(waiting_since) + request.timeout + ANSWER_SLACK;
             let outcome = if is_open {
-                connection.await_outcome(&self.recorder, &request.id, limit)
+                connection.await_outcome(&self.context.recorder, &request.id, limit)
             } else {
                 Outcome::Closed
             };
             is_open &= !matches!(outcome, Outcome::Closed | Outcome::Unanswered | Outcome::WrongValue);
             connection.answered += usize::from(is_open);
-            waiting_since = self.recorder.now();
+            waiting_since = self.context.recorder.now();
             self.note(ingress, request, outcome, waiting_since, was_used || position > 0, position);
         }
         is_open
@@ -237,11 +228,11 @@
 
     /// Leaves before the answers, or with them.
     fn leave(&mut self, ingress: usize, mut connection: Connection, pending: Vec<Pending>) {
-        let stays_until = self.recorder.now() + self.random.random_range(0..=MAX_STAY_MS) * 1000;
+        let stays_until = self.context.recorder.now() + self.random.random_range(0..=MAX_STAY_MS) * 1000;
         let Some(first) = pending.first() else { return };
-        let outcome = connection.await_outcome(&self.recorder, &first.id, stays_until);
+        let outcome = connection.await_outcome(&self.context.recorder, &first.id, stays_until);
         drop(connection);
-        let now = self.recorder.now();
+        let now = self.context.recorder.now();
         for (position, request) in pending.into_iter().enumerate() {
             let outcome =
                 if position == 0 && outcome != Outcome::Unanswered { outcome } else { Outcome::Disconnected };
@@ -260,7 +251,7 @@
         pipelined_behind: usize,
     ) {
         let Pending { id, class, sent_at, timeout, metered } = request;
-        self.recorder.observations().requests.push(RequestRecord {
+        self.context.recorder.observations().requests.push(RequestRecord {
             id,
             class,
             ingress,
@@ -286,15 +277,19 @@
         if stream.write_all(&bytes).is_err() {
             return;
         }
-        let at = self.recorder.now();
+        let at = self.context.recorder.now();
         let mut responded_at = None;
-        while responded_at.is_none() && self.recorder.now() < at + INVALID_INPUT_PATIENCE {
+        while responded_at.is_none() && self.context.recorder.now() < at + INVALID_INPUT_PATIENCE {
             match stream.read(&mut [0; 256]) {
                 Err(error) if is_timeout(&error) => {}
-                _ => responded_at = Some(self.recorder.now()),
+                _ => responded_at = Some(self.context.recorder.now()),
             }
         }
-        self.recorder.observations().invalid_inputs.push(InvalidInputRecord { ingress, at, responded_at });
+        self.context.recorder.observations().invalid_inputs.push(InvalidInputRecord {
+            ingress,
+            at,
+            responded_at,
+        });
     }
 }
 
--- a/fault-soak/src/stand_in/discovery.rs
+++ b/fault-soak/src/stand_in/discovery.rs
@@ -1,11 +1,11 @@
 //! Discovery: an agent for each ingress, which has every change at once, and may be silent or broken.
 
-use crate::plan::SoakPlan;
-use crate::record::{EndpointChange, EndpointStatus, Notification, Recorder};
+use crate::context::RunContext;
+use crate::record::{EndpointChange, EndpointStatus, Notification};
 use crate::scenario::FaultScenario;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -35,12 +35,8 @@
 pub struct Discovery {
     /// The entries of all backends.
     entries: Mutex<Vec<Entry>>,
-    /// What goes wrong.
-    plan: Arc<SoakPlan>,
-    /// What was observed.
-    recorder: Arc<Recorder>,
-    /// The run is over.
-    is_over: Arc<AtomicBool>,
+    /// The run that it belongs to.
+    context: Arc<RunContext>,
     /// How many responses were to be cut.
     cut_count: AtomicU64,
 }
@@ -67,12 +63,7 @@
 
 impl Discovery {
     /// Discovery with these backends, all up for long.
-    pub fn new(
-        addresses: &[SocketAddr],
-        plan: Arc<SoakPlan>,
-        recorder: Arc<Recorder>,
-        is_over: Arc<AtomicBool>,
-    ) -> Discovery {
+    pub fn new(addresses: &[SocketAddr], context: Arc<RunContext>) -> Discovery {
         let entry = |address: &SocketAddr| Entry {
             address: *address,
             status: EndpointStatus::Up,
@@ -80,7 +71,7 @@
             version: 1,
         };
         let entries = Mutex::new(addresses.iter().map(entry).collect());
-        Discovery { entries, plan, recorder, is_over, cut_count: AtomicU64::new(0) }
+        Discovery { entries, context, cut_count: AtomicU64::new(0) }
     }
 
     /// Starts an agent for an ingress, and returns its address.
@@ -102,19 +93,19 @@
     pub fn publish(&self, backend: usize, status: EndpointStatus, restarted: bool) {
         let mut entries = self.entries();
         let version = entries.iter().map(|entry| entry.version).max().unwrap_or(1) + 1;
-        let at = self.recorder.now();
+        let at = self.context.recorder.now();
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64;
         let entry = &mut entries[backend];
         (entry.status, entry.version) = (status, version);
         if restarted {
-            entry.since_ms = unix_time + self.plan.clock_offset_ms(at / 1000);
+            entry.since_ms = unix_time + self.context.plan.clock_offset_ms(at / 1000);
         }
         let change = EndpointChange { version, backend, status, restarted, at };
-        self.recorder.observations().changes.push(change);
+        self.context.recorder.observations().changes.push(change);
     }
 
-    /// The whole list, as JSON.
-    pub fn list_json(&self) -> String {
+    /// A snapshot of the list, as JSON.
+    pub fn snapshot_json(&self) -> String {
         self.answer(None).map(|(_, json)| json).unwrap_or_default()
     }
 
@@ -141,7 +132,7 @@
 
     /// Whether a scenario of discovery is active now.
     fn is_active(&self, kind: FaultScenario) -> bool {
-        self.plan.is_active(kind, self.recorder.now_ms())
+        self.context.is_active(kind)
     }
 
     /// Answers polls until the connection ends.
@@ -154,8 +145,8 @@
             if self.write(&mut stream, response.as_bytes(), version).is_err() {
                 return;
             }
-            let at = self.recorder.now();
-            self.recorder.observations().notifications.push(Notification { ingress, version, at });
+            let at = self.context.recorder.now();
+            self.context.recorder.observations().notifications.push(Notification { ingress, version, at });
         }
     }
 
@@ -181,7 +172,7 @@
     fn read_head(&self, stream: &mut TcpStream) -> Option<String> {
         let (mut head, mut chunk) = (Vec::new(), [0; 1024]);
         while !head.ends_with(b"\r\n\r\n") {
-            if self.is_over.load(Ordering::SeqCst) || self.is_active(FaultScenario::UnavailableDiscovery) {
+            if self.context.has_run_ended() || self.is_active(FaultScenario::UnavailableDiscovery) {
                 return None;
             }
             match stream.read(&mut chunk) {
@@ -197,7 +188,7 @@
     /// Waits until a poll has an answer; none once discovery is broken or the run over.
     fn wait_for_answer(&self, poll: &Poll) -> Option<(u64, String)> {
         loop {
-            if self.is_over.load(Ordering::SeqCst) || self.is_active(FaultScenario::UnavailableDiscovery) {
+            if self.context.has_run_ended() || self.is_active(FaultScenario::UnavailableDiscovery) {
                 return None;
             }
             if !self.is_active(FaultScenario::UnresponsiveDiscovery) {
