--- /dev/null
+++ b/fault-soak/src/bin/fault-soak/main.rs
@@ -0,0 +1,124 @@
+//! Injects faults around real ingresses, and reports which invariants they broke.
+
+mod arguments;
+mod output;
+
+use anyhow::{bail, Context};
+use arguments::{Arguments, Command, RunOptions, SeedRange};
+use clap::Parser;
+use fault_soak::oracle::{judge, judge_logs};
+use fault_soak::plan::SoakPlan;
+use fault_soak::report::{page, RunResult};
+use fault_soak::run::run;
+use output::{print_faults, print_in_full, print_summary};
+use signal_hook::consts::{SIGINT, SIGTERM};
+use std::fs::OpenOptions;
+use std::io::Write;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use std::sync::atomic::Ordering;
+
+fn main() -> anyhow::Result<ExitCode> {
+    tracing_subscriber::fmt().with_writer(std::io::stderr).init();
+    match Arguments::parse().command {
+        Command::Run { seeds, options } => return run_seeds(seeds, &options),
+        Command::Replay { seed, options } => replay(seed, options)?,
+        Command::Shrink { seed, options } => shrink(seed, &options)?,
+        Command::Plan { seed, options } => {
+            println!("{}", serde_json::to_string_pretty(&options.plan(seed))?);
+        }
+        Command::Report { results, output } => std::fs::write(output, page(&read_results(&results)?))?,
+    }
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Runs the plans of several seeds; fails if a rule was broken.
+fn run_seeds(seeds: SeedRange, options: &RunOptions) -> anyhow::Result<ExitCode> {
+    let SeedRange { first, last } = seeds;
+    let mut broken = 0;
+    for seed in first..=last {
+        let result = run_and_judge(options, options.plan(seed))?;
+        broken += usize::from(!result.counts.is_empty());
+        print_summary(&result);
+    }
+    println!("{broken} of {} runs with a violation", last - first + 1);
+    Ok(if broken > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+}
+
+/// Runs the plan of a seed with detailed logs, and prints all about its violations.
+fn replay(seed: u64, options: RunOptions) -> anyhow::Result<()> {
+    let options = RunOptions { log_level: "debug".into(), ..options };
+    let result = run_and_judge(&options, options.plan(seed))?;
+    print_summary(&result);
+    print_in_full(&result, &options.programs());
+    Ok(())
+}
+
+/// Removes faults one by one for as long as the same rule stays broken.
+fn shrink(seed: u64, options: &RunOptions) -> anyhow::Result<()> {
+    let mut smallest = run_and_judge(options, options.plan(seed))?;
+    print_summary(&smallest);
+    let Some(rule) = smallest.counts.keys().next().copied() else { bail!("seed {seed} breaks no rule") };
+    let mut index = 0;
+    while index < smallest.plan.faults.len() {
+        let result = run_and_judge(options, smallest.plan.without(index))?;
+        print_summary(&result);
+        if result.counts.contains_key(&rule) {
+            smallest = result;
+        } else {
+            index += 1;
+        }
+    }
+    println!("{rule:?} remains with:");
+    print_faults(&smallest);
+    Ok(())
+}
+
+/// Runs a plan, judges it, and writes its line.
+fn run_and_judge(options: &RunOptions, plan: SoakPlan) -> anyhow::Result<RunResult> {
+    for file in [&options.ingress, &options.shim] {
+        if !file.exists() {
+            bail!("{} does not exist; build it first", file.display());
+        }
+    }
+    let programs = options.programs();
+    for signal in [SIGINT, SIGTERM] {
+        signal_hook::flag::register(signal, programs.interrupted.clone())?;
+    }
+    let observations = run(&plan, &programs)?;
+    if programs.interrupted.load(Ordering::SeqCst) {
+        bail!("interrupted in the run of seed {}", plan.seed);
+    }
+    let mut violations = judge(&plan, &observations);
+    violations.extend(judge_logs(&programs.folder, plan.shape.ingresses));
+    if !violations.is_empty() {
+        let file = programs.folder.join(format!("observations-{}.json", plan.seed));
+        std::fs::write(file, serde_json::to_string(&observations)?)?;
+    }
+    let result = RunResult::new(plan, &observations, violations);
+    if let Some(output) = &options.output {
+        append_result(output, &result)?;
+    }
+    Ok(result)
+}
+
+/// Adds the line of a run to a result file.
+fn append_result(file: &Path, result: &RunResult) -> anyhow::Result<()> {
+    let mut file = OpenOptions::new().create(true).append(true).open(file)?;
+    writeln!(file, "{}", serde_json::to_string(result)?)?;
+    Ok(())
+}
+
+/// Reads result files, with a run in each line.
+fn read_results(files: &[PathBuf]) -> anyhow::Result<Vec<RunResult>> {
+    let mut results = Vec::new();
+    for file in files {
+        let text =
+            std::fs::read_to_string(file).with_context(|| format!("cannot read {}", file.display()))?;
+        for line in text.lines() {
+            let result = serde_json::from_str(line);
+            results.push(result.with_context(|| format!("a line of {} is not a run", file.display()))?);
+        }
+    }
+    Ok(results)
+}
