--- /dev/null
+++ b/fault-soak/src/report/page.rs
@@ -0,0 +1,147 @@
+//! A page that sums runs up: the rules that were broken, the faults that were injected, and which of them overlapped.
+
+use super::RunResult;
+use crate::oracle::Rule;
+use crate::scenario::FaultScenario;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+/// The side of a cell of the picture, in pixels.
+const CELL: usize = 18;
+/// The room for names beside the picture, in pixels.
+const MARGIN: usize = 150;
+/// The gap between a text and the lower edge of its cell, in pixels.
+const TEXT_RISE: usize = 5;
+/// The gap between a text and the left edge of its cell, in pixels.
+const TEXT_INDENT: usize = 3;
+/// The gap between the names of columns and the picture, in pixels.
+const NAME_GAP: usize = 4;
+/// The brightness of a cell whose scenarios never overlapped.
+const MAX_BRIGHTNESS: u8 = 255;
+/// By how much the cell of the most frequent pair is darker.
+const BRIGHTNESS_RANGE: f64 = 200.0;
+
+/// How often each pair of scenarios overlapped, each pair in the order of declaration.
+struct PairCounts(BTreeMap<(FaultScenario, FaultScenario), usize>);
+
+impl PairCounts {
+    /// Counts the pairs of all runs.
+    fn of(results: &[RunResult]) -> PairCounts {
+        let mut counts = BTreeMap::new();
+        for pair in results.iter().flat_map(|result| result.plan.overlapping_pairs()) {
+            *counts.entry(pair).or_default() += 1;
+        }
+        PairCounts(counts)
+    }
+
+    /// How often two scenarios overlapped.
+    fn of_pair(&self, first: FaultScenario, second: FaultScenario) -> usize {
+        self.0.get(&(first.min(second), first.max(second))).copied().unwrap_or(0)
+    }
+
+    /// The count of the most frequent pair; 1 if there is none.
+    fn max(&self) -> usize {
+        self.0.values().copied().max().unwrap_or(1)
+    }
+}
+
+/// How often a rule was broken, and in the runs of which seeds.
+#[derive(Default)]
+struct BrokenRule {
+    /// How often.
+    count: usize,
+    /// The seeds.
+    seeds: Vec<u64>,
+}
+
+/// The page, as HTML.
+pub fn page(results: &[RunResult]) -> String {
+    let requests: u64 = results.iter().map(|result| result.totals.requests).sum();
+    let broken = results.iter().filter(|result| !result.counts.is_empty()).count();
+    let runs = results.len();
+    let mut page = String::from("<!doctype html><meta charset=\"utf-8\"><title>Fault soak</title>\n");
+    page += "<style>body{font:14px sans-serif;margin:2em}td,th{padding:2px 10px;text-align:left}</style>\n";
+    page += "<h1>Fault soak</h1>";
+    page += &format!("<p>{runs} runs, {requests} requests, {broken} runs with a violation.</p>\n");
+    page += &rule_table(results);
+    page += &scenario_table(results);
+    page += "<h2>Pairs of faults that overlapped in time</h2>\n";
+    page += &pair_picture(&PairCounts::of(results));
+    page
+}
+
+/// A table of the rules that were broken, and in which seeds.
+fn rule_table(results: &[RunResult]) -> String {
+    let mut broken_rules: BTreeMap<Rule, BrokenRule> = BTreeMap::new();
+    for result in results {
+        for (rule, count) in &result.counts {
+            let broken = broken_rules.entry(*rule).or_default();
+            broken.count += count;
+            broken.seeds.push(result.plan.seed);
+        }
+    }
+    let mut table =
+        String::from("<h2>Violations</h2><table><tr><th>rule</th><th>count</th><th>seeds</th></tr>\n");
+    for (rule, BrokenRule { count, seeds }) in broken_rules {
+        let _ = writeln!(table, "<tr><td>{rule:?}</td><td>{count}</td><td>{seeds:?}</td></tr>");
+    }
+    table + "</table>\n"
+}
+
+/// A table of all scenarios, and in how many runs they were injected.
+fn scenario_table(results: &[RunResult]) -> String {
+    let mut table =
+        String::from("<h2>Faults</h2><table><tr><th>kind</th><th>runs</th><th>with a violation</th></tr>\n");
+    for &scenario in FaultScenario::all() {
+        let injected = || results.iter().filter(|result| result.plan.includes(scenario));
+        let runs = injected().count();
+        let broken = injected().filter(|result| !result.counts.is_empty()).count();
+        let _ = writeln!(table, "<tr><td>{scenario:?}</td><td>{runs}</td><td>{broken}</td></tr>");
+    }
+    table + "</table>\n"
+}
+
+/// A square of cells, the darker the more often two scenarios overlapped.
+fn pair_picture(counts: &PairCounts) -> String {
+    let side = MARGIN + CELL * FaultScenario::all().len();
+    let mut picture = format!("<svg width=\"{side}\" height=\"{side}\" font-size=\"11\">\n");
+    for (row, &scenario) in FaultScenario::all().iter().enumerate() {
+        let top = MARGIN + row * CELL;
+        picture += &scenario_names(scenario, top);
+        for (column, &other) in FaultScenario::all().iter().enumerate() {
+            picture += &pair_cell(counts, scenario, other, MARGIN + column * CELL, top);
+        }
+    }
+    picture + "</svg>\n"
+}
+
+/// The names of a scenario, beside its row and above its column.
+fn scenario_names(scenario: FaultScenario, offset: usize) -> String {
+    let baseline = offset + CELL - TEXT_RISE;
+    let column_end = MARGIN - NAME_GAP;
+    format!(
+        "<text x=\"0\" y=\"{baseline}\">{scenario:?}</text>\n\
+         <text transform=\"translate({baseline},{column_end}) rotate(-90)\">{scenario:?}</text>\n"
+    )
+}
+
+/// The cell of a pair of scenarios, with its count.
+fn pair_cell(
+    counts: &PairCounts,
+    first: FaultScenario,
+    second: FaultScenario,
+    left: usize,
+    top: usize,
+) -> String {
+    let count = counts.of_pair(first, second);
+    let shade = MAX_BRIGHTNESS - (count as f64 / counts.max() as f64 * BRIGHTNESS_RANGE) as u8;
+    let mut cell = format!(
+        "<rect x=\"{left}\" y=\"{top}\" width=\"{CELL}\" height=\"{CELL}\" fill=\"rgb({shade},{shade},255)\" \
+         stroke=\"#ddd\"><title>{first:?} and {second:?}: {count}</title></rect>\n"
+    );
+    if count > 0 {
+        let (start, baseline) = (left + TEXT_INDENT, top + CELL - TEXT_RISE);
+        cell += &format!("<text x=\"{start}\" y=\"{baseline}\">{count}</text>\n");
+    }
+    cell
+}
