--- a/fleet-experiments/src/client.rs
+++ b/fleet-experiments/src/client.rs
@@ -46,7 +46,7 @@
         self.requests += 1;
         self.stream.write_all(&encode_request(self.customer, &id))?;
         let mut size = 0;
-        while !is_whole(&self.buffer[..size]) {
+        while !is_complete(&self.buffer[..size]) {
             match self.stream.read(&mut self.buffer[size..])? {
                 0 => return Err(Error::from(ErrorKind::UnexpectedEof)),
                 received => size += received,
@@ -67,8 +67,8 @@
     command.into_bytes()
 }
 
-/// Whether an answer is whole: a value has two lines, anything else ends with a line.
-fn is_whole(answer: &[u8]) -> bool {
+/// Whether an answer is complete: a value has two lines, anything else one.
+fn is_complete(answer: &[u8]) -> bool {
     let lines = answer.iter().filter(|byte| **byte == b'\n').count();
     answer.len() >= MIN_ANSWER_SIZE
         && answer.ends_with(b"\r\n")
@@ -77,7 +77,7 @@
 
 /// Clients that send requests all the time, a thread each.
 pub struct BackgroundLoad {
-    /// Tells all clients to stop.
+    /// All clients are to stop.
     stop: Arc<AtomicBool>,
     /// Each returns how many of its requests were served.
     clients: Vec<JoinHandle<u64>>,
--- a/fleet-experiments/src/experiment.rs
+++ b/fleet-experiments/src/experiment.rs
@@ -1,9 +1,9 @@
-//! What an experiment is to whoever reads experiment files and runs them.
+//! The interface of an experiment to the code that reads experiment files and runs them.
 
 use crate::report::Report;
 use std::path::Path;
 
-/// What experiments are run with.
+/// The environment that experiments run in.
 #[derive(Clone, Copy, Debug)]
 pub struct Environment<'a> {
     /// Seed of all random draws.
@@ -44,8 +44,7 @@
         Sizes { key, values: values.iter().map(|value| *value as f64).collect() }
     }
 
-    /// A key with a list of numbers of which those from a tenth on are meant; `key` has to say that they are
-    /// checked in tenths.
+    /// A key with a list of numbers that may be as small as a tenth; `key` has to say that they are in tenths.
     pub fn tenths(key: &'static str, values: &[f64]) -> Sizes {
         Sizes { key, values: values.iter().map(|value| value * 10.0).collect() }
     }
--- a/fleet-experiments/src/experiment_file.rs
+++ b/fleet-experiments/src/experiment_file.rs
@@ -1,6 +1,6 @@
 //! Experiment files: TOML, one table for each experiment to run, all under one seed.
 //!
-//! Tables and keys that had another name in earlier files are read by it too.
+//! Former names of tables and keys are read too.
 
 use crate::experiment::{Environment, Experiment, Sizes};
 use crate::experiments::discovery_outage::DiscoveryOutageExperiment;
@@ -16,8 +16,7 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// The largest size that a file may ask for: beyond it a run would not end within hours, or not fit in
-/// memory.
+/// The largest size that a file may have: beyond it a run would not end within hours, or not fit in memory.
 const MAX_SIZE: u64 = 1_000_000;
 
 /// Why an experiment file cannot be used; the text is one line that names key and reason.
@@ -73,7 +72,7 @@
     pub quota: Option<QuotaMessagesExperiment>,
     /// Polls of a shared discovery through an outage and a mass restart.
     pub discovery: Option<DiscoveryOutageExperiment>,
-    /// Slow start of backends that a whole fleet sends to.
+    /// Slow start of backends under the load of a fleet.
     #[serde(alias = "cold")]
     pub slow_start: Option<SlowStartExperiment>,
     /// The endpoint list at a real ingress.
@@ -88,12 +87,12 @@
 }
 
 impl ExperimentFile {
-    /// Reads a file and checks all that it asks for.
+    /// Reads a file and checks its experiments.
     pub fn read(path: &Path) -> Result<ExperimentFile, ExperimentFileError> {
         Self::parse(&std::fs::read_to_string(path)?)
     }
 
-    /// Reads the text of a file and checks all that it asks for.
+    /// Parses the text of a file and checks its experiments.
     pub fn parse(text: &str) -> Result<ExperimentFile, ExperimentFileError> {
         let table: toml::Table = text
             .parse()
@@ -106,7 +105,7 @@
         Ok(file)
     }
 
-    /// The experiments that the file asks for, in the order in which they run.
+    /// The experiments of the file, in the order in which they run.
     pub fn experiments(&self) -> Vec<&dyn Experiment> {
         let tables = [
             as_experiment(&self.endpoint_list),
@@ -135,7 +134,7 @@
         Ok(())
     }
 
-    /// Runs what the file asks for. `ingress_program` is the program of a real ingress.
+    /// Runs the experiments. `ingress_program` is the program of a real ingress.
     pub fn run(&self, ingress_program: &Path, report: &mut Report) -> anyhow::Result<()> {
         let environment = Environment { seed: self.seed, ingress_program };
         for experiment in self.experiments() {
--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -8,14 +8,13 @@
 use ingress::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How long a poll may wait in discovery's queue until it is rejected, though discovery works on it all the
-/// same.
+/// How long a poll may wait in the queue of discovery until it is rejected. Discovery works on it all the same.
 const MAX_QUEUEING: Micros = 2 * SECOND;
-/// Ingresses that were killed start anew so long before discovery is back.
+/// How long before the end of the outage killed ingresses restart.
 const RESTART_LEAD: Micros = 2 * SECOND;
-/// For how long the fleet is watched after discovery is back.
+/// How long the fleet is observed after the outage.
 const WATCHED: Micros = 60 * SECOND;
-/// The time of the settings within which ingresses poll discovery.
+/// The interval of the settings within which ingresses poll discovery.
 const MAX_POLL_INTERVAL: Micros = 10 * SECOND;
 
 /// Sizes of the fleet, and how strong discovery is.
@@ -35,7 +34,7 @@
     pub outage_s: u64,
 }
 
-/// A fleet, and the outage that it goes through.
+/// A fleet, and the outage of its discovery.
 #[derive(Clone, Debug)]
 pub struct Outage {
     /// Ingresses in the fleet.
@@ -50,7 +49,7 @@
     pub seed: u64,
 }
 
-/// How a fleet came through an outage.
+/// How a fleet recovered from an outage.
 #[derive(Clone, Debug, Default)]
 pub struct Recovery {
     /// Polls that reached discovery after its return.
@@ -68,7 +67,7 @@
     pub last: Option<Micros>,
 }
 
-/// How a fleet came through an outage: times in seconds.
+/// How a fleet recovered from an outage: times in seconds.
 #[derive(Debug, Serialize)]
 struct Point {
     /// Ingresses in the fleet.
@@ -138,8 +137,7 @@
 }
 
 /// Simulates a fleet whose watches all end as discovery goes down; it rejects polls at once until it is back.
-/// Ingresses that were killed start anew shortly before that, the first polls of all spread as their settings
-/// say.
+/// Ingresses that were killed restart shortly before that. The first polls of all are spread as their settings say.
 pub fn simulate(outage: &Outage) -> Recovery {
     Simulation::new(outage).run()
 }
@@ -215,7 +213,7 @@
         self.finish()
     }
 
-    /// Notes how long an ingress that polls now has not.
+    /// Records how long an ingress that polls now had not polled.
     fn record_gap(&mut self, index: usize, now: Micros) {
         let poller = &mut self.pollers[index];
         let gap = now.saturating_sub(self.back_at.max(poller.last_poll));
--- a/fleet-experiments/src/experiments/endpoint_list.rs
+++ b/fleet-experiments/src/experiments/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list in the decision module: what a snapshot, the change of one backend, and a zone that is
-//! lost and returns cost at each size of the list.
+//! The endpoint list in the decision module: the costs of a snapshot, of the change of one backend, and of a zone
+//! that is lost and returns, at each size of the list.
 
 use crate::experiment::{Environment, Experiment, Sizes};
 use crate::procfs;
@@ -28,7 +28,7 @@
     pub changes: u64,
 }
 
-/// What updates cost at one size: times in microseconds.
+/// The costs of updates at one size: times in microseconds.
 #[derive(Debug, Serialize)]
 struct Point {
     /// Backends in the list.
@@ -49,7 +49,7 @@
     zone_lost_us: f64,
     /// Its return, in one update.
     zone_returned_us: f64,
-    /// What the ingress grew by with its first snapshot.
+    /// By how much the memory of the ingress grew with its first snapshot.
     memory_bytes: u64,
 }
 
@@ -67,8 +67,8 @@
     }
 
     fn run(&self, environment: &Environment, report: &mut Report) -> anyhow::Result<()> {
-        // Kept until the end: memory that one ingress frees must not pass for memory that the next one does
-        // not take.
+        // Dropped only at the end: memory that one ingress frees must not pass for memory that the next one does
+        // not need.
         let mut measured = Vec::new();
         for &backends in &self.backends {
             let memory_before = procfs::own_resident_memory();
@@ -133,7 +133,7 @@
     gateway: Gateway,
     /// The driven clock.
     now: Micros,
-    /// Kept to reuse its memory.
+    /// The actions of one event; the allocation is reused.
     actions: Vec<Action>,
 }
 
--- a/fleet-experiments/src/experiments/ingress_endpoint_list.rs
+++ b/fleet-experiments/src/experiments/ingress_endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list at a real ingress, which hears it from an agent of its own: time, processor time and
-//! memory by its size.
+//! The endpoint list at a real ingress, which is notified by an agent of its own: time, processor time and memory
+//! by its size.
 
 use crate::experiment::{Environment, Experiment, Sizes};
 use crate::ingress_process::{check_capacity, DiscoveryMode, IngressConfig, IngressProcess, InitialList};
@@ -36,7 +36,8 @@
     pub memory_mb: u64,
 }
 
-/// What a list of one size came to. A snapshot that is not applied in time, or said to be bad, is refused.
+/// The costs of a list of one size. A snapshot that is not applied in time, or is reported as invalid, counts as
+/// rejected.
 #[derive(Debug, Serialize)]
 struct Point {
     /// Backends in the list.
@@ -50,7 +51,7 @@
     change_cpu_us: Option<f64>,
     /// Whether the ingress still runs.
     running: bool,
-    /// The first line of the ingress's log on discovery, if it refused the snapshot.
+    /// The first line of the ingress's log on discovery, if it rejected the snapshot.
     log: Option<String>,
 }
 
@@ -143,9 +144,9 @@
             let version = SNAPSHOT_VERSION + 1 + change;
             discovery.publish(version, list_json(version, ListKind::Delta, &[endpoint]));
             let applied = discovery.wait_for_polls(Some(version), 1, TIMEOUT);
-            ensure!(applied, "change {change} was not taken");
+            ensure!(applied, "change {change} was not applied");
         }
-        ensure!(ingress.answers_ping(), "no answer behind the changes");
+        ensure!(ingress.answers_ping(), "no answer after the changes");
         Ok((ingress.cpu_seconds() - cpu_before) / self.changes as f64 * 1e6)
     }
 }
@@ -162,7 +163,7 @@
     // The ingress has read the snapshot once it polls for what is newer, and has applied it once it answers
     // after that.
     let applied = discovery.wait_for_polls(Some(SNAPSHOT_VERSION), 1, SNAPSHOT_TIMEOUT);
-    ensure!(ingress.answers_ping(), "no answer behind the list");
+    ensure!(ingress.answers_ping(), "no answer after the list");
     let (elapsed, cpu_s) = (published_at.elapsed(), ingress.cpu_seconds() - cpu_before);
     let memory = ingress.memory();
     Ok(SnapshotCost {
--- a/fleet-experiments/src/experiments/ingress_latency.rs
+++ b/fleet-experiments/src/experiments/ingress_latency.rs
@@ -1,4 +1,4 @@
-//! Latency that a real ingress adds, before a backend that takes as long for each request.
+//! The latency that a real ingress adds, in front of a backend with a constant service time.
 
 use crate::client::Client;
 use crate::experiment::{Environment, Experiment, Sizes};
@@ -62,8 +62,8 @@
     added_p99_us: i64,
 }
 
-/// What requests at one rate came to. A request's latency counts from the time that was set for it, also if
-/// it went out late.
+/// The measurements of requests at one rate. The latency of a request counts from its scheduled time, also if it was
+/// sent late.
 struct Measurement {
     /// Latencies in microseconds.
     latency_us: Histogram<u64>,
@@ -156,7 +156,7 @@
     }
 }
 
-/// Sends requests on one connection at set times.
+/// Sends requests on one connection at scheduled times.
 fn send_on_schedule(
     mut client: Client,
     first: Instant,
--- a/fleet-experiments/src/experiments/ingress_restart.rs
+++ b/fleet-experiments/src/experiments/ingress_restart.rs
@@ -1,5 +1,4 @@
-//! Most of a fleet of real ingresses killed and started anew under load, and then a new configuration for
-//! all.
+//! A restart of most of a fleet of real ingresses under load, and then a new configuration for all.
 
 use crate::client::BackgroundLoad;
 use crate::experiment::{Environment, Experiment, Sizes};
@@ -23,7 +22,7 @@
 /// One in so many ingresses keeps running while the others are killed.
 const SURVIVOR_STEP: usize = 10;
 /// The version of the list that the first ingress starts with; each next ingress has the next one, so that
-/// discovery tells the polls of one ingress from those of the others.
+/// discovery can tell their polls apart.
 const FIRST_VERSION: u64 = 1_000;
 /// The limit on memory of each ingress, in MB.
 const MEMORY_MB: u64 = 192;
@@ -44,7 +43,7 @@
     pub clients: u64,
 }
 
-/// What a restart came to: times in seconds, from an ingress's start or from the new configuration.
+/// The outcome of a restart: times in seconds, from an ingress's start or from the new configuration.
 #[derive(Debug, Serialize)]
 struct Point {
     /// Ingresses that ran.
@@ -140,7 +139,7 @@
     quantile(sorted, share).expect("some ingresses are restarted")
 }
 
-/// Real ingresses whose settings tell of a fleet.
+/// Real ingresses with the settings of a fleet.
 struct Fleet<'a> {
     /// The size of the fleet by the settings.
     size: u64,
@@ -195,7 +194,7 @@
         self.ingresses.iter().enumerate().filter(|(number, _)| number % SURVIVOR_STEP != 0)
     }
 
-    /// Kills all ingresses but the survivors, and starts them anew.
+    /// Kills all ingresses but the survivors, and restarts them.
     fn restart_others(&mut self) -> anyhow::Result<()> {
         for (number, ingress) in self.ingresses.iter_mut().enumerate() {
             if number % SURVIVOR_STEP != 0 {
@@ -228,7 +227,7 @@
         times
     }
 
-    /// Gives all ingresses a configuration with another discovery, and waits until they poll it there.
+    /// Gives all ingresses a configuration with another discovery, and waits until they poll that.
     fn reconfigure(&self, new_discovery: &Discovery) -> anyhow::Result<Reconfiguration> {
         let reconfigured_at = Instant::now();
         for (number, ingress) in self.ingresses.iter().enumerate() {
--- a/fleet-experiments/src/experiments/quota_messages.rs
+++ b/fleet-experiments/src/experiments/quota_messages.rs
@@ -29,7 +29,7 @@
     pub seconds: u64,
 }
 
-/// A fleet, and what is asked of it.
+/// A fleet, and the load on it.
 #[derive(Clone, Debug)]
 pub struct FleetLoad {
     /// Ingresses in the fleet.
@@ -49,7 +49,7 @@
 /// What a fleet sent, over all its ingresses.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// Requests that came.
+    /// Requests that arrived.
     pub requests: u64,
     /// Requests sent to a backend.
     pub sent: u64,
@@ -57,7 +57,7 @@
     pub messages: u64,
     /// Their bytes, without the headers of UDP and IP.
     pub bytes: u64,
-    /// Messages that came faster than a receiver takes them.
+    /// Messages that arrived faster than a receiver takes them.
     pub dropped: u64,
 }
 
@@ -72,7 +72,7 @@
     gateway_set_size: u16,
     /// Customers for each ingress.
     customers_per_ingress: u64,
-    /// Requests that came.
+    /// Requests that arrived.
     requests: f64,
     /// Requests sent to a backend.
     sent: f64,
@@ -80,7 +80,7 @@
     messages: f64,
     /// Their bytes.
     bytes: f64,
-    /// Messages that came faster than a receiver takes them.
+    /// Messages that arrived faster than a receiver takes them.
     dropped: f64,
 }
 
--- a/fleet-experiments/src/experiments/quota_messages/simulation.rs
+++ b/fleet-experiments/src/experiments/quota_messages/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation of a fleet whose ingresses tell each other of their customers' quotas.
+//! The simulation of a fleet whose ingresses exchange messages on the quotas of their customers.
 
 use super::{FleetLoad, Traffic, WARM_UP_SECONDS};
 use crate::simulation::{
@@ -14,27 +14,51 @@
 
 /// Backends of the fleet.
 const BACKENDS: u64 = 32;
-/// A customer's quota, in what the customer uses of it: it uses a third.
+/// A customer's quota, as a multiple of its usage.
 const QUOTA_PER_USE: f64 = 3.0;
-/// A quota's burst: what it grants in so many seconds.
+/// The burst of a quota, in seconds of its rate.
 const BURST_SECONDS: f64 = 3.0;
 /// The smallest burst, in requests.
 const MIN_BURST: f64 = 4.0;
 /// How long messages between ingresses take: drawn from this range.
 const MESSAGE_DELAY: Range<Micros> = 500..3_000;
-/// A receiver's limit on messages is kept in parts of a second, since it may get a little ahead.
+/// A receiver's limit on messages is applied to parts of a second, since a sender may get a little ahead.
 const INTERVALS_PER_SECOND: u64 = 10;
 
-/// What is to come.
+/// An event that is to come.
 enum Scheduled {
     /// A request arrives at an ingress.
-    Arrival { ingress: usize },
-    /// A timer of an ingress comes due.
-    Timer { ingress: usize, token: u32 },
-    /// A backend answers a request that an ingress sent at `sent_at`.
-    Answer { ingress: usize, id: RequestId, backend: BackendId, sent_at: Micros },
+    Arrival {
+        /// The index of the ingress.
+        ingress: usize,
+    },
+    /// A timer of an ingress expires.
+    Timer {
+        /// The index of the ingress.
+        ingress: usize,
+        /// The token that the ingress gave the timer.
+        token: u32,
+    },
+    /// A backend answers a request.
+    Answer {
+        /// The index of the ingress.
+        ingress: usize,
+        /// The request.
+        id: RequestId,
+        /// The backend.
+        backend: BackendId,
+        /// When the ingress sent the request.
+        sent_at: Micros,
+    },
     /// A message arrives at an ingress.
-    Message { ingress: usize, from: GatewayId, bytes: Vec<u8> },
+    Message {
+        /// The index of the receiver.
+        ingress: usize,
+        /// The sender.
+        from: GatewayId,
+        /// The bytes of the message.
+        bytes: Vec<u8>,
+    },
 }
 
 /// The messages that an ingress gets within one part of a second.
@@ -48,23 +72,23 @@
 
 /// A fleet that is simulated.
 pub struct Simulation<'a> {
-    /// What the fleet is asked for.
+    /// The load on the fleet.
     load: &'a FleetLoad,
     /// Draws of arrivals, customers and delays.
     random: fastrand::Rng,
-    /// What is to come.
+    /// The events to come.
     queue: EventQueue<Scheduled>,
     /// The ingresses by their numbers.
     fleet: Vec<Gateway>,
     /// The identifier of the last request.
     last_request: u64,
-    /// Messages that came so far.
+    /// Messages that arrived so far.
     received: HashMap<ReceiveInterval, u64>,
     /// The most messages that an ingress takes within one part of a second.
     max_received: u64,
     /// What was counted so far.
     traffic: Traffic,
-    /// What one event led to; kept to reuse its memory.
+    /// The actions of one event; the allocation is reused.
     actions: Vec<Action>,
 }
 
@@ -162,7 +186,7 @@
         }
     }
 
-    /// Carries out what an ingress asked for.
+    /// Executes the actions of an ingress.
     fn execute(&mut self, ingress: usize, now: Micros, counted: u64) {
         for action in self.actions.drain(..) {
             match action {
@@ -188,7 +212,7 @@
     }
 }
 
-/// The settings of an ingress, with the quotas that the load makes a third of.
+/// The settings of an ingress, with quotas that are a multiple of their usage.
 fn settings(load: &FleetLoad, number: u16) -> Settings {
     let mut settings = ingress_settings(load.ingresses, number);
     settings.limits.peer_messages = true;
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -1,4 +1,4 @@
-//! Requests through the decision module: what one costs by the number of backends, customers and ingresses.
+//! Requests through the decision module: the cost of one by the number of backends, customers and ingresses.
 
 use crate::experiment::{Environment, Experiment, Sizes};
 use crate::procfs;
@@ -14,9 +14,9 @@
 const REQUESTS_PER_SECOND: u64 = 1034;
 /// The time from a request to its answer.
 const ANSWER_DELAY: Micros = 900;
-/// The time in flight that the answer reports.
+/// The time in flight that an answer reports.
 const REPORTED_ELAPSED: Micros = 100_000;
-/// One request for so many counted ones is made before them and not counted.
+/// One warm-up request is sent for so many that are measured.
 const WARM_UP_SHARE: u64 = 10;
 
 /// Sizes to measure at: each list is varied with the others at their first value.
@@ -44,7 +44,7 @@
     ingresses: u64,
 }
 
-/// What requests cost at one point: times in microseconds.
+/// The costs of requests at one point: times in microseconds.
 #[derive(Debug, Serialize)]
 struct Point {
     /// The sizes.
@@ -64,7 +64,7 @@
     p99_us: f64,
 }
 
-/// What requests through one ingress came to.
+/// The measurements of requests through one ingress.
 struct RequestCost {
     /// Nanoseconds of each request with its answer.
     time_ns: Histogram<u64>,
@@ -89,8 +89,8 @@
     }
 
     fn run(&self, environment: &Environment, report: &mut Report) -> anyhow::Result<()> {
-        // Kept until the end: memory that one ingress frees must not pass for memory that the next one does
-        // not take.
+        // Dropped only at the end: memory that one ingress frees must not pass for memory that the next one does
+        // not need.
         let mut measured = Vec::new();
         for size in self.points() {
             let mut ingress = LoadedIngress::new(size, environment.seed)?;
@@ -134,7 +134,7 @@
     random: fastrand::Rng,
     /// Customers that send requests.
     customers: u64,
-    /// Kept to reuse its memory.
+    /// The actions of one event; the allocation is reused.
     actions: Vec<Action>,
 }
 
--- a/fleet-experiments/src/experiments/slow_start.rs
+++ b/fleet-experiments/src/experiments/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start over a whole fleet: half of the backends restart at one moment, and what all ingresses together
-//! send to each of them is held against the overload rule.
+//! Slow start in a fleet: half of the backends restart at one moment, and what all ingresses together send to each
+//! of them is compared with the overload rule.
 
 mod overload_rule;
 mod simulation;
@@ -23,7 +23,7 @@
     pub overload_factors: Vec<f64>,
     /// The load that is offered, in capacities of all backends after their slow start.
     pub loads: Vec<f64>,
-    /// Whether answers take longer as a backend is asked for more than it can serve.
+    /// Whether answers take longer while a backend is overloaded.
     #[serde(alias = "queues")]
     pub queueing: bool,
     /// Simulations for each point, with a seed each.
@@ -31,7 +31,7 @@
     pub runs: u64,
 }
 
-/// A fleet, its backends, and what is asked of them.
+/// A fleet, its backends, and the load on them.
 #[derive(Clone, Debug)]
 pub struct Ramp {
     /// Ingresses in the fleet.
@@ -44,20 +44,19 @@
     pub overload_factor: f64,
     /// The load that is offered, in capacities of all backends after their slow start.
     pub load: f64,
-    /// Answers take longer as a backend is asked for more than it can serve; else 60 to 160 ms whatever is
-    /// asked.
+    /// Answers take longer while a backend is overloaded; else they take 60 to 160 ms at any load.
     pub queueing: bool,
     /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// What one ramp came to.
+/// The outcome of one ramp.
 #[derive(Clone, Debug, Default)]
 pub struct RampOutcome {
-    /// The fullest window at a restarted backend, in what the rule lets pass there: the budget N, and 2 root
-    /// N + 2 for chance.
+    /// The fullest window at a restarted backend, as a share of what the rule allows there: the budget N, and
+    /// 2 root N + 2 for chance.
     pub peak_window: f64,
-    /// Sends to the restarted backends, in their budgets over the whole ramp.
+    /// Requests sent to the restarted backends, as a share of their budgets over the ramp.
     pub budget_used: f64,
     /// Requests served.
     pub served: u64,
@@ -65,7 +64,7 @@
     pub rejected: u64,
 }
 
-/// What the ramps of one factor and load came to: the worst window, and means of the rest.
+/// The outcome of the ramps of one factor and load: the fullest window, and means of the rest.
 #[derive(Debug, Serialize)]
 struct Point {
     /// Ingresses in the fleet.
@@ -74,7 +73,7 @@
     backends: u64,
     /// Requests that a backend after its slow start serves in a second.
     capacity: f64,
-    /// Whether answers took longer as a backend was asked for more than it can serve.
+    /// Whether answers took longer while a backend was overloaded.
     queueing: bool,
     /// The rule's overload factor.
     overload_factor: f64,
@@ -84,9 +83,9 @@
     runs: u64,
     /// The fullest window of all runs.
     peak_window: f64,
-    /// Runs with a window that is fuller than the rule lets pass.
+    /// Runs with a window that is fuller than the rule allows.
     runs_over_limit: usize,
-    /// Sends to the restarted backends, in their budgets over the whole ramp.
+    /// Requests sent to the restarted backends, as a share of their budgets over the ramp.
     budget_used: f64,
     /// Requests rejected or failed.
     rejected: f64,
--- a/fleet-experiments/src/experiments/slow_start/overload_rule.rs
+++ b/fleet-experiments/src/experiments/slow_start/overload_rule.rs
@@ -1,10 +1,10 @@
-//! The overload rule: what a backend in slow start may be sent, and how much of it was used.
+//! The overload rule: how much a backend in slow start may be sent, and how much of that was used.
 
 use super::Ramp;
 use crate::simulation::{SECOND, START};
 use ingress::Micros;
 
-/// The window in which sends are held against the rule.
+/// The window that the rule is about.
 pub const WINDOW: Micros = 3 * SECOND;
 /// The share of its capacity that a backend serves as it starts.
 pub const SLOW_START_FLOOR: f64 = 0.23;
@@ -15,7 +15,7 @@
 /// When their slow start is over.
 pub const SLOW_START_END: Micros = RESTART + SLOW_START_DURATION;
 
-/// What a backend that restarted may be sent from then until `until`.
+/// How many requests a restarted backend may be sent from its restart until `until`.
 fn budget(ramp: &Ramp, until: Micros) -> f64 {
     let seconds = |span: Micros| span as f64 / SECOND as f64;
     let age = seconds(until.saturating_sub(RESTART).min(SLOW_START_DURATION));
@@ -24,13 +24,13 @@
     ramp.overload_factor * ramp.capacity * capacity_served
 }
 
-/// Sends to a backend, in its budget over the whole slow start.
+/// Requests sent to a backend, as a share of its budget over the slow start.
 pub fn budget_used(ramp: &Ramp, sends: &[Micros]) -> f64 {
     sends.len() as f64 / budget(ramp, SLOW_START_END)
 }
 
-/// The fullest window within the slow start of a backend, in what the rule lets pass there. `sends` is in
-/// order.
+/// The fullest window within the slow start of a backend, as a share of what the rule allows there. `sends` is
+/// sorted.
 pub fn peak_window(ramp: &Ramp, sends: &[Micros]) -> f64 {
     let mut peak = 0.0;
     for (first, window_start) in sends.iter().enumerate() {
--- a/fleet-experiments/src/experiments/slow_start/simulation.rs
+++ b/fleet-experiments/src/experiments/slow_start/simulation.rs
@@ -25,16 +25,38 @@
 /// Every second backend restarts.
 const RESTART_STEP: usize = 2;
 
-/// What is to come.
+/// An event that is to come.
 enum Scheduled {
     /// A request arrives at an ingress.
-    Arrival { ingress: usize },
-    /// The backend with this index answers an attempt that an ingress sent at `sent_at`.
-    Answer { ingress: usize, id: RequestId, attempt: u16, backend: usize, sent_at: Micros },
-    /// A timer of an ingress comes due.
-    Timer { ingress: usize, token: u32 },
+    Arrival {
+        /// The index of the ingress.
+        ingress: usize,
+    },
+    /// A backend answers an attempt.
+    Answer {
+        /// The index of the ingress.
+        ingress: usize,
+        /// The request.
+        id: RequestId,
+        /// The number of the attempt.
+        attempt: u16,
+        /// The index of the backend.
+        backend: usize,
+        /// When the ingress sent the attempt.
+        sent_at: Micros,
+    },
+    /// A timer of an ingress expires.
+    Timer {
+        /// The index of the ingress.
+        ingress: usize,
+        /// The token that the ingress gave the timer.
+        token: u32,
+    },
     /// An ingress receives the list of the backends that have restarted.
-    EndpointUpdate { ingress: usize },
+    EndpointUpdate {
+        /// The index of the ingress.
+        ingress: usize,
+    },
 }
 
 /// A backend of the simulation.
@@ -60,7 +82,7 @@
     ramp: &'a Ramp,
     /// Draws of weights, arrivals, customers and delays.
     random: fastrand::Rng,
-    /// What is to come.
+    /// The events to come.
     queue: EventQueue<Scheduled>,
     /// The ingresses by their numbers.
     fleet: Vec<SimulatedIngress>,
@@ -74,7 +96,7 @@
     attempts: HashMap<RequestId, u16>,
     /// What was counted so far.
     outcome: RampOutcome,
-    /// What one event led to; kept to reuse its memory.
+    /// The actions of one event; the allocation is reused.
     actions: Vec<Action>,
 }
 
@@ -170,7 +192,7 @@
         }
     }
 
-    /// Carries out what an ingress asked for.
+    /// Executes the actions of an ingress.
     fn execute(&mut self, ingress: usize, now: Micros) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -206,7 +228,7 @@
         self.queue.schedule(answered_at, answer);
     }
 
-    /// Holds what was sent to the restarted backends against the rule.
+    /// Compares what was sent to the restarted backends with the rule.
     fn finish(mut self) -> RampOutcome {
         let restarted = self.backends.len().div_ceil(RESTART_STEP) as f64;
         for backend in self.backends.iter().step_by(RESTART_STEP) {
--- a/fleet-experiments/src/fit.rs
+++ b/fleet-experiments/src/fit.rs
@@ -104,15 +104,15 @@
     },
 ];
 
-/// A name in results, and the one that results written earlier have for it.
+/// A name in results, and the name that earlier results have for it.
 struct FormerName {
-    /// The name of today.
+    /// The present name.
     current: &'static str,
-    /// The name that it had.
+    /// The former name.
     former: &'static str,
 }
 
-/// The names of [`FITS`] that had another one.
+/// The names in [`FITS`] that were renamed.
 const FORMER_NAMES: [FormerName; 6] = [
     FormerName { current: "endpoint_list", former: "list" },
     FormerName { current: "ingress_endpoint_list", former: "real_list" },
@@ -122,12 +122,12 @@
     FormerName { current: "peak_memory_bytes", former: "memory_most" },
 ];
 
-/// The name that results written earlier have for this one.
+/// The former name of a present one.
 fn former_name(current: &str) -> Option<&'static str> {
     FORMER_NAMES.iter().find(|name| name.current == current).map(|name| name.former)
 }
 
-/// A value of a point, by its name of today or the one that it had.
+/// A value of a point, by its present or its former name.
 fn value<'a>(point: &'a Value, key: &str) -> &'a Value {
     match former_name(key) {
         Some(former) if point.get(key).is_none() => &point[former],
@@ -135,7 +135,7 @@
     }
 }
 
-/// Whether a line of results is of this experiment, by its name of today or the one that it had.
+/// Whether a line of results is of this experiment, by its present or its former name.
 fn is_of(result: &Value, experiment: &str) -> bool {
     let name = result["experiment"].as_str();
     name == Some(experiment) || name.is_some() && name == former_name(experiment)
--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -1,4 +1,4 @@
-//! Real ingresses on loopback: each started with a configuration of its own, and ended with its handle.
+//! Real ingresses on loopback, each with a configuration of its own, that are killed when their handles are dropped.
 
 mod config;
 
@@ -14,9 +14,9 @@
 
 /// The most ingresses that may be started.
 const MAX_PROCESSES: u64 = 400;
-/// The memory that each is taken to need when there is to be room for all of them.
+/// The memory that is reckoned for each.
 const MEMORY_PER_PROCESS: u64 = 16 << 20;
-/// How long an ingress may take to answer a ping.
+/// How long an ingress may take to answer a PING.
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
 /// The time between two pings of an ingress that is not ready yet.
 const PING_INTERVAL: Duration = Duration::from_millis(2);
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-/// An ingress that runs; it is ended with this handle.
+/// A running ingress; it is killed when the handle is dropped.
 pub struct IngressProcess {
     /// Where it listens.
     pub address: SocketAddr,
@@ -73,7 +73,7 @@
         command.spawn().with_context(|| format!("cannot start {}", program.display()))
     }
 
-    /// Kills it and starts it anew, at the same address.
+    /// Kills it and restarts it, at the same address.
     pub fn restart(&mut self) -> anyhow::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
@@ -82,7 +82,7 @@
         Ok(())
     }
 
-    /// Gives it another configuration and tells it to reload.
+    /// Writes another configuration and has the ingress reload it.
     pub fn reconfigure(&self, config: &IngressConfig) -> anyhow::Result<()> {
         let new_file = self.config_file.with_extension("new");
         std::fs::write(&new_file, config.to_json(self.address))?;
@@ -135,7 +135,7 @@
         procfs::cpu_seconds(self.child.id())
     }
 
-    /// Ends it; what it wrote to its log.
+    /// Kills it; returns its log.
     pub fn end(mut self) -> String {
         let _ = self.child.kill();
         let mut log = String::new();
--- a/fleet-experiments/src/ingress_process/config.rs
+++ b/fleet-experiments/src/ingress_process/config.rs
@@ -7,10 +7,10 @@
 /// Added to an ingress's number for its seed, so that no seed is 0.
 const SEED_OFFSET: u64 = 7;
 
-/// How an ingress hears of endpoints.
+/// How an ingress learns of endpoints.
 #[derive(Clone, Copy, Debug)]
 pub enum DiscoveryMode {
-    /// From an agent of its own, which tells it.
+    /// From an agent of its own, which notifies it.
     Push,
     /// From a service that all ingresses poll.
     Poll,
@@ -44,7 +44,7 @@
     pub fleet_size: u64,
     /// Where it finds discovery.
     pub discovery: SocketAddr,
-    /// How it hears of endpoints.
+    /// How it learns of endpoints.
     pub mode: DiscoveryMode,
     /// The endpoint list that it starts with.
     pub initial_list: InitialList,
--- a/fleet-experiments/src/main.rs
+++ b/fleet-experiments/src/main.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 
 /// The exit status for an experiment file that cannot be used.
-const BAD_EXPERIMENT_FILE: u8 = 2;
+const INVALID_EXPERIMENT_FILE: u8 = 2;
 
 /// Runs experiments on a fleet of ingresses.
 #[derive(Parser)]
@@ -48,7 +48,7 @@
             Ok(file) => exit_code(experiment, run(&file, out.as_deref(), ingress)),
             Err(error) => {
                 eprintln!("{}: {error}", experiment.display());
-                ExitCode::from(BAD_EXPERIMENT_FILE)
+                ExitCode::from(INVALID_EXPERIMENT_FILE)
             }
         },
         Command::Fit { results } => exit_code(results, print_fits(results)),
--- a/fleet-experiments/src/procfs.rs
+++ b/fleet-experiments/src/procfs.rs
@@ -1,4 +1,4 @@
-//! What Linux tells in `/proc` about processes and the machine. A value that cannot be read is 0 or unknown.
+//! What Linux reports in `/proc` on processes and the machine. A value that cannot be read is 0 or unknown.
 
 /// Bytes of a page.
 const PAGE_SIZE: u64 = 4096;
--- a/fleet-experiments/src/report.rs
+++ b/fleet-experiments/src/report.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::process::Command;
 
-/// What a commit has to hold of, to be named without a mark.
+/// The files that have to be as committed for a commit to be named without a mark.
 const SOURCES: [&str; 3] = ["src", "fleet-experiments/src", "Cargo.lock"];
 
 /// Where results go.
--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -1,5 +1,4 @@
-//! What the simulations share: the driven clock, the settings of simulated ingresses, endpoint lists, and
-//! draws.
+//! What the simulations share: the driven clock, settings, endpoint lists and random draws.
 
 mod event_queue;
 
@@ -72,7 +71,7 @@
     }
 }
 
-/// The only plan: its quota is beyond what anybody asks for.
+/// The only plan: no customer reaches its quota.
 fn unlimited_plan() -> Plan {
     Plan {
         rate: 1e6,
--- a/fleet-experiments/src/simulation/event_queue.rs
+++ b/fleet-experiments/src/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation that are still to come.
+//! The event queue of a simulation.
 
 use ingress::Micros;
 use std::cmp::Reverse;
--- a/fleet-experiments/tests/experiments.rs
+++ b/fleet-experiments/tests/experiments.rs
@@ -1,4 +1,4 @@
-//! Every experiment in small, judged by counts; and what bad experiment files get.
+//! Every experiment in small, judged by counts; and the errors of invalid experiment files.
 
 use fleet_experiments::experiment_file::{ExperimentFile, ExperimentFileError};
 use fleet_experiments::report::Report;
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn all_requests_of_an_idle_fleet_are_sent_on() {
+fn all_requests_of_an_idle_fleet_are_forwarded() {
     for point in points("request") {
         assert_eq!(number(&point, "sent"), 500.0, "{point}");
     }
 }
 
-/// Guards against quota messages that grow with the fleet at one rate: each ingress has its own customers to
-/// ask of.
+/// Guards against quota messages that grow with the fleet at one rate: each ingress requests grants for its own
+/// customers only.
 #[test]
 fn quota_messages_of_an_ingress_grow_with_requests_and_not_with_the_fleet() {
     let points = points("quota");
@@ -69,7 +69,7 @@
     assert!(of(12.0, 4.0) < 2.0 * of(6.0, 4.0), "{points:?}");
 }
 
-/// The same draws give the same results: two plays differ in nothing.
+/// The same seed gives the same results.
 #[test]
 fn models_are_deterministic() {
     for table in ["quota", "discovery", "slow_start"] {
@@ -146,8 +146,8 @@
     for (index, (text, key)) in cases.into_iter().enumerate() {
         let why = ExperimentFile::parse(text).map(|_| ()).expect_err(text).to_string();
         assert!(why.contains(key) && !why.contains('\n'), "{text:?}: {why}");
-        let file =
-            std::env::temp_dir().join(format!("fleet-experiments-bad-{}-{index}.toml", std::process::id()));
+        let file = std::env::temp_dir()
+            .join(format!("fleet-experiments-invalid-{}-{index}.toml", std::process::id()));
         std::fs::write(&file, text).unwrap();
         let output =
             Command::new(env!("CARGO_BIN_EXE_fleet-experiments")).arg("run").arg(&file).output().unwrap();
--- a/fleet-experiments/tests/fit.rs
+++ b/fleet-experiments/tests/fit.rs
@@ -37,6 +37,18 @@
     assert!(fit_results("{").is_err());
 }
 
+/// Both kept result files are read, and give the same fits: one was measured before a change, one after it.
+#[test]
+fn kept_result_files_are_fitted() {
+    let names = |results: &str| -> Vec<String> {
+        let fits = fit_results(results).unwrap();
+        fits.iter().map(|fit| fit.split(':').next().unwrap().to_string()).collect()
+    };
+    let before = names(include_str!("../results/capacity-before.jsonl"));
+    assert!(!before.is_empty());
+    assert_eq!(before, names(include_str!("../results/capacity-after.jsonl")));
+}
+
 /// The results that the capacity page rests on have the names of their time: they are fitted like those of
 /// today.
 #[test]
--- a/fleet-experiments/tests/slow_start.rs
+++ b/fleet-experiments/tests/slow_start.rs
@@ -1,13 +1,12 @@
-//! Slow start over a whole fleet: what is sent to backends that have just started, counted in the rule's
-//! window.
+//! Slow start in a fleet: the requests to backends that have just started, in the window of the overload rule.
 
 use fleet_experiments::experiments::slow_start::{simulate, Ramp};
 
 /// Guards against a budget that grows with what is offered, and against draws that change within the rule's
 /// window for all ingresses at once: at a multiple of 1.2 each start passed the bound, by up to 1.7 times.
-/// Answers that take no longer however much is asked hide from all ingresses what a backend can do.
+/// Answers whose times do not depend on the load hide from all ingresses what a backend can do.
 #[test]
-fn backends_in_slow_start_are_not_overloaded_by_a_fleet_that_is_asked_for_too_much() {
+fn backends_in_slow_start_are_not_overloaded_by_an_overloaded_fleet() {
     let ramp = |ingresses, backends, capacity, overload_factor, load| Ramp {
         ingresses,
         backends,
@@ -33,9 +32,9 @@
     }
 }
 
-/// Where answers slow down with what is asked, backends in slow start get less, and still serve their part.
+/// Where answers take longer under load, backends in slow start get less, and still serve their part.
 #[test]
-fn backends_in_slow_start_serve_their_part_where_answers_tell_of_the_load() {
+fn backends_in_slow_start_serve_their_part_where_answer_times_show_the_load() {
     for (ingresses, seed) in [(30, 1), (30, 2), (300, 3)] {
         let ramp = Ramp {
             ingresses,
