--- a/fault-soak/src/ingress.rs
+++ b/fault-soak/src/ingress.rs
@@ -6,9 +6,9 @@
 use anyhow::Context;
 use fault_plan::PLAN_VARIABLE;
 use rustix::process::{kill_process, Pid, Signal};
+use stand_ins::resp::ping;
 use std::fs::{self, File, OpenOptions};
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::AtomicBool;
@@ -20,6 +20,8 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long an ingress may take to exit after SIGTERM: the longest deadline and 0.7 s more.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(2700);
+/// How long a PING may take.
+const PING_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often the state of a process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -127,12 +129,7 @@
 
     /// Whether the process answers a PING.
     fn answers_ping(&self) -> bool {
-        let Ok(mut stream) = TcpStream::connect(self.listen) else { return false };
-        let _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
-        let mut reply = [0; 7];
-        stream.write_all(b"*1\r\n$4\r\nPING\r\n").is_ok()
-            && stream.read_exact(&mut reply).is_ok()
-            && &reply == b"+PONG\r\n"
+        ping(self.listen, PING_TIMEOUT).unwrap_or(false)
     }
 
     /// Whether no process runs.
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -1,5 +1,8 @@
 //! What clients, backends, discovery and the supervisor of the ingresses observe, with the times of it.
 
+pub use stand_ins::endpoint::EndpointStatus;
+pub use stand_ins::request::RequestClass;
+
 use serde::Serialize;
 use std::sync::{Mutex, MutexGuard};
 use std::time::Instant;
@@ -7,17 +10,6 @@
 /// Microseconds since the run began.
 pub type Micros = u64;
 
-/// The class of a request, by whether it may be executed again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum RequestClass {
-    /// It may always be executed again.
-    Idempotent,
-    /// It may be executed again within the window of its idempotency key.
-    Keyed,
-    /// It may never be executed again.
-    NonIdempotent,
-}
-
 /// How a request ended, as its client observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Outcome {
@@ -79,15 +71,6 @@
     pub ended_at: Option<Micros>,
 }
 
-/// The status of a backend in the endpoint list.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum EndpointStatus {
-    /// It takes requests.
-    Up,
-    /// It takes no new requests.
-    Draining,
-}
-
 /// A change of the endpoint list.
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointChange {
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -1,28 +1,38 @@
-//! Backends that misbehave as the plan says, and note each command that comes whole.
+//! Backends that inject the faults of the plan, and record each complete command.
 
-use super::resp::{parse_command, value_of};
+use super::customer::value_of;
 use crate::context::RunContext;
 use crate::record::{ArrivalRecord, Micros};
 use crate::scenario::FaultScenario;
-use std::io::{ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use stand_ins::resp::{encode_served, parse_command};
+use stand_ins::server::{is_timeout, listen, serve};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long an answer takes a backend that works.
+/// How long a backend without faults takes for a request.
 const SERVICE_TIME: Duration = Duration::from_millis(3);
-/// How long it takes a slow one.
+/// How long a slow backend takes for a request.
 const SLOW_SERVICE_TIME: Duration = Duration::from_millis(900);
-/// How long after a reply its duplicate comes: some milliseconds.
+/// How long after a reply its duplicate is sent.
 const DUPLICATE_DELAY: Duration = Duration::from_millis(3);
-/// The pause between the pieces of a reply that trickles.
+/// How many bytes of a reply are sent at once where it trickles.
+const TRICKLE_SIZE: usize = 5;
+/// The pause between two pieces of a reply that trickles.
 const TRICKLE_PAUSE: Duration = Duration::from_micros(300);
-/// How often a connection that waits looks whether the other side has closed it.
+/// How often a connection that waits with a command looks whether the other side has closed it.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// How often one with no command looks whether it is to be closed.
+/// How often a connection without a command looks whether it is to be closed.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How often a hanging backend looks whether it still hangs.
+const HANG_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The option of a command that holds the time that the ingress announces, in milliseconds.
+const TIME_BUDGET_OPTION: &str = "d=";
+/// The bytes that are read at once.
+const CHUNK_SIZE: usize = 4096;
 
 /// A backend.
 pub struct Backend {
@@ -43,26 +53,22 @@
     generation: Arc<AtomicU64>,
 }
 
-/// Why a connection ends.
+/// The connection has ended, or is to be closed.
 struct Closed;
 
 impl Backend {
-    /// Starts a backend, which runs until the run is over.
+    /// Starts a backend, which runs until the run ends.
     pub fn start(number: usize, context: &Arc<RunContext>) -> std::io::Result<Backend> {
-        let listener = TcpListener::bind("127.0.0.1:0")?;
-        let address = listener.local_addr()?;
         let generation = Arc::new(AtomicU64::new(0));
         let shared = Shared { number, context: context.clone(), generation: generation.clone() };
-        thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let shared = shared.clone();
-                thread::spawn(move || Connection::new(shared, stream).serve());
-            }
-        });
+        let address = serve(listen()?, move |stream| {
+            let shared = shared.clone();
+            move || Connection::new(shared, stream).serve()
+        })?;
         Ok(Backend { address, generation })
     }
 
-    /// Starts anew: all connections are reset.
+    /// Restarts it: all connections are reset.
     pub fn restart(&self) {
         self.generation.fetch_add(1, Ordering::SeqCst);
     }
@@ -70,13 +76,13 @@
 
 /// A connection of an ingress.
 struct Connection {
-    /// What all connections of the backend have.
+    /// What all connections of the backend share.
     shared: Shared,
     /// The socket.
     stream: TcpStream,
-    /// What has come and was not taken yet.
+    /// Bytes that were received and not parsed yet.
     received: Vec<u8>,
-    /// The start that it belongs to.
+    /// The start of the backend that it belongs to.
     generation: u64,
 }
 
@@ -90,21 +96,21 @@
 
     /// Answers commands until either side closes the connection.
     fn serve(mut self) {
-        while let Ok(arguments) = self.read_command() {
-            if self.answer(&arguments).is_err() {
+        while let Ok(words) = self.read_command() {
+            if self.answer(&words).is_err() {
                 return;
             }
         }
     }
 
     /// Whether a scenario affects this backend now.
-    fn is_affected_by(&self, kind: FaultScenario) -> bool {
+    fn is_affected_by(&self, scenario: FaultScenario) -> bool {
         let Shared { number, context, .. } = &self.shared;
-        context.affects(kind, *number, context.plan.shape.backends)
+        context.affects(scenario, *number, context.plan.shape.backends)
     }
 
-    /// Whether it has to end: the run is over, or the backend has started anew.
-    fn is_ended(&self) -> bool {
+    /// Whether the connection has to be closed: the run has ended, or the backend was restarted.
+    fn is_to_be_closed(&self) -> bool {
         self.shared.context.has_run_ended()
             || self.shared.generation.load(Ordering::SeqCst) != self.generation
     }
@@ -112,23 +118,18 @@
     /// Waits for the next command.
     fn read_command(&mut self) -> Result<Vec<String>, Closed> {
         self.stream.set_read_timeout(Some(IDLE_POLL_INTERVAL)).map_err(|_| Closed)?;
-        let mut chunk = [0; 4096];
+        let mut chunk = [0; CHUNK_SIZE];
         loop {
-            if let Some((arguments, length)) = parse_command(&self.received) {
-                self.received.drain(..length);
-                return Ok(arguments);
+            if let Some(command) = parse_command(&self.received) {
+                self.received.drain(..command.length);
+                return Ok(command.words);
             }
-            self.stay_silent()?;
+            self.stay_partitioned()?;
             let closes_idle =
                 self.received.is_empty() && self.is_affected_by(FaultScenario::IdleClosingBackend);
-            if self.is_ended() || closes_idle {
+            if self.is_to_be_closed() || closes_idle || self.resets_early() {
                 return Err(Closed);
             }
-            if self.is_affected_by(FaultScenario::EarlyResettingBackend)
-                && matches!(self.stream.peek(&mut chunk), Ok(1..))
-            {
-                return Err(Closed); // What is unread resets the connection.
-            }
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Err(Closed),
                 Ok(length) => self.received.extend_from_slice(&chunk[..length]),
@@ -138,9 +139,15 @@
         }
     }
 
-    /// Does nothing for as long as the backend is cut off, but to note that the other side has given the connection up;
-    /// behind that it is reset.
-    fn stay_silent(&self) -> Result<(), Closed> {
+    /// Whether the connection is reset at the first bytes of a command: closing it with unread bytes does that.
+    fn resets_early(&self) -> bool {
+        self.is_affected_by(FaultScenario::EarlyResettingBackend)
+            && matches!(self.stream.peek(&mut [0]), Ok(1..))
+    }
+
+    /// Waits while the backend is partitioned from the network; then the connection is reset. Closes it at once where the
+    /// other side has closed it.
+    fn stay_partitioned(&self) -> Result<(), Closed> {
         if !self.is_affected_by(FaultScenario::PartitionedBackend) {
             return Ok(());
         }
@@ -161,18 +168,18 @@
                 Err(error) if is_timeout(&error) => {}
                 Err(_) => return Err(Closed),
             }
-            if self.is_ended() {
+            if self.is_to_be_closed() {
                 return Err(Closed);
             }
         }
         Ok(())
     }
 
-    /// Answers a command, and notes when it came and when it was over.
-    fn answer(&mut self, arguments: &[String]) -> Result<(), Closed> {
-        let [_, _, id, options, ..] = arguments else { return Err(Closed) };
+    /// Answers a command, and records when it arrived and when it ended.
+    fn answer(&mut self, words: &[String]) -> Result<(), Closed> {
+        let [_, _, id, options, ..] = words else { return Err(Closed) };
         let rejected = self.is_affected_by(FaultScenario::RejectingBackend);
-        let index = self.note_arrival(id, options, rejected);
+        let index = self.record_arrival(id, options, rejected);
         let result = self.reply(id, rejected);
         let ended_at = self.shared.context.recorder.now();
         self.shared.context.recorder.observations().arrivals[index].ended_at = Some(ended_at);
@@ -184,10 +191,10 @@
         Ok(())
     }
 
-    /// Notes a command that has come whole; returns its place in the record.
-    fn note_arrival(&self, id: &str, options: &str, rejected: bool) -> usize {
-        let budget_ms = options.split(',').find_map(|option| option.strip_prefix("d="));
-        let budget_ms = budget_ms.and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
+    /// Records a command; returns the index of the record.
+    fn record_arrival(&self, id: &str, options: &str, rejected: bool) -> usize {
+        let budget = options.split(',').find_map(|option| option.strip_prefix(TIME_BUDGET_OPTION));
+        let budget_ms = budget.and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
         let at: Micros = self.shared.context.recorder.now();
         let arrivals = &mut self.shared.context.recorder.observations().arrivals;
         arrivals.push(ArrivalRecord {
@@ -207,31 +214,40 @@
             return self.write(b"-BUSY\r\n");
         }
         while self.is_affected_by(FaultScenario::HangingBackend) {
-            self.wait(Duration::from_millis(20))?;
+            self.wait(HANG_POLL_INTERVAL)?;
         }
-        let slow = self.is_affected_by(FaultScenario::SlowBackend);
-        self.wait(if slow { SLOW_SERVICE_TIME } else { SERVICE_TIME })?;
-        self.stay_silent()?;
-        let reply = served(id);
+        let is_slow = self.is_affected_by(FaultScenario::SlowBackend);
+        self.wait(if is_slow { SLOW_SERVICE_TIME } else { SERVICE_TIME })?;
+        self.stay_partitioned()?;
         if self.is_affected_by(FaultScenario::FailingBackend) {
             return self.write(b"-ERR failed\r\n");
         }
+        let reply = served(id);
         if self.is_affected_by(FaultScenario::ResettingBackend) {
-            // Half of the replies are cut in the middle, the others never begin.
-            let length = if reply.len() % 2 == 0 { reply.len() / 2 } else { 0 };
-            let _ = self.write(&reply[..length]);
-            return Err(Closed);
+            return self.reset_in_reply(&reply);
         }
         if self.is_affected_by(FaultScenario::TricklingBackend) {
-            for piece in reply.chunks(5) {
-                self.write(piece)?;
-                thread::sleep(TRICKLE_PAUSE);
-            }
-            return Ok(());
+            return self.trickle(&reply);
         }
         self.write(&reply)
     }
 
+    /// Resets the connection in the middle of a reply, or before it, depending on its length.
+    fn reset_in_reply(&mut self, reply: &[u8]) -> Result<(), Closed> {
+        let length = if reply.len() % 2 == 0 { reply.len() / 2 } else { 0 };
+        let _ = self.write(&reply[..length]);
+        Err(Closed)
+    }
+
+    /// Sends a reply a few bytes at a time.
+    fn trickle(&mut self, reply: &[u8]) -> Result<(), Closed> {
+        for piece in reply.chunks(TRICKLE_SIZE) {
+            self.write(piece)?;
+            thread::sleep(TRICKLE_PAUSE);
+        }
+        Ok(())
+    }
+
     /// Writes bytes.
     fn write(&mut self, bytes: &[u8]) -> Result<(), Closed> {
         self.stream.write_all(bytes).map_err(|_| Closed)
@@ -240,11 +256,5 @@
 
 /// The reply to a request that was served.
 fn served(id: &str) -> Vec<u8> {
-    let value = value_of(id);
-    format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len()).into_bytes()
-}
-
-/// Whether a read only took too long.
-fn is_timeout(error: &std::io::Error) -> bool {
-    matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
+    encode_served(&value_of(id), None)
 }
--- a/fault-soak/src/stand_in/discovery.rs
+++ b/fault-soak/src/stand_in/discovery.rs
@@ -1,104 +1,120 @@
-//! Discovery: an agent for each ingress, which has every change at once, and may be silent or broken.
+//! Discovery: an agent for each ingress, which has every change at once, and may be unresponsive, unavailable or truncate
+//! its responses.
 
 use crate::context::RunContext;
 use crate::record::{EndpointChange, EndpointStatus, Notification};
 use crate::scenario::FaultScenario;
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use stand_ins::endpoint::{list_json, EndpointEntry, ListKind};
+use stand_ins::http::{read_head, response, Poll};
+use stand_ins::server::{listen, serve};
+use std::io::{Error, ErrorKind, Write};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// How often a poll that waits looks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(3);
-
-/// How many bytes of a response are written at once where it trickles, and the pause behind them.
-const TRICKLE_PIECE: usize = 40;
-/// See [`TRICKLE_PIECE`].
+/// How often a connection without a poll looks whether it is to be closed.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How many bytes of a response are written at once where it trickles.
+const TRICKLE_SIZE: usize = 40;
+/// The pause between two pieces of a response that trickles.
 const TRICKLE_PAUSE: Duration = Duration::from_micros(300);
-
-/// The entry of one backend, and the version that it came with.
-#[derive(Clone)]
-struct Entry {
-    /// Where the backend is.
+/// The version of the list that a run begins with.
+const FIRST_VERSION: u64 = 1;
+/// One in so many responses is truncated where discovery does that.
+const TRUNCATION_STEP: u64 = 2;
+
+/// A backend as it is listed.
+struct ListedBackend {
+    /// Where it listens.
     address: SocketAddr,
-    /// How it is listed.
+    /// Its status.
     status: EndpointStatus,
-    /// When it last started, in Unix time; 0 for long ago.
-    since_ms: i64,
+    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    started_at_ms: i64,
     /// The version that its latest change made.
     version: u64,
 }
 
-/// Discovery, as all agents have it.
-pub struct Discovery {
-    /// The entries of all backends.
-    entries: Mutex<Vec<Entry>>,
-    /// The run that it belongs to.
-    context: Arc<RunContext>,
-    /// How many responses were to be cut.
-    cut_count: AtomicU64,
+impl ListedBackend {
+    /// Its entry in the endpoint list, as JSON.
+    fn to_json(&self, number: usize) -> String {
+        let name = format!("s-{number}");
+        let ListedBackend { address, status, started_at_ms, .. } = *self;
+        let entry = EndpointEntry {
+            name: &name,
+            address,
+            zone: "a",
+            machine_type: "m",
+            cell: 0,
+            status,
+            started_at_ms,
+        };
+        entry.to_json()
+    }
 }
 
-/// A poll.
-struct Poll {
-    /// The version held; none asks for the whole list.
-    since: Option<u64>,
-    /// When it is answered though nothing has changed.
-    ends_at: Instant,
+/// The answer to a poll.
+struct Answer {
+    /// The version of the list that it brings.
+    version: u64,
+    /// The list, as JSON.
+    body: String,
 }
 
-impl Poll {
-    /// Reads the head of a request.
-    fn parse(head: &str) -> Poll {
-        let number = |name: &str| {
-            let rest = head.split(name).nth(1)?;
-            rest.split(|letter: char| !letter.is_ascii_digit()).next()?.parse::<u64>().ok()
-        };
-        let timeout = Duration::from_millis(number("timeout_ms=").unwrap_or(0));
-        Poll { since: number("since="), ends_at: Instant::now() + timeout }
+impl Answer {
+    /// The answer to a poll that nothing is newer for.
+    fn unchanged(poll: &Poll) -> Answer {
+        let version = poll.since.unwrap_or(0);
+        Answer { version, body: list_json(version, ListKind::Delta, &[]) }
     }
 }
 
+/// Discovery, as all agents have it.
+pub struct Discovery {
+    /// The backends by their numbers.
+    backends: Mutex<Vec<ListedBackend>>,
+    /// The run that it belongs to.
+    context: Arc<RunContext>,
+    /// How many responses were sent while it truncated them.
+    truncation_count: AtomicU64,
+}
+
 impl Discovery {
-    /// Discovery with these backends, all up for long.
+    /// Discovery with these backends, all of which have been up for long.
     pub fn new(addresses: &[SocketAddr], context: Arc<RunContext>) -> Discovery {
-        let entry = |address: &SocketAddr| Entry {
+        let listed = |address: &SocketAddr| ListedBackend {
             address: *address,
             status: EndpointStatus::Up,
-            since_ms: 0,
-            version: 1,
+            started_at_ms: 0,
+            version: FIRST_VERSION,
         };
-        let entries = Mutex::new(addresses.iter().map(entry).collect());
-        Discovery { entries, context, cut_count: AtomicU64::new(0) }
+        let backends = Mutex::new(addresses.iter().map(listed).collect());
+        Discovery { backends, context, truncation_count: AtomicU64::new(0) }
     }
 
     /// Starts an agent for an ingress, and returns its address.
     pub fn start_agent(self: &Arc<Self>, ingress: usize) -> std::io::Result<SocketAddr> {
-        let listener = TcpListener::bind("127.0.0.1:0")?;
-        let address = listener.local_addr()?;
         let discovery = self.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let discovery = discovery.clone();
-                thread::spawn(move || discovery.serve(ingress, stream));
-            }
-        });
-        Ok(address)
+        serve(listen()?, move |stream| {
+            let discovery = discovery.clone();
+            move || discovery.serve(ingress, stream)
+        })
     }
 
-    /// Publishes how a backend is listed from now on; one that has started anew is listed with the time by the clocks of
-    /// the plan.
+    /// Publishes the status of a backend. One that was restarted is listed with the time by the clocks of the plan.
     pub fn publish(&self, backend: usize, status: EndpointStatus, restarted: bool) {
-        let mut entries = self.entries();
-        let version = entries.iter().map(|entry| entry.version).max().unwrap_or(1) + 1;
+        let mut backends = self.backends();
+        let version = latest_version(&backends) + 1;
         let at = self.context.recorder.now();
-        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64;
-        let entry = &mut entries[backend];
-        (entry.status, entry.version) = (status, version);
+        let listed = &mut backends[backend];
+        listed.status = status;
+        listed.version = version;
         if restarted {
-            entry.since_ms = unix_time + self.context.plan.clock_offset_ms(at / 1000);
+            listed.started_at_ms = unix_time_ms() + self.context.plan.clock_offset_ms(at / 1000);
         }
         let change = EndpointChange { version, backend, status, restarted, at };
         self.context.recorder.observations().changes.push(change);
@@ -106,43 +122,38 @@
 
     /// A snapshot of the list, as JSON.
     pub fn snapshot_json(&self) -> String {
-        self.answer(None).map(|(_, json)| json).unwrap_or_default()
+        self.newer_than(None).map(|answer| answer.body).unwrap_or_default()
     }
 
-    /// The entries, for whoever holds them.
-    fn entries(&self) -> std::sync::MutexGuard<'_, Vec<Entry>> {
-        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
+    /// The backends, for one thread at a time.
+    fn backends(&self) -> MutexGuard<'_, Vec<ListedBackend>> {
+        self.backends.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is newer than a version, with the version of the list; none if nothing is.
-    fn answer(&self, since: Option<u64>) -> Option<(u64, String)> {
-        let entries = self.entries();
-        let latest = entries.iter().map(|entry| entry.version).max().unwrap_or(1);
-        if since.is_some_and(|since| latest <= since) {
+    /// The changes since a version, or a snapshot; none if nothing is newer.
+    fn newer_than(&self, since: Option<u64>) -> Option<Answer> {
+        let backends = self.backends();
+        let version = latest_version(&backends);
+        if since.is_some_and(|since| version <= since) {
             return None;
         }
-        let newer = entries.iter().enumerate().filter(|(_, entry)| entry.version > since.unwrap_or(0));
-        let texts: Vec<String> = newer.map(|(number, entry)| entry_json(number, entry)).collect();
-        let snapshot = since.is_none();
-        Some((
-            latest,
-            format!(r#"{{"index":{latest},"snapshot":{snapshot},"endpoints":[{}]}}"#, texts.join(",")),
-        ))
+        let newer = backends.iter().enumerate().filter(|(_, backend)| backend.version > since.unwrap_or(0));
+        let entries: Vec<String> = newer.map(|(number, backend)| backend.to_json(number)).collect();
+        let kind = if since.is_none() { ListKind::Snapshot } else { ListKind::Delta };
+        Some(Answer { version, body: list_json(version, kind, &entries) })
     }
 
-    /// Whether a scenario of discovery is active now.
-    fn is_active(&self, kind: FaultScenario) -> bool {
-        self.context.is_active(kind)
+    /// Whether connections are kept open: the run goes on, and discovery is available.
+    fn is_available(&self) -> bool {
+        !self.context.has_run_ended() && !self.context.is_active(FaultScenario::UnavailableDiscovery)
     }
 
     /// Answers polls until the connection ends.
     fn serve(&self, ingress: usize, mut stream: TcpStream) {
-        let _ = stream.set_read_timeout(Some(Duration::from_millis(20)));
-        while let Some(head) = self.read_head(&mut stream) {
-            let poll = Poll::parse(&head);
-            let Some((version, body)) = self.wait_for_answer(&poll) else { return };
-            let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            if self.write(&mut stream, response.as_bytes(), version).is_err() {
+        let _ = stream.set_read_timeout(Some(IDLE_POLL_INTERVAL));
+        while let Some(poll) = self.read_poll(&mut stream) {
+            let Some(Answer { version, body }) = self.wait_for_answer(&poll) else { return };
+            if self.write(&mut stream, response(&body).as_bytes(), version).is_err() {
                 return;
             }
             let at = self.context.recorder.now();
@@ -150,72 +161,62 @@
         }
     }
 
-    /// Writes a response, or a part of it before the connection is closed.
-    fn write(&self, stream: &mut TcpStream, response: &[u8], version: u64) -> std::io::Result<()> {
-        if !self.is_active(FaultScenario::TruncatingDiscovery) {
-            return stream.write_all(response);
-        }
-        let is_cut = self.cut_count.fetch_add(1, Ordering::SeqCst) % 2 == 0;
-        let length = if is_cut { response.len() / 2 } else { response.len() };
-        for piece in response[..length].chunks(TRICKLE_PIECE) {
-            stream.write_all(piece)?;
-            thread::sleep(TRICKLE_PAUSE);
-        }
-        if is_cut {
-            tracing::debug!(version, "a response is cut");
-            return Err(std::io::ErrorKind::ConnectionAborted.into());
-        }
-        Ok(())
-    }
-
-    /// The head of the next request; none where the connection ends.
-    fn read_head(&self, stream: &mut TcpStream) -> Option<String> {
-        let (mut head, mut chunk) = (Vec::new(), [0; 1024]);
-        while !head.ends_with(b"\r\n\r\n") {
-            if self.context.has_run_ended() || self.is_active(FaultScenario::UnavailableDiscovery) {
-                return None;
-            }
-            match stream.read(&mut chunk) {
-                Ok(0) => return None,
-                Ok(length) => head.extend_from_slice(&chunk[..length]),
-                Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
-                Err(_) => return None,
-            }
+    /// The next poll; none where the connection ends, or is to be closed.
+    fn read_poll(&self, stream: &mut TcpStream) -> Option<Poll> {
+        if !self.is_available() {
+            return None;
         }
-        Some(String::from_utf8_lossy(&head).into_owned())
+        let head = read_head(stream, || self.is_available())?;
+        Poll::parse(&head).ok()
     }
 
-    /// Waits until a poll has an answer; none once discovery is broken or the run over.
-    fn wait_for_answer(&self, poll: &Poll) -> Option<(u64, String)> {
-        loop {
-            if self.context.has_run_ended() || self.is_active(FaultScenario::UnavailableDiscovery) {
-                return None;
-            }
-            if !self.is_active(FaultScenario::UnresponsiveDiscovery) {
-                if let Some(answer) = self.answer(poll.since) {
+    /// Waits until a poll has an answer; none where the connection is to be closed.
+    fn wait_for_answer(&self, poll: &Poll) -> Option<Answer> {
+        let deadline = poll.deadline();
+        while self.is_available() {
+            if !self.context.is_active(FaultScenario::UnresponsiveDiscovery) {
+                if let Some(answer) = self.newer_than(poll.since) {
                     return Some(answer);
                 }
-                if Instant::now() >= poll.ends_at {
-                    let version = poll.since.unwrap_or(0);
-                    return Some((
-                        version,
-                        format!(r#"{{"index":{version},"snapshot":false,"endpoints":[]}}"#),
-                    ));
+                if Instant::now() >= deadline {
+                    return Some(Answer::unchanged(poll));
                 }
             }
             thread::sleep(POLL_INTERVAL);
         }
+        None
+    }
+
+    /// Writes a response, or a part of it before the connection is closed.
+    fn write(&self, stream: &mut TcpStream, response: &[u8], version: u64) -> std::io::Result<()> {
+        if !self.context.is_active(FaultScenario::TruncatingDiscovery) {
+            return stream.write_all(response);
+        }
+        let count = self.truncation_count.fetch_add(1, Ordering::SeqCst);
+        if count % TRUNCATION_STEP != 0 {
+            return trickle(stream, response);
+        }
+        trickle(stream, &response[..response.len() / 2])?;
+        tracing::debug!(version, "a response is truncated");
+        Err(Error::from(ErrorKind::ConnectionAborted))
     }
 }
 
-/// An entry, as JSON.
-fn entry_json(number: usize, entry: &Entry) -> String {
-    let status = match entry.status {
-        EndpointStatus::Up => "up",
-        EndpointStatus::Draining => "draining",
-    };
-    format!(
-        r#"{{"name":"s-{number}","address":"{}","zone":"a","type":"m","group":0,"status":"{status}","weight":1.0,"since_ms":{}}}"#,
-        entry.address, entry.since_ms
-    )
+/// Writes bytes a few at a time.
+fn trickle(stream: &mut TcpStream, bytes: &[u8]) -> std::io::Result<()> {
+    for piece in bytes.chunks(TRICKLE_SIZE) {
+        stream.write_all(piece)?;
+        thread::sleep(TRICKLE_PAUSE);
+    }
+    Ok(())
+}
+
+/// The version of the list.
+fn latest_version(backends: &[ListedBackend]) -> u64 {
+    backends.iter().map(|backend| backend.version).max().unwrap_or(FIRST_VERSION)
+}
+
+/// The time of this machine's wall clock, in milliseconds of Unix time.
+fn unix_time_ms() -> i64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64
 }
