--- a/fleet-experiments/src/client.rs
+++ b/fleet-experiments/src/client.rs
@@ -1,5 +1,7 @@
 //! Clients of real ingresses: connections that send one request after another.
 
+use stand_ins::request::{encode_request, Customer, RequestClass};
+use stand_ins::resp::{parse_reply, Reply};
 use std::io::{Error, ErrorKind, Read, Result, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,24 +13,23 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 /// The pause of a client between an answer and its next request.
 const THINK_TIME: Duration = Duration::from_millis(2);
-/// The options of each request: class, plan, deadline, units, and the gateways that the customer's requests
-/// come through.
-const REQUEST_OPTIONS: &str = "c=quote,t=starter,d=2000,units=1,spread=1,first=0";
-/// The shortest answer has as many bytes.
-const MIN_ANSWER_SIZE: usize = 3;
-/// The lines of an answer with a value.
-const VALUE_LINES: usize = 2;
+/// The plan of all customers.
+const PLAN: &str = "starter";
+/// The time that each request announces, in milliseconds.
+const TIMEOUT_MS: u64 = 2000;
+/// The longest answer that a client reads.
+const MAX_ANSWER_SIZE: usize = 4096;
 
 /// A connection of one customer.
 pub struct Client {
-    /// The connection, on which one answer at a time is waited for.
+    /// The connection, with one request in flight at most.
     stream: TcpStream,
-    /// The customer that all requests are of.
+    /// The customer of all requests.
     customer: u64,
     /// Requests sent so far.
     requests: u64,
-    /// What is received of an answer.
-    buffer: [u8; 4096],
+    /// The bytes of an answer that were received.
+    buffer: [u8; MAX_ANSWER_SIZE],
 }
 
 impl Client {
@@ -37,42 +38,26 @@
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
-        Ok(Client { stream, customer, requests: 0, buffer: [0; 4096] })
+        Ok(Client { stream, customer, requests: 0, buffer: [0; MAX_ANSWER_SIZE] })
     }
 
     /// Sends a request and reads the answer; true if it is a value.
     pub fn request(&mut self) -> Result<bool> {
         let id = format!("c{}x{}", self.customer, self.requests);
         self.requests += 1;
-        self.stream.write_all(&encode_request(self.customer, &id))?;
-        let mut size = 0;
-        while !is_complete(&self.buffer[..size]) {
-            match self.stream.read(&mut self.buffer[size..])? {
+        let customer = Customer::of_one_ingress(self.customer, PLAN);
+        self.stream.write_all(&encode_request(RequestClass::Idempotent, &id, customer, TIMEOUT_MS))?;
+        let mut length = 0;
+        loop {
+            match self.stream.read(&mut self.buffer[length..])? {
                 0 => return Err(Error::from(ErrorKind::UnexpectedEof)),
-                received => size += received,
+                received => length += received,
+            }
+            if let Some(received) = parse_reply(&self.buffer[..length]) {
+                return Ok(matches!(received.reply, Reply::Value(_)));
             }
         }
-        Ok(self.buffer[0] == b'$')
-    }
-}
-
-/// The bytes of a request.
-fn encode_request(customer: u64, id: &str) -> Vec<u8> {
-    let customer = format!("{customer:016x}");
-    let words = ["CALL.GET", &customer, id, REQUEST_OPTIONS];
-    let mut command = format!("*{}\r\n", words.len());
-    for word in words {
-        command += &format!("${}\r\n{word}\r\n", word.len());
     }
-    command.into_bytes()
-}
-
-/// Whether an answer is complete: a value has two lines, anything else one.
-fn is_complete(answer: &[u8]) -> bool {
-    let lines = answer.iter().filter(|byte| **byte == b'\n').count();
-    answer.len() >= MIN_ANSWER_SIZE
-        && answer.ends_with(b"\r\n")
-        && (answer[0] != b'$' || lines >= VALUE_LINES)
 }
 
 /// Clients that send requests all the time, a thread each.
--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -6,8 +6,10 @@
 
 use crate::procfs::{self, ProcessMemory};
 use anyhow::{bail, Context};
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use stand_ins::resp::ping;
+use stand_ins::server::listen;
+use std::io::Read;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
@@ -53,7 +55,7 @@
 impl IngressProcess {
     /// Starts an ingress at a port of its own.
     pub fn start(program: &Path, config: &IngressConfig) -> anyhow::Result<IngressProcess> {
-        let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
+        let address = listen()?.local_addr()?;
         let file_name = format!("fleet-experiments-{}-{}.json", std::process::id(), address.port());
         let config_file = std::env::temp_dir().join(file_name);
         std::fs::write(&config_file, config.to_json(address))
@@ -105,19 +107,9 @@
         bail!("the ingress at {} was not ready in {timeout:?}", self.address)
     }
 
-    /// Whether it answers a ping.
+    /// Whether it answers a PING on a connection of its own.
     pub fn answers_ping(&self) -> bool {
-        self.ping().unwrap_or(false)
-    }
-
-    /// Sends a ping on a connection of its own; false for an answer that is not the right one.
-    fn ping(&self) -> std::io::Result<bool> {
-        let mut stream = TcpStream::connect(self.address)?;
-        stream.set_read_timeout(Some(PING_TIMEOUT))?;
-        stream.write_all(b"*1\r\n$4\r\nPING\r\n")?;
-        let mut answer = [0; 7];
-        stream.read_exact(&mut answer)?;
-        Ok(&answer == b"+PONG\r\n")
+        ping(self.address, PING_TIMEOUT).unwrap_or(false)
     }
 
     /// Whether it still runs.
--- a/fleet-experiments/src/stand_in/discovery.rs
+++ b/fleet-experiments/src/stand_in/discovery.rs
@@ -1,57 +1,31 @@
-//! A stand-in discovery by its published protocol: long polls over HTTP, answered from the versions that it
-//! was given.
+//! Discovery that answers long polls from the versions that it was given, and records when which poll came.
+
+pub use stand_ins::endpoint::{list_json, EndpointStatus, ListKind};
 
 use crate::simulation::ZONES;
+use stand_ins::endpoint::EndpointEntry;
+use stand_ins::http::{read_head, response_head, Poll};
+use stand_ins::server::{listen, serve};
 use std::collections::HashMap;
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
-use std::thread;
 use std::time::{Duration, Instant};
 
-/// What ends the head of a request.
-const HEAD_END: &[u8] = b"\r\n\r\n";
-
-/// The status of an endpoint.
-#[derive(Clone, Copy, Debug)]
-pub enum EndpointStatus {
-    /// It takes requests.
-    Up,
-    /// It takes no more of them.
-    Draining,
-}
-
-impl EndpointStatus {
-    /// Its name in a list.
-    fn name(self) -> &'static str {
-        match self {
-            EndpointStatus::Up => "up",
-            EndpointStatus::Draining => "draining",
-        }
-    }
-}
-
-/// What a list holds.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
-    /// All endpoints.
-    Snapshot,
-    /// Those that changed since the version before.
-    Delta,
-}
-
-/// The JSON of one endpoint in a list.
+/// The JSON of one endpoint in a list, in the zone that its number gives.
 pub fn endpoint_json(number: u64, address: SocketAddr, status: EndpointStatus) -> String {
-    let (zone, status) = (number % ZONES, status.name());
-    format!(
-        r#"{{"name":"s-{number:08x}","address":"{address}","zone":"z{zone}","type":"m","group":{zone},"status":"{status}","weight":1.0,"since_ms":0}}"#
-    )
-}
-
-/// The JSON of a list in its version.
-pub fn list_json(version: u64, kind: ListKind, endpoints: &[String]) -> String {
-    let is_snapshot = kind == ListKind::Snapshot;
-    format!(r#"{{"index":{version},"snapshot":{is_snapshot},"endpoints":[{}]}}"#, endpoints.join(","))
+    let cell = number % ZONES;
+    let (name, zone) = (format!("s-{number:08x}"), format!("z{cell}"));
+    let entry = EndpointEntry {
+        name: &name,
+        address,
+        zone: &zone,
+        machine_type: "m",
+        cell,
+        status,
+        started_at_ms: 0,
+    };
+    entry.to_json()
 }
 
 /// A version of the list: the snapshot for the first, what changed for each next one.
@@ -62,12 +36,12 @@
     body: String,
 }
 
-/// What a discovery has, and what it was asked for.
+/// The versions that discovery has, and the polls that it got.
 #[derive(Default)]
 struct State {
     /// All versions, the oldest first.
     versions: Vec<Version>,
-    /// When polls came, by the version that they had; `None` stands for polls of the snapshot.
+    /// When polls arrived, by the version that they had; `None` stands for polls of the snapshot.
     polls: HashMap<Option<u64>, Vec<Instant>>,
 }
 
@@ -99,9 +73,9 @@
         Some(self.changed.wait_timeout(state, left).expect("no thread panics with the lock").0)
     }
 
-    /// Notes a poll, and waits for its answer.
+    /// Records a poll, and waits for its answer.
     fn answer(&self, poll: Poll) -> String {
-        let end = Instant::now() + poll.timeout;
+        let end = poll.deadline();
         let mut state = self.lock();
         state.polls.entry(poll.since).or_default().push(Instant::now());
         self.changed.notify_all();
@@ -112,39 +86,19 @@
             }
             match self.wait_for_change(state, end) {
                 Some(changed) => state = changed,
-                None => return poll.unchanged(),
+                None => return unchanged(poll),
             }
         }
     }
 }
 
-/// A poll for what is newer than a version.
-struct Poll {
-    /// The version; none to get the snapshot.
-    since: Option<u64>,
-    /// How long the poll may wait for something newer.
-    timeout: Duration,
-}
-
-impl Poll {
-    /// Reads the head of a request.
-    fn parse(head: &str) -> Poll {
-        let number = |name: &str| -> Option<u64> {
-            let value = head.split(name).nth(1)?;
-            value.chars().take_while(char::is_ascii_digit).collect::<String>().parse().ok()
-        };
-        let timeout = Duration::from_millis(number("timeout_ms=").unwrap_or(0));
-        Poll { since: number("since="), timeout }
-    }
-
-    /// The answer that nothing is newer; an empty snapshot if there is none yet.
-    fn unchanged(&self) -> String {
-        let kind = if self.since.is_none() { ListKind::Snapshot } else { ListKind::Delta };
-        list_json(self.since.unwrap_or(1), kind, &[])
-    }
+/// The answer to a poll that nothing is newer for; an empty snapshot if there is none yet.
+fn unchanged(poll: Poll) -> String {
+    let kind = if poll.since.is_none() { ListKind::Snapshot } else { ListKind::Delta };
+    list_json(poll.since.unwrap_or(1), kind, &[])
 }
 
-/// A discovery that answers all polls from what was published, and notes when which poll came.
+/// Discovery that answers all polls from what was published, and records when which poll came.
 pub struct Discovery {
     /// Where it listens.
     pub address: SocketAddr,
@@ -155,15 +109,12 @@
 impl Discovery {
     /// Listens at a port of its own, with the version 1 of an empty list.
     pub fn start() -> anyhow::Result<Discovery> {
-        let listener = TcpListener::bind("127.0.0.1:0")?;
-        let (address, shared) = (listener.local_addr()?, Arc::new(SharedState::default()));
+        let shared = Arc::new(SharedState::default());
         let state = shared.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let state = state.clone();
-                thread::spawn(move || serve(stream, &state));
-            }
-        });
+        let address = serve(listen()?, move |stream| {
+            let state = state.clone();
+            move || _ = answer_polls(stream, &state)
+        })?;
         Ok(Discovery { address, shared })
     }
 
@@ -173,12 +124,12 @@
         self.shared.changed.notify_all();
     }
 
-    /// When polls for what is newer than `since` came, or for the snapshot.
+    /// When polls for what is newer than `since` arrived, or polls for the snapshot.
     pub fn polls(&self, since: Option<u64>) -> Vec<Instant> {
         self.shared.lock().polls.get(&since).cloned().unwrap_or_default()
     }
 
-    /// Waits until `count` polls for what is newer than `since` have come; false if they did not in time.
+    /// Waits until `count` polls for what is newer than `since` have arrived; false if they did not in time.
     pub fn wait_for_polls(&self, since: Option<u64>, count: usize, timeout: Duration) -> bool {
         let end = Instant::now() + timeout;
         let mut state = self.shared.lock();
@@ -192,24 +143,13 @@
     }
 }
 
-/// Answers the polls of a connection until its end.
-fn serve(mut stream: TcpStream, state: &SharedState) -> std::io::Result<()> {
-    while let Some(head) = read_head(&mut stream)? {
-        let body = state.answer(Poll::parse(&head));
-        write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len())?;
+/// Answers the polls of a connection until its end. A body is not copied for its response: it may have many megabytes.
+fn answer_polls(mut stream: TcpStream, state: &SharedState) -> std::io::Result<()> {
+    while let Some(head) = read_head(&mut stream, || true) {
+        let Ok(poll) = Poll::parse(&head) else { break };
+        let body = state.answer(poll);
+        stream.write_all(response_head(body.len()).as_bytes())?;
         stream.write_all(body.as_bytes())?;
     }
     Ok(())
 }
-
-/// The head of the next request; none at the end of the connection.
-fn read_head(stream: &mut TcpStream) -> std::io::Result<Option<String>> {
-    let (mut head, mut chunk) = (Vec::new(), [0; 1024]);
-    while !head.ends_with(HEAD_END) {
-        match stream.read(&mut chunk)? {
-            0 => return Ok(None),
-            size => head.extend_from_slice(&chunk[..size]),
-        }
-    }
-    Ok(Some(String::from_utf8_lossy(&head).into_owned()))
-}
