--- a/tests/decision_digest/main.rs
+++ b/tests/decision_digest/main.rs
@@ -7,8 +7,7 @@
 //! [`Fleet`] makes the events. Where a decision is meant to change, the pinned [`Pinned`] values change in the same
 //! commit, which says so.
 
-#[path = "../support/mod.rs"]
-mod support;
+use test_support as support;
 
 mod deployment;
 mod digest;
--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -1,7 +1,7 @@
 //! Idle clients use up the descriptors while discovery is down: it must be polled again all the same, and a connection
 //! to a backend and a reload must get through, whether discovery pushes the endpoint list or has to be polled.
 
-mod support;
+use test_support as support;
 
 use std::fs;
 use std::io::{ErrorKind, Read};
--- a/tests/fleet_quota.rs
+++ b/tests/fleet_quota.rs
@@ -1,7 +1,7 @@
 //! Quotas over a whole fleet without overload: what is sent beyond them, and what that costs, against policies that know
 //! the true state. The test is the network: messages are delayed, some are lost, and no gateway takes in too many.
 
-mod support;
+use test_support as support;
 
 use ingress::*;
 use std::cmp::Reverse;
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,7 +1,6 @@
 //! The module by events and actions: no bench, no simulator.
 
-#[path = "../support/mod.rs"]
-mod support;
+use test_support as support;
 
 mod admission;
 mod concurrency_quota;
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -1,6 +1,6 @@
 //! Properties over arbitrary sequences of events, legal and malformed, with a fixed seed.
 
-mod support;
+use test_support as support;
 
 use ingress::*;
 use proptest::prelude::*;
--- a/tests/ingress/main.rs
+++ b/tests/ingress/main.rs
@@ -1,7 +1,6 @@
 //! The real ingress by its sockets: the built binary between small backends, discovery, peers and clients.
 
-#[path = "../support/mod.rs"]
-mod support;
+use test_support as support;
 
 mod backend_connections;
 mod client_connections;
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -1,7 +1,7 @@
 //! Races between requests and what ends at the same time: a backend, a client or a configuration. Each is forced by a
 //! backend that accepts or replies at a chosen step.
 
-mod support;
+use test_support as support;
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- a/tests/support/backend.rs
+++ b/tests/support/src/backend.rs
@@ -1,25 +1,36 @@
-//! Backends that answer as a test tells them.
+//! Backends that reply as a test specifies, and refuse connections until it accepts them.
 
 use super::discovery::endpoint_json;
-use super::resp::read_value;
-use std::io::{self, ErrorKind, Write};
+use stand_ins::resp::{encode_served, read_value};
+use stand_ins::server::{is_timeout, listen, serve};
+use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long after a reply its duplicate comes at the latest.
+/// How long after a reply its duplicate is sent at the latest.
 const MAX_DUPLICATE_DELAY: Duration = Duration::from_millis(10);
+/// How long a backend waits before it sends a duplicate.
+const DUPLICATE_DELAY: Duration = Duration::from_micros(300);
+/// How often an idle connection looks whether it is to be closed.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How many connections fill the accept queue of an unreachable backend.
+const BACKLOG: usize = 4;
+/// The position of the request's id among the words of a command.
+const ID_POSITION: usize = 2;
+/// The load report of all replies.
+const LOAD_REPORT: &str = "util=0.25";
 
-/// What a backend sends for a command.
+/// What a backend does with a command.
 pub enum BackendReply {
-    /// These bytes at once.
+    /// Sends these bytes at once.
     Bytes(Vec<u8>),
-    /// These bytes after a delay.
+    /// Sends these bytes after a delay.
     Delayed(Duration, Vec<u8>),
-    /// These bytes, and a moment later the same again: some milliseconds at the most, as the protocol page has it. Where
-    /// the machine lets that moment last longer, they are not sent again. Counts those that were.
+    /// Sends these bytes, and some milliseconds later the same again, as the protocol page has it. Where the machine
+    /// delays that for longer, they are not sent again. Counts those that were.
     Twice(Vec<u8>, Arc<AtomicUsize>),
     /// Keeps the connection open without a reply.
     Nothing,
@@ -27,42 +38,47 @@
     Disconnect,
 }
 
-/// The reply of a backend that works: the request's id as the value.
+/// The reply of a backend without faults: a value that holds the request's id.
 pub fn reply_with_value(args: &[String]) -> BackendReply {
     BackendReply::Bytes(value_reply(args))
 }
 
-/// The bytes of that reply, with a load report.
+/// The bytes of the reply of a backend without faults, with a load report.
 pub fn value_reply(args: &[String]) -> Vec<u8> {
-    let value = format!("value of {}", args[2]);
-    format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$9\r\nutil=0.25\r\n", value.len()).into_bytes()
+    let value = format!("value of {}", args[ID_POSITION]);
+    encode_served(&value, Some(LOAD_REPORT))
 }
 
 /// How a backend replies to a command.
 type ReplyFunction = dyn Fn(&[String]) -> BackendReply + Send + Sync;
 
-/// What a backend has seen, and how it treats idle connections.
+/// What a backend has observed, and how it treats idle connections.
 #[derive(Default)]
 struct BackendState {
+    /// The commands, with their arguments.
     commands: Mutex<Vec<Vec<String>>>,
+    /// Connections that were opened.
     connections_opened: AtomicUsize,
+    /// Connections that were closed, by either side.
     connections_closed: AtomicUsize,
-    /// Closes all idle connections.
+    /// Idle connections are closed.
     close_when_idle: AtomicBool,
-    /// Resets a connection at a request that comes after it was idle for so many milliseconds; 0 for never.
+    /// A connection that was idle for more than so many milliseconds is reset at its next request; 0 for never.
     reset_after_idle_ms: AtomicU64,
 }
 
 /// A backend with a thread for each connection.
 pub struct Backend {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// What its connections share.
     state: Arc<BackendState>,
 }
 
 impl Backend {
     /// Starts a backend on a port of its own.
     pub fn start(reply: impl Fn(&[String]) -> BackendReply + Send + Sync + 'static) -> Backend {
-        Backend::on(TcpListener::bind("127.0.0.1:0").unwrap(), reply)
+        Backend::on(listen().unwrap(), reply)
     }
 
     /// Starts a backend on a listener.
@@ -70,35 +86,32 @@
         listener: TcpListener,
         reply: impl Fn(&[String]) -> BackendReply + Send + Sync + 'static,
     ) -> Backend {
-        let address = listener.local_addr().unwrap();
         let state = Arc::new(BackendState::default());
         let reply: Arc<ReplyFunction> = Arc::new(reply);
         let shared = state.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().flatten() {
-                let (state, reply) = (shared.clone(), reply.clone());
-                state.connections_opened.fetch_add(1, Ordering::SeqCst);
-                thread::spawn(move || {
-                    let _ = stream.set_nodelay(true);
-                    BackendConnection { stream, state: &state, reply: &*reply, replied_at: None }.serve();
-                    state.connections_closed.fetch_add(1, Ordering::SeqCst);
-                });
+        let accept = move |stream: TcpStream| {
+            let (state, reply) = (shared.clone(), reply.clone());
+            state.connections_opened.fetch_add(1, Ordering::SeqCst);
+            move || {
+                let _ = stream.set_nodelay(true);
+                BackendConnection { stream, state: &state, reply: &*reply, replied_at: None }.serve();
+                state.connections_closed.fetch_add(1, Ordering::SeqCst);
             }
-        });
-        Backend { address, state }
+        };
+        Backend { address: serve(listener, accept).unwrap(), state }
     }
 
-    /// The commands that came so far, with their arguments.
+    /// The commands that arrived so far, with their arguments.
     pub fn commands(&self) -> Vec<Vec<String>> {
         self.state.commands.lock().unwrap().clone()
     }
 
-    /// The ids of the requests that came so far.
+    /// The ids of the requests that arrived so far.
     pub fn request_ids(&self) -> Vec<String> {
-        self.commands().iter().map(|command| command[2].clone()).collect()
+        self.commands().iter().map(|command| command[ID_POSITION].clone()).collect()
     }
 
-    /// How many commands came so far.
+    /// How many commands arrived so far.
     pub fn command_count(&self) -> usize {
         self.state.commands.lock().unwrap().len()
     }
@@ -131,9 +144,13 @@
 
 /// A connection to a backend, on a thread of its own.
 struct BackendConnection<'a> {
+    /// The socket.
     stream: TcpStream,
+    /// What all connections of the backend share.
     state: &'a BackendState,
+    /// How the backend replies.
     reply: &'a ReplyFunction,
+    /// When it last replied.
     replied_at: Option<Instant>,
 }
 
@@ -156,13 +173,11 @@
 
     /// Waits for the first byte of a command; false where the connection is to be closed before that.
     fn wait_for_command(&mut self) -> bool {
-        self.stream.set_read_timeout(Some(Duration::from_millis(10))).unwrap();
+        self.stream.set_read_timeout(Some(IDLE_POLL_INTERVAL)).unwrap();
         let has_command = loop {
             match self.stream.peek(&mut [0]) {
                 Ok(length) => break length > 0,
-                Err(error) if !matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    break false
-                }
+                Err(error) if !is_timeout(&error) => break false,
                 Err(_) if self.state.close_when_idle.load(Ordering::SeqCst) => break false,
                 Err(_) => {}
             }
@@ -171,11 +186,13 @@
         has_command
     }
 
+    /// Whether the connection is to be reset since it was idle for too long.
     fn was_idle_for_too_long(&self) -> bool {
         let limit = Duration::from_millis(self.state.reset_after_idle_ms.load(Ordering::SeqCst));
         !limit.is_zero() && self.replied_at.is_some_and(|instant| instant.elapsed() > limit)
     }
 
+    /// Replies to a command.
     fn send(&mut self, reply: BackendReply) -> io::Result<()> {
         match reply {
             BackendReply::Bytes(bytes) => self.stream.write_all(&bytes),
@@ -186,7 +203,7 @@
             BackendReply::Twice(bytes, sent_again) => {
                 let first_sent_at = Instant::now();
                 self.stream.write_all(&bytes)?;
-                thread::sleep(Duration::from_micros(300));
+                thread::sleep(DUPLICATE_DELAY);
                 if first_sent_at.elapsed() > MAX_DUPLICATE_DELAY {
                     return Ok(());
                 }
@@ -198,16 +215,25 @@
     }
 }
 
-/// A backend to which no connection comes up until [`accept_connections`](Self::accept_connections): its accept queue
-/// is full, and the kernel drops what comes.
+/// A backend to which no connection is established until [`accept_connections`](Self::accept_connections): its accept queue
+/// is full, and the kernel drops what arrives.
 pub struct UnreachableBackend {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// The listening socket.
     socket: socket2::Socket,
+    /// The connections that fill the accept queue.
     backlog: Vec<socket2::Socket>,
 }
 
+impl Default for UnreachableBackend {
+    fn default() -> UnreachableBackend {
+        UnreachableBackend::new()
+    }
+}
+
 impl UnreachableBackend {
-    /// Fills the accept queue of a listener.
+    /// Listens, and fills the accept queue.
     pub fn new() -> UnreachableBackend {
         let stream = || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let socket = stream();
@@ -220,11 +246,11 @@
             let _ = one.connect(&address.into());
             one
         };
-        let backlog = (0..4).map(connect).collect();
+        let backlog = (0..BACKLOG).map(connect).collect();
         UnreachableBackend { address, socket, backlog }
     }
 
-    /// From now on connections come up, in the order in which they were begun.
+    /// From now on connections are established, in the order in which they were begun.
     pub fn accept_connections(self) -> Backend {
         drop(self.backlog);
         Backend::on(self.socket.into(), reply_with_value)
--- a/tests/support/client.rs
+++ b/tests/support/src/client.rs
@@ -1,13 +1,18 @@
 //! Clients of the ingress, and the requests that they send.
 
-use super::resp::{encode_command, read_value};
 use super::wait::WAIT_LIMIT;
+use stand_ins::request::{encode_request as encode, Customer};
+use stand_ins::resp::{encode_command, read_value};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+/// The plan of all customers.
+const PLAN: &str = "starter";
+
 /// A client's connection.
 pub struct Client {
+    /// The socket.
     pub stream: TcpStream,
 }
 
@@ -25,7 +30,7 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// The text of the next reply; empty where the connection was closed.
+    /// The text of the next reply; empty where the connection is closed.
     pub fn read_reply(&mut self) -> String {
         read_value(&mut self.stream).map_or(String::new(), |texts| texts.concat())
     }
@@ -55,19 +60,14 @@
     }
 }
 
-/// The command of a request, of a customer that sends no other.
+/// The command of a request, of a customer that sends no other; the class by its name.
 pub fn encode_request(class: &str, id: &str, wait_ms: u32) -> Vec<u8> {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     encode_request_of(NEXT.fetch_add(1, Ordering::Relaxed), class, id, wait_ms)
 }
 
-/// The command of a request of a given customer.
+/// The command of a request of a given customer; the class by its name.
 pub fn encode_request_of(customer: usize, class: &str, id: &str, wait_ms: u32) -> Vec<u8> {
-    let customer = format!("{customer:016x}");
-    let options = |key: &str| format!("c={class},t=starter,d={wait_ms}{key},units=1,spread=1,first=0");
-    match class {
-        "quote" => encode_command(&["CALL.GET", &customer, id, &options("")]),
-        "save" => encode_command(&["CALL.POST", &customer, id, &options(",k=00ff"), "BODY"]),
-        _ => encode_command(&["CALL.POST", &customer, id, &options(""), "BODY"]),
-    }
+    let customer = Customer::of_one_ingress(customer as u64, PLAN);
+    encode(class.parse().unwrap(), id, customer, u64::from(wait_ms))
 }
--- /dev/null
+++ b/tests/support/src/discovery.rs
@@ -0,0 +1,167 @@
+//! A stand-in for discovery, and the endpoint list as it sends that.
+
+use super::wait::wait_until;
+use stand_ins::endpoint::{list_json, EndpointEntry, ListKind};
+use stand_ins::http::{read_head, response, Poll};
+use stand_ins::server::{listen, serve};
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// How often a poll that waits looks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The index of the list before the first change.
+const FIRST_INDEX: u64 = 1;
+
+/// An entry of the endpoint list, as JSON, with the name of its status.
+pub fn endpoint_json(name: &str, address: SocketAddr, status: &str) -> String {
+    let status = status.parse().unwrap();
+    let entry = EndpointEntry {
+        name,
+        address,
+        zone: "hall-a",
+        machine_type: "std-3c",
+        cell: 1,
+        status,
+        started_at_ms: 0,
+    };
+    entry.to_json()
+}
+
+/// The endpoint list, and how discovery answers polls.
+#[derive(Default)]
+struct DiscoveryState {
+    /// The endpoint list.
+    published: Mutex<PublishedEndpoints>,
+    /// No poll is answered.
+    silent: AtomicBool,
+    /// All connections are closed without an answer.
+    down: AtomicBool,
+    /// Polls that arrived so far.
+    polls: AtomicUsize,
+}
+
+/// The endpoint list, and what was last polled of it.
+#[derive(Default)]
+struct PublishedEndpoints {
+    /// The entries in the order of their publication.
+    changes: Vec<String>,
+    /// The index that the latest poll had; 0 for a poll of the snapshot.
+    polled_since: u64,
+}
+
+impl PublishedEndpoints {
+    /// The index of the latest change.
+    fn latest_index(&self) -> u64 {
+        FIRST_INDEX + self.changes.len() as u64
+    }
+
+    /// The entries that changed since an index.
+    fn changes_since(&self, index: u64) -> &[String] {
+        &self.changes[(index - FIRST_INDEX) as usize..]
+    }
+}
+
+impl DiscoveryState {
+    /// Answers polls until either side closes the connection.
+    fn serve(&self, mut stream: TcpStream) {
+        while let Some(head) = read_head(&mut stream, || !self.is_down()) {
+            let poll = Poll::parse(&head).unwrap();
+            let received_at = Instant::now();
+            self.polls.fetch_add(1, Ordering::SeqCst);
+            self.published.lock().unwrap().polled_since = poll.since.unwrap_or(0);
+            let Some(body) = self.wait_for_answer(&poll, received_at + poll.timeout) else { return };
+            if stream.write_all(response(&body).as_bytes()).is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Whether all connections are closed without an answer.
+    fn is_down(&self) -> bool {
+        self.down.load(Ordering::SeqCst)
+    }
+
+    /// Waits until there is an answer to a poll, as in long polling; none once discovery is down.
+    fn wait_for_answer(&self, poll: &Poll, deadline: Instant) -> Option<String> {
+        while !self.is_down() {
+            let answer = self.answer(poll, deadline);
+            if answer.is_some() {
+                return answer;
+            }
+            thread::sleep(POLL_INTERVAL);
+        }
+        None
+    }
+
+    /// The answer to a poll, if it has one now.
+    fn answer(&self, poll: &Poll, deadline: Instant) -> Option<String> {
+        let published = self.published.lock().unwrap();
+        let latest = published.latest_index();
+        if self.silent.load(Ordering::SeqCst) {
+            return None;
+        }
+        let Some(since) = poll.since else {
+            return Some(list_json(latest, ListKind::Snapshot, &published.changes));
+        };
+        if latest > since {
+            return Some(list_json(latest, ListKind::Delta, published.changes_since(since)));
+        }
+        (Instant::now() > deadline).then(|| list_json(since, ListKind::Delta, &[]))
+    }
+}
+
+/// A stand-in for discovery. It answers polls from a list that begins at index 1, unless it is silent or down.
+pub struct DiscoveryServer {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// What its connections share.
+    state: Arc<DiscoveryState>,
+}
+
+impl DiscoveryServer {
+    /// Starts with an empty endpoint list.
+    pub fn start() -> DiscoveryServer {
+        let state = Arc::new(DiscoveryState::default());
+        let shared = state.clone();
+        let accept = move |stream| {
+            let state = shared.clone();
+            move || state.serve(stream)
+        };
+        let address = serve(listen().unwrap(), accept).unwrap();
+        DiscoveryServer { address, state }
+    }
+
+    /// How many polls arrived so far.
+    pub fn poll_count(&self) -> usize {
+        self.state.polls.load(Ordering::SeqCst)
+    }
+
+    /// Changes an entry, and waits until the ingress polls for what is newer.
+    pub fn publish_and_wait(&self, entry: String) {
+        let index = self.publish(entry);
+        wait_until("the ingress polls for newer changes", || {
+            self.state.published.lock().unwrap().polled_since == index
+        });
+    }
+
+    /// Changes an entry and returns its index, whether or not the ingress polls.
+    pub fn publish(&self, entry: String) -> u64 {
+        let mut published = self.state.published.lock().unwrap();
+        published.changes.push(entry);
+        published.latest_index()
+    }
+
+    /// From now on answers no poll, or answers again.
+    pub fn set_silent(&self, enabled: bool) {
+        self.state.silent.store(enabled, Ordering::SeqCst);
+    }
+
+    /// From now on closes all connections without an answer, or serves again.
+    pub fn set_down(&self, enabled: bool) {
+        self.state.down.store(enabled, Ordering::SeqCst);
+    }
+}
--- a/tests/support/fault_shim.rs
+++ b/tests/support/src/fault_shim.rs
@@ -1,5 +1,6 @@
-//! The library that has system calls of an ingress fail.
+//! The library that makes system calls of an ingress fail.
 
+use super::ingress::program_file;
 use fault_plan::{FaultPlan, PLAN_VARIABLE};
 use std::path::PathBuf;
 use std::process::Command;
@@ -16,13 +17,13 @@
             .env_remove("LD_PRELOAD")
             .status();
         assert!(status.unwrap().success(), "fault-shim is built");
-        let program = PathBuf::from(env!("CARGO_BIN_EXE_ingress"));
+        let program = program_file();
         let target = program.ancestors().nth(2).unwrap();
         target.join("debug").join("libfault_shim.so")
     })
 }
 
-/// The shell commands that have the next program load the library and carry a plan out.
+/// The shell commands that make the next program load the library and execute a plan.
 pub fn exports(plan: &FaultPlan) -> String {
     let library = library().display();
     format!("export {PLAN_VARIABLE}='{}'; export LD_PRELOAD='{library}'; ", plan.to_json())
--- a/tests/support/fleet.rs
+++ b/tests/support/src/fleet.rs
@@ -6,8 +6,9 @@
 
 /// Gateways before six backends.
 pub struct Fleet {
+    /// The gateways by their numbers.
     pub gateways: Vec<GatewayHarness>,
-    /// How many messages gateways sent each other, those that were lost included.
+    /// How many messages the gateways sent each other, lost ones included.
     pub messages_sent: u64,
 }
 
--- a/tests/support/gateway.rs
+++ b/tests/support/src/gateway.rs
@@ -6,16 +6,21 @@
 /// The time from a timer to the next one.
 const TIMER_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A request that a gateway got, and what it asked for at once.
+/// A request that a gateway got, and the actions that followed at once.
 pub struct SubmittedRequest {
+    /// The request.
     pub id: RequestId,
+    /// The actions.
     pub actions: Vec<Action>,
 }
 
 /// A gateway with its clock.
 pub struct GatewayHarness {
+    /// The gateway.
     pub gateway: Gateway,
+    /// The time by its clock.
     pub now: Instant,
+    /// The number of the next request.
     pub next_request_id: u64,
 }
 
@@ -40,14 +45,14 @@
         self.handle(Event::Endpoints(update, (0..backends).map(endpoint).collect()));
     }
 
-    /// Gives the gateway an event, and returns what it asks for.
+    /// Gives the gateway an event, and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Lets time pass, waking the gateway as it asked.
+    /// Lets time pass, with a timer of the gateway every 20 ms.
     pub fn advance(&mut self, span: Duration) -> Vec<Action> {
         let (mut actions, end) = (Vec::new(), self.now + span);
         while self.now < end {
--- a/tests/support/ingress.rs
+++ b/tests/support/src/ingress.rs
@@ -3,12 +3,13 @@
 use super::address::unused_address;
 use super::backend::Backend;
 use super::client::Client;
-use super::discovery::endpoint_list_json;
 use super::fault_shim;
 use super::wait::wait_until;
 use fault_plan::FaultPlan;
+use stand_ins::endpoint::{list_json, ListKind};
+use stand_ins::resp::ping;
 use std::io::Read;
-use std::net::{SocketAddr, TcpStream};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::Duration;
@@ -34,17 +35,22 @@
   "overload_factor":4.0,"fall_us":1000000,"must_ask_in_us":10000000},
  "membership_mode":"push","weights":"nominal","reporting":{"how":"answers","fields":["load_share"]}}"#;
 
-/// How long an ingress that starts may take for one PING; another one is sent then.
+/// How long an ingress that starts may take for one PING, until another one is sent.
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How an ingress is started: the parts of its configuration that tests change.
 pub struct IngressSetup {
+    /// The entries of its initial endpoint list.
     pub known_endpoints: Vec<String>,
+    /// Where discovery is; none for an address at which nothing listens.
     pub discovery: Option<SocketAddr>,
+    /// The limit on sockets.
     pub socket_limit: usize,
+    /// The limit on memory, in MB.
     pub memory_limit_mb: usize,
-    /// A limit set by the system, below the one in the configuration.
+    /// A limit on descriptors set by the system, below the one in the configuration.
     pub system_descriptor_limit: Option<usize>,
+    /// The settings, as JSON.
     settings: String,
     /// System calls that are to fail.
     pub faults: Option<FaultPlan>,
@@ -89,7 +95,7 @@
             self.memory_limit_mb,
             self.socket_limit,
             self.extra_keys,
-            endpoint_list_json(1, true, &self.known_endpoints),
+            list_json(1, ListKind::Snapshot, &self.known_endpoints),
             self.settings
         )
     }
@@ -107,29 +113,35 @@
         self.start_logging_to(program, Stdio::piped())
     }
 
-    /// Starts an ingress by a shell command with a log of the test's, and waits until it is ready.
+    /// Starts an ingress by a shell command with a log of the test, and waits until it is ready.
     pub fn start_logging_to(&self, program: &str, log: Stdio) -> IngressProcess {
         let address = unused_address();
         let ingress = IngressProcess::spawn_logging_to(&self.config_json(address), address, program, log);
-        wait_until("the ingress is ready", || {
-            TcpStream::connect(address).is_ok_and(|stream| {
-                stream.set_read_timeout(Some(PING_TIMEOUT)).unwrap();
-                Client { stream }.ping() == "+PONG"
-            })
-        });
+        wait_until("the ingress is ready", || ping(address, PING_TIMEOUT).unwrap_or(false));
         ingress
     }
 }
 
+/// The program as it was built for the tests: cargo puts it one folder above the tests themselves.
+pub fn program_file() -> PathBuf {
+    let test = std::env::current_exe().unwrap();
+    let program = test.ancestors().nth(2).unwrap().join("ingress");
+    assert!(program.exists(), "{} is built with the tests", program.display());
+    program
+}
+
 /// The shell command for the program as it was built for the tests.
 pub fn built_program() -> String {
-    format!("exec '{}'", env!("CARGO_BIN_EXE_ingress"))
+    format!("exec '{}'", program_file().display())
 }
 
 /// A running ingress; dropping it kills the process.
 pub struct IngressProcess {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// The process.
     pub child: Child,
+    /// The file of its configuration.
     config_file: PathBuf,
 }
 
@@ -139,7 +151,7 @@
         IngressProcess::spawn_logging_to(config, address, program, Stdio::piped())
     }
 
-    /// Starts an ingress by a shell command with a log of the test's, without waiting for it.
+    /// Starts an ingress by a shell command with a log of the test, without waiting for it.
     pub fn spawn_logging_to(config: &str, address: SocketAddr, program: &str, log: Stdio) -> IngressProcess {
         let file = std::env::temp_dir().join(format!("ingress-{}-{address}.json", std::process::id()));
         std::fs::write(&file, config).unwrap();
--- a/tests/system_call_faults.rs
+++ b/tests/system_call_faults.rs
@@ -1,6 +1,6 @@
 //! The ingress where system calls fail in ways that Linux documents, and where the wall clock is stepped.
 
-mod support;
+use test_support as support;
 
 use fault_plan::{ClockStep, FaultPlan, ScheduledFault, SystemCallFault};
 use std::io::Write;
