--- a/fleet-experiments/src/report.rs
+++ b/fleet-experiments/src/report.rs
@@ -10,7 +10,7 @@
 use std::process::Command;
 
 /// The files that have to be as committed for a commit to be named without a mark.
-const SOURCES: [&str; 3] = ["src", "fleet-experiments/src", "Cargo.lock"];
+const SOURCES: [&str; 4] = ["src", "fleet-experiments/src", "stand-ins/src", "Cargo.lock"];
 
 /// Where results go.
 pub struct Report {
