--- a/fault-shim/src/lib.rs
+++ b/fault-shim/src/lib.rs
@@ -134,7 +134,7 @@
 /// Interposes `socket`.
 ///
 /// # Safety
-/// As for `socket`, which asks for nothing.
+/// As for `socket`, which has no requirements.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if domain == libc::AF_INET && should_inject(SystemCallFault::FailedSocket) {
--- a/fault-soak/src/bin/fault-soak/arguments.rs
+++ b/fault-soak/src/bin/fault-soak/arguments.rs
@@ -143,8 +143,8 @@
     /// It does not have two ends.
     #[error("seeds are given as FIRST..LAST")]
     NotARange,
-    /// An end is not a whole number.
-    #[error("a seed is a whole number")]
+    /// An end is not an integer.
+    #[error("a seed is an integer")]
     NotANumber(#[from] ParseIntError),
 }
 
--- a/fault-soak/src/counters.rs
+++ b/fault-soak/src/counters.rs
@@ -1,24 +1,30 @@
-//! What an ingress says that it has counted: the lines of its log that SIGUSR1 asks for.
+//! The counters of an ingress, from the lines that it logs on SIGUSR1.
 
 use crate::record::CounterRecord;
 
-/// The fields of the latest line of counters with a title.
-struct Fields<'a>(Vec<(&'a str, &'a str)>);
+/// What precedes the title in a line of counters.
+const LINE_MARKER: &str = "counters: ";
+
+/// The fields of a line of counters, such as `begun=9 served=3`.
+struct Fields<'a>(&'a str);
 
 impl<'a> Fields<'a> {
-    /// Finds the line in a log.
+    /// Finds the latest line with a title in a log.
     fn find(log: &'a str, title: &str) -> Option<Fields<'a>> {
-        let line = log.lines().rev().find_map(|line| line.split_once(&format!("counters: {title}, ")))?.1;
-        Some(Fields(line.split_whitespace().filter_map(|field| field.split_once('=')).collect()))
+        let marker = format!("{LINE_MARKER}{title}, ");
+        let (_, fields) = log.lines().rev().find_map(|line| line.split_once(&marker))?;
+        Some(Fields(fields))
     }
 
-    /// The number of a field.
+    /// The value of a field.
     fn number(&self, name: &str) -> Option<u64> {
-        self.0.iter().find(|(field, _)| *field == name)?.1.parse().ok()
+        let mut fields = self.0.split_whitespace().filter_map(|field| field.split_once('='));
+        let (_, value) = fields.find(|(field, _)| *field == name)?;
+        value.parse().ok()
     }
 }
 
-/// What the log of an ingress says; none if it has not been asked, or could not write.
+/// Parses the log of an ingress; none if it has no lines of counters.
 pub fn parse(ingress: usize, log: &str) -> Option<CounterRecord> {
     let requests = Fields::find(log, "requests")?;
     let attempts = Fields::find(log, "attempts")?;
--- a/fault-soak/src/ingress.rs
+++ b/fault-soak/src/ingress.rs
@@ -6,6 +6,7 @@
 use anyhow::Context;
 use fault_plan::PLAN_VARIABLE;
 use rustix::process::{kill_process, Pid, Signal};
+use stand_ins::process::set_config_file;
 use stand_ins::resp::ping;
 use std::fs::{self, File, OpenOptions};
 use std::net::SocketAddr;
@@ -115,10 +116,8 @@
         let log_file = Ingress::log_file(&self.programs.folder, self.number);
         let log: File = OpenOptions::new().create(true).append(true).open(log_file)?;
         let mut command = Command::new(&self.programs.ingress);
-        command.env("LB_CONFIG", self.config_file()).env("LB_LOG", &self.programs.log_level);
-        for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
-            command.env_remove(name);
-        }
+        set_config_file(&mut command, &self.config_file());
+        command.env("LB_LOG", &self.programs.log_level);
         if let Some(shim) = &self.programs.shim {
             let faults = self.context.plan.shim_plan(self.number, self.context.recorder.now_ms());
             command.env("LD_PRELOAD", shim).env(PLAN_VARIABLE, faults.to_json());
--- a/fault-soak/src/oracle/requests.rs
+++ b/fault-soak/src/oracle/requests.rs
@@ -39,7 +39,7 @@
     pub(super) fn judge_stray_bytes(&mut self) {
         let observations = self.observations;
         for bytes in &observations.stray_bytes {
-            self.report_general(Rule::SecondAnswer, format!("after an answer came {bytes:?}"));
+            self.report_general(Rule::SecondAnswer, format!("after an answer: {bytes:?}"));
         }
     }
 
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -23,7 +23,7 @@
     Failed,
     /// The connection was closed without an answer.
     Closed,
-    /// No answer came in time.
+    /// The client got no answer in time.
     Unanswered,
     /// The client disconnected first.
     Disconnected,
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -9,9 +9,9 @@
 pub const DRAIN_GRACE: u64 = 250_000;
 /// The longest time that a client waits for an answer, in milliseconds.
 pub const MAX_TIMEOUT_MS: u64 = 2000;
-/// How long past its time an answer is still waited for, in microseconds: a late answer is told from a lost one.
+/// How long past its time an answer is still waited for, in microseconds: a late answer is not taken for a lost one.
 pub const ANSWER_SLACK: u64 = 600_000;
-/// The part of its capacity that a backend has at the begin of its slow start.
+/// The part of its capacity that a backend has at the start.
 pub const SLOW_START_FLOOR: f64 = 0.1;
 /// How long slow start takes, in microseconds.
 pub const SLOW_START_DURATION: u64 = 6_000_000;
--- a/fleet-experiments/src/experiment.rs
+++ b/fleet-experiments/src/experiment.rs
@@ -34,12 +34,12 @@
 }
 
 impl Sizes {
-    /// A key with one whole number.
+    /// A key with one integer.
     pub fn one(key: &'static str, value: u64) -> Sizes {
         Sizes { key, values: vec![value as f64] }
     }
 
-    /// A key with a list of whole numbers.
+    /// A key with a list of integers.
     pub fn list(key: &'static str, values: &[u64]) -> Sizes {
         Sizes { key, values: values.iter().map(|value| *value as f64).collect() }
     }
--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -6,6 +6,7 @@
 
 use crate::procfs::{self, ProcessMemory};
 use anyhow::{bail, Context};
+use stand_ins::process::set_config_file;
 use stand_ins::resp::ping;
 use stand_ins::server::listen;
 use std::io::Read;
@@ -65,13 +66,11 @@
         Ok(IngressProcess { address, started_at: Instant::now(), child, config_file, program })
     }
 
-    /// Starts the program with a configuration file, and nothing of it from the environment.
+    /// Starts the program with a configuration file.
     fn spawn(program: &Path, config_file: &Path) -> anyhow::Result<Child> {
         let mut command = Command::new(program);
-        command.env("LB_CONFIG", config_file).stdin(Stdio::null()).stderr(Stdio::piped());
-        for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
-            command.env_remove(name);
-        }
+        set_config_file(&mut command, config_file);
+        command.stdin(Stdio::null()).stderr(Stdio::piped());
         command.spawn().with_context(|| format!("cannot start {}", program.display()))
     }
 
--- a/stand-ins/src/resp.rs
+++ b/stand-ins/src/resp.rs
@@ -27,7 +27,7 @@
     format!("*3\r\n${}\r\n{value}\r\n$-1\r\n{report}", value.len()).into_bytes()
 }
 
-/// A line that holds a length behind its type marker.
+/// A line that holds a length after its type marker.
 struct LengthLine {
     /// The length.
     length: usize,
--- a/stand-ins/src/server.rs
+++ b/stand-ins/src/server.rs
@@ -11,7 +11,7 @@
 
 /// Serves the connections of a listener for as long as the process lives, and returns its address.
 ///
-/// `accept` is called for each connection in the order in which they come. What it returns runs in a thread of the
+/// `accept` is called for each connection in the order of arrival. What it returns runs in a thread of the
 /// connection's own.
 pub fn serve<A, C>(listener: TcpListener, mut accept: A) -> std::io::Result<SocketAddr>
 where
--- a/tests/support/src/ingress.rs
+++ b/tests/support/src/ingress.rs
@@ -7,6 +7,7 @@
 use super::wait::wait_until;
 use fault_plan::FaultPlan;
 use stand_ins::endpoint::{list_json, ListKind};
+use stand_ins::process::set_config_file;
 use stand_ins::resp::ping;
 use std::io::Read;
 use std::net::SocketAddr;
@@ -156,10 +157,8 @@
         let file = std::env::temp_dir().join(format!("ingress-{}-{address}.json", std::process::id()));
         std::fs::write(&file, config).unwrap();
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", program]).env("LB_CONFIG", &file);
-        for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
-            command.env_remove(name);
-        }
+        command.args(["-c", program]);
+        set_config_file(&mut command, &file);
         let child = command.stdin(Stdio::null()).stderr(log).spawn().unwrap();
         IngressProcess { address, child, config_file: file }
     }
--- a/tests/support/src/wait.rs
+++ b/tests/support/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for what must come.
+//! Waiting for a condition.
 
 use std::thread;
 use std::time::{Duration, Instant};
