--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -46,7 +46,6 @@
             ..Limits::default()
         },
         rules: Rules {
-            answer_slack: Duration::from_millis(16),
             drain_grace: Duration::from_millis(250),
             slow_start_floor: 0.23,
             slow_start_duration: SECOND * 15,
@@ -79,9 +78,7 @@
         concurrency_quota: 0,
         hard_limit_rate: 0.0,
         hard_limit_burst: 0.0,
-        hard_limit_slack: 0.0,
         price: 1.0,
-        over_quota_weight: 0.0,
         over_quota_cost: 1.0,
     }
 }
@@ -113,9 +110,8 @@
         outcome: Outcome::Ok,
         answered: true,
         elapsed,
-        metered: None,
         charged_units: None,
-        load_report: None,
+        reported_queue_depth: None,
     })
 }
 
--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -1,28 +1,30 @@
 //! The backends that a gateway knows, kept up to date with the endpoint list.
 
-use super::{hash, Backend, EndpointIndex, Health};
+use super::{hash, Backend, EndpointIndex, Salt};
 use crate::gossip::backend_tag;
+use crate::policy::BackendHealth;
 use crate::{Availability, BackendId, Endpoint, GatewayId, Settings, SizeMeaning};
-use std::collections::BTreeMap;
+use std::collections::btree_map::{BTreeMap, Entry};
 
-/// The backends of a gateway, and what is made from their list.
+/// Mixes the gateway into the seed of the order of its backends.
+const GATEWAY_SALT: Salt = Salt::from_bit(48);
+
+/// The backends of a gateway, with indexes of those that are ready.
 #[derive(Default)]
 pub struct BackendTable {
-    /// Those that are ready, and those with attempts in flight.
+    /// Those that are ready, and those with attempts of this gateway in flight.
     backends: BTreeMap<BackendId, Backend>,
-    /// The ready ones by the short names that messages use.
+    /// The ready ones by the tags that messages between gateways use.
     by_tag: BTreeMap<u32, BackendId>,
-    /// The ready ones, in an order of this gateway's own.
-    pub ready: EndpointIndex,
+    /// The ready ones, in this gateway's own order: gateways prefer different backends.
+    ready: EndpointIndex,
     /// The sizes of the ready ones together.
-    pub ready_capacity: f64,
-    /// Whether backends of a zone could be connected to.
-    pub zone_health: BTreeMap<u8, Health>,
+    ready_capacity: f64,
     /// The gateway whose table this is.
     own_id: GatewayId,
-    /// How many request classes there are.
-    classes: usize,
-    /// Whether the sizes of endpoints count.
+    /// The number of request classes.
+    class_count: usize,
+    /// Whether the list gives capacities as sizes; otherwise all have the size 1.
     sizes_are_capacities: bool,
 }
 
@@ -31,7 +33,7 @@
     pub fn new(settings: &Settings) -> Self {
         BackendTable {
             own_id: settings.own_id,
-            classes: settings.classes.len(),
+            class_count: settings.classes.len(),
             sizes_are_capacities: settings.size_meaning == SizeMeaning::Capacity,
             ..BackendTable::default()
         }
@@ -47,13 +49,28 @@
         self.backends.get_mut(&id)
     }
 
+    /// The number of ready backends.
+    pub fn ready_count(&self) -> usize {
+        self.ready.len()
+    }
+
+    /// The capacity of the ready backends together, in sizes.
+    pub fn ready_capacity(&self) -> f64 {
+        self.ready_capacity
+    }
+
+    /// The ready backend at a position in this gateway's own order, counted from 0.
+    pub fn ready_at(&self, position: usize) -> Option<&Backend> {
+        self.get(self.ready.get(position)?)
+    }
+
     /// The ready backend with a tag, as messages between gateways name it.
     pub fn by_tag(&self, tag: u32) -> Option<BackendId> {
         self.by_tag.get(&tag).copied()
     }
 
-    /// Takes a whole list: what is absent from it is gone, and remembered only while attempts are in flight
-    /// there.
+    /// Replaces the endpoint list. Backends that are not on the new one are forgotten once no attempt is in
+    /// flight there.
     pub fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
         self.backends.values_mut().for_each(|backend| backend.ready = false);
         endpoints.into_iter().for_each(|endpoint| self.upsert(endpoint));
@@ -61,18 +78,14 @@
         self.rebuild_index();
     }
 
-    /// Takes a changed entry of the list. The index is kept up to date in time that hardly grows with the
-    /// list.
+    /// Applies a changed entry of the endpoint list, in time that hardly grows with the list.
     pub fn apply_change(&mut self, endpoint: Endpoint) {
         let id = endpoint.backend;
-        let size_before =
-            self.backends.get(&id).filter(|backend| backend.ready).map_or(0.0, |backend| backend.size);
+        let ready_size_before = self.ready_size(id);
         self.upsert(endpoint);
-        let Some(backend) = self.backends.get(&id) else { return };
-        let ready = backend.ready;
-        let size = if ready { backend.size } else { 0.0 };
-        self.ready_capacity += size - size_before;
-        if ready {
+        let ready_size = self.ready_size(id);
+        self.ready_capacity += ready_size.unwrap_or(0.0) - ready_size_before.unwrap_or(0.0);
+        if ready_size.is_some() {
             self.ready.insert(self.index_key(id), id);
             self.by_tag.insert(backend_tag(id.0), id);
         } else {
@@ -88,21 +101,32 @@
         }
     }
 
-    /// Takes an entry of the list into the backend's record; a process that started anew has a new record.
+    /// The size of a backend that is ready.
+    fn ready_size(&self, id: BackendId) -> Option<f64> {
+        self.backends.get(&id).filter(|backend| backend.ready).map(|backend| backend.size)
+    }
+
+    /// Writes an entry of the endpoint list to the backend's record. What is known of an earlier process of
+    /// the backend is forgotten.
     fn upsert(&mut self, endpoint: Endpoint) {
-        let backend = self.backends.entry(endpoint.backend).or_default();
-        if backend.health.is_empty() || endpoint.started_at != backend.endpoint.started_at {
-            backend.relative_latency = 1.0;
-            backend.reported_queue_depth = 0.0;
-            backend.health = vec![Health::default(); self.classes];
-        }
+        let backend = match self.backends.entry(endpoint.backend) {
+            Entry::Occupied(known) if known.get().endpoint.started_at == endpoint.started_at => {
+                known.into_mut()
+            }
+            entry => {
+                let backend = entry.or_default();
+                backend.health = BackendHealth::new(self.class_count);
+                backend.reported_queue.clear();
+                backend
+            }
+        };
         backend.endpoint = endpoint;
         let has_size = self.sizes_are_capacities && endpoint.size.is_finite() && endpoint.size > 0.0;
         backend.size = if has_size { endpoint.size } else { 1.0 };
         backend.ready = endpoint.availability == Availability::Ready;
     }
 
-    /// Indexes all that is ready.
+    /// Builds the indexes of the ready backends anew.
     fn rebuild_index(&mut self) {
         let ready = || self.backends.values().filter(|backend| backend.ready);
         let ready_ids = || ready().map(|backend| backend.endpoint.backend);
@@ -111,7 +135,7 @@
         self.ready = EndpointIndex::of(ready_ids().map(|id| (self.index_key(id), id)).collect());
     }
 
-    /// Takes a backend that is no longer ready out of the index.
+    /// Removes a backend that is not ready from the indexes.
     fn remove_from_index(&mut self, id: BackendId) {
         self.ready.remove(self.index_key(id), id);
         let tag = backend_tag(id.0);
@@ -119,12 +143,16 @@
             self.by_tag.remove(&tag);
         }
         if self.ready.len() == 0 {
-            self.ready_capacity = 0.0; // what rounding left of it
+            self.ready_capacity = 0.0; // without what rounding left of it
         }
     }
 
-    /// Where a backend stands in this gateway's own order; a float from 0 up is ordered as its bits are.
+    /// The key of a backend in this gateway's own order. Floats that are not negative are ordered as their
+    /// bits are.
     fn index_key(&self, id: BackendId) -> u64 {
-        hash(id.0 ^ u64::from(self.own_id.0) << 48).to_bits()
+        hash(id.0 ^ GATEWAY_SALT.of(self.own_id.0.into())).to_bits()
     }
 }
+
+#[cfg(test)]
+mod tests;
