--- a/fault-plan/src/lib.rs
+++ b/fault-plan/src/lib.rs
@@ -1,11 +1,11 @@
 //! Faults of system calls, as a plan that one process passes to another in an environment variable.
 //!
-//! `fault-shim`, loaded into an ingress, executes a plan; tests and `fault-soak` write it. A plan has its own seed, so that
-//! the same calls in the same order get the same faults.
+//! `fault-shim`, loaded into an ingress, executes a plan; tests and `fault-soak` write it. A plan has its own
+//! seed, so that the same calls in the same order get the same faults.
 //!
-//! A [`SystemCallFault`] is one way in which a system call of one process fails. A `FaultScenario` of `fault-soak` is
-//! larger: it affects an ingress, a backend, discovery or clients, and may consist of several system call faults, or of
-//! none.
+//! A [`SystemCallFault`] is one way in which a system call of one process fails. A `FaultScenario` of
+//! `fault-soak` is larger: it affects an ingress, a backend, discovery or clients, and may consist of several
+//! system call faults, or of none.
 
 use serde::{Deserialize, Serialize};
 
--- a/fault-shim/src/lib.rs
+++ b/fault-shim/src/lib.rs
@@ -1,9 +1,9 @@
-//! A library for `LD_PRELOAD`: it interposes system calls of the C library and makes some of them fail, as the plan in the
-//! environment says (see [`fault_plan`]). Without a plan each call goes through unchanged.
+//! A library for `LD_PRELOAD`: it interposes system calls of the C library and makes some of them fail, as
+//! the plan in the environment says (see [`fault_plan`]). Without a plan each call goes through unchanged.
 //!
-//! It injects only faults that Linux documents, and only into the process that loads it: no descriptor, file or clock
-//! outside of that process is touched. Reads and writes fail on TCP connections over IPv4 only, so that pipes and files of
-//! the process keep working.
+//! It injects only faults that Linux documents, and only into the process that loads it: no descriptor, file
+//! or clock outside of that process is touched. Reads and writes fail on TCP connections over IPv4 only, so
+//! that pipes and files of the process keep working.
 
 mod decision;
 mod real;
--- a/fault-soak/src/lib.rs
+++ b/fault-soak/src/lib.rs
@@ -1,5 +1,6 @@
-//! A soak test with fault injection: real ingresses on loopback between stand-ins for clients, backends and discovery,
-//! with faults that overlap in time, drawn from a seed before the run. An oracle judges what the stand-ins observed.
+//! A soak test with fault injection: real ingresses on loopback between stand-ins for clients, backends and
+//! discovery, with faults that overlap in time, drawn from a seed before the run. An oracle judges what the
+//! stand-ins observed.
 
 pub mod context;
 pub mod counters;
--- a/fault-soak/src/oracle.rs
+++ b/fault-soak/src/oracle.rs
@@ -1,5 +1,5 @@
-//! Judges what was observed in a run. What the ingresses say of themselves counts only where they report a violation, or
-//! where their counters disagree with the observations.
+//! Judges what was observed in a run. What the ingresses say of themselves counts only where they report a
+//! violation, or where their counters disagree with the observations.
 
 mod backends;
 mod ingresses;
--- a/fault-soak/src/oracle/ingresses.rs
+++ b/fault-soak/src/oracle/ingresses.rs
@@ -110,8 +110,8 @@
     }
 }
 
-/// The violations and panics in the logs of the ingresses. A late answer is left to the observations of its client, since
-/// a process that the plan pauses reports one itself.
+/// The violations and panics in the logs of the ingresses. A late answer is left to the observations of its
+/// client, since a process that the plan pauses reports one itself.
 pub fn judge_logs(folder: &Path, ingresses: usize) -> Vec<Violation> {
     let mut violations = Vec::new();
     for number in 0..ingresses {
--- a/fault-soak/src/oracle/requests.rs
+++ b/fault-soak/src/oracle/requests.rs
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Whether an ingress was ended by force in a span: the requests that it had then are excused, or judged as a crash.
+    /// Whether an ingress was ended by force in a span: the requests that it had then are excused, or judged
+    /// as a crash.
     fn was_ended(&self, ingress: usize, from: Micros, until: Micros) -> bool {
         let slack = self.observation_slack();
         self.observations.processes.iter().any(|record| {
--- a/fault-soak/src/plan.rs
+++ b/fault-soak/src/plan.rs
@@ -154,7 +154,8 @@
         })
     }
 
-    /// The system call faults of an ingress whose process starts at `started_ms`, with times since that start.
+    /// The system call faults of an ingress whose process starts at `started_ms`, with times since that
+    /// start.
     pub fn shim_plan(&self, ingress: usize, started_ms: u64) -> FaultPlan {
         let own_faults = self.faults.iter().filter(|fault| fault.target % self.shape.ingresses == ingress);
         let faults = own_faults.flat_map(|fault| {
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -176,8 +176,8 @@
     pub stray_bytes: Vec<String>,
     /// The counters of the ingresses.
     pub counters: Vec<CounterRecord>,
-    /// The longest time for which a thread of the soak was not scheduled. Other threads may have been as late to observe
-    /// something.
+    /// The longest time for which a thread of the soak was not scheduled. Other threads may have been as late
+    /// to observe something.
     pub longest_stall: Micros,
 }
 
--- a/fault-soak/src/report/page.rs
+++ b/fault-soak/src/report/page.rs
@@ -1,4 +1,5 @@
-//! A page that sums runs up: the rules that were broken, the faults that were injected, and which of them overlapped.
+//! A page that sums runs up: the rules that were broken, the faults that were injected, and which of them
+//! overlapped.
 
 use super::RunResult;
 use crate::oracle::Rule;
@@ -140,7 +141,8 @@
          stroke=\"#ddd\"><title>{first:?} and {second:?}: {count}</title></rect>\n"
     );
     if count > 0 {
-        let (start, baseline) = (left + TEXT_INDENT, top + CELL - TEXT_RISE);
+        let start = left + TEXT_INDENT;
+        let baseline = top + CELL - TEXT_RISE;
         cell += &format!("<text x=\"{start}\" y=\"{baseline}\">{count}</text>\n");
     }
     cell
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: starts the stand-ins and the ingresses, injects the faults of the plan, and returns the observations.
+//! One run: starts the stand-ins and the ingresses, injects the faults of the plan, and returns the
+//! observations.
 
 use crate::context::RunContext;
 use crate::counters;
@@ -47,8 +48,8 @@
     }
 }
 
-/// Measures, until the run ends, how much longer than requested a thread sleeps and waits for the lock of the recorder:
-/// whoever holds that may be delayed itself.
+/// Measures, until the run ends, how much longer than requested a thread sleeps and waits for the lock of the
+/// recorder: whoever holds that may be delayed itself.
 fn start_stall_watchdog(context: &Arc<RunContext>) -> JoinHandle<()> {
     let context = context.clone();
     thread::spawn(move || {
--- a/fault-soak/src/scenario.rs
+++ b/fault-soak/src/scenario.rs
@@ -6,8 +6,8 @@
 
 /// A kind of fault.
 ///
-/// A scenario affects an ingress, a backend, discovery or clients. Those that make system calls of an ingress fail
-/// consist of one or several [`SystemCallFault`]s; the others are carried out by the soak itself.
+/// A scenario affects an ingress, a backend, discovery or clients. Those that make system calls of an ingress
+/// fail consist of one or several [`SystemCallFault`]s; the others are carried out by the soak itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, ValueEnum)]
 #[serde(rename_all = "snake_case")]
 #[value(rename_all = "snake_case")]
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -9,7 +9,8 @@
 pub const DRAIN_GRACE: u64 = 250_000;
 /// The longest time that a client waits for an answer, in milliseconds.
 pub const MAX_TIMEOUT_MS: u64 = 2000;
-/// How long past its time an answer is still waited for, in microseconds: a late answer is not taken for a lost one.
+/// How long past its time an answer is still waited for, in microseconds: a late answer is not taken for a
+/// lost one.
 pub const ANSWER_SLACK: u64 = 600_000;
 /// The part of its capacity that a backend has at the start.
 pub const SLOW_START_FLOOR: f64 = 0.1;
@@ -50,9 +51,11 @@
     discovery: SocketAddr,
     known_endpoints: &str,
 ) -> String {
-    let (listen, peer_listen) = (addresses.listen[number], addresses.peers[number]);
+    let listen = addresses.listen[number];
+    let peer_listen = addresses.peers[number];
     let peers: Vec<String> = addresses.peers.iter().map(|address| format!("\"{address}\"")).collect();
-    let (peers, fleet_size) = (peers.join(","), addresses.listen.len());
+    let peers = peers.join(",");
+    let fleet_size = addresses.listen.len();
     let seed = plan.seed.wrapping_mul(1000) + number as u64 + 1;
     let SoakPlan { hedging, cancellation, .. } = plan;
     format!(
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -139,14 +139,15 @@
         }
     }
 
-    /// Whether the connection is reset at the first bytes of a command: closing it with unread bytes does that.
+    /// Whether the connection is reset at the first bytes of a command: closing it with unread bytes does
+    /// that.
     fn resets_early(&self) -> bool {
         self.is_affected_by(FaultScenario::EarlyResettingBackend)
             && matches!(self.stream.peek(&mut [0]), Ok(1..))
     }
 
-    /// Waits while the backend is partitioned from the network; then the connection is reset. Closes it at once where the
-    /// other side has closed it.
+    /// Waits while the backend is partitioned from the network; then the connection is reset. Closes it at
+    /// once where the other side has closed it.
     fn stay_partitioned(&self) -> Result<(), Closed> {
         if !self.is_affected_by(FaultScenario::PartitionedBackend) {
             return Ok(());
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -1,4 +1,5 @@
-//! Clients: each keeps a connection to each ingress, sends one request after another, and records how each ended.
+//! Clients: each keeps a connection to each ingress, sends one request after another, and records how each
+//! ended.
 
 mod connection;
 
@@ -151,7 +152,8 @@
     /// Sends a request, or several at once, and waits for the answers.
     fn send_requests(&mut self, ingress: usize) {
         let Some(mut connection) = self.take_connection(ingress) else { return };
-        // An ingress may not close a new connection before its first command, so that one is sent in any case.
+        // An ingress may not close a new connection before its first command, so that one is sent in any
+        // case.
         if connection.is_reused() && connection.has_stray_bytes(&self.context.recorder) {
             return; // The connection was closed between two requests, or cannot be used any more.
         }
--- a/fault-soak/src/stand_in/client/connection.rs
+++ b/fault-soak/src/stand_in/client/connection.rs
@@ -64,7 +64,8 @@
         self.stream.write_all(bytes)
     }
 
-    /// Whether it cannot be used for another request: it has ended, or unexpected bytes have come, which are recorded.
+    /// Whether it cannot be used for another request: it has ended, or unexpected bytes have come, which are
+    /// recorded.
     pub fn has_stray_bytes(&mut self, recorder: &Recorder) -> bool {
         let _ = self.stream.set_nonblocking(true);
         let result = self.stream.peek(&mut [0]);
--- a/fault-soak/src/stand_in/customer.rs
+++ b/fault-soak/src/stand_in/customer.rs
@@ -11,7 +11,8 @@
     Customer::of_one_ingress(number, UNMETERED_PLAN)
 }
 
-/// The customer with a quota within reach that is served by some ingresses in a row, out of so many, from this one on.
+/// The customer with a quota within reach that is served by some ingresses in a row, out of so many, from
+/// this one on.
 pub fn metered(set_start: usize, ingresses: usize) -> Customer {
     let number = FIRST_METERED_CUSTOMER + set_start as u64;
     Customer { number, plan: METERED_PLAN, set_size: METERED_SET_SIZE.min(ingresses), set_start }
--- a/fault-soak/src/stand_in/discovery.rs
+++ b/fault-soak/src/stand_in/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: an agent for each ingress, which has every change at once, and may be unresponsive, unavailable or truncate
-//! its responses.
+//! Discovery: an agent for each ingress, which has every change at once, and may be unresponsive, unavailable
+//! or truncate its responses.
 
 use crate::context::RunContext;
 use crate::record::{EndpointChange, EndpointStatus, Notification};
@@ -105,7 +105,8 @@
         })
     }
 
-    /// Publishes the status of a backend. One that was restarted is listed with the time by the clocks of the plan.
+    /// Publishes the status of a backend. One that was restarted is listed with the time by the clocks of the
+    /// plan.
     pub fn publish(&self, backend: usize, status: EndpointStatus, restarted: bool) {
         let mut backends = self.backends();
         let version = latest_version(&backends) + 1;
--- a/fault-soak/src/testbed.rs
+++ b/fault-soak/src/testbed.rs
@@ -18,6 +18,12 @@
 
 /// The most ingresses of a run: each has a loopback address of its own.
 const MAX_INGRESSES: usize = 40;
+/// The least second octet of the ingresses' addresses.
+const FIRST_SECOND_OCTET: u32 = 20;
+/// How many values of the second octet are used.
+const SECOND_OCTETS: u32 = 200;
+/// How many values of the third octet are used.
+const THIRD_OCTETS: u32 = 250;
 /// The port at which ingresses listen for clients.
 const CLIENT_PORT: u16 = 7379;
 /// The port at which ingresses receive messages of their peers.
@@ -58,13 +64,15 @@
     rotation: Arc<Rotation>,
 }
 
-/// The addresses of so many ingresses. They depend on the process, so that soaks side by side have different ones.
+/// The addresses of so many ingresses. They depend on the process, so that soaks side by side have different
+/// ones.
 fn draw_addresses(count: usize) -> Addresses {
     let process = std::process::id();
-    let network = [127, 20 + (process % 200) as u8, (process / 200 % 250) as u8];
+    let second = FIRST_SECOND_OCTET + process % SECOND_OCTETS;
+    let third = process / SECOND_OCTETS % THIRD_OCTETS;
     let address = |number: usize, port: u16| {
-        let [first, second, third] = network;
-        SocketAddr::from((Ipv4Addr::new(first, second, third, number as u8 + 1), port))
+        let ip = Ipv4Addr::new(127, second as u8, third as u8, number as u8 + 1);
+        SocketAddr::from((ip, port))
     };
     Addresses {
         listen: (0..count).map(|number| address(number, CLIENT_PORT)).collect(),
@@ -162,7 +170,8 @@
 
     /// Sends an ingress SIGTERM, and starts it again. It leaves the rotation a little later.
     fn terminate(&self, number: usize) -> JoinHandle<()> {
-        let (ingress, rotation) = (self.ingresses[number].clone(), self.rotation.clone());
+        let ingress = self.ingresses[number].clone();
+        let rotation = self.rotation.clone();
         thread::spawn(move || {
             let deregistered = rotation.clone();
             let deregistration = thread::spawn(move || {
@@ -179,7 +188,8 @@
 
     /// Kills an ingress, and starts it again.
     fn kill(&self, number: usize) -> JoinHandle<()> {
-        let (ingress, rotation) = (self.ingresses[number].clone(), self.rotation.clone());
+        let ingress = self.ingresses[number].clone();
+        let rotation = self.rotation.clone();
         thread::spawn(move || {
             let mut ingress = lock(&ingress);
             rotation.set(number, false);
@@ -189,10 +199,13 @@
         })
     }
 
-    /// Has an ingress reload a configuration that is half written, and then a complete one that names another agent.
+    /// Has an ingress reload a configuration that is half written, and then a complete one that names another
+    /// agent.
     fn reload(&self, number: usize) -> JoinHandle<()> {
-        let (ingress, addresses) = (self.ingresses[number].clone(), self.addresses.clone());
-        let (agent, known_endpoints) = (self.agents[number].after_reload, self.discovery.snapshot_json());
+        let ingress = self.ingresses[number].clone();
+        let addresses = self.addresses.clone();
+        let agent = self.agents[number].after_reload;
+        let known_endpoints = self.discovery.snapshot_json();
         thread::spawn(move || {
             let ingress = lock(&ingress);
             let _ = ingress.write_half_a_config();
@@ -205,7 +218,8 @@
 
     /// Stops an ingress for a moment, again and again until a time.
     fn pause(&self, number: usize, until_ms: u64) -> JoinHandle<()> {
-        let (ingress, context) = (self.ingresses[number].clone(), self.context.clone());
+        let ingress = self.ingresses[number].clone();
+        let context = self.context.clone();
         thread::spawn(move || {
             while context.recorder.now_ms() < until_ms {
                 lock(&ingress).pause(PAUSE);
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -86,8 +86,8 @@
     assert_eq!(rules(false, &stray), [Rule::SecondAnswer]);
 }
 
-/// A close may cross a request on a connection in use, but not one that was read; and a process that is killed answers
-/// nobody.
+/// A close may cross a request on a connection in use, but not one that was read; and a process that is
+/// killed answers nobody.
 #[test]
 fn closes_are_excused_where_the_protocol_excuses_them() {
     let crossing = RequestRecord { may_cross_close: true, ..request(RequestClass::Keyed, Outcome::Closed) };
--- a/fleet-experiments/src/client.rs
+++ b/fleet-experiments/src/client.rs
@@ -74,7 +74,8 @@
         let mut load = BackgroundLoad { stop: Arc::new(AtomicBool::new(false)), clients: Vec::new() };
         for customer in 0..clients {
             let address = addresses[customer as usize % addresses.len()];
-            let (client, stop) = (Client::connect(address, customer)?, load.stop.clone());
+            let client = Client::connect(address, customer)?;
+            let stop = load.stop.clone();
             load.clients.push(thread::spawn(move || send_until(&stop, client)));
         }
         Ok(load)
--- a/fleet-experiments/src/experiment.rs
+++ b/fleet-experiments/src/experiment.rs
@@ -44,7 +44,8 @@
         Sizes { key, values: values.iter().map(|value| *value as f64).collect() }
     }
 
-    /// A key with a list of numbers that may be as small as a tenth; `key` has to say that they are in tenths.
+    /// A key with a list of numbers that may be as small as a tenth; `key` has to say that they are in
+    /// tenths.
     pub fn tenths(key: &'static str, values: &[f64]) -> Sizes {
         Sizes { key, values: values.iter().map(|value| value * 10.0).collect() }
     }
--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -8,7 +8,8 @@
 use ingress::{Duration, Instant};
 use serde::{Deserialize, Serialize};
 
-/// How long a poll may wait in the queue of discovery until it is rejected. Discovery works on it all the same.
+/// How long a poll may wait in the queue of discovery until it is rejected. Discovery works on it all the
+/// same.
 const MAX_QUEUEING: Duration = Duration::from_secs(2);
 /// How long before the end of the outage killed ingresses restart.
 const RESTART_LEAD: Duration = Duration::from_secs(2);
@@ -136,7 +137,8 @@
 }
 
 /// Simulates a fleet whose watches all end as discovery goes down; it rejects polls at once until it is back.
-/// Ingresses that were killed restart shortly before that. The first polls of all are spread as their settings say.
+/// Ingresses that were killed restart shortly before that. The first polls of all are spread as their
+/// settings say.
 pub fn simulate(outage: &Outage) -> Recovery {
     Simulation::new(outage).run()
 }
--- a/fleet-experiments/src/experiments/endpoint_list.rs
+++ b/fleet-experiments/src/experiments/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list in the decision module: the costs of a snapshot, of the change of one backend, and of a zone
-//! that is lost and returns, at each size of the list.
+//! The endpoint list in the decision module: the costs of a snapshot, of the change of one backend, and of a
+//! zone that is lost and returns, at each size of the list.
 
 use crate::experiment::{Environment, Experiment, Sizes};
 use crate::procfs;
@@ -66,8 +66,8 @@
     }
 
     fn run(&self, environment: &Environment, report: &mut Report) -> anyhow::Result<()> {
-        // Dropped only at the end: memory that one ingress frees must not pass for memory that the next one does
-        // not need.
+        // Dropped only at the end: memory that one ingress frees must not pass for memory that the next one
+        // does not need.
         let mut measured = Vec::new();
         for &backends in &self.backends {
             let memory_before = procfs::own_resident_memory();
--- a/fleet-experiments/src/experiments/ingress_endpoint_list.rs
+++ b/fleet-experiments/src/experiments/ingress_endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list at a real ingress, which is notified by an agent of its own: time, processor time and memory
-//! by its size.
+//! The endpoint list at a real ingress, which is notified by an agent of its own: time, processor time and
+//! memory by its size.
 
 use crate::experiment::{Environment, Experiment, Sizes};
 use crate::ingress_process::{check_capacity, DiscoveryMode, IngressConfig, IngressProcess, InitialList};
@@ -36,8 +36,8 @@
     pub memory_mb: u64,
 }
 
-/// The costs of a list of one size. A snapshot that is not applied in time, or is reported as invalid, counts as
-/// rejected.
+/// The costs of a list of one size. A snapshot that is not applied in time, or is reported as invalid, counts
+/// as rejected.
 #[derive(Debug, Serialize)]
 struct Point {
     /// Backends in the list.
@@ -157,14 +157,17 @@
     ingress: &IngressProcess,
     body: String,
 ) -> anyhow::Result<SnapshotCost> {
-    let (list_bytes, memory_before) = (body.len(), ingress.memory());
-    let (cpu_before, published_at) = (ingress.cpu_seconds(), Instant::now());
+    let list_bytes = body.len();
+    let memory_before = ingress.memory();
+    let cpu_before = ingress.cpu_seconds();
+    let published_at = Instant::now();
     discovery.publish(SNAPSHOT_VERSION, body);
     // The ingress has read the snapshot once it polls for what is newer, and has applied it once it answers
     // after that.
     let applied = discovery.wait_for_polls(Some(SNAPSHOT_VERSION), 1, SNAPSHOT_TIMEOUT);
     ensure!(ingress.answers_ping(), "no answer after the list");
-    let (elapsed, cpu_s) = (published_at.elapsed(), ingress.cpu_seconds() - cpu_before);
+    let elapsed = published_at.elapsed();
+    let cpu_s = ingress.cpu_seconds() - cpu_before;
     let memory = ingress.memory();
     Ok(SnapshotCost {
         list_bytes,
--- a/fleet-experiments/src/experiments/ingress_latency.rs
+++ b/fleet-experiments/src/experiments/ingress_latency.rs
@@ -62,8 +62,8 @@
     added_p99_us: i64,
 }
 
-/// The measurements of requests at one rate. The latency of a request counts from its scheduled time, also if it was
-/// sent late.
+/// The measurements of requests at one rate. The latency of a request counts from its scheduled time, also if
+/// it was sent late.
 struct Measurement {
     /// Latencies in microseconds.
     latency_us: Histogram<u64>,
@@ -87,7 +87,8 @@
 
     fn run(&self, environment: &Environment, report: &mut Report) -> anyhow::Result<()> {
         check_capacity(1)?;
-        let (backend, discovery) = (backend::start()?, Discovery::start()?);
+        let backend = backend::start()?;
+        let discovery = Discovery::start()?;
         let config = self.config(backend, discovery.address);
         for &rate in &self.rates {
             let ingress = IngressProcess::start(environment.ingress_program, &config)?;
--- a/fleet-experiments/src/experiments/ingress_restart.rs
+++ b/fleet-experiments/src/experiments/ingress_restart.rs
@@ -107,7 +107,8 @@
 impl IngressRestartExperiment {
     /// Restarts a fleet of one size, and gives it a new configuration.
     fn measure(&self, fleet_size: u64, program: &Path, endpoints: &[String]) -> anyhow::Result<Point> {
-        let (discovery, new_discovery) = (Discovery::start()?, Discovery::start()?);
+        let discovery = Discovery::start()?;
+        let new_discovery = Discovery::start()?;
         let mut fleet = Fleet { size: fleet_size, endpoints, ingresses: Vec::new() };
         fleet.start(self.processes, program, &discovery)?;
         let load = BackgroundLoad::start(self.clients, &fleet.survivors())?;
--- a/fleet-experiments/src/experiments/quota_messages/simulation.rs
+++ b/fleet-experiments/src/experiments/quota_messages/simulation.rs
@@ -115,7 +115,8 @@
 
     /// Starts an ingress, with its first timer and its first request to come.
     fn start_ingress(&mut self, number: u16) {
-        let (load, ingress) = (self.load, usize::from(number));
+        let load = self.load;
+        let ingress = usize::from(number);
         let mut gateway = Gateway::new(settings(load, number), load.seed + u64::from(number), START);
         let endpoints = Event::Endpoints(EndpointUpdate::CachedSnapshot, ready_endpoints(BACKENDS));
         gateway.handle(START, endpoints, &mut self.actions);
@@ -172,7 +173,8 @@
         self.queue.schedule(next_arrival, Scheduled::Arrival { ingress });
         self.last_request += 1;
         // A customer whose set of gateways holds this ingress.
-        let (ingresses, set_size) = (u64::from(self.load.ingresses), u64::from(self.load.gateway_set_size));
+        let ingresses = u64::from(self.load.ingresses);
+        let set_size = u64::from(self.load.gateway_set_size);
         let set_start = (ingress as u64 + ingresses - self.random.u64(0..set_size)) % ingresses;
         let customers = self.load.customers_per_ingress;
         Request {
@@ -203,7 +205,8 @@
                     self.traffic.messages += counted;
                     self.traffic.bytes += counted * bytes.len() as u64;
                     let received_at = now + draw_span(&mut self.random, MESSAGE_DELAY);
-                    let (receiver, from) = (usize::from(to.0), GatewayId(ingress as u16));
+                    let receiver = usize::from(to.0);
+                    let from = GatewayId(ingress as u16);
                     self.queue.schedule(received_at, Scheduled::Message { ingress: receiver, from, bytes });
                 }
                 _ => {}
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -88,8 +88,8 @@
     }
 
     fn run(&self, environment: &Environment, report: &mut Report) -> anyhow::Result<()> {
-        // Dropped only at the end: memory that one ingress frees must not pass for memory that the next one does
-        // not need.
+        // Dropped only at the end: memory that one ingress frees must not pass for memory that the next one
+        // does not need.
         let mut measured = Vec::new();
         for size in self.points() {
             let mut ingress = LoadedIngress::new(size, environment.seed)?;
@@ -151,7 +151,8 @@
 
     /// Sends it requests, the first of which are not counted.
     fn drive(&mut self, requests: u64) -> anyhow::Result<RequestCost> {
-        let (mut time_ns, mut sent) = (Histogram::new(3)?, 0);
+        let mut time_ns = Histogram::new(3)?;
+        let mut sent = 0;
         let warm_up = requests / WARM_UP_SHARE;
         let memory_before = procfs::own_resident_memory();
         for number in 0..requests + warm_up {
--- a/fleet-experiments/src/experiments/slow_start.rs
+++ b/fleet-experiments/src/experiments/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start in a fleet: half of the backends restart at one moment, and what all ingresses together send to each
-//! of them is compared with the overload rule.
+//! Slow start in a fleet: half of the backends restart at one moment, and what all ingresses together send to
+//! each of them is compared with the overload rule.
 
 mod overload_rule;
 mod simulation;
--- a/fleet-experiments/src/experiments/slow_start/overload_rule.rs
+++ b/fleet-experiments/src/experiments/slow_start/overload_rule.rs
@@ -28,8 +28,8 @@
     sends.len() as f64 / budget(ramp, SLOW_START_END)
 }
 
-/// The fullest window within the slow start of a backend, as a share of what the rule allows there. `sends` is
-/// sorted.
+/// The fullest window within the slow start of a backend, as a share of what the rule allows there. `sends`
+/// is sorted.
 pub fn peak_window(ramp: &Ramp, sends: &[Instant]) -> f64 {
     let mut peak = 0.0;
     for (first, window_start) in sends.iter().enumerate() {
--- a/fleet-experiments/src/experiments/slow_start/simulation.rs
+++ b/fleet-experiments/src/experiments/slow_start/simulation.rs
@@ -211,7 +211,8 @@
     /// Sends a request to a backend, whose answer is scheduled.
     fn send(&mut self, ingress: usize, id: RequestId, index: usize, now: Instant) {
         let mut answered_at = now + draw_span(&mut self.random, SERVICE_TIME);
-        let (backend, restarted_at) = (&mut self.backends[index], started_at(index, now));
+        let backend = &mut self.backends[index];
+        let restarted_at = started_at(index, now);
         if self.ramp.queueing {
             let capacity_share = restarted_at.map_or(1.0, |at| capacity_share(now.duration_since(at)));
             let work = SECOND.as_micros_f64() / self.ramp.capacity / capacity_share;
--- a/fleet-experiments/src/fit.rs
+++ b/fleet-experiments/src/fit.rs
@@ -176,7 +176,9 @@
 fn describe(fit: &Fit, key: &str, group: &str, points: &[Point]) -> Option<String> {
     let count = points.len();
     let Line { base, slope, max_relative_error } = fit_line(points).filter(|_| count >= MIN_POINTS)?;
-    let (experiment, size, percent) = (fit.experiment, fit.size, max_relative_error * 100.0);
+    let experiment = fit.experiment;
+    let size = fit.size;
+    let percent = max_relative_error * 100.0;
     Some(format!(
         "{experiment} {key} by {size} ({group}): {base:.3e} + {slope:.3e} each, {count} points, off by {percent:.0}% at most"
     ))
--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -1,4 +1,5 @@
-//! Real ingresses on loopback, each with a configuration of its own, that are killed when their handles are dropped.
+//! Real ingresses on loopback, each with a configuration of its own, that are killed when their handles are
+//! dropped.
 
 mod config;
 
@@ -31,7 +32,8 @@
     }
     let meminfo = std::fs::read_to_string("/proc/meminfo").context("cannot read /proc/meminfo")?;
     let needed = processes * MEMORY_PER_PROCESS;
-    let (total, free) = (procfs::bytes(&meminfo, "MemTotal"), procfs::bytes(&meminfo, "MemAvailable"));
+    let total = procfs::bytes(&meminfo, "MemTotal");
+    let free = procfs::bytes(&meminfo, "MemAvailable");
     let available = (total / 2).min(free);
     if needed > available {
         bail!("{processes} processes want {} MB, and {} MB are free for them", needed >> 20, available >> 20);
--- a/fleet-experiments/src/ingress_process/config.rs
+++ b/fleet-experiments/src/ingress_process/config.rs
@@ -59,7 +59,9 @@
         let initial_list =
             list_json(self.initial_list.version, ListKind::Snapshot, &self.initial_list.endpoints);
         let zones: Vec<String> = (0..ZONES).map(|zone| format!("\"z{zone}\"")).collect();
-        let (seed, zones, mode) = (number + SEED_OFFSET, zones.join(","), self.mode.name());
+        let seed = number + SEED_OFFSET;
+        let zones = zones.join(",");
+        let mode = self.mode.name();
         format!(
             r#"{{"name":"n{number}","listen":"{listen}","discovery":"{discovery}","seed":"{seed:016x}",
  "limits":{{"cores":1.0,"memory_mb":{memory_mb},"sockets":1024}},"known":{initial_list},
--- a/fleet-experiments/src/report.rs
+++ b/fleet-experiments/src/report.rs
@@ -55,7 +55,8 @@
 
     /// Keeps results in memory only.
     pub fn in_memory(seed: u64) -> Report {
-        let (commit, machine) = (String::new(), String::new());
+        let commit = String::new();
+        let machine = String::new();
         Report { out: Box::new(sink()), seed, commit, machine, points: Vec::new() }
     }
 
@@ -63,7 +64,8 @@
     pub fn record(&mut self, experiment: &str, point: &impl Serialize) -> anyhow::Result<()> {
         let point = serde_json::to_value(point).context("cannot write a result")?;
         tracing::info!("report: point measured, experiment={experiment} point={point}");
-        let (commit, machine) = (&self.commit, &self.machine);
+        let commit = &self.commit;
+        let machine = &self.machine;
         let line = ResultLine { commit, experiment, machine, point: &point, seed: self.seed };
         let line = serde_json::to_string(&line).context("cannot write a result")?;
         writeln!(self.out, "{line}").and_then(|()| self.out.flush()).context("cannot write a result")?;
@@ -93,7 +95,8 @@
 /// Cores, processor and memory.
 fn machine() -> String {
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
-    let (cpuinfo, meminfo) = (procfs::read("/proc/cpuinfo"), procfs::read("/proc/meminfo"));
+    let cpuinfo = procfs::read("/proc/cpuinfo");
+    let meminfo = procfs::read("/proc/meminfo");
     let processor = procfs::value(&cpuinfo, "model name").unwrap_or("unknown");
     let memory = procfs::value(&meminfo, "MemTotal").unwrap_or("unknown");
     format!("{cores} cores, {processor}, {memory}")
--- a/fleet-experiments/src/stand_in/discovery.rs
+++ b/fleet-experiments/src/stand_in/discovery.rs
@@ -15,7 +15,8 @@
 /// The JSON of one endpoint in a list, in the zone that its number gives.
 pub fn endpoint_json(number: u64, address: SocketAddr, status: EndpointStatus) -> String {
     let cell = number % ZONES;
-    let (name, zone) = (format!("s-{number:08x}"), format!("z{cell}"));
+    let name = format!("s-{number:08x}");
+    let zone = format!("z{cell}");
     let entry = EndpointEntry {
         name: &name,
         address,
@@ -143,7 +144,8 @@
     }
 }
 
-/// Answers the polls of a connection until its end. A body is not copied for its response: it may have many megabytes.
+/// Answers the polls of a connection until its end. A body is not copied for its response: it may have many
+/// megabytes.
 fn answer_polls(mut stream: TcpStream, state: &SharedState) -> std::io::Result<()> {
     while let Some(head) = read_head(&mut stream, || true) {
         let Ok(poll) = Poll::parse(&head) else { break };
--- a/fleet-experiments/tests/experiments.rs
+++ b/fleet-experiments/tests/experiments.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Guards against quota messages that grow with the fleet at one rate: each ingress requests grants for its own
-/// customers only.
+/// Guards against quota messages that grow with the fleet at one rate: each ingress requests grants for its
+/// own customers only.
 #[test]
 fn quota_messages_of_an_ingress_grow_with_requests_and_not_with_the_fleet() {
     let points = points("quota");
--- a/fleet-experiments/tests/slow_start.rs
+++ b/fleet-experiments/tests/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start in a fleet: the requests to backends that have just started, in the window of the overload rule.
+//! Slow start in a fleet: the requests to backends that have just started, in the window of the overload
+//! rule.
 
 use fleet_experiments::experiments::slow_start::{simulate, Ramp};
 
--- a/stand-ins/src/http.rs
+++ b/stand-ins/src/http.rs
@@ -54,7 +54,8 @@
 
 /// Reads the head of the next request; none where the connection ends, or is to be closed.
 ///
-/// `is_open` is looked at whenever something was received, and whenever the read timeout of the stream is over.
+/// `is_open` is looked at whenever something was received, and whenever the read timeout of the stream is
+/// over.
 pub fn read_head(stream: &mut impl Read, is_open: impl Fn() -> bool) -> Option<String> {
     let mut head = Vec::new();
     let mut chunk = [0; CHUNK_SIZE];
--- a/stand-ins/src/resp.rs
+++ b/stand-ins/src/resp.rs
@@ -20,7 +20,8 @@
     command.into_bytes()
 }
 
-/// The reply of a backend to a request that was served: its value, no figures on use, and a load report if there is one.
+/// The reply of a backend to a request that was served: its value, no figures on use, and a load report if
+/// there is one.
 pub fn encode_served(value: &str, load_report: Option<&str>) -> Vec<u8> {
     let report =
         load_report.map_or("$-1\r\n".to_string(), |report| format!("${}\r\n{report}\r\n", report.len()));
--- a/tests/support/src/address.rs
+++ b/tests/support/src/address.rs
@@ -1,17 +1,20 @@
 //! Loopback addresses for programs under test.
 
-use std::net::{SocketAddr, TcpListener};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// An unused port at a loopback address that no other test has.
+/// How many values of each octet are used: all but those with a special meaning.
+const OCTET_VALUES: u32 = 250;
+
+/// An unused port at a loopback address that no other test has: the process gives two octets, a counter the
+/// last one.
 pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
-    let (pid, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
-    let ip = std::net::Ipv4Addr::new(
-        127,
-        1 + (pid % 250) as u8,
-        (pid / 250 % 250) as u8,
-        (number % 250) as u8 + 1,
-    );
-    TcpListener::bind((ip, 0)).unwrap().local_addr().unwrap()
+    let process = std::process::id();
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let second = 1 + process % OCTET_VALUES;
+    let third = process / OCTET_VALUES % OCTET_VALUES;
+    let fourth = 1 + number % OCTET_VALUES;
+    let address = Ipv4Addr::new(127, second as u8, third as u8, fourth as u8);
+    TcpListener::bind((address, 0)).unwrap().local_addr().unwrap()
 }
--- a/tests/support/src/backend.rs
+++ b/tests/support/src/backend.rs
@@ -29,8 +29,8 @@
     Bytes(Vec<u8>),
     /// Sends these bytes after a delay.
     Delayed(Duration, Vec<u8>),
-    /// Sends these bytes, and some milliseconds later the same again, as the protocol page has it. Where the machine
-    /// delays that for longer, they are not sent again. Counts those that were.
+    /// Sends these bytes, and some milliseconds later the same again, as the protocol page has it. Where the
+    /// machine delays that for longer, they are not sent again. Counts those that were.
     Twice(Vec<u8>, Arc<AtomicUsize>),
     /// Keeps the connection open without a reply.
     Nothing,
@@ -63,7 +63,8 @@
     connections_closed: AtomicUsize,
     /// Idle connections are closed.
     close_when_idle: AtomicBool,
-    /// A connection that was idle for more than so many milliseconds is reset at its next request; 0 for never.
+    /// A connection that was idle for more than so many milliseconds is reset at its next request; 0 for
+    /// never.
     reset_after_idle_ms: AtomicU64,
 }
 
@@ -90,7 +91,8 @@
         let reply: Arc<ReplyFunction> = Arc::new(reply);
         let shared = state.clone();
         let accept = move |stream: TcpStream| {
-            let (state, reply) = (shared.clone(), reply.clone());
+            let state = shared.clone();
+            let reply = reply.clone();
             state.connections_opened.fetch_add(1, Ordering::SeqCst);
             move || {
                 let _ = stream.set_nodelay(true);
@@ -215,8 +217,8 @@
     }
 }
 
-/// A backend to which no connection is established until [`accept_connections`](Self::accept_connections): its accept queue
-/// is full, and the kernel drops what arrives.
+/// A backend to which no connection is established until [`accept_connections`](Self::accept_connections):
+/// its accept queue is full, and the kernel drops what arrives.
 pub struct UnreachableBackend {
     /// Where it listens.
     pub address: SocketAddr,
--- a/tests/support/src/discovery.rs
+++ b/tests/support/src/discovery.rs
@@ -114,7 +114,8 @@
     }
 }
 
-/// A stand-in for discovery. It answers polls from a list that begins at index 1, unless it is silent or down.
+/// A stand-in for discovery. It answers polls from a list that begins at index 1, unless it is silent or
+/// down.
 pub struct DiscoveryServer {
     /// Where it listens.
     pub address: SocketAddr,
--- a/tests/support/src/fleet.rs
+++ b/tests/support/src/fleet.rs
@@ -19,8 +19,8 @@
         Fleet { gateways: (0..gateways).map(harness).collect(), messages_sent: 0 }
     }
 
-    /// Executes the actions of a gateway, and those that follow from them; attempts end at once. Returns how many
-    /// attempts were sent. Every `lose_every`th message is lost, unless that is 0.
+    /// Executes the actions of a gateway, and those that follow from them; attempts end at once. Returns how
+    /// many attempts were sent. Every `lose_every`th message is lost, unless that is 0.
     pub fn execute(&mut self, from: usize, actions: Vec<Action>, lose_every: u64) -> usize {
         let mut sent = 0;
         let mut queue: Vec<(usize, Action)> = actions.into_iter().map(|action| (from, action)).collect();
@@ -45,7 +45,8 @@
         sent
     }
 
-    /// A request at one gateway, of a customer of its own, and 20 ms at all of them. Returns how many attempts were sent.
+    /// A request at one gateway, of a customer of its own, and 20 ms at all of them. Returns how many
+    /// attempts were sent.
     pub fn request(&mut self, at: usize, plan: u16, units: f64, set_size: f64, lose_every: u64) -> usize {
         let actions = self.gateways[at].request_from_set(IDEMPOTENT, plan, 5, units, set_size).actions;
         let sent = self.execute(at, actions, lose_every);
--- a/tests/support/src/gateway.rs
+++ b/tests/support/src/gateway.rs
@@ -54,7 +54,8 @@
 
     /// Lets time pass, with a timer of the gateway every 20 ms.
     pub fn advance(&mut self, span: Duration) -> Vec<Action> {
-        let (mut actions, end) = (Vec::new(), self.now + span);
+        let mut actions = Vec::new();
+        let end = self.now + span;
         while self.now < end {
             self.now += TIMER_INTERVAL;
             actions.extend(self.handle(Event::Timer(0)));
--- a/tests/support/src/lib.rs
+++ b/tests/support/src/lib.rs
@@ -1,9 +1,9 @@
-//! What several test targets of the ingress share. For the ingress as a process: clients, backends and discovery on
-//! loopback sockets, where each test has an address of its own. For the decisions alone: gateways and fleets driven by
-//! events.
+//! What several test targets of the ingress share. For the ingress as a process: clients, backends and
+//! discovery on loopback sockets, where each test has an address of its own. For the decisions alone:
+//! gateways and fleets driven by events.
 //!
-//! The protocols of the stand-ins are those of the `stand-ins` library. What fails here fails the test: functions panic
-//! rather than return errors.
+//! The protocols of the stand-ins are those of the `stand-ins` library. What fails here fails the test:
+//! functions panic rather than return errors.
 
 pub mod address;
 pub mod backend;
