--- a/fleet-experiments/src/simulation/event_queue.rs
+++ b/fleet-experiments/src/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation that are still to come.
+//! The event queue of a simulation.
 
 use ingress::Instant;
 use std::cmp::Reverse;
