--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -162,13 +162,13 @@
             AdmissionDecision::KeepWaiting => {}
             AdmissionDecision::Admit => self.enqueue(&request, point, actions),
             AdmissionDecision::Reject { reason, retry_after } => {
-                self.refuse_admission(&request, point, reason, retry_after, actions);
+                self.reject_admission(&request, point, reason, retry_after, actions);
             }
         }
     }
 
     /// Rejects a request, and tells the owners of its quota if they count on it.
-    fn refuse_admission(
+    fn reject_admission(
         &mut self,
         request: &Request,
         point: DecisionPoint,
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -125,7 +125,7 @@
         let keeps_old_totals = self.settings.ownership.keeps_old_totals();
         self.customers.retain(|id, customer| {
             let plan = &self.settings.plans[customer.plan];
-            if plan.concurrency_quota > 0 && customer.is_quota_owner {
+            if plan.concurrency_quota > 0 && customer.role.is_owner() {
                 customer.remote.expire_in_flight(now, REPORTED_IN_FLIGHT_LIFETIME);
             }
             if plan.concurrency_quota > 0 && customer.in_flight > 0 {
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -21,14 +21,31 @@
 const RECORD_LIFETIMES: u64 = 2;
 
 /// Whether a gateway is an owner of a customer's quota.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Role {
     /// It adds up the customer's usage.
     Owner,
     /// It reports usage to the owners.
+    #[default]
     Reporter,
 }
 
+impl Role {
+    /// The role of a gateway among these owners.
+    pub(super) fn of(gateway: u16, quota_owners: &[u16]) -> Role {
+        if quota_owners.contains(&gateway) {
+            Role::Owner
+        } else {
+            Role::Reporter
+        }
+    }
+
+    /// Whether the gateway adds up the customer's usage.
+    pub(super) fn is_owner(self) -> bool {
+        self == Role::Owner
+    }
+}
+
 /// A customer's record at one gateway.
 #[derive(Default)]
 pub(super) struct Customer {
@@ -55,7 +72,7 @@
     /// The gateways that add up the customer's usage.
     pub quota_owners: Vec<u16>,
     /// Whether this gateway is one of the owners.
-    pub is_quota_owner: bool,
+    pub role: Role,
     /// The usage through all other gateways.
     pub remote: RemoteUsage,
     /// When a grant last came, to a gateway that is not an owner; [`Instant::ZERO`] for never.
@@ -84,7 +101,7 @@
                 ..HardLimitShare::default()
             },
             quota_owners: assignment.quota_owners,
-            is_quota_owner: assignment.is_quota_owner,
+            role: assignment.role,
             ..Customer::default()
         }
     }
@@ -107,7 +124,7 @@
     /// A gateway that sees little of the customer counts with a floor, so that its share of the tokens is
     /// never nothing.
     pub(super) fn own_share(&self, plan: &Plan) -> f64 {
-        let knows_others = self.is_quota_owner || self.granted_at > Instant::ZERO;
+        let knows_others = self.role.is_owner() || self.granted_at > Instant::ZERO;
         let floor = if knows_others { MIN_OWN_RATE } else { 1.0 };
         let own_rate = self.own_rate.max(plan.rate / self.gateway_set.size.max(1.0) * floor);
         own_rate / (own_rate + self.remote.rate()).max(MIN_TOTAL_RATE)
@@ -117,7 +134,7 @@
     pub(super) fn refill(&mut self, plan: &Plan, now: Instant) {
         let remaining = decay(self.refilled_at, now, USAGE_RATE_TIME_CONSTANT);
         self.own_rate *= remaining;
-        let refill_rate = if self.is_quota_owner {
+        let refill_rate = if self.role.is_owner() {
             self.remote.decay_rate(remaining);
             plan.rate
         } else {
@@ -148,8 +165,7 @@
     /// Whether the record has to be kept: a customer that comes again starts with full buckets.
     pub(super) fn must_be_kept(&self, plan: &Plan, now: Instant) -> bool {
         let in_use = self.in_flight > 0 || !self.grant_request.waiting.is_empty();
-        let role = if self.is_quota_owner { Role::Owner } else { Role::Reporter };
-        in_use || now.duration_since(self.last_seen_at) <= record_lifetime(plan, role)
+        in_use || now.duration_since(self.last_seen_at) <= record_lifetime(plan, self.role)
     }
 
     /// A report of the usage, without a request for a grant. The level of the quota's bucket is included
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -134,7 +134,7 @@
         let max_request_rate = MAX_GRANT_REQUEST_SHARE * self.settings.peer_messages_per_second;
         self.settings.ownership.rations_grant_requests()
             && has_concurrency_quota
-            && !customer.is_quota_owner
+            && !customer.role.is_owner()
             && is_recent(now, customer.granted_at)
             && draw * customer.remote.rate() > max_request_rate
     }
@@ -152,7 +152,7 @@
         if !customer.quota_owners.contains(&from) {
             return None;
         }
-        if !customer.is_quota_owner {
+        if !customer.role.is_owner() {
             customer.apply_grant(plan, grant, now);
         }
         customer.grant_request.answered_by.push(from);
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -66,7 +66,7 @@
         customer.last_seen_at = now;
         let familiarity = if is_unseen { Familiarity::Unseen } else { Familiarity::Known };
         let grant = GrantStatus {
-            is_quota_owner: customer.is_quota_owner,
+            is_quota_owner: customer.role.is_owner(),
             grant_age: now.duration_since(customer.granted_at),
             hard_limit_is_elsewhere: customer.hard_limit.owners != [own_id; HARD_LIMIT_OWNERS],
         };
--- a/src/policy/quota/owner_assignment.rs
+++ b/src/policy/quota/owner_assignment.rs
@@ -1,6 +1,6 @@
 //! The assignment of a customer's quota, and of its hard limit, to gateways.
 
-use super::{GatewaySet, QuotaSettings, HARD_LIMIT_OWNERS};
+use super::{GatewaySet, QuotaSettings, Role, HARD_LIMIT_OWNERS};
 use crate::state::hash;
 use crate::{CustomerId, Plan};
 
@@ -15,7 +15,7 @@
     /// The gateways that add up its usage.
     pub quota_owners: Vec<u16>,
     /// Whether this gateway is one of them.
-    pub is_quota_owner: bool,
+    pub role: Role,
     /// The two gateways that hold most of its hard limit; the same one twice where it is alone.
     pub hard_limit_owners: [u16; HARD_LIMIT_OWNERS],
     /// The share of the hard limit that is this gateway's own.
@@ -35,17 +35,11 @@
             owner_positions(id, set.size).map(|position| set.member(position, gateway_count));
         let mut quota_owners = settings.ownership.owners(set, gateway_count, hard_limit_owners, plan);
         quota_owners.dedup();
-        let is_quota_owner = quota_owners.contains(&own_id);
+        let role = Role::of(own_id, &quota_owners);
         let owned = hard_limit_owners.iter().filter(|owner| **owner == own_id).count() as f64;
         let hard_limit_fraction =
             (1.0 - POOLED_HARD_LIMIT) / set.size + owned * POOLED_HARD_LIMIT / HARD_LIMIT_OWNERS as f64;
-        OwnerAssignment {
-            gateway_set: set,
-            quota_owners,
-            is_quota_owner,
-            hard_limit_owners,
-            hard_limit_fraction,
-        }
+        OwnerAssignment { gateway_set: set, quota_owners, role, hard_limit_owners, hard_limit_fraction }
     }
 }
 
--- a/src/policy/quota/owner_assignment/tests.rs
+++ b/src/policy/quota/owner_assignment/tests.rs
@@ -27,7 +27,7 @@
         assert!(assignments.iter().all(|assignment| assignment.quota_owners == *owners));
         assert!(owners.len() == 2 && owners[0] != owners[1]);
         assert!(owners.iter().all(|owner| SET.members(LARGE_FLEET).contains(owner)));
-        let is_owner = |gateway: &u16| assignments[usize::from(*gateway)].is_quota_owner;
+        let is_owner = |gateway: &u16| assignments[usize::from(*gateway)].role.is_owner();
         assert!((0..LARGE_FLEET).filter(is_owner).eq(std::collections::BTreeSet::from_iter(owners.clone())));
     }
 }
--- a/src/policy/quota/ownership.rs
+++ b/src/policy/quota/ownership.rs
@@ -17,7 +17,6 @@
 /// Messages that carry a usage report where all gateways own the quota: a report that is lost would leave an
 /// attempt counted as in flight for long.
 const SHARED_REPORT_COPIES: u8 = 2;
-
 /// Times that a grant is requested of a designated owner for a request that waits.
 const DESIGNATED_GRANT_ATTEMPTS: u64 = 2;
 
@@ -72,7 +71,7 @@
     }
 
     /// The owners of a customer's quota, of which `hard_limit_owners` hold its hard limit.
-    pub(crate) fn owners(
+    pub(super) fn owners(
         self,
         set: GatewaySet,
         gateway_count: u16,
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -67,7 +67,7 @@
         let own_id = self.settings.own_id;
         let (customer, plan) = self.refill(id, now)?;
         let was_granted_lately = now.duration_since(customer.granted_at) < LEVEL_FRESHNESS;
-        let is_level_known = customer.is_quota_owner || was_granted_lately;
+        let is_level_known = customer.role.is_owner() || was_granted_lately;
         // One of the two is drawn to grant units of the hard limit: two grants would waste one.
         let draw = hash(now.as_micros() ^ id.0);
         let drawn_owner = customer.hard_limit.owners[usize::from(draw < SECOND_OWNER_SHARE)];
@@ -93,7 +93,7 @@
         if is_known_to_owner && !ownership.reports_granted_units() {
             return None;
         }
-        let needs_new_grant = point == DecisionPoint::Arrival && !customer.is_quota_owner;
+        let needs_new_grant = point == DecisionPoint::Arrival && !customer.role.is_owner();
         if needs_new_grant && ownership.renews_grants_after_admission() {
             Some(ReportPurpose::GrantRequest)
         } else {
--- a/src/policy/quota/token_wait.rs
+++ b/src/policy/quota/token_wait.rs
@@ -75,7 +75,7 @@
         };
         let units = facts.request.units;
         let usage_known = ownership.knows_usage_without_grant()
-            || customer.is_quota_owner
+            || customer.role.is_owner()
             || is_recent(facts.now, customer.granted_at);
         // Peers have used some units since their last reports.
         let unreported_units =
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -44,13 +44,13 @@
         let ownership = self.settings.ownership;
         let may_predate = sender_age == PeerAge::Older && !self.fleet_just_started(now);
         let (customer, plan) = self.refill(report.customer, now)?;
-        if customer.plan != usize::from(report.plan) || !customer.is_quota_owner {
+        if customer.plan != usize::from(report.plan) || !customer.role.is_owner() {
             return None;
         }
         customer.last_seen_at = customer.last_seen_at.max(now);
         let known_usage = customer.remote.of_gateway(from);
         let mut usage = known_usage.unwrap_or_default();
-        customer.reset_total_of_forgetful_sender(plan, &mut usage, now, from, report);
+        customer.reset_forgotten_total(plan, &mut usage, now, from, report);
         let scope = if may_predate && known_usage.is_none() {
             TotalScope::MayPredateThisStart
         } else {
@@ -94,7 +94,7 @@
 impl Customer {
     /// Counts a sender's total from nothing where it is less than the last one and the sender has had the
     /// time to forget the customer: it counts anew then.
-    fn reset_total_of_forgetful_sender(
+    fn reset_forgotten_total(
         &self,
         plan: &Plan,
         usage: &mut GatewayUsage,
@@ -103,7 +103,7 @@
         report: &UsageReport,
     ) {
         let has_fallen = wrapping_delta(usage.reported_total, report.total_units) < 0.0;
-        let role = if self.quota_owners.contains(&from) { Role::Owner } else { Role::Reporter };
+        let role = Role::of(from, &self.quota_owners);
         if has_fallen && now.duration_since(usage.reported_at) > record_lifetime(plan, role) {
             usage.reported_total = 0;
         }
