--- a/src/bin/ingress/backends/attempt.rs
+++ b/src/bin/ingress/backends/attempt.rs
@@ -29,6 +29,13 @@
     pub(super) serial: u64,
 }
 
+impl ConnectionId {
+    /// Its number among all connections of the process.
+    pub fn serial(self) -> u64 {
+        self.serial
+    }
+}
+
 /// The connection of an attempt that has been assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AssignedConnection {
--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -36,7 +36,8 @@
             target: "backend_connection",
             connection = connection.serial,
             backend = connection.backend.0,
-            attempt = ?connection.attempt,
+            request = connection.attempt.map(|attempt| attempt.request.0),
+            attempt = connection.attempt.map(|attempt| attempt.number),
             ?reason,
             "closed"
         );
--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -41,6 +41,13 @@
     sequence: u64,
 }
 
+impl ReplyHandle {
+    /// The serial number of the client's connection.
+    pub fn client(&self) -> u64 {
+        self.serial
+    }
+}
+
 /// An event on a client's connection.
 pub enum ClientEvent {
     /// A request arrived.
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -109,7 +109,7 @@
             request = attempt_id.request.0,
             attempt = attempt_id.number,
             backend = attempt.backend.0,
-            connection = ?assigned.map(|assigned| assigned.connection),
+            connection = assigned.map(|assigned| assigned.connection.serial()),
             command = ?assigned.map(|assigned| assigned.command),
             time_left_ms = timeout.as_millis(),
             "started"
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -128,7 +128,7 @@
             class = request.class,
             timeout_ms = timeout.as_millis(),
             waited_us = self.now.duration_since(arrived_at).as_micros(),
-            client = ?reply_to,
+            client = reply_to.client(),
             "opened"
         );
         self.counters.requests += 1;
