--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -3,8 +3,10 @@
 
 use crate::policy::admission::{evades_hard_limit, min_queue_time, AdmissionDecision, AdmissionFacts};
 use crate::policy::admission::{ArrivalDecision, ArrivalFacts, QueueFacts, ScreeningFacts};
-use crate::policy::quota::{DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantTiming};
-use crate::policy::quota::{QuotaManager, ReportPurpose, TokenFacts, TokenWait};
+use crate::policy::quota::{grant_wait, ReportPurpose, TokenFacts, TokenWait};
+use crate::policy::quota::{
+    DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
+};
 use crate::policy::{Familiarity, RejectReason, SheddingFacts};
 use crate::state::{hash, RequestState, MICROS_PER_SECOND};
 use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
@@ -22,13 +24,17 @@
         let observed = self.quota.observe_request(self.now, &request);
         request.plan = observed.plan;
         if evades_hard_limit(&self.settings.plans, claimed_plan, observed.plan) {
+            tracing::debug!(
+                target: "policy", request = request.id.0, claimed_plan, recorded_plan = observed.plan,
+                "hard limit evaded"
+            );
             return self.reject(request.id, RejectReason::OverQuota, Duration::MAX, actions);
         }
         if !self.passes_load_shedding(&request, observed.familiarity) {
             return self.reject(request.id, RejectReason::Shed, Duration::MAX, actions);
         }
         let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
-        match self.decide_arrival(&request) {
+        match self.decide_arrival(&request, observed.grant) {
             ArrivalDecision::DecideNow => {
                 self.requests.insert(state);
                 self.admit(request.id, GrantAnswers::Complete, actions);
@@ -69,7 +75,7 @@
     }
 
     /// Whether a new request is decided now or waits for a grant.
-    fn decide_arrival(&mut self, request: &Request) -> ArrivalDecision {
+    fn decide_arrival(&mut self, request: &Request, grant: GrantStatus) -> ArrivalDecision {
         let wait = self.token_wait(request);
         let facts = ArrivalFacts {
             now: self.now,
@@ -77,7 +83,7 @@
             min_queue_time: min_queue_time(self.settings.tick),
             plan: self.plan_of(request),
             wait,
-            grant: self.quota.grant_status(self.now, request.customer),
+            grant,
             ownership: self.quota.ownership(),
         };
         facts.decide()
@@ -109,14 +115,14 @@
         tracing::debug!(target: "policy", request = request.id.0, ?scope, ?timing, "awaits a quota grant");
         let wait = self.grant_wait(request, self.now) / self.quota.ownership().grant_attempts();
         self.requests.check_at(self.now + wait, request.id);
-        if self.quota.await_grant(self.now, request, scope, timing) == GrantRequestStep::Ask {
+        if self.quota.await_grant(self.now, request, scope, timing) == GrantRequestStep::RequestGrant {
             self.queue_usage_report(request.customer, ReportPurpose::GrantRequest, actions);
         }
     }
 
     /// How long a request that came at a time may wait for a grant.
     fn grant_wait(&self, request: &Request, arrived_at: Instant) -> Duration {
-        QuotaManager::grant_wait(arrived_at, request.deadline, self.class_of(request).latency_objective)
+        grant_wait(arrived_at, request.deadline, self.class_of(request).latency_objective)
     }
 
     /// Requests a grant once more, or decides by what is known here if the owners said nothing in time.
@@ -148,8 +154,9 @@
         };
         let decision = facts.decide();
         tracing::debug!(
-            target: "policy", request = id.0, customer = request.customer.0, ?point, ?shortage, ?decision,
-            "quota decided"
+            target: "policy", request = id.0, customer = request.customer.0, ?point, ?shortage, ?answers,
+            in_flight = facts.in_flight, queue_length = facts.queue_length,
+            concurrency_limit = facts.concurrency_limit, ?decision, "admission decided"
         );
         match decision {
             AdmissionDecision::KeepWaiting => {}
@@ -208,14 +215,23 @@
         now + min_queue_time(self.settings.tick) <= state.request.deadline
     }
 
+    /// Ends the queued requests that have waited for as long as they may.
+    pub(crate) fn expire_queued_requests(&mut self, actions: &mut Vec<Action>) {
+        for id in std::mem::take(&mut self.requests.queue) {
+            if !self.expire_if_overdue(id, actions) {
+                self.requests.queue.push_back(id);
+            }
+        }
+    }
+
     /// Ends a request that was queued for as long as it may be; true if it need not wait.
-    pub(crate) fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+    fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else { return true };
         let facts = QueueFacts {
             now: self.now,
             arrived_at: state.arrived_at,
             deadline: state.request.deadline,
-            useful_duration: state.useful_duration(self.class_of(&state.request).latency_objective),
+            latency_budget: state.latency_budget(self.class_of(&state.request).latency_objective),
             min_queue_time: min_queue_time(self.settings.tick),
         };
         let is_overdue = facts.is_overdue();
