--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -11,25 +11,42 @@
 const DEADLINE: Micros = 10_000_000;
 const BACKEND: BackendId = BackendId(7);
 
+/// Whether the settings let two attempts of a request be in flight together.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Hedging {
+    Allowed,
+    Forbidden,
+}
+
+/// Whether the first attempt is still in flight when the second one begins.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum FirstAttempt {
+    InFlight,
+    Reset,
+}
+
 /// An auditor of a deployment that allows three attempts.
-fn auditor(hedging: bool) -> Auditor {
+fn auditor(hedging: Hedging) -> Auditor {
     let keyed = Idempotency::Keyed { scope: IdempotencyScope::Fleet, window: WINDOW };
     Auditor::new(AuditRules {
         idempotency: vec![Idempotency::Idempotent, keyed, Idempotency::NonIdempotent],
-        hedging,
+        hedging: hedging == Hedging::Allowed,
         max_attempts: 3,
         drain_grace: GRACE,
     })
 }
 
-/// An attempt that tells the backend the time that the client has left.
+/// An attempt whose command carries exactly the time that the client has left.
 fn begun(number: u16, at: Micros) -> AttemptBegun {
     AttemptBegun { number, backend: BACKEND, at, time_told: DEADLINE - at }
 }
 
+/// A non-idempotent request is rejected by its first backend, retried, and answered just before its client gives
+/// up, all of which is allowed. If the audit reported that, debug builds would panic, and operators would search
+/// for a fault that does not exist.
 #[test]
 fn a_request_that_keeps_the_rules_violates_nothing() {
-    let auditor = auditor(false);
+    let auditor = auditor(Hedging::Forbidden);
     let mut request = RequestAudit::new(&auditor, NON_IDEMPOTENT, DEADLINE);
     assert_eq!(request.attempt_begun(&auditor, &begun(0, 0)), []);
     assert_eq!(request.attempt_ended(0, Outcome::Rejected), None);
@@ -38,28 +55,38 @@
     assert_eq!(request.answered(DEADLINE), None);
 }
 
+/// A request gets a second attempt while the first is in flight, or after the first was reset by its backend. Where
+/// that is forbidden, a customer's order may be executed twice, and the audit is what tells the operator; where it
+/// is allowed, the audit must stay silent.
 #[test]
-fn second_attempts_are_judged_by_class_and_settings() {
-    for (hedging, class, in_flight, expected) in [
-        (true, IDEMPOTENT, true, vec![]),
-        (false, IDEMPOTENT, true, vec![ViolationKind::ConcurrentAttempts]),
-        (true, NON_IDEMPOTENT, true, vec![ViolationKind::ConcurrentAttempts]),
-        (true, NON_IDEMPOTENT, false, vec![ViolationKind::UnsafeRepeat]),
-        (true, KEYED, false, vec![]),
+fn a_second_attempt_is_a_violation_where_its_class_or_the_settings_forbid_it() {
+    for (hedging, class, first, expected) in [
+        (Hedging::Allowed, IDEMPOTENT, FirstAttempt::InFlight, vec![]),
+        (Hedging::Forbidden, IDEMPOTENT, FirstAttempt::InFlight, vec![ViolationKind::ConcurrentAttempts]),
+        (Hedging::Allowed, NON_IDEMPOTENT, FirstAttempt::InFlight, vec![ViolationKind::ConcurrentAttempts]),
+        (Hedging::Allowed, NON_IDEMPOTENT, FirstAttempt::Reset, vec![ViolationKind::UnsafeRepeat]),
+        (Hedging::Allowed, KEYED, FirstAttempt::Reset, vec![]),
     ] {
         let auditor = auditor(hedging);
         let mut request = RequestAudit::new(&auditor, class, DEADLINE);
         request.attempt_begun(&auditor, &begun(0, 0));
-        if !in_flight {
+        if first == FirstAttempt::Reset {
             request.attempt_ended(0, Outcome::Reset);
         }
-        assert_eq!(request.attempt_begun(&auditor, &begun(1, 10)), expected, "{class} {hedging}");
+        assert_eq!(
+            request.attempt_begun(&auditor, &begun(1, 10)),
+            expected,
+            "class {class}, hedging {hedging:?}, first {first:?}"
+        );
     }
 }
 
+/// Backends forget an idempotency key some time after the first attempt that they may have executed; attempts that
+/// never reached one do not count. A retry after that time is executed as a new request, so that a customer's order
+/// is booked twice.
 #[test]
-fn a_key_is_known_for_its_window_from_the_first_attempt_that_may_have_run() {
-    let auditor = auditor(true);
+fn a_keyed_retry_after_its_window_is_a_violation() {
+    let auditor = auditor(Hedging::Allowed);
     let mut request = RequestAudit::new(&auditor, KEYED, DEADLINE);
     request.attempt_begun(&auditor, &begun(0, 0));
     request.attempt_ended(0, Outcome::ConnectFailed);
@@ -69,8 +96,10 @@
     assert_eq!(request.attempt_begun(&auditor, &begun(2, WINDOW + 101)), [ViolationKind::KeyExpired]);
 }
 
+/// A keyed request times out at one backend and is retried at a backend of another zone or cell, which does not
+/// share keys with the first. The second backend cannot know that the request was executed, and executes it again.
 #[test]
-fn a_key_is_known_in_the_scope_of_the_attempt_that_may_have_run() {
+fn a_keyed_retry_outside_its_scope_is_a_violation() {
     for (scope, other_zone, other_cell) in [
         (IdempotencyScope::Fleet, vec![], vec![]),
         (IdempotencyScope::Zone, vec![ViolationKind::KeyOutOfScope], vec![]),
@@ -96,9 +125,12 @@
     }
 }
 
+/// A request gets a fourth attempt where three are allowed, a backend is given more time than the client will wait,
+/// or an attempt begins after the client has disconnected. Each makes backends do work that nobody uses, and the
+/// audit has to report each.
 #[test]
-fn attempts_after_the_end_beyond_the_limit_or_with_too_much_time_are_seen() {
-    let auditor = auditor(true);
+fn attempts_beyond_the_limit_with_too_much_time_or_for_no_client_are_violations() {
+    let auditor = auditor(Hedging::Allowed);
     let mut request = RequestAudit::new(&auditor, IDEMPOTENT, DEADLINE);
     assert_eq!(request.attempt_begun(&auditor, &begun(3, 0)), [ViolationKind::TooManyAttempts]);
     let overstated = AttemptBegun { time_told: DEADLINE + 150_001, ..begun(1, 0) };
@@ -107,17 +139,22 @@
     assert_eq!(request.attempt_begun(&auditor, &begun(2, 0)), [ViolationKind::AttemptAfterEnd]);
 }
 
+/// A client gets its answer after it has given up, or gets two answers to one request. A client that reads the
+/// second one takes it for the answer to its next request, so the audit has to report both.
 #[test]
-fn answers_are_counted_and_timed() {
-    let auditor = auditor(true);
+fn late_and_second_answers_are_violations() {
+    let auditor = auditor(Hedging::Allowed);
     let mut request = RequestAudit::new(&auditor, IDEMPOTENT, DEADLINE);
     assert_eq!(request.answered(DEADLINE + 50_001), Some(ViolationKind::LateAnswer));
     assert_eq!(request.answered(DEADLINE), Some(ViolationKind::SecondAnswer));
 }
 
+/// An attempt ends once, and by that end the policy counts what is in flight and which backends fail. A second
+/// report of it means that the ingress has lost track of its attempts, and the operator has to hear of it; the end
+/// of an attempt that never began is no violation.
 #[test]
-fn an_attempt_ends_once() {
-    let auditor = auditor(true);
+fn a_second_end_of_an_attempt_is_a_violation() {
+    let auditor = auditor(Hedging::Allowed);
     let mut request = RequestAudit::new(&auditor, IDEMPOTENT, DEADLINE);
     assert_eq!(request.attempt_ended(0, Outcome::NotSent), None, "it never began");
     request.attempt_begun(&auditor, &begun(0, 0));
@@ -125,9 +162,13 @@
     assert_eq!(request.attempt_ended(0, Outcome::Error), Some(ViolationKind::UnexpectedEnd));
 }
 
+/// A backend is listed as draining, then as gone, and an attempt still begins there once the grace period is over:
+/// its operator is shutting it down and the request would fail with it. The grace period counts from the first of
+/// the two, and a backend that is listed as ready again may be used at once. Closings of long ago are forgotten, so
+/// that the record does not grow without end.
 #[test]
-fn a_closed_backend_is_sent_nothing_after_the_grace_period() {
-    let mut auditor = auditor(true);
+fn an_attempt_at_a_closed_backend_after_its_grace_period_is_a_violation() {
+    let mut auditor = auditor(Hedging::Allowed);
     let begin = |auditor: &Auditor, at| {
         RequestAudit::new(auditor, IDEMPOTENT, DEADLINE).attempt_begun(auditor, &begun(0, at))
     };
@@ -143,9 +184,11 @@
     assert_eq!((auditor.closed_since.len(), auditor.closing_order.len()), (1, 1));
 }
 
+/// The same violation happens several times within a second. Each is counted, but only the first is logged, so that
+/// a fault under full load does not flood the operator's log.
 #[test]
 fn a_burst_of_violations_is_counted_and_logged_once() {
-    let mut auditor = auditor(true);
+    let mut auditor = auditor(Hedging::Allowed);
     let violation = Violation { kind: ViolationKind::NoAnswer, request: Some(RequestId(1)) };
     let logged = [0, 10, LOG_INTERVAL - 1, LOG_INTERVAL].map(|now| auditor.count(violation, now));
     assert_eq!(logged, [true, false, false, true]);
--- a/src/policy/permissions/tests.rs
+++ b/src/policy/permissions/tests.rs
@@ -14,16 +14,22 @@
     answered: false,
 };
 
+/// Whether an attempt is the first one, a retry or a hedged request follows from the attempts before it. The log
+/// names the kind, and an operator reads there why a request was sent a second time.
 #[test]
-fn attempts_are_named_by_those_before_them() {
+fn an_attempt_is_the_first_a_retry_or_a_hedge_by_those_before_it() {
     let hedge = AttemptFacts { in_flight: 1, hedging: true, ..FAILED_ONCE };
     assert_eq!(may_start_attempt(&AttemptFacts { attempts: 0, ..FAILED_ONCE }), Ok(AttemptKind::First));
     assert_eq!(may_start_attempt(&FAILED_ONCE), Ok(AttemptKind::Retry));
     assert_eq!(may_start_attempt(&hedge), Ok(AttemptKind::Hedge));
 }
 
+/// The client has its answer already, all allowed attempts are used up, another attempt is in flight, or a
+/// non-idempotent request may have been executed before. In each case a further attempt is refused, as a customer's
+/// order could otherwise be executed twice; the operator finds the reason in the log. A keyed request may be
+/// retried until its key's window ends, and not at that very moment.
 #[test]
-fn attempts_are_refused_with_a_reason() {
+fn an_attempt_that_is_not_allowed_is_refused_with_its_reason() {
     let window = 1000;
     let keyed = Idempotency::Keyed { scope: IdempotencyScope::Fleet, window };
     let executed = AttemptFacts { may_have_executed: true, ..FAILED_ONCE };
@@ -43,8 +49,11 @@
     assert_eq!(may_repeat_key(window, 50, 1050), Err(AttemptRefusal::KeyExpired));
 }
 
+/// A connection to a backend is established late: the client has its answer, the attempt's time is over, or the
+/// policy counted on an earlier start. If the command were written all the same, the backend would do work for
+/// nobody, or execute a request whose idempotency key is forgotten.
 #[test]
-fn an_attempt_begins_while_somebody_waits_and_its_time_lasts() {
+fn a_command_is_written_only_while_its_client_waits_and_its_time_lasts() {
     let facts = WriteFacts { now: 100, expires_at: 200, begins_by: 150, answered: false };
     let at = |now| may_begin_writing(&WriteFacts { now, ..facts });
     assert_eq!((at(150), at(151)), (Ok(()), Err(WriteRefusal::ConnectedTooLate)));
@@ -52,24 +61,31 @@
     assert_eq!(may_begin_writing(&WriteFacts { answered: true, ..facts }), Err(WriteRefusal::Answered));
 }
 
+/// A backend that is draining, was removed, or was never listed is sent nothing. Its operator is shutting it down,
+/// or its address belongs to another program by now, and the client's request would fail there.
 #[test]
-fn only_backends_that_take_work_are_sent_any() {
+fn only_ready_backends_are_sent_attempts() {
     assert_eq!(may_send_to(Some(Availability::Ready)), Ok(()));
     assert_eq!(may_send_to(Some(Availability::Draining)), Err(BackendRefusal::Draining));
     assert_eq!(may_send_to(Some(Availability::Gone)), Err(BackendRefusal::NotListed));
     assert_eq!(may_send_to(None), Err(BackendRefusal::NotListed));
 }
 
+/// A connection that carried a reply a moment ago may still receive a duplicate of it, which the next client would
+/// get as its answer. One that was idle for too long may be closed by the backend while a command is on its way,
+/// which fails a non-idempotent request.
 #[test]
-fn connections_rest_and_are_not_kept_for_too_long() {
+fn a_connection_is_reused_only_between_its_least_and_longest_idle_time() {
     let limits = ReuseLimits { min_idle_time: 20, max_idle_time: 100 };
     let after = |idle_time| may_reuse_connection(idle_time, limits);
     assert_eq!((after(19), after(20)), (Err(ReuseRefusal::TooFresh), Ok(())));
     assert_eq!((after(99), after(100)), (Ok(()), Err(ReuseRefusal::TooOld)));
 }
 
+/// The ingress closes idle clients to make room for others. A client that waits for a reply, or whose next command
+/// has begun to arrive, must stay connected: it would lose a request that the ingress has accepted.
 #[test]
-fn clients_are_closed_between_two_requests_only() {
+fn a_client_is_closed_only_between_two_requests() {
     let idle = ClientConnectionFacts { is_busy: false, has_input: false, is_closing: false };
     let close = may_close_client;
     assert_eq!(close(idle), Ok(()));
