--- a/tests/ingress/backend_connections.rs
+++ b/tests/ingress/backend_connections.rs
@@ -10,8 +10,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// Guards against replying to a request with the duplicate of the previous reply, which came once the
-/// connection was in its pool again.
+/// A backend sends some replies twice, and the second copy arrives when the connection is idle again. If the next
+/// request used that connection too soon, its client would get the value that belongs to the client before.
 #[test]
 fn bytes_after_a_reply_are_not_taken_for_the_next_reply() {
     let sent_again = Arc::new(AtomicUsize::new(0));
@@ -29,8 +29,9 @@
     assert!(sent_again.load(Ordering::SeqCst) > 0, "no reply came twice");
 }
 
-/// Guards against keeping connections that the backend has closed: what is written to one may have been
-/// executed.
+/// A backend closes its idle connection between two requests. If the ingress wrote the next request to it, nobody
+/// could say whether it was executed, and the client of a non-idempotent request would get an error; it has to be
+/// sent on a new connection.
 #[test]
 fn connections_closed_by_the_backend_are_not_reused() {
     let backend = Backend::start(reply_with_value);
@@ -49,8 +50,9 @@
     assert_eq!(backend.command_count(), 5);
 }
 
-/// Guards against connections that are dead after a short idle time and are reset only at the next request: a
-/// non-idempotent request fails with each. They are detected by how long they were idle.
+/// A firewall or a backend drops connections after a short idle time without a word, and resets them when the next
+/// request is written. Each non-idempotent request on such a connection fails for its client, so the ingress learns
+/// from the first failures how long a connection may idle, and goes on reusing those that idled for less.
 #[test]
 fn connections_that_are_reset_after_idling_are_no_longer_reused() {
     let backend = Backend::start(reply_with_value);
@@ -71,6 +73,8 @@
     assert!(backend.connections_opened() <= opened_before + 7, "each request has a new one");
 }
 
+/// A connection to a backend stays idle for the keepalive timeout of the settings, at which the backend closes it
+/// too. The ingress closes it first, so that no request is written to a connection that is just being closed.
 #[test]
 fn idle_connections_are_closed_after_the_keepalive_timeout() {
     let backend = Backend::start(reply_with_value);
--- a/tests/ingress/client_connections.rs
+++ b/tests/ingress/client_connections.rs
@@ -8,6 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// A client disconnects while a slow backend works on its request. The ingress closes that connection, so that the
+/// backend can stop working for nobody, and the next client is served as usual.
 #[test]
 fn a_request_is_cancelled_when_its_client_disconnects() {
     let slow = Backend::start(|args| BackendReply::Delayed(Duration::from_millis(300), value_reply(args)));
@@ -20,6 +22,9 @@
     assert_eq!(ingress.client().round_trip(&encode_request("refer", "r2", 5000)), "value of r2");
 }
 
+/// A client sends several commands at once, of which the first takes longest and one is invalid, and then 2,000
+/// more. Replies bear no id: one that came out of order, or went missing, would be taken for the answer to another
+/// command.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
     let backend = Backend::start(|args| match &args[2][..1] {
@@ -48,8 +53,9 @@
     assert_eq!(client.read_reply(), "value of q3");
 }
 
-/// Guards against a pipeline that is read no further once it is full: requests then wait in the kernel
-/// without a reply.
+/// A client sends 600 requests at once, more than the ingress holds open for one connection. It stops reading until
+/// some are answered; if it did not resume by itself, the rest would wait unread and their clients would get no
+/// answer.
 #[test]
 fn a_long_pipeline_is_read_to_its_end() {
     let slow = Backend::start(|args| BackendReply::Delayed(Duration::from_millis(5), value_reply(args)));
@@ -65,6 +71,8 @@
     assert_eq!(client.ping(), "+PONG");
 }
 
+/// A client on a slow network sends its request one byte at a time. The ingress waits for the last byte and then
+/// serves it like any other, instead of rejecting the incomplete command.
 #[test]
 fn a_request_that_arrives_byte_by_byte_is_served() {
     let backend = Backend::start(reply_with_value);
@@ -77,8 +85,9 @@
     assert_eq!(client.read_reply(), "value of s1");
 }
 
-/// Guards against descriptors held by clients that send nothing, or never a complete command: each gets an
-/// error or a close within 3 s. One that has sent a command may stay.
+/// One client connects and sends nothing, another stops in the middle of a command. Each would occupy a descriptor
+/// for good, until no other client could connect; so each gets an error or a close within 3 s. A client that has
+/// sent a complete command may stay connected.
 #[test]
 fn clients_without_a_complete_command_are_disconnected() {
     let ingress = IngressSetup::with_backends(&[]).start();
--- a/tests/ingress/discovery.rs
+++ b/tests/ingress/discovery.rs
@@ -9,6 +9,9 @@
 use std::thread;
 use std::time::Duration;
 
+/// An operator drains one of two backends before shutting it down. From then on all requests go to the other one
+/// and the idle connections are closed; otherwise clients would get errors when the backend stops. Listed as up
+/// again, it is used again.
 #[test]
 fn a_draining_backend_gets_no_new_requests() {
     let (one, two, discovery) =
@@ -33,6 +36,9 @@
     reply_through(&ingress, "quote", &one);
 }
 
+/// Discovery lists a backend under its old name with another address. The ingress closes its connection to the old
+/// address and sends the next request to the new one; at the old address the client's request might reach another
+/// program.
 #[test]
 fn a_backend_that_moved_is_used_at_its_new_address() {
     let (old, new, discovery) =
@@ -47,8 +53,8 @@
     assert_eq!((old.command_count(), new.command_count()), (1, 1));
 }
 
-/// Without discovery the endpoint list stays as it is; once discovery is back, changes of the meantime
-/// arrive.
+/// Asserts that the endpoint list stays as it is while discovery fails, and that the ingress hears of the changes made
+/// meanwhile once discovery works again.
 fn assert_recovers_from(fail: impl Fn(&DiscoveryServer, bool)) {
     let (one, two, discovery) =
         (Backend::start(reply_with_value), Backend::start(reply_with_value), DiscoveryServer::start());
@@ -63,16 +69,21 @@
     assert_eq!(two.command_count(), 0, "the ingress cannot know it yet");
     let cpu_before = ingress.cpu_centiseconds();
     thread::sleep(Duration::from_millis(1000));
-    assert!(ingress.cpu_centiseconds() - cpu_before < 50, "it spins");
+    assert!(ingress.cpu_centiseconds() - cpu_before < 50, "it polls without pause");
     fail(&discovery, false);
     reply_through(&ingress, "quote", &two);
 }
 
+/// Discovery refuses all connections for a while, and a backend is added meanwhile. Clients are still served by the
+/// backends known before, the ingress does not use up a processor with its attempts, and once discovery is back the
+/// new backend gets requests.
 #[test]
 fn the_ingress_recovers_from_discovery_that_was_down() {
     assert_recovers_from(DiscoveryServer::set_down);
 }
 
+/// Discovery accepts connections for a while and answers nothing, and a backend is added meanwhile. An ingress that
+/// waited for that answer would never hear of the new backend, so it has to give up the poll and ask again.
 #[test]
 fn the_ingress_recovers_from_discovery_that_was_silent() {
     assert_recovers_from(DiscoveryServer::set_silent);
--- a/tests/ingress/forwarding.rs
+++ b/tests/ingress/forwarding.rs
@@ -1,4 +1,4 @@
-//! How requests and replys are forwarded, and when requests are rejected.
+//! How requests and replies are forwarded, and when requests are rejected.
 
 use crate::requests::is_rejected;
 use crate::support::backend::{reply_with_value, Backend, BackendReply};
@@ -8,6 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// A backend gets the command as the client sent it, except for the time that is left, and the client gets the
+/// backend's value. A change of the customer, id, key or body would charge the wrong customer or execute another
+/// order.
 #[test]
 fn a_request_and_its_value_are_forwarded_unchanged() {
     let backend = Backend::start(reply_with_value);
@@ -34,6 +37,8 @@
     assert!((2000..=2480).contains(&wait_ms.parse::<u32>().unwrap()), "d={wait_ms}");
 }
 
+/// Requests that come one after another all use one connection to the backend. A new connection costs the backend
+/// work and the client's request some time, as a TLS handshake does.
 #[test]
 fn an_idle_backend_connection_is_reused() {
     let backend = Backend::start(reply_with_value);
@@ -49,6 +54,9 @@
     assert_eq!(backend.connections_opened(), 1, "the newest idle connection is reused");
 }
 
+/// A customer with a burst of seven sends twelve requests in a row. Those over the quota are rejected quickly,
+/// without reaching a backend, and with a time after which to come back; without that time its clients would retry
+/// at once and be rejected again.
 #[test]
 fn requests_over_the_quota_are_rejected_at_once_with_a_retry_after() {
     let backend = Backend::start(reply_with_value);
@@ -74,7 +82,8 @@
     }
 }
 
-/// Guards against losing a good value to a load report that cannot be read.
+/// A backend adds a load report to its reply that cannot be parsed. The request was executed and its value is good,
+/// so the client gets the value; an error for the sake of the report would lose it.
 #[test]
 fn a_value_is_forwarded_despite_an_unreadable_load_report() {
     for load in ["$3\r\n=,=\r\n", "$9\r\nutil=-1e9\r\n", "$8\r\nutil=nan\r\n", ":7\r\n", "+x\r\n"] {
--- a/tests/ingress/logging.rs
+++ b/tests/ingress/logging.rs
@@ -1,4 +1,4 @@
-//! The log: the way of a request, and what was done so far.
+//! The log: the trace of a request, the counters and the log level.
 
 use crate::support::backend::{reply_with_value, Backend, BackendReply};
 use crate::support::client::encode_request;
@@ -11,9 +11,10 @@
     rest.split([' ', ',']).next().unwrap()
 }
 
-/// Guards against a request whose way cannot be told: which attempts it had, where, and how they and it ended.
+/// A client complains about a request that was rejected. By the request's id an operator finds in the debug log
+/// which attempts it had, how each ended, why it was not retried, and which answer the client got.
 #[test]
-fn the_way_of_a_request_can_be_told_from_its_id() {
+fn the_log_traces_a_request_by_its_id() {
     let bad = Backend::start(|_| BackendReply::Bytes(b"-BUSY\r\n".to_vec()));
     let ingress = IngressSetup::with_backends(&[&bad]);
     let mut ingress = ingress.start_with(&format!("export LB_LOG=debug; {}", built_program()));
@@ -23,7 +24,7 @@
     let log = ingress.log();
     let opened = log.lines().find(|line| line.contains("request: opened") && line.contains("=r77 "));
     let request = format!("request={}", field(opened.unwrap(), "request"));
-    let way: Vec<&str> =
+    let trace: Vec<&str> =
         log.lines().filter(|line| line.split([' ', ',']).any(|word| word == request)).collect();
     for (event, detail) in [
         ("attempt: started", "command=Some(Sent)"),
@@ -32,10 +33,15 @@
         ("policy: rejected", "reason=NotServed"),
         ("request: answered", "answer=Rejected"),
     ] {
-        assert!(way.iter().any(|line| line.contains(event) && line.contains(detail)), "{event}: {way:#?}");
+        assert!(
+            trace.iter().any(|line| line.contains(event) && line.contains(detail)),
+            "{event}: {trace:#?}"
+        );
     }
 }
 
+/// An operator sends SIGUSR1 to a running ingress and reads in the log how many requests, answers and attempts
+/// there were. Traffic goes on, and no violation is reported where there was none.
 #[test]
 fn counters_are_logged_on_request() {
     let backend = Backend::start(reply_with_value);
@@ -53,8 +59,10 @@
     assert!(!log.contains("violations"), "{log}");
 }
 
+/// An operator misspells the log level. The ingress starts all the same and logs at its default level, with a line
+/// that names the mistake; without that line the operator would wait for debug output that never comes.
 #[test]
-fn a_level_that_is_none_is_reported_and_the_usual_one_used() {
+fn an_invalid_log_level_is_reported_and_the_default_used() {
     let ingress = IngressSetup::with_backends(&[]);
     let mut ingress = ingress.start_with(&format!("export LB_LOG=loud; {}", built_program()));
     ingress.signal("TERM");
--- a/tests/ingress/main.rs
+++ b/tests/ingress/main.rs
@@ -1,4 +1,4 @@
-//! The real ingress by its sockets: the built binary between small backends, discovery, peers and clients.
+//! The built ingress tested through its sockets, between backends, discovery, peers and clients that the tests play.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/tests/ingress/peers.rs
+++ b/tests/ingress/peers.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// The UDP side of a peer, or of a host that is none.
+/// The UDP socket of a peer, or of a host that is not a peer.
 struct PeerSocket {
     socket: UdpSocket,
     /// Where the ingress receives the messages of its peers.
@@ -39,21 +39,24 @@
     }
 }
 
-/// Whether a message from this socket makes the ingress send the peer an answer.
+/// Whether the ingress sends an answer to the peer after a message from a socket.
 fn brings_answer(from: &PeerSocket, message: &[u8], peer: &PeerSocket) -> bool {
     from.send(message);
     (0..5).filter_map(|_| peer.receive()).any(|answer| answer[1] & 3 == 1)
 }
 
-/// A usage report with the flag that asks for an answer.
+/// A usage report with the flag set that requests an answer.
 fn with_answer_requested(mut report: Vec<u8>) -> Vec<u8> {
     let first = 9 + 4 * usize::from(report[1] >> 2);
     report[first + 8] |= 2;
     report
 }
 
+/// Anybody who can reach the port may send datagrams to an ingress. If it believed those of a stranger, or cut or
+/// overlong ones, a forged usage report would use up a customer's quota; only a whole message from a peer's address
+/// is answered. What the ingress sends is 256 bytes at most, the limit of the network between peers.
 #[test]
-fn peers_are_recognised_by_address_and_messages_are_small() {
+fn only_whole_messages_from_the_address_of_a_peer_are_answered() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
     let own = unused_address();
--- a/tests/ingress/protocol_errors.rs
+++ b/tests/ingress/protocol_errors.rs
@@ -8,6 +8,9 @@
 use crate::support::wait::wait_until;
 use std::time::Duration;
 
+/// A client sends requests with an unknown class, plan or command, or with options that cannot be parsed. Each gets
+/// an error line and reaches no backend, and the connection stays usable, since the requests of many customers
+/// share it.
 #[test]
 fn an_invalid_request_gets_an_error_and_keeps_its_connection() {
     let backend = Backend::start(reply_with_value);
@@ -29,7 +32,9 @@
     assert_eq!(backend.command_count(), 1, "no invalid request reaches a backend");
 }
 
-/// Guards against requests that the gateway would keep in a genuine customer's record, and a backend reject.
+/// A client sends units or a set of gateways that the settings do not allow. The ingress would keep such values in
+/// the quota record of the customer that the request names, who is then judged by them, and a backend would reject
+/// the request anyway; so the client gets an error at once.
 #[test]
 fn a_request_with_a_value_out_of_range_reaches_no_backend() {
     let backend = Backend::start(reply_with_value);
@@ -51,8 +56,9 @@
     assert_eq!(backend.command_count(), 1);
 }
 
-/// Guards against a second request with the id of an open one: backends would take it for a copy of the
-/// first.
+/// A client sends a request with the id of one that is still open, or was answered a moment ago. A backend would
+/// take it for a copy of the first request, so it gets an error and reaches no backend; the first request is served
+/// as if nothing had happened.
 #[test]
 fn a_duplicate_request_id_is_an_error_and_does_not_disturb_the_first() {
     let backend = Backend::start(|args| BackendReply::Delayed(Duration::from_millis(400), value_reply(args)));
@@ -71,7 +77,9 @@
     assert_eq!(backend.command_count(), 2);
 }
 
-/// Guards against a client that sends invalid commands for as long as its connection is open.
+/// A broken client sends invalid commands without end. After a few errors its connection is closed, as it would
+/// cost the ingress work for as long as it is open; the reply to its earlier, valid request still arrives, and
+/// other clients are served.
 #[test]
 fn a_connection_is_closed_after_several_invalid_commands() {
     let backend = Backend::start(reply_with_value);
@@ -84,7 +92,9 @@
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q2", 900)), "value of q2");
 }
 
-/// Guards against an error that a reset discards: the client is still sending when the connection is closed.
+/// A client announces a value of 60 MB and goes on sending. If the ingress closed the connection with bytes unread,
+/// the kernel would reset it and discard the error line, and the client could not tell what was wrong; the error
+/// has to reach it.
 #[test]
 fn an_oversized_value_gets_an_error_while_it_is_still_being_sent() {
     let ingress = IngressSetup::with_backends(&[]).start();
@@ -97,6 +107,9 @@
     assert_eq!(ingress.client().ping(), "+PONG");
 }
 
+/// A client sends a valid request and then bytes that are no command. Nothing behind them can be parsed, so the
+/// connection ends; but first the client gets the reply to its request and an error line, and neither is lost to a
+/// reset.
 #[test]
 fn malformed_input_gets_an_error_and_a_close_after_earlier_replies() {
     let backend = Backend::start(|args| BackendReply::Delayed(Duration::from_millis(100), value_reply(args)));
--- a/tests/ingress/reload.rs
+++ b/tests/ingress/reload.rs
@@ -8,8 +8,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Guards against taking SIGHUP for the end, and against changes that wait until the poll of the old
-/// discovery ends.
+/// An operator writes a configuration that names another discovery and sends SIGHUP, once while the file is only
+/// half written. The ingress must neither stop nor lose requests: it logs the bad file, reads it again by itself,
+/// and then takes its backends from the new discovery at once, although a poll of the old one is still waiting for
+/// an answer.
 #[test]
 fn sighup_moves_the_watch_to_the_discovery_of_the_new_configuration() {
     let (one, two, three) = (
@@ -51,7 +53,9 @@
     );
 }
 
-/// A signal after a failed reload does not wait for the backoff of that one.
+/// A reload fails because the file is broken, and the ingress waits longer and longer before it reads the file
+/// again. The operator mends the file and sends SIGHUP once more: it is read at once, without the rest of that
+/// wait.
 #[test]
 fn a_second_sighup_reloads_at_once() {
     let (one, two, new) =
--- a/tests/ingress/requests.rs
+++ b/tests/ingress/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of several tests: ids, and requests until one reaches a given backend.
+//! Helpers that send requests: new ids, and requests repeated until one reaches a given backend.
 
 use crate::support::backend::Backend;
 use crate::support::client::encode_request;
@@ -18,8 +18,8 @@
     format!("n{}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// Sends two requests at once, again and again, until a backend gets one, and returns the reply to that. One
-/// after the other they might all go to the backend that replied first.
+/// Sends requests in pairs until the wanted backend gets one, and returns the reply to that one. Single requests might
+/// all go to the backend that replied first.
 pub fn reply_through(ingress: &IngressProcess, class: &str, wanted: &Backend) -> String {
     let (mut client, commands_before) = (ingress.client(), wanted.command_count());
     for _ in 0..200 {
--- a/tests/ingress/resource_limits.rs
+++ b/tests/ingress/resource_limits.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// There are more clients than descriptors: idle ones are closed, and every client that sends a command gets
-/// its reply.
+/// Asserts that idle clients are closed where there are more clients than descriptors, and that every client that
+/// sends a command gets its reply.
 fn assert_serves_more_clients_than_descriptors(setup: &IngressSetup) {
     let ingress = setup.start();
     let mut clients: Vec<Client> = Vec::new();
@@ -28,6 +28,9 @@
     assert!(ingress.cpu_centiseconds() - cpu_before < 50, "it spins");
 }
 
+/// More clients connect than the configuration allows descriptors. The ingress closes those that have been idle for
+/// longest, every client that sends a command gets its reply, and the process neither exceeds the limit nor uses up
+/// a processor.
 #[test]
 fn the_descriptor_limit_of_the_configuration_is_kept() {
     let backend = Backend::start(reply_with_value);
@@ -36,7 +39,9 @@
     assert_serves_more_clients_than_descriptors(&setup);
 }
 
-/// Guards against a limit of the system that is lower than the configured one: EMFILE at each accept.
+/// The operating system allows fewer descriptors than the configuration, so that accepting a client fails with
+/// EMFILE. Idle clients have to be closed all the same; otherwise new clients would hang unaccepted while the
+/// ingress tries again without pause.
 #[test]
 fn the_ingress_survives_running_out_of_descriptors() {
     let backend = Backend::start(reply_with_value);
@@ -45,7 +50,8 @@
     assert_serves_more_clients_than_descriptors(&setup);
 }
 
-/// Guards against clients that hang, accepted by the kernel only, while no connection is idle.
+/// All descriptors are used by clients that wait for replies, and one more client connects. It must not hang in the
+/// kernel's queue until it gives up: it is accepted, its request is rejected, and it can try another ingress.
 #[test]
 fn a_connection_over_the_limit_is_rejected_when_none_is_idle() {
     let slow = Backend::start(|_| BackendReply::Nothing);
@@ -62,8 +68,9 @@
     assert!(start.elapsed() < Duration::from_secs(2));
 }
 
-/// Guards against limits that hold for each connection and not for all: incomplete commands of 64 KiB by the
-/// hundred.
+/// A hundred and fifty clients each send most of a 64 KiB command and stop. Each is within the limit of one
+/// connection, but together they would exceed the memory that the process may use, and it would be killed with
+/// everybody's requests; some of them are closed instead, and other clients are served.
 #[test]
 fn incomplete_commands_together_keep_to_the_memory_limit() {
     let backend = Backend::start(reply_with_value);
--- a/tests/ingress/shutdown.rs
+++ b/tests/ingress/shutdown.rs
@@ -9,6 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// An ingress gets SIGTERM while requests are in flight, and clients go on sending on their connections and open
+/// new ones. All of them are served; connections are closed only between two requests, and the process exits before
+/// it would be killed.
 #[test]
 fn shutdown_serves_accepted_requests_and_new_connections() {
     let backend = Backend::start(|args| BackendReply::Delayed(Duration::from_millis(400), value_reply(args)));
@@ -41,8 +44,8 @@
     assert!(!ingress.log().contains("panicked"));
 }
 
-/// Guards against a listener that is closed while clients still connect, which have not heard of the
-/// shutdown: each was refused.
+/// Clients that have not heard of a shutdown go on connecting after SIGTERM. If the listener were closed at once,
+/// each of them would be refused; it stays open for as long as they keep coming.
 #[test]
 fn shutdown_accepts_connections_while_clients_still_come() {
     let backend = Backend::start(reply_with_value);
@@ -63,8 +66,9 @@
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
 }
 
-/// Guards against a request that is still in flight when SIGKILL comes, 0.7 s after the longest deadline but
-/// no later than 3.7 s: by then it has failed, or it is lost.
+/// A backend never answers, and the ingress gets SIGTERM. SIGKILL may follow 3.7 s later, and whatever is
+/// unanswered then is lost; so the client gets an error before that, but has some three seconds in which its
+/// request could still be served.
 #[test]
 fn requests_in_flight_at_the_end_of_the_shutdown_grace_period_fail() {
     let silent = Backend::start(|_| BackendReply::Nothing);
@@ -81,7 +85,8 @@
     assert!(elapsed < Duration::from_millis(6000), "it took {elapsed:?}");
 }
 
-/// A client that never completes its request must not keep the ingress from stopping.
+/// A client has sent half a command and never completes it when the ingress gets SIGTERM. The ingress does not wait
+/// for the rest and exits in time; otherwise it would be killed, and others' replies with it.
 #[test]
 fn an_incomplete_request_does_not_delay_shutdown() {
     let mut ingress = IngressSetup::with_backends(&[]).start();
@@ -92,8 +97,9 @@
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
 }
 
-/// Guards against waiting for a client that sends commands and never reads, until the ingress is killed with
-/// others' replies.
+/// A client sends commands and never reads its replies, until nothing more fits into the connection, and the
+/// ingress gets SIGTERM. If it waited for that client to read, it would be killed, and the replies of other clients
+/// would be lost with it.
 #[test]
 fn unread_replies_do_not_delay_shutdown() {
     let mut ingress = IngressSetup::with_backends(&[]).start();
--- a/tests/ingress/startup.rs
+++ b/tests/ingress/startup.rs
@@ -5,7 +5,8 @@
 use crate::support::client::encode_request;
 use crate::support::ingress::{built_program, IngressProcess, IngressSetup};
 
-/// The command in deploy/balancer.toml; `.ci/run` passes it.
+/// The command in `deploy/balancer.toml`, which `.ci/run` passes here, starts an ingress that serves a request and
+/// stops on SIGTERM. A mistake in it would otherwise show only at a deployment.
 #[test]
 #[ignore = "wants the command in INGRESS_RUN"]
 fn the_deploy_command_starts() {
@@ -17,6 +18,8 @@
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
 }
 
+/// An operator starts an ingress with a configuration in which one value is wrong or missing. The process exits at
+/// once with a single line that names the key, from which the operator knows what to mend.
 #[test]
 fn an_invalid_configuration_is_reported_by_its_key() {
     let address = unused_address();
