--- a/tests/gateway/admission.rs
+++ b/tests/gateway/admission.rs
@@ -4,10 +4,11 @@
 use crate::support::settings::{settings, IDEMPOTENT, NON_IDEMPOTENT, RATE_QUOTA, SECOND, START, UNLIMITED};
 use ingress::*;
 
+/// A client retries with a few milliseconds left, and no backend is available. If the request were queued, the next
+/// timer would come after its deadline and the client would give up without an answer; so it is rejected at once.
+/// One with more time left is queued, and still answered before its deadline.
 #[test]
 fn a_request_close_to_its_deadline_is_rejected_immediately() {
-    // Found on a simulated day: a client's last try came with a few milliseconds left, waited for a backend, and the
-    // next timer was past its deadline.
     let mut harness = GatewayHarness::new(settings(), 1);
     harness.handle(Event::Endpoints(EndpointUpdate::Snapshot, vec![]));
     let base = Request { id: RequestId(1), units: 1.0, gateway_set_size: 3.0, ..Request::default() };
@@ -17,9 +18,9 @@
     assert!(is_rejected(&harness.advance(80_000)), "it waits, and is answered before its deadline");
 }
 
-/// Found on simulated days whose gateways stall: a request that waited when the stall began was past its
-/// deadline when it ended, and the next timer was too late by 12 ms. It is answered with the first event
-/// after a stall.
+/// A request is queued when the whole process stalls, and its deadline passes. The next timer after the stall came
+/// 12 ms too late, so its client got no answer at all; the first event after the stall, whatever it is, has to
+/// answer it.
 #[test]
 fn requests_that_expired_during_a_stall_are_rejected_by_the_first_event_after_it() {
     let mut harness = GatewayHarness::new(settings(), 1);
@@ -37,9 +38,9 @@
     assert!(is_rejected(&harness.handle(Event::ClientDisconnected(RequestId(99)))));
 }
 
-/// A request of a disconnected client is not sent, whatever it waits for: the concurrency limit, a grant of a
-/// quota owner, or a retry. This holds with and without permission to cancel, since what is not in flight yet
-/// needs none.
+/// A client disconnects while its request waits for the concurrency limit, for a quota grant or for a retry.
+/// Nothing of it may reach a backend after that, since the backend would work for nobody; and because nothing is in
+/// flight yet, this holds even where the settings do not permit cancelling attempts.
 #[test]
 fn a_request_of_a_disconnected_client_is_not_sent() {
     for cancellation in [true, false] {
@@ -50,7 +51,7 @@
     }
 }
 
-/// The concurrency limit of the only backend is reached.
+/// The client disconnects while the concurrency limit is reached at the only backend.
 fn disconnects_while_waiting_for_the_concurrency_limit(settings: Settings) {
     let mut harness = GatewayHarness::new(Settings { gateway_count: 1, ..settings }, 1);
     let requests: Vec<_> =
@@ -74,7 +75,7 @@
     assert!(sent_to(&harness.advance(SECOND)).is_empty());
 }
 
-/// In a fleet where each customer has one quota owner, until the wait for its grant is over.
+/// The client disconnects while its request waits for a grant, in a fleet where each customer has one quota owner.
 fn disconnects_while_waiting_for_a_grant(settings: Settings) {
     let mut harness = GatewayHarness::new(Settings { gateway_count: 100, ..settings }, 6);
     let requests: Vec<_> =
@@ -90,7 +91,7 @@
     assert!(sent_to(&harness.advance(SECOND)).is_empty());
 }
 
-/// The attempt in flight fails behind the disconnect, which would bring a retry.
+/// The client disconnects, and then the attempt in flight fails, which would be followed by a retry.
 fn disconnects_before_the_attempt_fails(settings: Settings) {
     let mut harness = GatewayHarness::new(settings, 6);
     let SubmittedRequest { id, actions } = harness.request(IDEMPOTENT, UNLIMITED, 1, 1.0);
@@ -99,6 +100,8 @@
     assert!(sent_to(&end).is_empty() && sent_to(&harness.advance(SECOND)).is_empty());
 }
 
+/// A client disconnects, and its attempt times out afterwards. No answer, rejection or retry follows, as nobody is
+/// there to receive it.
 #[test]
 fn an_attempt_that_ends_after_a_disconnect_gets_no_final_answer() {
     let mut harness = GatewayHarness::new(settings(), 4);
@@ -109,6 +112,9 @@
     assert!(harness.handle(Event::ClientDisconnected(id)).is_empty());
 }
 
+/// Peers send garbage, requests name classes, plans, units or sets that do not exist, and attempts end that never
+/// began. The gateway must not panic, answer a request twice or send it to a backend; one such event would
+/// otherwise take down the ingress for all its clients.
 #[test]
 fn malformed_events_get_at_most_one_final_answer() {
     let mut harness = GatewayHarness::new(settings(), 2);
--- a/tests/gateway/concurrency_quota.rs
+++ b/tests/gateway/concurrency_quota.rs
@@ -9,6 +9,9 @@
 };
 use ingress::*;
 
+/// A customer with a quota of two attempts in flight cancels one by disconnecting. The backend is still busy with
+/// it, so a new request is rejected until the cancelled attempt has ended; otherwise a customer could occupy any
+/// number of backends by disconnecting again and again.
 #[test]
 fn a_concurrency_quota_counts_cancelled_attempts_until_they_end() {
     let mut harness = GatewayHarness::new(settings(), 4);
@@ -24,8 +27,9 @@
     assert_eq!(sent_to(&harness.request(IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0).actions).len(), 1);
 }
 
-/// Guards against an attempt at a slow backend that occupies one of a customer's few places for as long as
-/// the client waits, though its answer has been worth nothing since the latency objective.
+/// A slow backend holds an attempt of a customer that may have only two in flight. After the latency objective its
+/// answer is worth nothing, but the customer's next requests were rejected for as long as the client waited; so the
+/// attempt expires at the objective and the place is free again.
 #[test]
 fn an_attempt_under_a_concurrency_quota_expires_at_its_latency_objective() {
     let mut harness = GatewayHarness::new(settings_of(0, 100), 200);
@@ -56,9 +60,9 @@
     );
 }
 
-/// Guards against admitting every request of a customer with a concurrency quota where its quota owner is not
-/// heard: an owner that is asked for more than it takes in is heard by nobody. The more an error costs, the
-/// fewer requests pass; some always do.
+/// The gateway that counts a customer's attempts does not answer, since it is overloaded with questions. If all
+/// requests were admitted, the customer would exceed its quota just when the fleet is overloaded; if none were, it
+/// would be locked out. A random part is admitted, the smaller the more an attempt over the quota costs.
 #[test]
 fn without_answers_of_the_quota_owner_a_random_share_is_admitted() {
     for (over_cost, share) in [(0.0, 1.0), (1.0, 0.5), (3.0, 0.25)] {
@@ -84,9 +88,9 @@
     }
 }
 
-/// Guards against admitting customers whom an overloaded quota owner does not answer for: those are the
-/// customers that overload it, and each request over the quota costs as much as one inside earns. An owner
-/// that sends nothing at all may have died.
+/// A quota owner answers questions on other customers, but not on this one. It is alive and overloaded, and most
+/// likely by this very customer, so the request is rejected; an owner that answers nothing at all may have died,
+/// and then the request is admitted.
 #[test]
 fn a_request_is_rejected_where_the_quota_owner_answers_for_other_customers_only() {
     // Where an error costs nothing, requests are admitted if the quota owner is silent.
@@ -129,8 +133,9 @@
         .any(|action| matches!(action, Action::Reject { id: rejected, .. } if *rejected == id)));
 }
 
-/// Guards against one customer with so many requests that its quota owner cannot take the grant requests in,
-/// and loses the ends of attempts and the requests for all its other customers with them.
+/// One customer sends so many requests that its quota owner cannot receive a question for each. The owner would
+/// lose messages on all its other customers as well, and they would be rejected though they are within their
+/// quotas; so questions on the busy customer are limited, while a good part of its requests is still sent.
 #[test]
 fn grant_requests_for_a_busy_customer_are_limited() {
     let mut fleet = Fleet::new(100);
--- a/tests/gateway/gossip.rs
+++ b/tests/gateway/gossip.rs
@@ -4,6 +4,9 @@
 use crate::support::settings::{settings, settings_of, IDEMPOTENT, RATE_QUOTA, SECOND, UNLIMITED};
 use ingress::*;
 
+/// Another gateway uses up most of a customer's quota; its first messages are lost, and later ones arrive twice and
+/// out of order. This gateway still has to know the true usage: it would let the customer exceed its quota by
+/// requests that the other one has already served.
 #[test]
 fn usage_reports_converge_despite_loss_and_duplicates() {
     let mut other = GatewayHarness::new(settings_of(1, 3), 4);
@@ -22,6 +25,8 @@
     assert!(is_rejected(&harness.request(IDEMPOTENT, RATE_QUOTA, 9, 3.0).actions));
 }
 
+/// A hundred customers are active, more than one message holds. Each of them has to be reported sooner or later; a
+/// customer that is never reported could use its full quota at every gateway.
 #[test]
 fn usage_reports_cover_every_customer_in_turn() {
     let mut harness = GatewayHarness::new(settings(), 4);
--- a/tests/gateway/hard_limit.rs
+++ b/tests/gateway/hard_limit.rs
@@ -5,8 +5,9 @@
 use crate::support::settings::{settings_of, HARD_LIMIT, IDEMPOTENT, SECOND, UNLIMITED};
 use ingress::*;
 
-/// Gateways that get no messages of each other keep to the hard limit together; after each restart their
-/// bucket starts empty.
+/// Gateways cannot reach each other, and each restarts in the middle of a run. A hard limit is one that a customer
+/// must never exceed, so each gateway keeps to its own share of it, and after a restart begins with nothing instead
+/// of a full burst.
 #[test]
 fn restarts_without_gossip_do_not_exceed_a_hard_limit() {
     for gateways in [3, 40, 200] {
@@ -36,7 +37,8 @@
     }
 }
 
-/// Most of a hard limit is with two of the gateways in the set: a busy one gets far more than an even share.
+/// All requests of a customer come to one of its six gateways. With an even share it would get a sixth of what the
+/// customer has paid for; two gateways hold most of the limit and grant it to the one that needs it.
 #[test]
 fn a_busy_gateway_gets_the_share_of_a_hard_limit_that_others_leave() {
     let mut fleet = Fleet::new(60);
@@ -48,10 +50,11 @@
     assert!((20..=72).contains(&sent), "{sent}");
 }
 
-/// Guards against a hard limit that begins full again whenever a customer's record changes to another plan and back: requests
-/// in its name with a plan that is not its own, more of them than of its own, let it have the burst each time.
+/// A customer has used up the burst of its hard limit. Somebody sends many requests in its name with another plan,
+/// so that its record changes to that plan and then back again; each change began with a full burst, and the
+/// customer could exceed its hard limit as often as it liked.
 #[test]
-fn a_hard_limit_does_not_begin_full_again_behind_requests_with_a_forged_plan() {
+fn requests_with_a_forged_plan_do_not_refill_a_hard_limit() {
     let mut harness = GatewayHarness::new(settings_of(0, 1), 4);
     harness.advance(30 * SECOND);
     let send = |harness: &mut GatewayHarness, plan, count: usize| {
--- a/tests/gateway/load_balancing.rs
+++ b/tests/gateway/load_balancing.rs
@@ -4,6 +4,8 @@
 use crate::support::settings::{endpoint, settings, settings_of, IDEMPOTENT, SECOND, START, UNLIMITED};
 use ingress::*;
 
+/// One backend is draining and the other one is removed. Requests go only to a backend that takes new work; once
+/// there is none, a request waits for a while and is then rejected before its client gives up.
 #[test]
 fn a_draining_backend_gets_no_new_requests() {
     let mut harness = GatewayHarness::new(settings(), 2);
@@ -23,7 +25,9 @@
     assert!(sent_to(&later).is_empty() && is_rejected(&later), "it waits, then is rejected in time");
 }
 
-/// With `max(1)` for each gateway, a backend that has just started would get 150 requests at once.
+/// A backend has just started and can bear only a few requests. A hundred and fifty gateways do not know of each
+/// other's requests; if each sent at least one at once, the backend would be overloaded before it is warm. Together
+/// they send a handful, and more once its slow start is over.
 #[test]
 fn slow_start_holds_over_a_hundred_and_fifty_gateways() {
     let (mut sent_at_once, mut sent_later) = (0, 0);
@@ -45,9 +49,9 @@
     assert!(sent_later > 100, "{sent_later}: slow start ends, and it is used");
 }
 
-/// Guards against backends that no gateway sends to: with many more backends than gateways each gateway sent
-/// to 32 of them, so that at sixty backends to a gateway three in five would have been idle. Nor may a
-/// request look at very many.
+/// There are sixty times as many backends as gateways, and each gateway sends only to a subset of them. With
+/// subsets of 32, three in five backends would have had nothing to do while the others bore all the load. Nearly
+/// all backends have to be used, and none far more than its share.
 #[test]
 fn every_backend_of_a_large_fleet_is_in_a_subset() {
     let (gateways, backends) = (40u16, 2_400);
--- a/tests/gateway/load_shedding.rs
+++ b/tests/gateway/load_shedding.rs
@@ -4,6 +4,9 @@
 use crate::support::settings::{plan, settings, settings_of, IDEMPOTENT, UNLIMITED};
 use ingress::*;
 
+/// Backends become slow and later fast again. The gateway raises its shedding stage while they are slow, so that
+/// the requests it does admit are served in time, and lowers it afterwards; an operator sees both in the log. A
+/// stage that stayed up would reject customers for nothing.
 #[test]
 fn the_shedding_stage_rises_with_latency_and_falls_again() {
     let mut harness = GatewayHarness::new(settings(), 4);
@@ -28,8 +31,9 @@
     assert!(down.0 > 300);
 }
 
-/// A shedding stage rejects the same customers for an epoch: the retry of a rejected client gets the same
-/// answer.
+/// All backends are slow, and gateways reject part of the customers. If each gateway chose for itself, a rejected
+/// client that retries elsewhere would be admitted there, and the load would not fall; all of them reject the same
+/// customers for some seconds.
 #[test]
 fn all_gateways_shed_the_same_customers() {
     let verdicts = |own_id: u16| {
@@ -53,6 +57,9 @@
     assert!(here.contains(&true) && here.contains(&false), "half of a priority passes in the third stage");
 }
 
+/// Half of the backends disappear while the load stays the same. If the other half took over all requests, it would
+/// be overloaded and fail as well; the limit on requests in flight halves with the backends, and the rest is
+/// rejected.
 #[test]
 fn remaining_backends_do_not_take_over_the_load_of_removed_ones() {
     let in_flight = |backends: u64| {
@@ -71,8 +78,8 @@
     );
 }
 
-/// Whom the concurrency limit rejects is drawn by customer and epoch, not by who comes last: a retry gets the
-/// same answer at every gateway.
+/// More customers come than the concurrency limit has room for. Who is rejected depends on the customer and not on
+/// who came last: if a retry had another chance, rejected clients would all retry at once and add to the load.
 #[test]
 fn the_concurrency_limit_rejects_the_same_customers_again() {
     let mut harness = GatewayHarness::new(settings(), 12);
--- a/tests/gateway/outlier_detection.rs
+++ b/tests/gateway/outlier_detection.rs
@@ -5,8 +5,9 @@
 use crate::support::settings::{settings, IDEMPOTENT, NON_IDEMPOTENT, SECOND, START, UNLIMITED};
 use ingress::*;
 
-/// A gateway that stalled handles all that arrived meanwhile before it takes the time of its own stall for
-/// silence of a backend.
+/// The gateway itself stalls for two seconds while a request is in flight. The backend has answered meanwhile, and
+/// its reply waits to be read; if the gateway took its own stall for silence of the backend, it would eject a
+/// healthy backend and send the request a second time.
 #[test]
 fn a_stall_of_the_gateway_ejects_no_backend() {
     let mut harness = GatewayHarness::new(settings(), 1);
@@ -26,7 +27,9 @@
     );
 }
 
-/// A backend that is silent to one class goes on serving the others.
+/// A backend does not answer one class of requests, for example because the database behind that class is down.
+/// Requests of that class go to other backends, but it still serves the other classes; ejecting it altogether would
+/// take away capacity for no reason.
 #[test]
 fn timeouts_of_one_class_eject_a_backend_for_that_class_only() {
     let mut harness = GatewayHarness::new(settings(), 2);
@@ -62,14 +65,14 @@
     assert!(idempotent[0] >= 3, "{idempotent:?}");
 }
 
-/// Attempts by where they were sent.
+/// How many attempts were sent to backends that answer, and to the silent one.
 #[derive(Default)]
 struct AttemptCounts {
     answered: usize,
     at_silent_backend: usize,
 }
 
-/// Executes the actions of a gateway, and those that follow from them. Backend 0 never answers, the others at once.
+/// Executes the actions of a gateway and those that follow from them. Backend 0 never answers, the others answer at once.
 fn execute_with_silent_backend(fleet: &mut Fleet, from: usize, actions: Vec<Action>) -> AttemptCounts {
     let mut counts = AttemptCounts::default();
     let mut queue: Vec<(usize, Action)> = actions.into_iter().map(|action| (from, action)).collect();
@@ -93,8 +96,9 @@
     counts
 }
 
-/// Guards against each of a hundred gateways finding out for itself that a backend is silent: at a few
-/// requests a second each, the backend went on getting a good part of its share.
+/// One of 30 backends stops answering. Each of a hundred gateways sends it only a request now and then; when each
+/// had to find out for itself, the backend went on getting a good part of its share, and those clients waited in
+/// vain. Gateways tell each other, and after some seconds hardly any request goes there.
 #[test]
 fn a_hundred_gateways_share_observations_of_a_silent_backend() {
     let mut fleet = Fleet::new(100);
--- a/tests/gateway/rate_quota.rs
+++ b/tests/gateway/rate_quota.rs
@@ -7,6 +7,8 @@
 };
 use ingress::*;
 
+/// A customer sends a request within its quota and then one beyond it. The second one is rejected at once and
+/// reaches no backend, and some seconds later, when the token bucket has refilled, the customer is served again.
 #[test]
 fn requests_within_the_quota_are_sent_and_beyond_it_rejected() {
     let mut harness = GatewayHarness::new(settings(), 4);
@@ -25,11 +27,11 @@
     );
 }
 
-/// Guards against one customer's settings being applied to another: a request in a customer's name, but with
-/// another plan and gateway set, changed the plan in its record for all later requests, or fixed the wrong
-/// set for good.
+/// Somebody sends requests in a customer's name with another plan, before or between the customer's own. When one
+/// such request decided on the plan in the customer's record, it lifted the quota, or had the customer judged by
+/// the wrong plan for good; the record has to follow what most requests say.
 #[test]
-fn a_request_with_a_forged_plan_or_gateway_set_does_not_change_the_customers_record() {
+fn requests_with_a_forged_plan_do_not_change_the_customers_record() {
     for forged_first in [false, true] {
         let mut harness = GatewayHarness::new(settings_of(0, 1), 6);
         let send_genuine = |harness: &mut GatewayHarness| {
@@ -59,8 +61,9 @@
     }
 }
 
-/// A customer's quota holds over many gateways each of which sees a request now and then, so that none could
-/// know alone. Lost messages cost little; an owner that restarts gets the usage reports again.
+/// The requests of one customer are spread over 60 gateways, each of which sees one now and then and could not know
+/// alone that the quota is used up. Together they have to keep to it, also where some messages are lost or some
+/// gateways restart, and without flooding each other with messages.
 #[test]
 fn a_rate_quota_holds_over_many_gateways() {
     for (lose_every, restart) in [(0, false), (12, false), (0, true)] {
@@ -80,8 +83,9 @@
     }
 }
 
-/// Guards against a large fleet whose messages exceed what its gateways take in: at six messages a request a
-/// third was lost, and customers far inside their quota were rejected by gateways that had not heard of them.
+/// A fleet of a hundred gateways starts, and customers send requests well within their quotas. With six messages
+/// for each request a third of them was lost, and customers were rejected by gateways that had not heard of them;
+/// all requests have to be served, with two messages each, or three where attempts in flight are counted.
 #[test]
 fn a_hundred_starting_gateways_need_two_messages_for_a_request_within_its_quota() {
     for plan in [RATE_QUOTA, CONCURRENCY_QUOTA] {
@@ -104,8 +108,8 @@
     }
 }
 
-/// How many of ten requests of one unit each, of a customer that is new to gateway 2 of three, that gateway
-/// sends.
+/// Sends gateway 2 of three ten requests, of one unit each, of a customer that is new to it. Returns how many of them
+/// it sends to a backend.
 fn sent_for_new_customer(fleet: &mut Fleet, customer: u64) -> usize {
     let mut sent = 0;
     for _ in 0..10 {
@@ -115,9 +119,10 @@
     sent
 }
 
-/// Guards against token buckets that never get the tokens withheld at the start: a customer that is always
-/// over its quota never fills up by itself. One gateway that restarts among old ones goes on withholding
-/// them.
+/// A gateway that starts cannot know what a customer used before, and withholds part of its tokens in case it was
+/// only a restart. Where the whole fleet has started together, that part has to be released, exactly once: a
+/// customer that is always at its limit would otherwise never get it back. A single gateway that restarts among
+/// older ones goes on withholding.
 #[test]
 fn gateways_that_start_together_release_withheld_tokens_once() {
     let mut fleet = Fleet::new(3);
@@ -144,8 +149,9 @@
     );
 }
 
-/// Guards against charging all usage of a gateway as new after it was silent on the customer for a while: on
-/// long days customers move between gateways, and each move emptied their bucket.
+/// A customer's requests move to another gateway for half a minute and then come back. The gateways took everything
+/// that it had used meanwhile for new usage, emptied its bucket and rejected it, although it was within its quota
+/// all the time.
 #[test]
 fn a_customer_that_returns_to_a_gateway_is_not_charged_for_past_usage() {
     let mut fleet = Fleet::new(3);
@@ -174,8 +180,9 @@
     fleet.gateways[2].restart(settings_of(2, 3), 9, 6);
 }
 
-/// Guards against taking all messages of a process for outdated that has restarted on a machine whose wall clock was set
-/// back: others would not hear it until the clock has caught up.
+/// A machine's wall clock is set back by ten minutes, and its gateway restarts. The others took all its messages
+/// for older than those before the restart and ignored them until the clock had caught up; meanwhile the customer
+/// could use its full quota twice.
 #[test]
 fn a_gateway_that_restarts_with_its_clock_set_back_is_heard() {
     let mut fleet = Fleet::new(3);
@@ -196,8 +203,9 @@
     assert!(restarted + other <= 9, "{restarted} and {other} sent of a quota that both know of");
 }
 
-/// Guards against taking peers that have run for long for younger ones, after a restart with the clock set back: their
-/// usage of long ago was charged as new, and its customer locked out.
+/// A machine's wall clock is set back, and its gateway restarts among gateways that have run for long. It took them
+/// for younger than itself and charged what a customer had used through them long ago as new; a customer well
+/// within its quota was rejected.
 #[test]
 fn a_gateway_that_restarts_with_its_clock_set_back_charges_no_past_usage() {
     let mut fleet = Fleet::new(3);
@@ -216,9 +224,9 @@
     assert_eq!(after, 3, "one unit a second, of two that the quota has");
 }
 
-/// Guards against an owner that forgets how much a gateway has reported while the gateway still counts on, or counts on
-/// where the gateway has begun anew: behind a quiet time all that was ever used counts as used again, and a customer with a
-/// full bucket is rejected, or is given back what it has used since.
+/// A customer uses most of its quota, is quiet for a minute, and comes again with a full bucket. Its quota owner
+/// had forgotten how much each gateway had reported, while those gateways went on counting from where they were;
+/// everything ever used was charged again, and 2 of its next 18 requests were served.
 #[test]
 fn what_a_customer_used_before_a_quiet_time_is_not_charged_again() {
     const BURST: f64 = 20.0;
