--- a/tests/decision_digest/main.rs
+++ b/tests/decision_digest/main.rs
@@ -28,7 +28,7 @@
     Pinned { digest: both.state, counts: both.counts }
 }
 
-/// Every kind of action that decisions ask for occurs more than once.
+/// Asserts that every kind of action that decisions ask for occurs more than once.
 fn assert_all_occur(counts: Counts) {
     let occurring = [
         counts.sends,
@@ -56,6 +56,8 @@
     );
 }
 
+/// Three gateways get a fixed stream of events, and the digest of all their actions is pinned. A change of code
+/// that was meant to change no decision, such as a rename, shows here if it did.
 #[test]
 fn three_gateways_decide_as_pinned() {
     let counts = Counts {
@@ -74,6 +76,7 @@
     assert_pinned(THREE, Pinned { digest: 0x7C3D_0817_9925_D4C0, counts });
 }
 
+/// The same in a fleet of thirty, whose gateways report to each other less often than three do.
 #[test]
 fn gateways_of_thirty_decide_as_pinned() {
     let counts = Counts {
@@ -92,6 +95,8 @@
     assert_pinned(THIRTY, Pinned { digest: 0x5135_22E7_BE53_26D3, counts });
 }
 
+/// The same in a fleet of three hundred, where one or two gateways count a customer's usage for all others, which
+/// request grants from them.
 #[test]
 fn gateways_of_three_hundred_decide_as_pinned() {
     let counts = Counts {
@@ -110,7 +115,8 @@
     assert_pinned(THREE_HUNDRED, Pinned { digest: 0x8931_D61E_8E33_B64F, counts });
 }
 
-/// The digest depends on what gateways draw at random: the same stream at gateways with another seed gives another one.
+/// Gateways with another seed get the same stream of events. Their digest has to differ, since one that did not
+/// depend on what gateways decide would pass whatever they do.
 #[test]
 fn another_seed_gives_another_digest() {
     assert_ne!(drive(THREE, GATEWAY_SEED).digest, drive(THREE, GATEWAY_SEED + 1).digest);
--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -1,5 +1,5 @@
-//! Idle clients use up the descriptors while discovery is down: it must be polled again all the same, and a connection
-//! to a backend and a reload must get through, whether discovery pushes the endpoint list or has to be polled.
+//! Idle clients use up the descriptors while discovery is down. It must be polled again all the same, a connection to a
+//! backend must be established and a reload take effect, whether discovery pushes the endpoint list or has to be polled.
 
 mod support;
 
@@ -45,14 +45,14 @@
         IdleClient { stream: client.stream, is_settled: false }
     }
 
-    /// Notes whether it got its reply, or was disconnected to make room for others.
+    /// Records whether it got its reply, or was disconnected to make room for others.
     fn settle(&mut self) {
         self.is_settled |=
             !matches!(self.stream.read(&mut [0; 16]), Err(error) if error.kind() == ErrorKind::WouldBlock);
     }
 }
 
-/// Waits until each idle client is settled.
+/// Waits until each idle client got its reply or was disconnected.
 fn settle(clients: &mut [IdleClient]) {
     wait_until("all are answered or closed", || {
         clients.iter_mut().for_each(IdleClient::settle);
@@ -65,7 +65,7 @@
     fs::read_dir(format!("/proc/{}/fd", ingress.child.id())).unwrap().count()
 }
 
-/// The settings call the ways in which the endpoint list comes `push` and `ask`.
+/// Settings for a mode of discovery, which they call `push` or `ask`, and for a limit on descriptors.
 fn setup(discovery_mode: &str, limit: DescriptorLimit) -> IngressSetup {
     let mut setup = IngressSetup::with_backends(&[]);
     setup.replace_setting("\"push\"", &format!("\"{discovery_mode}\""));
@@ -76,7 +76,7 @@
     setup
 }
 
-/// Discovery comes back with a backend that was added meanwhile, and is polled again.
+/// Brings discovery back with a backend that was added meanwhile, and asserts that it is polled again.
 fn assert_polled_again(discovery: &DiscoveryServer, added: &Backend, case: &str) {
     let polls_before = discovery.poll_count();
     discovery.publish(added.endpoint_json("s-0", "up"));
@@ -84,7 +84,7 @@
     wait_until(&format!("discovery is polled again; {case}"), || discovery.poll_count() > polls_before);
 }
 
-/// A request is served, which needs a connection to a backend that has none yet.
+/// Asserts that a request is served, which needs a new connection to a backend.
 fn assert_served(client: &mut Client, case: &str) {
     let mut reply = String::new();
     for number in 0..100 {
@@ -96,7 +96,7 @@
     assert!(reply.starts_with("value"), "{reply}; {case}");
 }
 
-/// The ingress is between more idle clients than it has descriptors and a discovery that is down.
+/// Asserts that discovery and a reload work with more idle clients than descriptors, once discovery is back.
 fn assert_discovery_and_reload_work(discovery_mode: &str, limit: DescriptorLimit, outage: Outage) {
     let case = format!("{discovery_mode}, {limit:?}, {outage:?}");
     let (backend, other_backend) = (Backend::start(reply_with_value), Backend::start(reply_with_value));
@@ -127,18 +127,26 @@
     idle_clients.iter().for_each(|idle| drop(idle.stream.shutdown(Shutdown::Both)));
 }
 
+/// Idle clients hold every descriptor while discovery, which pushes its changes, is down. When it is back the
+/// ingress needs descriptors for the watch, for a backend and for a reload; without them it would serve from an
+/// outdated list, and an operator could not change that.
 #[test]
-fn idle_clients_do_not_block_pushed_discovery() {
+fn idle_clients_do_not_block_discovery_that_pushes_changes() {
     assert_discovery_and_reload_work("push", DescriptorLimit::Configuration, Outage::OnceConnected);
     assert_discovery_and_reload_work("push", DescriptorLimit::System, Outage::FromTheStart);
 }
 
+/// The same where discovery has to be polled: idle clients hold every descriptor and discovery comes back. It must
+/// be polled again, the backend added meanwhile must get requests, and a reload must take effect.
 #[test]
-fn idle_clients_do_not_block_polled_discovery() {
+fn idle_clients_do_not_block_discovery_that_is_polled() {
     assert_discovery_and_reload_work("ask", DescriptorLimit::System, Outage::OnceConnected);
     assert_discovery_and_reload_work("ask", DescriptorLimit::Configuration, Outage::FromTheStart);
 }
 
+/// The operating system allows fewer descriptors than the configuration, and idle clients use up all of them while
+/// discovery is down. The ingress learns of that limit only from calls that fail, and still has to poll discovery,
+/// connect to a backend and reload.
 #[test]
 fn idle_clients_do_not_block_discovery_under_a_system_limit() {
     assert_discovery_and_reload_work("push", DescriptorLimit::System, Outage::OnceConnected);
--- a/tests/fleet_quota.rs
+++ b/tests/fleet_quota.rs
@@ -1,5 +1,6 @@
-//! Quotas over a whole fleet without overload: what is sent beyond them, and what that costs, against policies that know
-//! the true state. The test is the network: messages are delayed, some are lost, and no gateway takes in too many.
+//! Quotas over a whole fleet without overload: what is sent beyond them and what that costs, compared with policies that
+//! know the true state. The test plays the network: messages are delayed, some are lost, and a gateway receives only so
+//! many in a second.
 
 mod support;
 
@@ -15,7 +16,7 @@
 const RUN_LENGTH: Micros = 8 * SECOND;
 /// How long an attempt takes at a backend that is not busy.
 const SERVICE_TIME: Micros = 110_000;
-/// How late the policy to compare with knows the true state: a tick, the least that a real one could have.
+/// The delay with which the policy to compare with knows the true state: a tick, the least that a real one could have.
 const OBSERVATION_DELAY: Micros = 4_000;
 const PEER_MESSAGES_PER_SECOND: u32 = 40;
 const MESSAGE_LOSS_PERCENT: u64 = 5;
@@ -73,7 +74,7 @@
     customer: u64,
 }
 
-/// Most customers use a third of their quota, one in ten sends eight times as much as it may.
+/// The requests of all customers: most use a third of their quota, one in ten sends eight times as much as it may.
 fn arrivals(random: &mut Random) -> Vec<Arrival> {
     let mut all = Vec::new();
     for customer in 0..CUSTOMERS {
@@ -97,7 +98,7 @@
     tokens: f64,
 }
 
-/// The true state of a customer, and how it was before.
+/// The true state of a customer, now and at earlier times.
 struct CustomerState {
     plan: Plan,
     bucket: BucketLevel,
@@ -156,7 +157,7 @@
     }
 }
 
-/// What is sent where each request is admitted by the true state of a while ago.
+/// What is sent by a policy that admits each request by the true state of some time ago.
 fn run_with_delayed_state(arrivals: &[Arrival], delay: Micros) -> Totals {
     let (mut customers, mut totals) = (CustomerState::all(), Totals::default());
     for arrival in arrivals {
@@ -208,7 +209,7 @@
     queue: EventQueue,
     requests: BTreeMap<(u16, RequestId), OpenRequest>,
     last_request_id: u64,
-    /// How many messages a gateway took in, by gateway and second.
+    /// How many messages a gateway received, by gateway and second.
     messages_received: BTreeMap<(u16, u64), u32>,
     customers: Vec<CustomerState>,
     totals: Totals,
@@ -251,7 +252,7 @@
         self.totals
     }
 
-    /// What the gateway gets of an event at its host; nothing of a message beyond what it takes in.
+    /// The event that a gateway gets from its host; none for a message beyond what it can receive in a second.
     fn receive(&mut self, now: Micros, gateway: u16, event: HostEvent) -> Option<Event> {
         match event {
             HostEvent::Arrival { customer } => {
@@ -319,16 +320,20 @@
     }
 }
 
-/// What is sent beyond the quotas costs at most 0.1 of the value within them more than under a policy that knows the
-/// true state late. That is not reached by rejecting what is within: at least half of what that policy serves is
-/// served, as on the days at full size.
+/// Sixty gateways share the quotas of 160 customers, some of whom send eight times what they may, over a network
+/// that delays and loses messages. What is served beyond the quotas is the operator's loss, and may exceed by 0.1
+/// at most that of a policy that knows the true state with a short delay. That must not be reached by rejecting
+/// customers within their quotas: at least half of what that policy serves has to be served.
 #[test]
 fn quotas_hold_over_a_fleet_without_overload() {
     for seed in 1..=3 {
         let mut random = Random(seed);
         let arrivals = arrivals(&mut random);
         let offered = run_with_delayed_state(&arrivals, 0);
-        assert_eq!(offered.cost_over_quota, 0.0, "who knows the true state sends nothing beyond a quota");
+        assert_eq!(
+            offered.cost_over_quota, 0.0,
+            "a policy that knows the true state sends nothing beyond a quota"
+        );
         let delayed = run_with_delayed_state(&arrivals, OBSERVATION_DELAY);
         let fleet = Fleet::new(&arrivals, &mut random).run();
         let share = |sum: f64| sum / offered.value_within_quota;
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -12,7 +12,7 @@
 const START: Micros = 50_000_000;
 const TICK: Micros = 20_000;
 const MAX_ATTEMPTS: u16 = 3;
-/// Indices of the classes and of the plan that the rules treat in their own way.
+/// Indices of the classes, and of the plan with a hard limit.
 const IDEMPOTENT: u8 = 0;
 const NON_IDEMPOTENT: u8 = 2;
 const CLASSES: u8 = 3;
@@ -57,19 +57,19 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A request, of a class and a plan that may not exist.
+    /// A request whose class and plan may not exist.
     Request { class: u8, plan: u16, customer: u64, units: f64, set_size: f64, time_left: Micros },
     /// An attempt in flight ends, or one that the gateway never sent.
     EndAttempt { pick: usize, outcome: usize, is_unknown: bool },
-    /// A client disconnects, of a request that may not exist.
+    /// The client of a request that may not exist disconnects.
     Disconnect(usize),
-    /// A message from a peer, or from a gateway that is none.
+    /// A message from a peer, or from a gateway that does not exist.
     PeerMessage { from: u16, bytes: Vec<u8> },
     /// An endpoint list, or a change of it.
     UpdateEndpoints { update: u8, availabilities: Vec<u8>, in_slow_start: bool },
-    /// So many timers.
+    /// This many timers run.
     Advance(u64),
-    /// Events that belong to nothing that the gateway asked for.
+    /// Events that the gateway did not ask for.
     Unsolicited(u64),
 }
 
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Takes an attempt out of those in flight; one that was never sent if there is none, or if asked for.
+    /// Removes one of the attempts in flight; gives one that was never sent if none is, or if `is_unknown` is set.
     fn take_attempt(&mut self, pick: usize, is_unknown: bool) -> Attempt {
         if is_unknown || self.in_flight.is_empty() {
             return Attempt { id: RequestId(1 << 40), number: 7, backend: BackendId(77) };
@@ -346,7 +346,7 @@
         self.handle(Event::CounterUpdated { name: number, outcome, total: f64::NAN });
     }
 
-    /// All attempts in flight time out, until every deadline is over; then every request has its answer.
+    /// Times out all attempts in flight until every deadline is over, and asserts that every request has its answer.
     fn finish(&mut self) {
         for _ in 0..150 {
             self.tick();
@@ -368,6 +368,10 @@
     run.host.log
 }
 
+/// Clients, backends, peers and discovery send legal and malformed events in any order. A gateway that loses track
+/// of them would leave a client without its answer or give it two, execute an order twice, send to a backend that
+/// is draining, or exceed a hard limit; after each event the test checks all of that. Equal events have to give
+/// equal actions, as a failure could not be reproduced from its seed otherwise.
 #[test]
 fn rules_hold_under_arbitrary_events_and_equal_events_give_equal_actions() {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -1,5 +1,5 @@
-//! Races between requests and what ends at the same time: a backend, a client or a configuration. Each is forced by a
-//! backend that accepts or replies at a chosen step.
+//! Races between a request and something that ends at the same time: a backend, a client or a configuration. Each is
+//! forced by a backend that accepts or replies at a chosen step.
 
 mod support;
 
@@ -13,15 +13,14 @@
 use support::ingress::IngressSetup;
 use support::wait::wait_until;
 
-/// A connection that is being established takes long to time out, so that it is surely pending when the test
-/// interferes.
+/// Settings with a long timeout for connections, so that one is still being established when the test interferes.
 fn with_long_connect_timeout(mut setup: IngressSetup) -> IngressSetup {
     setup.replace_setting("\"connect_timeout_us\":250000", "\"connect_timeout_us\":8000000");
     setup
 }
 
-/// A request waits for its connection to a backend when the status of that changes; nothing of the request
-/// may go there any more.
+/// Changes the status of a backend while a request waits for its connection to it, and asserts that nothing of the
+/// request is sent there.
 fn assert_attempt_ends_when_its_backend_becomes(status: &str) {
     let (slow, good, discovery) =
         (UnreachableBackend::new(), Backend::start(reply_with_value), DiscoveryServer::start());
@@ -45,20 +44,25 @@
     assert_eq!((slow.request_ids(), good.request_ids()), (vec!["r2".into()], vec!["r1".into()]));
 }
 
-/// Guards against a first byte that goes to a draining backend once its connection is established.
+/// A request waits for its connection to a backend that is slow to accept, and the backend is drained. Once the
+/// connection was established, the request was sent there all the same; it has to go to another backend at once,
+/// and the draining one gets nothing.
 #[test]
 fn an_attempt_without_a_connection_ends_when_its_backend_drains() {
     assert_attempt_ends_when_its_backend_becomes("draining");
 }
 
-/// Guards against a request that goes to whatever has the address of a backend that was removed.
+/// A request waits for its connection to a backend, and the backend is removed from the list. Its address may
+/// belong to another program when the connection is established, so the request must not be sent there; it goes to
+/// another backend at once.
 #[test]
 fn an_attempt_without_a_connection_ends_when_its_backend_is_removed() {
     assert_attempt_ends_when_its_backend_becomes("removed");
 }
 
-/// Guards against sending a request that no client waits for: an attempt was cancelled where the settings
-/// permit that, and otherwise sent once its connection was established.
+/// A request waits for its connection to a backend, and its client disconnects. Where the settings do not permit
+/// cancelling, the request was sent once the connection was established, and the backend worked for nobody; with or
+/// without that permission nothing of it may be sent.
 #[test]
 fn an_attempt_without_a_connection_ends_when_its_client_disconnects() {
     for cancelling in ["true", "false"] {
@@ -93,8 +97,9 @@
     (backend, gate)
 }
 
-/// Guards against a disconnect that is not seen behind a full pipeline: requests in it were sent as the
-/// concurrency limit allowed, though their client had disconnected.
+/// A client sends 400 requests at once and disconnects while the first ten are in flight. Because the rest of its
+/// input was not read any further, the ingress did not notice, and sent one waiting request after another to
+/// backends for a client that was gone.
 #[test]
 fn pipelined_requests_are_not_sent_once_their_client_has_disconnected() {
     let (backend, gate) = gated_backend();
@@ -113,9 +118,9 @@
     assert!(sent.len() == 11 && sent[10] == "last", "{sent:?}");
 }
 
-/// A request in flight at a reload is still owed its reply, though the new endpoint list names neither
-/// backend: one executes it, and the connection to the other was not yet established, so that its request
-/// never began.
+/// A reload brings an endpoint list without the backends of two requests. One backend is executing its request, and
+/// the client gets that reply; the connection to the other was not yet established, so that request goes to a
+/// backend of the new list. Neither client may lose its request to the operator's change.
 #[test]
 fn a_reload_does_not_disturb_requests_in_flight() {
     let ((working, gate), slow, other) =
@@ -149,8 +154,9 @@
     assert_eq!(slow.request_ids(), ["r3"]);
 }
 
-/// Guards against a command that carries more time than is left: it carried what had been left when its
-/// connection was begun, and that took a while.
+/// A connection to a backend takes 400 ms to be established. The command named the time that had been left when the
+/// connection was begun, so the backend could work on the request after its client had given up; it has to name
+/// what is left when the command is written.
 #[test]
 fn an_attempt_carries_the_time_left_when_its_connection_is_established() {
     let slow = UnreachableBackend::new();
@@ -180,10 +186,11 @@
     value.unwrap().parse().unwrap()
 }
 
-/// Guards against counting a client's time from when its request is read: an ingress that stands still for a while, as on a
-/// machine that is overloaded, then tells a backend more time than the client has left.
+/// A machine is overloaded and the ingress stands still for 0.8 s, while a request waits in its socket. The ingress
+/// counted the client's time from when it read the request, gave the backend more time than the client had left,
+/// and would have answered too late.
 #[test]
-fn the_time_that_a_request_waited_for_a_held_up_ingress_counts() {
+fn the_time_that_a_request_waited_for_a_stalled_ingress_counts() {
     const TIMEOUT_MS: u64 = 6000;
     const SLACK_MS: u64 = 150;
     let backend = Backend::start(reply_with_value);
@@ -195,10 +202,10 @@
     client.send(&encode_request("refer", "r1", TIMEOUT_MS as u32));
     let sent_at = Instant::now();
     thread::sleep(Duration::from_millis(800));
-    let held_up = sent_at.elapsed();
+    let stalled = sent_at.elapsed();
     ingress.signal("CONT");
     assert_eq!(client.read_reply(), "value of r1");
-    let told = option_of(&backend.commands()[0], "d");
-    let left = TIMEOUT_MS - held_up.as_millis() as u64;
-    assert!(told <= left + SLACK_MS, "told {told} ms of {left}");
+    let stated = option_of(&backend.commands()[0], "d");
+    let left = TIMEOUT_MS - stalled.as_millis() as u64;
+    assert!(stated <= left + SLACK_MS, "the command states {stated} ms of {left}");
 }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter by its frames: the built binary on standard input and output.
+//! The built adapter tested through the frames on its standard input and output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -32,7 +32,7 @@
     frame
 }
 
-/// A record of an event, with its fields behind the code.
+/// A record of an event: its code, followed by its fields.
 fn record(code: u8, fields: &[u8]) -> [u8; RECORD_SIZE] {
     let mut record = [0; RECORD_SIZE];
     record[0] = code;
@@ -40,7 +40,7 @@
     record
 }
 
-/// The adapter has ended with an error that names all of these, and without a panic.
+/// Asserts that the adapter ended without a panic and with an error that names all of these parts.
 fn assert_fails_with(output: &Output, parts: &[&str]) {
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success(), "{text}");
@@ -50,6 +50,8 @@
     }
 }
 
+/// The simulator sends a batch without events and then closes the input. The adapter answers the batch, since the
+/// simulator waits for an answer to each, and exits with success, since this is how a run ends.
 #[test]
 fn an_empty_batch_is_answered_and_the_end_of_input_is_a_success() {
     let output = run(&batch(9, 5, &[], &[]));
@@ -57,6 +59,9 @@
     assert_eq!(output.stdout, [0, 0, 0, 0, 12, 0, 0, 0, 9, 0, 0, 0]);
 }
 
+/// A frame ends too early, or its size contradicts its contents. The adapter exits with an error that says what is
+/// missing, and neither panics nor answers; whoever runs a simulation learns that the input is at fault and not a
+/// decision.
 #[test]
 fn truncated_or_inconsistent_frames_are_reported_without_a_reply() {
     assert_fails_with(&run(&batch(1, 5, &[], &[])[..13]), &["13 bytes of a batch header"]);
@@ -69,6 +74,8 @@
     assert_fails_with(&run(&short), &["batch 1", "too short"]);
 }
 
+/// One field of one record among many is invalid. The error names batch, record and field, without which the person
+/// who runs the simulation would have to search the input byte by byte.
 #[test]
 fn invalid_fields_are_reported_by_batch_record_and_field() {
     // A message whose bytes exceed the tail.
@@ -86,6 +93,9 @@
     );
 }
 
+/// A batch holds an event of a kind that the adapter does not know, and events for instances that are not running.
+/// The adapter skips them, answers the batch as usual and says so on its error output; one event that it cannot use
+/// must not end the whole run.
 #[test]
 fn unknown_codes_and_instances_that_are_not_running_do_no_harm() {
     let output = run(&batch(3, 5, &[record(222, &[1; 40]), record(90, &[7, 0]), record(110, &[7, 0])], &[]));
--- a/tests/system_call_faults.rs
+++ b/tests/system_call_faults.rs
@@ -14,8 +14,9 @@
 use support::ingress::{built_program, IngressSetup};
 use support::wait::wait_until;
 
-/// Guards against taking a short read for an empty socket: the poll reports each arrival once, and what is left in the
-/// socket then waits for the next one, which may not come.
+/// Every read returns fewer bytes than have arrived, as the kernel may do. The ingress took a short read for an
+/// empty socket and waited for more to arrive; with the rest of a request left in the socket nothing more came, and
+/// no client got an answer.
 #[test]
 fn requests_are_answered_though_every_read_is_short() {
     let backend = Backend::start(reply_with_value);
@@ -29,8 +30,9 @@
     }
 }
 
-/// Guards against closing clients that have just connected, whose first command is on its way, when accepting fails for
-/// a moment.
+/// Accepting a connection fails for a moment, for example for want of memory. The ingress then closed clients that
+/// had just connected and whose first command was on its way, and those requests were lost; it has to wait and
+/// accept again.
 #[test]
 fn new_clients_are_served_though_accepting_fails_for_a_moment() {
     let backend = Backend::start(reply_with_value);
@@ -48,7 +50,7 @@
 /// How many requests are sent at once.
 const WAVE: usize = 8;
 
-/// Sends so many requests, a wave of them at once, and reads the replies.
+/// Sends one request from each client at once, reads the replies, and repeats that for each wave.
 fn send_waves(clients: &mut [Client], waves: usize, name: &str) {
     for wave in 0..waves {
         let id = |number: usize| format!("{name}-{wave}-{number}");
@@ -61,8 +63,8 @@
     }
 }
 
-/// Steps the ingress's wall clock, has a backend start by the clock as it is then, and returns how many requests it gets
-/// of those that it shares with a warm one.
+/// Steps the ingress's wall clock and then starts a backend, whose start time is read from the stepped clock. Returns
+/// how many requests it gets next to a backend that has run for long.
 fn requests_at_restarted_backend(step_ms: i64, waves: usize) -> usize {
     let step_at = Duration::from_millis(500);
     let working =
@@ -73,7 +75,7 @@
     let steps = vec![ClockStep { at_ms: step_at.as_millis() as u64, by_ms: step_ms }];
     setup.faults = Some(FaultPlan { clock_steps: steps, ..FaultPlan::default() });
     let ingress = setup.start();
-    // The step is behind the start of the process: at the latest so long after it answered.
+    // The step comes this long after the process started, which was before it answered.
     thread::sleep(step_at);
     let mut clients: Vec<Client> = (0..WAVE).map(|_| ingress.client()).collect();
     send_waves(&mut clients, 4, "before");
@@ -85,14 +87,18 @@
     restarted.command_count()
 }
 
-/// Guards against judging the age of a backend by a clock reading from before a step: a cold one looks an hour old.
+/// The wall clock is set back by an hour, and then a backend starts. By a clock reading from before that step it
+/// seems to have run for an hour already, and it got half of all requests before it was warmed up; it may get no
+/// more than a small part of them.
 #[test]
-fn a_backend_is_cold_after_its_start_though_the_clock_was_set_back() {
+fn a_backend_is_in_slow_start_though_the_clock_was_set_back() {
     let sent = requests_at_restarted_backend(-3_600_000, 10);
-    assert!(sent <= WAVE * 10 / 4, "{sent} of {} went to the cold backend", WAVE * 10);
+    assert!(sent <= WAVE * 10 / 4, "{sent} of {} went to the backend in slow start", WAVE * 10);
 }
 
-/// Guards against a reply that is given up since it takes many reads.
+/// A backend sends a reply of 60,000 bytes, and every read returns only a few of them. After eight reads the
+/// ingress gave up on the reply and its client got an error, though the request was executed and the value was on
+/// its way.
 #[test]
 fn a_long_reply_is_taken_though_every_read_is_short() {
     let value = "v".repeat(60_000);
@@ -105,7 +111,8 @@
     assert!(reply == value, "{} bytes, beginning with {:.40}", reply.len(), reply);
 }
 
-/// Guards against waiting for a log that nobody reads: once its pipe was full, the ingress stood still for good.
+/// The log is a pipe that nobody reads, and it is full. The ingress waited for room in it and stood still for good,
+/// with all its clients; it has to go on serving, drop log lines, and stop on SIGTERM.
 #[test]
 fn requests_are_answered_though_the_log_is_full() {
     let (mut log, _unread) = UnixStream::pair().unwrap();
@@ -121,7 +128,8 @@
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
 }
 
-/// Guards against an end for a log that cannot be written.
+/// Every write to the log fails, for example because the disk is full. Clients are served all the same, and the
+/// ingress stops on SIGTERM as usual; a log is no reason for a process to end.
 #[test]
 fn requests_are_answered_though_the_log_cannot_be_written() {
     let backend = Backend::start(reply_with_value);
@@ -135,7 +143,7 @@
     assert_eq!(ingress.log(), "", "the log fails");
 }
 
-/// Whether each of many clients that come one after another gets an answer, whatever it says.
+/// Asserts that each of many clients that come one after another gets an answer of any kind.
 fn assert_all_are_answered(faults: FaultPlan) {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
@@ -147,19 +155,22 @@
     }
 }
 
-/// Guards against closing a client's connection, with the replies that it is owed, for a moment without buffers.
+/// The kernel has no buffer for a moment, and writing a reply fails. The ingress closed the connection then, and
+/// the client lost the replies that it was owed; it has to write them a moment later.
 #[test]
 fn replies_are_written_though_there_is_no_buffer_for_a_moment() {
     assert_all_are_answered(FaultPlan::single(FaultKind::NoBufferForWrite, 0.5));
 }
 
-/// Guards against closing a client that was just accepted since its socket cannot be registered for a moment.
+/// A client is accepted, and registering its socket with the poll fails for a moment. Its connection was closed
+/// without a word, and a command on its way was lost; the registration has to be tried again.
 #[test]
 fn clients_are_served_though_registering_fails_for_a_moment() {
     assert_all_are_answered(FaultPlan::single(FaultKind::FailedRegistration, 0.5));
 }
 
-/// Guards against trying for good to write to a connection that takes nothing and reports no error.
+/// Writing to a connection takes no byte and reports no error. The ingress tried again without end, so that no
+/// other client was served and SIGTERM had no effect; such a connection is closed instead.
 #[test]
 fn a_write_that_takes_nothing_does_not_stop_the_ingress() {
     let mut setup = IngressSetup::with_backends(&[]);
@@ -172,7 +183,8 @@
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
 }
 
-/// Guards against an end at the start for a moment without sockets: a process that is started has to become ready.
+/// No socket can be opened during the first 0.4 s of a start, as on a machine short of memory. The process ended
+/// with an error, and an operator had to start it again; it has to try again until it is ready.
 #[test]
 fn the_ingress_starts_though_no_socket_can_be_made_for_a_moment() {
     let backend = Backend::start(reply_with_value);
@@ -183,8 +195,9 @@
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q1", 900)), "value of q1");
 }
 
-/// Guards against blaming a backend, and its zone, for a socket that this process could not make: it would be ejected here,
-/// and peers would be told.
+/// The ingress cannot open sockets for a while, so that no request reaches its backend. It counted that as failures
+/// of the backend, ejected it, suspected its whole zone and told its peers; a healthy backend lost requests
+/// everywhere for a shortage on one machine.
 #[test]
 fn no_backend_is_blamed_for_a_socket_that_cannot_be_made() {
     let backend = Backend::start(reply_with_value);
