--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -9,6 +9,8 @@
     LoadReport, Outcome, Request, RequestId,
 };
 
+/// Each kind of action is written with the code and at the offsets that the simulator reads. One field at a wrong
+/// place would send a request to another backend or answer another client, and the simulator could not tell.
 #[test]
 fn every_action_has_its_code_and_its_fields_in_place() {
     let (id, backend) = (RequestId(0x0a_0b0c), BackendId(0x0605_0403_0201));
@@ -48,7 +50,7 @@
     }
 }
 
-/// A record of an event at instance 1, with the given bytes at their places.
+/// A record of an event at instance 1, with the given bytes at the given offsets.
 fn event_record(code: u8, parts: &[(usize, &[u8])]) -> [u8; RECORD_SIZE] {
     let mut record = [0; RECORD_SIZE];
     (record[0], record[1]) = (code, 1);
@@ -56,7 +58,7 @@
     record
 }
 
-/// The event that a record holds.
+/// Decodes the event of a record.
 fn read_event(body: [u8; RECORD_SIZE]) -> Event {
     let record = Record { batch: 1, index: 0, body: &body, tail: &[4, 5, 6] };
     assert_eq!(record.instance(), InstanceId(1));
@@ -70,6 +72,8 @@
     value.to_le_bytes()
 }
 
+/// A request's fields are read from the offsets at which the simulator writes them. Read from elsewhere, a request
+/// would count for another customer, plan or deadline.
 #[test]
 fn a_request_is_read_from_its_places() {
     let request = event_record(
@@ -91,6 +95,8 @@
     assert_eq!((units, gateway_set_size, gateway_set_start), (2.0, 3.0, 7.0));
 }
 
+/// The fields of an attempt's end are read from the offsets at which the simulator writes them. A wrong outcome
+/// would have a request retried that was executed, or fail one that was served.
 #[test]
 fn the_end_of_an_attempt_is_read_from_its_places() {
     let attempt_ended = event_record(
@@ -128,6 +134,8 @@
     assert_eq!(load_report, Some(LoadReport { queue_depth: Some(6.0), ..LoadReport::default() }));
 }
 
+/// Disconnects, timers, first bytes, messages of peers, health checks and counters each have their own fields at
+/// their own offsets. Read from elsewhere, they would concern another request, peer or backend.
 #[test]
 fn other_events_are_read_from_their_places() {
     assert!(matches!(read_event(event_record(90, &[(3, &[6])])), Event::ClientDisconnected(RequestId(6))));
@@ -147,7 +155,8 @@
     assert_eq!((name, outcome, total), (5, Outcome::Ok, 38.0));
 }
 
-/// The rows of an endpoint list lie in the tail, 24 bytes each.
+/// The rows of an endpoint list follow the records of a batch, 24 bytes each. A row read from elsewhere would name
+/// a backend that does not exist, or take a draining one for ready.
 #[test]
 fn an_endpoint_list_is_read_from_the_tail() {
     let mut row = [0; 24];
--- a/src/gossip/encoding/tests.rs
+++ b/src/gossip/encoding/tests.rs
@@ -4,6 +4,9 @@
 use crate::gossip::backend_tag;
 use crate::CustomerId;
 
+/// A message is encoded and decoded again, with any number of samples, and no field changes; it fits into the 256
+/// bytes that the network carries. A datagram that was cut anywhere is ignored, as half of a usage report would
+/// charge a customer a wrong amount.
 #[test]
 fn a_message_decodes_to_itself_and_a_cut_one_to_none() {
     let customer = CustomerId((1 << 33) - 7);
@@ -52,7 +55,9 @@
     }
 }
 
-/// The layout, byte by byte: gateways of two versions have to understand each other during a rolling upgrade.
+/// Gateways of two versions talk to each other during a rolling upgrade. A usage report with another layout would
+/// be read as other customers and other amounts, and customers would be rejected or served wrongly until the
+/// upgrade is over.
 #[test]
 fn a_usage_report_has_these_bytes() {
     let report = UsageReport {
@@ -97,6 +102,8 @@
     assert_eq!(message.encode(), expected);
 }
 
+/// Gateways of two versions talk to each other during a rolling upgrade. A quota grant with another layout would
+/// let a customer exceed its quota, or lock it out, until the upgrade is over.
 #[test]
 fn a_quota_grant_has_these_bytes() {
     let grant = QuotaGrant {
@@ -131,7 +138,9 @@
     assert_eq!(message.encode(), expected);
 }
 
-/// Every step of a sample's latency, and what lies past both ends.
+/// A latency is sent in five bits, as one of 31 steps or as a failure. Latencies past both ends are cut to the
+/// nearest step; one that wrapped round would make the slowest backend look like the fastest, or like one that
+/// fails.
 #[test]
 fn relative_latencies_have_these_bytes() {
     let byte = |relative_latency| {
--- a/src/state/endpoint_index/tests.rs
+++ b/src/state/endpoint_index/tests.rs
@@ -2,15 +2,16 @@
 
 use super::*;
 
-/// What an index holds, by place.
+/// All backends of an index, in its order.
 fn all(index: &EndpointIndex) -> Vec<BackendId> {
     (0..index.len()).map(|place| index.get(place).expect("one at each place")).collect()
 }
 
-/// Against a list that is sorted anew behind each change: many, few and none, keys that are alike, what is there already and
-/// what is not.
+/// Backends are added and removed in any order, some with equal keys, down to none. All along the index has to
+/// equal a list that is sorted anew; a backend that is missing from it would never get a request, and one left over
+/// would get requests after its removal.
 #[test]
-fn it_is_the_sorted_list_after_any_changes() {
+fn the_index_equals_a_sorted_list_after_any_changes() {
     let mut random = fastrand::Rng::with_seed(7);
     for size in [0u64, 1, 3, 600, 5_000] {
         let key = |number: u64| number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 52; // few keys: many are alike
@@ -38,7 +39,8 @@
     }
 }
 
-/// Guards against work that grows with the list: a change touches the entries of one part.
+/// Fifty thousand backends are listed one by one. A change touches one part of the index, so parts must stay small;
+/// if one grew with the list, each change at a large deployment would hold up all requests.
 #[test]
 fn no_part_grows_with_the_list() {
     let mut index = EndpointIndex::default();
--- a/src/state/hard_limit_share/tests.rs
+++ b/src/state/hard_limit_share/tests.rs
@@ -16,6 +16,8 @@
     }
 }
 
+/// A gateway holds a fraction of a customer's hard limit. Its bucket fills at that fraction of the rate and up to
+/// that fraction of the burst, so that all gateways together never allow more than the limit.
 #[test]
 fn a_share_refills_by_its_fraction() {
     let mut share = HardLimitShare { fraction: 0.5, ..HardLimitShare::default() };
@@ -25,6 +27,9 @@
     assert_eq!(share.tokens, 5.0, "its part of the burst");
 }
 
+/// Other gateways have granted a request some units besides those in the gateway's own bucket. The granted ones are
+/// used first, since they lapse; units that are given back go to the bucket, but never beyond its capacity, as the
+/// customer could exceed its hard limit otherwise.
 #[test]
 fn granted_units_are_used_before_the_bucket() {
     let mut share = HardLimitShare { fraction: 0.5, tokens: 4.0, granted: 1.0, ..HardLimitShare::default() };
--- a/src/state/peer/tests.rs
+++ b/src/state/peer/tests.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// The network delivers a message twice, or an older one after a newer one. Both are ignored, since an old total
+/// would undo what the newer one said about a customer's usage; a sequence number that wraps round from 65,535 to 0
+/// is a newer one.
 #[test]
 fn repeats_and_overtaken_messages_are_outdated() {
     let mut peer = Peer::default();
@@ -13,6 +16,9 @@
     assert_eq!(peer.last_heard_at, 40);
 }
 
+/// A peer restarts and numbers its messages from the beginning. Its new messages are accepted at once, though their
+/// numbers are lower, and a message from before the restart that arrives late is ignored; otherwise what customers
+/// use through it would stay unknown until its numbers have caught up.
 #[test]
 fn a_restarted_peer_counts_its_messages_anew() {
     let mut peer = Peer::default();
@@ -22,6 +28,9 @@
     assert_eq!(peer.receive(6, 2, 40), Receipt::Current);
 }
 
+/// More customers wait to be reported to a peer than one message holds. The next message begins with the ones that
+/// were left out, so that none waits for good, and a grant is requested only once, since a second grant for the
+/// same request would be wasted.
 #[test]
 fn batches_go_round_an_outbox_with_more_than_a_message_holds() {
     let count = MAX_USAGE_REPORTS as u64 + 1;
@@ -37,8 +46,9 @@
     assert!(!second[1].1.requests_grant, "a grant is requested once");
 }
 
-/// Guards against ordering processes by their wall clocks: one that restarts after a step back was not heard until its
-/// clock had caught up.
+/// A machine's wall clock is set back, and its gateway restarts with a lower start number. When a higher number
+/// counted as newer, its messages were ignored until the clock had caught up, and customers could exceed their
+/// quotas through it.
 #[test]
 fn a_peer_that_restarts_with_its_clock_set_back_is_heard() {
     let mut peer = Peer::default();
@@ -48,8 +58,9 @@
     assert_eq!(peer.receive(5, 2, 40), Receipt::Current);
 }
 
-/// Guards against taking messages for outdated behind a long cut: by then the peer has sent so many that the sequence
-/// numbers seem to have gone back, and it would not be heard until it had sent as many again.
+/// A peer is cut off for forty minutes and sends so many messages meanwhile that its sequence numbers seem to have
+/// gone back. Its messages were ignored for as long again after the network was back, and what customers used
+/// through it stayed unknown.
 #[test]
 fn a_peer_that_was_cut_off_for_long_is_heard_at_once() {
     let mut peer = Peer::default();
