--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -18,8 +18,8 @@
     Assignment::Attempt { id: RequestId(request), attempt: 0 }
 }
 
-/// A command that is encoded at a time.
-fn told(at: Micros) -> TimeTold {
+/// The time stated in a command that is encoded at this time.
+fn encoded_at(at: Micros) -> TimeTold {
     TimeTold { at, time_left: 0 }
 }
 
@@ -40,11 +40,12 @@
         Rig { backends, poll: Poll::new().unwrap(), listener }
     }
 
-    /// Begins an attempt, whose command is written at once.
+    /// Begins an attempt and waits until its command is written.
     fn assign(&mut self, request: u64, now: Micros) -> ConnectionId {
         let encode = |command: &mut Vec<u8>| command.extend_from_slice(b"*1\r\n$4\r\nCALL\r\n");
         let registry = self.poll.registry();
-        let assigned = self.backends.assign(registry, BACKEND, attempt(request), told(now), encode).unwrap();
+        let assigned =
+            self.backends.assign(registry, BACKEND, attempt(request), encoded_at(now), encode).unwrap();
         while self.backends.is_unsent(assigned.connection) {
             self.backends.on_ready(assigned.connection.key, now, true);
         }
@@ -62,14 +63,16 @@
         panic!("nothing has ended");
     }
 
+    /// Sends a reply on a connection and reads it.
     fn serve(&mut self, peer: &mut impl Write, connection: ConnectionId, now: Micros) {
         peer.write_all(REPLY_ONE).unwrap();
         self.completion(connection, now);
     }
 }
 
-/// Guards against serving a request with the reply before it: a backend may send it twice, up to some milliseconds
-/// apart (4 ms at the most of 201 on join+brink), and a reply does not say whose it is.
+/// A backend sends a reply twice, some milliseconds apart, and a reply does not say which request it answers. If
+/// the next request used the connection in between, its client would get the value of another request; so it gets a
+/// connection of its own.
 #[test]
 fn a_duplicate_reply_some_milliseconds_late_serves_nobody() {
     for delay in [2_500, 5_000, 10_000] {
@@ -87,6 +90,8 @@
     }
 }
 
+/// A connection rests for the time in which a duplicate reply may arrive, and then carries the next request. If it
+/// rested for longer, the ingress would open many more connections, each of which costs the backend work.
 #[test]
 fn a_connection_that_has_been_idle_long_enough_is_used_again() {
     let mut rig = Rig::new(30_000_000);
@@ -96,14 +101,15 @@
     assert_eq!(rig.assign(2, START + MIN_IDLE_TIME), first);
 }
 
-/// Guards against a command that a backend takes in later than the gateway counts on: the connection is established, but
-/// nobody reads from it.
+/// A connection is established, but the backend does not read, and the command cannot be written completely in
+/// time. Nothing can have been executed, so the attempt ends as one that never connected, and the request may go to
+/// another backend even if it must not be executed twice.
 #[test]
 fn a_command_that_is_not_written_in_time_has_not_begun() {
     let mut rig = Rig::new(30_000_000);
     let encode = |command: &mut Vec<u8>| command.resize(64 << 20, b'x');
     let registry = rig.poll.registry();
-    let assigned = rig.backends.assign(registry, BACKEND, attempt(1), told(START), encode).unwrap();
+    let assigned = rig.backends.assign(registry, BACKEND, attempt(1), encoded_at(START), encode).unwrap();
     let connection = assigned.connection;
     let peer = rig.listener.accept().unwrap().0;
     rig.backends.on_ready(connection.key, START, true);
@@ -117,8 +123,9 @@
     drop(peer);
 }
 
-/// Guards against a command on a connection that the backend is about to close: where connections are kept for a
-/// short time only, the sweep comes too seldom to close them first.
+/// Backends close connections after a short idle time, and one has nearly reached it. A command written to it could
+/// cross the close, and nobody could say whether it was executed; the periodic sweep comes too seldom to close the
+/// connection first, so it is not used.
 #[test]
 fn a_connection_that_the_backend_may_close_any_moment_is_not_used() {
     let mut rig = Rig::new(400_000);
@@ -128,8 +135,9 @@
     assert_ne!(rig.assign(2, START + 390_000), first);
 }
 
-/// Guards against a timer of one attempt that ends the next one on the same connection: it was set when the connection was
-/// begun, and is due when another command has been written to it in part.
+/// An attempt begins a connection and with it a timer; the attempt ends, and the connection carries the next
+/// command, partly written, when that timer is due. The timer ended the second attempt, which had time left; it
+/// must concern the first one only.
 #[test]
 fn the_timer_of_an_earlier_attempt_does_not_end_a_later_one() {
     let mut rig = Rig::new(15_000_000);
@@ -140,7 +148,8 @@
     // More than the socket takes at once.
     let long = |command: &mut Vec<u8>| command.resize(64 << 20, b'x');
     let now = START + MIN_IDLE_TIME;
-    let second = rig.backends.assign(rig.poll.registry(), BACKEND, attempt(2), told(now), long).unwrap();
+    let second =
+        rig.backends.assign(rig.poll.registry(), BACKEND, attempt(2), encoded_at(now), long).unwrap();
     assert_eq!((second.connection, second.command), (first, CommandState::Unsent));
     rig.backends.on_connect_timeout(first, attempt(1));
     assert!(rig.backends.is_unsent(first), "the later attempt goes on");
@@ -148,9 +157,10 @@
     assert!(!rig.backends.is_unsent(first));
 }
 
-/// Guards against sending to a backend that drains or is gone, whoever asks for it.
+/// A backend is draining or removed when an attempt is to be sent to it. The command is not sent, whoever asks for
+/// it, and the attempt ends as one that was never sent, so that the request can go to another backend.
 #[test]
-fn a_backend_that_takes_no_work_is_given_none() {
+fn a_backend_that_is_draining_or_removed_gets_no_command() {
     let mut rig = Rig::new(15_000_000);
     let address = rig.listener.local_addr().ok();
     for availability in [Availability::Draining, Availability::Gone] {
@@ -158,7 +168,8 @@
         let entries = vec![EndpointEntry { endpoint, address }];
         rig.backends.update_endpoints(&EndpointList { index: 2, is_snapshot: false, entries });
         let encode = |command: &mut Vec<u8>| command.extend_from_slice(b"*1\r\n$4\r\nCALL\r\n");
-        let assigned = rig.backends.assign(rig.poll.registry(), BACKEND, attempt(1), told(START), encode);
+        let assigned =
+            rig.backends.assign(rig.poll.registry(), BACKEND, attempt(1), encoded_at(START), encode);
         assert_eq!(assigned, None, "{availability:?}");
         assert_eq!(rig.backends.completions.pop().unwrap().outcome, Outcome::NotSent, "{availability:?}");
         assert_eq!(rig.backends.len(), 0, "{availability:?}");
--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -43,7 +43,7 @@
         client
     }
 
-    /// Has a client send a request, and returns where its reply belongs.
+    /// Sends a request from a client, and returns the handle for its reply.
     fn request(&mut self, client: &mut TcpStream) -> ReplyHandle {
         client.write_all(&request_command()).unwrap();
         for _ in 0..1_000_000 {
@@ -55,7 +55,7 @@
         panic!("the request did not arrive");
     }
 
-    /// Reads until the next request is there, and returns when it arrived.
+    /// Reads until the next request is complete, and returns when it arrived.
     fn next_arrival(&mut self, now: Micros) -> Micros {
         for _ in 0..1_000_000 {
             self.clients.read_all(now);
@@ -84,7 +84,8 @@
     assert!(received == expected, "{:?}", String::from_utf8_lossy(&received[..received.len().min(40)]));
 }
 
-/// Guards against counting the write timeout from the request on: the reply is not even written yet.
+/// A backend takes longer for a request than a client may take to read a reply. The time to read was counted from
+/// the request on, so the connection was closed as if the client did not read, before its reply was even written.
 #[test]
 fn a_late_reply_is_not_taken_for_an_unread_one() {
     let mut fixture = Fixture::new(1 << 20);
@@ -96,7 +97,8 @@
     expect_reply(&mut client, b"+late\r\n");
 }
 
-/// Guards against closing a connection for the memory of its own reply, which is written within the turn.
+/// A large reply takes more memory than is left for clients. The connection was closed to free that memory, and
+/// with it went the reply that would have been written, and the memory freed, within the same iteration.
 #[test]
 fn a_reply_is_not_dropped_for_the_memory_that_it_takes() {
     let mut fixture = Fixture::new(10_000);
@@ -109,7 +111,9 @@
     expect_reply(&mut client, &reply);
 }
 
-/// Guards against an error for an incomplete command whose rest has arrived, though it was not read yet.
+/// The ingress is busy, and the rest of a command has arrived but was not read yet when the time for completing it
+/// is over. The client did its part in time, so the command is read and answered instead of being refused as
+/// incomplete.
 #[test]
 fn the_rest_of_a_command_is_read_before_the_command_times_out() {
     let mut fixture = Fixture::new(1 << 20);
@@ -124,9 +128,11 @@
     expect_reply(&mut client, b"+PONG\r\n");
 }
 
-/// Guards against closing a connection over the limit without a reply though its request has arrived by now.
+/// A client connects when all places are taken, and its request arrives just before the connection expires. It gets
+/// a rejection, which says that it may try another ingress, and only then is it closed; a close without an answer
+/// would leave it unsure whether its request was executed.
 #[test]
-fn a_client_over_the_limit_is_told_so_before_its_connection_expires() {
+fn a_client_over_the_limit_is_rejected_before_its_connection_expires() {
     let mut fixture = Fixture::new(1 << 20);
     let mut client = fixture.client(Capacity::OverLimit);
     client.write_all(&request_command()).unwrap();
@@ -134,11 +140,12 @@
     fixture.clients.flush(NOW + LINGER_TIMEOUT);
     expect_reply(&mut client, b"-BUSY\r\n");
     fixture.clients.close_expired(NOW + 3 * LINGER_TIMEOUT);
-    assert_eq!(fixture.clients.len(), 0, "told and closed");
+    assert_eq!(fixture.clients.len(), 0, "rejected and closed");
 }
 
-/// Guards against closing a connection as idle that is still to be read from: its reads were interrupted, or found no
-/// memory, as often as a turn allows, and a command may be waiting.
+/// Reading from a client is interrupted, or finds no memory, as often as one iteration allows, so that the rest
+/// waits for the next one. A command may be waiting there, and the connection must not be closed as the one that
+/// was idle for longest; its client would lose the request.
 #[test]
 fn a_connection_that_is_to_be_read_from_is_not_closed_as_idle() {
     let mut fixture = Fixture::new(1 << 20);
@@ -150,8 +157,9 @@
     assert!(fixture.clients.close_longest_idle(NOW + 1), "nothing was");
 }
 
-/// Guards against counting a client's time from when its connection is accepted, where it waited for that: there was no
-/// descriptor, or accepting failed, and its request was waiting with it.
+/// A client connects and sends its request while there is no descriptor for it, and is accepted 0.9 s later. Its
+/// time was counted from the accept, so a backend was given more time than the client had left; it counts from when
+/// the connection began to wait. What arrives later on that connection has not waited.
 #[test]
 fn the_time_that_a_connection_waited_to_be_accepted_counts() {
     const WAIT: Micros = 900_000;
--- a/src/bin/ingress/command/tests.rs
+++ b/src/bin/ingress/command/tests.rs
@@ -23,6 +23,8 @@
     Command::parse(&buffer, &arguments, &schema()).unwrap()
 }
 
+/// A command is parsed and encoded again for a backend. Customer, id, options and body stay as the client sent
+/// them, byte by byte; only the time that is left is replaced.
 #[test]
 fn a_command_is_forwarded_unchanged_but_for_its_timeout() {
     let options = "c=save,t=business,d=480,k=5c0f,r=1,units=2,spread=3,first=1,new=x";
@@ -44,6 +46,9 @@
     assert_eq!(String::from_utf8(out).unwrap(), expected);
 }
 
+/// A client's request has one invalid, missing or repeated option, or an invalid customer, id or body. The error
+/// names it, so that whoever writes the client knows what to mend; a request that was accepted with a wrong value
+/// could be charged to another customer.
 #[test]
 fn an_error_names_what_is_missing_or_invalid() {
     let valid = "c=quote,t=starter,d=480,units=2,spread=3,first=1";
--- a/src/bin/ingress/config/tests.rs
+++ b/src/bin/ingress/config/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::error_chain::ErrorChain;
 
-/// A configuration with nothing wrong in it.
+/// A valid configuration.
 pub const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"known":{"index":1,"snapshot":true,"endpoints":[]},
 "settings":{"n_instances":1,"slot_no":0,"zone":0,"tick_us":4000,"zones":["a"],"skus":["m"],
@@ -18,13 +18,15 @@
  "overload_factor":4.0,"fall_us":1000000,"must_ask_in_us":10000000},
 "membership_mode":"push","weights":"none","reporting":{"how":"none","fields":[]}}}"#;
 
-fn fault(config: &str) -> String {
+/// The text of the error that a configuration gives.
+fn error_text(config: &str) -> String {
     ErrorChain(&Config::parse(config, |_| None).err().unwrap()).to_string()
 }
 
-/// Operators look for these texts: they stay as they are, and name the key at fault.
+/// A configuration has one mistake, and the ingress reports it in a line that names the key. Operators look for
+/// these texts; so they stay as they are.
 #[test]
-fn each_fault_has_its_text() {
+fn each_invalid_setting_has_its_error_text() {
     assert!(Config::parse(CONFIG, |_| None).is_ok());
     for (from, to, text) in [
         ("{\"name\"", "\"name\"", "the file is no JSON: trailing characters at line 1 column 7"),
@@ -50,12 +52,14 @@
             "setting limits.keepalive_us is not a whole number up to 4503599627370495: -1",
         ),
     ] {
-        assert_eq!(fault(&CONFIG.replacen(from, to, 1)), text);
+        assert_eq!(error_text(&CONFIG.replacen(from, to, 1)), text);
     }
 }
 
+/// An address of the peers is missing or invalid, or there are fewer addresses than ingresses. The error names the
+/// key; an ingress that started all the same would run without its peers, and customers could exceed their quotas.
 #[test]
-fn each_fault_of_the_peers_has_its_text() {
+fn each_invalid_peer_address_has_its_error_text() {
     let config = CONFIG.replacen("\"peers\":false", "\"peers\":true", 1);
     for (peers, text) in [
         ("\"peers\":[],", "peer_listen is missing or no text"),
@@ -71,27 +75,31 @@
             "peers does not have one address for each of setting n_instances",
         ),
     ] {
-        assert_eq!(fault(&config.replacen('{', &format!("{{{peers}"), 1)), text);
+        assert_eq!(error_text(&config.replacen('{', &format!("{{{peers}"), 1)), text);
     }
 }
 
+/// An address is given both in the environment and in the file. The one in the environment counts, and an error in
+/// it names the variable, so that an operator does not search the file for a mistake that is not there.
 #[test]
-fn an_address_of_the_environment_comes_before_that_of_the_file() {
+fn an_address_in_the_environment_overrides_the_one_in_the_file() {
     let variable = |name: &str| (name == "LB_LISTEN").then(|| "127.0.0.1:3".to_string());
     assert_eq!(Config::parse(CONFIG, variable).ok().unwrap().listen_address.port(), 3);
     let variable = |name: &str| (name == "LB_DISCOVERY").then(|| "there".to_string());
-    let fault = ErrorChain(&Config::parse(CONFIG, variable).err().unwrap()).to_string();
-    assert_eq!(fault, "LB_DISCOVERY is no address and port: there");
+    let error = ErrorChain(&Config::parse(CONFIG, variable).err().unwrap()).to_string();
+    assert_eq!(error, "LB_DISCOVERY is no address and port: there");
 }
 
+/// The configuration file cannot be read, or has a mistake in it. The error names the path, since an operator may
+/// have edited another file than the one that the ingress reads.
 #[test]
-fn a_file_is_told_by_its_path() {
-    let fault = ErrorChain(&Config::read("/no/such/file", |_| None).err().unwrap()).to_string();
-    assert_eq!(fault, "LB_CONFIG: cannot read /no/such/file: No such file or directory (os error 2)");
+fn an_error_in_a_file_names_its_path() {
+    let error = ErrorChain(&Config::read("/no/such/file", |_| None).err().unwrap()).to_string();
+    assert_eq!(error, "LB_CONFIG: cannot read /no/such/file: No such file or directory (os error 2)");
     let file = std::env::temp_dir().join(format!("ingress-config-{}.json", std::process::id()));
     std::fs::write(&file, CONFIG.replacen("\"tick_us\":4000", "\"tick_us\":0", 1)).unwrap();
     let path = file.to_str().unwrap();
-    let fault = ErrorChain(&Config::read(path, |_| None).err().unwrap()).to_string();
+    let error = ErrorChain(&Config::read(path, |_| None).err().unwrap()).to_string();
     std::fs::remove_file(&file).unwrap();
-    assert_eq!(fault, format!("{path}: setting tick_us is 0"));
+    assert_eq!(error, format!("{path}: setting tick_us is 0"));
 }
--- a/src/bin/ingress/discovery/endpoint_list/tests.rs
+++ b/src/bin/ingress/discovery/endpoint_list/tests.rs
@@ -3,9 +3,11 @@
 use super::*;
 use crate::discovery::tests::{location_names, long_list};
 
-/// Guards against a list of which a part is used: what is wrong anywhere in it makes all of it bad.
+/// Discovery sends a list with an error in one of its entries. If the valid entries were used alone, the backend
+/// with the error would count as removed and lose its requests; so the whole list is rejected, and the last good
+/// one stays in force.
 #[test]
-fn a_list_that_is_wrong_somewhere_is_not_taken_at_all() {
+fn a_list_with_an_error_anywhere_is_rejected_as_a_whole() {
     let good = long_list(3);
     for bad in [
         good.replace("\"index\":43", "\"index\":-1"),
--- a/src/bin/ingress/discovery/poll/tests.rs
+++ b/src/bin/ingress/discovery/poll/tests.rs
@@ -6,7 +6,7 @@
 use crate::error_chain::ErrorChain;
 use ingress::Availability;
 
-/// Parses with the limit that small machines have.
+/// Parses a response with the limit on its body that small machines have.
 fn parse(received: &str, stream: StreamState) -> Result<Option<PollResponse>, PollError> {
     parse_response(received.as_bytes(), stream, &location_names(), MAX_BODY_BYTES)
 }
@@ -16,8 +16,10 @@
      "weight":1.5,"since_ms":7},
     {"name":"s-2","zone":"a","type":"m1","group":3,"status":"removed","weight":1.0,"since_ms":0}]}"#;
 
+/// Discovery may mark the end of a response by its length, by chunks, or by closing the connection. Each is read
+/// completely, and nothing is used before it is complete: half a list would remove backends that are healthy.
 #[test]
-fn answers_are_read_in_all_three_framings_and_never_before_their_end() {
+fn responses_are_read_in_all_three_framings_and_never_before_their_end() {
     let chunked = format!("{:x}\r\n{}\r\n{:x}\r\n{}\r\n0\r\n\r\n", 9, &LIST[..9], LIST.len() - 9, &LIST[9..]);
     let length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{LIST}", LIST.len());
     let chunked = format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{chunked}");
@@ -41,8 +43,11 @@
     }
 }
 
+/// Discovery answers with an error, with broken JSON or with something that is not HTTP. The poll fails at once and
+/// is repeated; if it were taken for an incomplete response, the ingress would wait for a rest that never comes,
+/// with an outdated list.
 #[test]
-fn what_is_no_list_is_told_apart_from_what_is_not_whole() {
+fn a_response_that_is_no_list_fails_instead_of_being_awaited() {
     for bad in [
         "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]",
@@ -55,8 +60,9 @@
     }
 }
 
-/// Guards against a list that is refused for its length where there is memory for it, and one that is taken where there is
-/// none: 4 MiB were the most, some 35,000 backends, whatever the memory.
+/// A deployment has 60,000 backends. Their list was refused because every response was limited to 4 MiB, some
+/// 35,000 backends, so that the ingress never got a list at all; the limit grows with the memory of the machine,
+/// and a list that does not fit into it is still refused.
 #[test]
 fn a_list_may_be_as_long_as_the_memory_has_room_for() {
     assert_eq!((max_body_bytes(32 << 20), max_body_bytes(192 << 20)), (4 << 20, 24 << 20));
@@ -89,14 +95,15 @@
 }
 
 /// The text of the error that a response gives.
-fn fault(response: &str) -> String {
+fn error_text(response: &str) -> String {
     let error = parse(response, StreamState::Open).err().expect("it is no list");
     ErrorChain(&error).to_string()
 }
 
-/// Operators look for these texts in the log: they stay as they are.
+/// Discovery sends a list with one mistake, and the ingress logs it. Operators look for these texts, which name the
+/// entry and the key; so they stay as they are.
 #[test]
-fn each_fault_of_a_list_has_its_text() {
+fn each_invalid_list_has_its_error_text() {
     let list = |entry: &str| format!("{{\"index\":1,\"snapshot\":true,\"endpoints\":[{entry}]}}");
     let entry = r#"{"name":"s","address":"1.2.3.4:5","status":"up"}"#;
     let with = |from: &str, to: &str| list(entry).replace(from, to);
@@ -128,12 +135,14 @@
         (list(entry) + "7", "trailing characters at line 1 column 91"),
     ] {
         let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        assert_eq!(fault(&response), format!("an answer is no list: {text}"));
+        assert_eq!(error_text(&response), format!("an answer is no list: {text}"));
     }
 }
 
+/// Discovery sends something that is not a valid HTTP response, or one that is too long. The log line says which of
+/// these it was, and operators look for its text; so it stays as it is.
 #[test]
-fn each_fault_of_a_response_has_its_text() {
+fn each_invalid_response_has_its_error_text() {
     let long_head = format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(20_000));
     for (response, text) in [
         ("SSH-2.0\r\n", "an answer is no HTTP: invalid HTTP version"),
@@ -144,6 +153,6 @@
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", "an answer's chunk is no chunk"),
         ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n", "an answer is too long"),
     ] {
-        assert_eq!(fault(response), text);
+        assert_eq!(error_text(response), text);
     }
 }
--- a/src/bin/ingress/discovery/tests.rs
+++ b/src/bin/ingress/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! What the tests of discovery share.
+//! Helpers that the tests of discovery share.
 
 use super::LocationNames;
 
@@ -7,10 +7,10 @@
     LocationNames { zones: vec!["a".into(), "b".into()], machine_types: vec!["m1".into(), "m2".into()] }
 }
 
-/// The limit of a response's body on small machines.
+/// The limit on a response's body on small machines.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// A whole list of so many backends.
+/// A snapshot that lists this many backends.
 pub fn long_list(backends: usize) -> String {
     let entry = |number| {
         format!(
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -5,7 +5,7 @@
 use crate::discovery::HttpError;
 use std::io::{Read, Write};
 
-/// How soon a failed poll is to be followed by the next: 6 s, less what a response takes.
+/// The longest time from a failed poll to the next one: 6 s, less what a response takes.
 const MAX_RETRY_GAP: Micros = 5_000_000;
 
 /// The failure of a poll that discovery rejects.
@@ -13,8 +13,10 @@
     HttpError::Status(503).into()
 }
 
-/// Guards against a hundred ingresses that poll a shared discovery in unison: it served forty of their polls in
-/// two seconds, and with delays of a second at most the rest kept its queue full for the whole of the day.
+/// A hundred ingresses share a discovery that serves forty polls in two seconds, and all of them start, or lose it,
+/// at the same moment. When they polled together, with delays of a second at most, the polls that were not served
+/// kept its queue full for the whole day; their first and their second polls have to be spread out. An agent on the
+/// same host serves one ingress only and is polled at once.
 #[test]
 fn a_hundred_watches_neither_start_nor_retry_in_unison() {
     let now: Micros = 1_000_000_000;
@@ -46,7 +48,7 @@
     assert_eq!(agent.next_timer_at, now, "an agent on the same host is polled at once");
 }
 
-/// A watch and its discovery: a clock and a socket that the test drives.
+/// A watch and its discovery, whose clock and socket the test drives.
 struct WatchRig {
     watch: Watch,
     poll: mio::Poll,
@@ -65,7 +67,7 @@
         rig
     }
 
-    /// Lets time pass until the watch has something to do, and has it do that.
+    /// Advances the clock to the watch's next timer and runs it.
     fn run_timer(&mut self) {
         self.now = self.now.max(self.watch.next_timer_at);
         self.watch.on_timer(self.now, self.poll.registry());
@@ -114,8 +116,10 @@
     }
 }
 
-/// Guards against a silence that is detected, or ended, later than what was missed counts as delivered: 2 s after the
-/// poll's timeout, for 6 s at least. It was detected 3 s after the timeout, and a delay came after that.
+/// A watch gets no more responses, for example because a firewall dropped its connection. Changes that it misses
+/// count as delivered 2 s after the poll's timeout, or 6 s after the poll if that is later; from then on a request
+/// to a removed backend is a fault of the ingress. The silence was detected only after 3 s, and a delay followed; a
+/// new poll has to be open before that time.
 #[test]
 fn a_watch_that_falls_silent_is_open_again_before_what_it_missed_counts_as_delivered() {
     for backoff in
@@ -135,7 +139,9 @@
     }
 }
 
-/// Guards against a new watch that is silent like the one before: it would be waited for as long as the first.
+/// A watch falls silent, and so does the one that replaces it. If the second were waited for as long as the first,
+/// the ingress would send requests by an outdated list for twice the time; a third poll has to begin within 6 s of
+/// the first.
 #[test]
 fn a_second_silence_in_a_row_is_detected_within_the_time_of_the_first() {
     let mut rig = WatchRig::new(Backoff::LOCAL_AGENT);
@@ -153,7 +159,9 @@
     assert!(rig.now < started_at + 6_000_000 - 500_000, "after {} us", rig.now - started_at);
 }
 
-/// Guards against delays as long as a grace period between polls of an agent, whose changes count as delivered meanwhile.
+/// The agent on the same host closes each connection at once, again and again. What it knows counts as delivered to
+/// the ingress, so the delay between two polls must not grow to a grace period: a backend that is drained meanwhile
+/// would get requests for longer than it may.
 #[test]
 fn an_agent_that_stays_away_is_retried_within_a_grace_period() {
     let mut rig = WatchRig::new(Backoff::LOCAL_AGENT);
@@ -168,7 +176,9 @@
     }
 }
 
-/// Guards against bytes that came between two polls: they stayed, and began the response on the next connection.
+/// Discovery sends part of a response that nobody asked for, between two polls. Those bytes were kept and became
+/// the beginning of the next response on a new connection, so that a good list could not be read; they have to be
+/// dropped with their connection.
 #[test]
 fn what_comes_between_two_polls_is_no_part_of_the_next_response() {
     let mut rig = WatchRig::new(Backoff::LOCAL_AGENT);
@@ -190,11 +200,12 @@
     assert_eq!(rig.lists, [41, 43]);
 }
 
-/// A discovery that all ingresses share, with a queue in front of it: it serves so many polls a second, and rejects each that
-/// is not begun after two seconds in the queue, though it is worked on all the same.
+/// A discovery that all ingresses share, with a queue in front of it. It rejects each poll that has waited for two seconds,
+/// but works on it all the same.
 struct SharedDiscovery {
-    /// What a poll takes, and when the last one in the queue is served.
+    /// How long it works on a poll.
     service_time: Micros,
+    /// When the last poll in the queue is served.
     free_at: Micros,
 }
 
@@ -217,18 +228,18 @@
     }
 }
 
-/// What happened to a fleet while its discovery was down, and after that.
+/// How a fleet fared while its discovery was down, and after that.
 #[derive(Debug)]
 struct Outage {
     /// The longest that an ingress without a response went without a poll, once discovery could be reached.
     longest_gap: Micros,
-    /// When nineteen in twenty had their response, from the return on (those that started later: from their start on).
+    /// The 95th percentile of the time to a response, from the return on, or from an ingress's start if that is later.
     p95: Micros,
-    /// The polls that reached it, from the return on.
+    /// How many polls reached discovery, from the return on.
     polls: usize,
 }
 
-/// When those ingresses start anew that are killed during an outage.
+/// When ingresses that are killed during an outage start again.
 #[derive(Clone, Copy)]
 enum Restart {
     /// 3 s before discovery returns.
@@ -259,7 +270,7 @@
 }
 
 impl Ingress {
-    /// From when on discovery could be reached, by an ingress that restarts at `restart_at` if it is killed.
+    /// The time from which an ingress could reach discovery. One that is killed restarts at `restart_at`.
     fn reachable_since(is_killed: bool, restart_at: Micros) -> Micros {
         if is_killed {
             RETURN_AT.max(restart_at)
@@ -269,7 +280,7 @@
     }
 }
 
-/// A fleet whose discovery is down for 8 s: it rejects all polls at once. `killed` of ten ingresses start anew.
+/// A fleet whose discovery is down for 8 s, in which it rejects all polls at once.
 struct Fleet {
     ingress_count: u64,
     seed: u64,
@@ -282,6 +293,7 @@
 }
 
 impl Fleet {
+    /// A fleet of which `killed` in ten ingresses are killed and start again.
     fn new(ingress_count: u64, polls_per_second: u64, killed: u64, restart: Restart, seed: u64) -> Fleet {
         let discovery = SharedDiscovery { service_time: 1_000_000 / polls_per_second, free_at: 0 };
         let outage = Outage { longest_gap: 0, p95: 0, polls: 0 };
@@ -361,10 +373,11 @@
     }
 }
 
-/// Guards against an ingress that stays away from a discovery that is back: it was polled again up to 12 s after a failed
-/// poll, and at 2,900 ingresses first polled 58 s after a start, where a change counts as delivered after 6 s. And
-/// against the opposite: polls that keep the queue full, so that nobody is answered (20 polls a second were served for a
-/// hundred ingresses, and polls every second or so kept that queue full for a whole day).
+/// Discovery is down for 8 s, and part of the fleet restarts meanwhile. Ingresses polled it again only up to 12 s
+/// after a failure, at 2,900 ingresses up to 58 s after a start, where a change counts as delivered after 6 s. The
+/// opposite is as bad: when a hundred ingresses polled a discovery that serves 20 polls a second every second or
+/// so, its queue stayed full and nobody got an answer. Each ingress has to poll in time, and few polls may be in
+/// vain.
 #[test]
 fn a_discovery_that_is_back_is_polled_within_five_seconds_and_not_overloaded() {
     for (ingresses, polls_per_second) in [(100, 22), (300, 66), (2900, 640)] {
@@ -385,7 +398,9 @@
     }
 }
 
-/// Guards against a connection that does not come up, because discovery is cut off, and is waited for as long as changes.
+/// Discovery is cut off from the network, so that a connection to it is never established. It was waited for as
+/// long as for a change of the list; it has to be given up and tried again, so that the ingress hears of changes
+/// soon after the network is back.
 #[test]
 fn a_poll_without_a_connection_is_retried_within_five_seconds() {
     let poll = mio::Poll::new().unwrap();
@@ -421,20 +436,47 @@
     }
 }
 
-/// Guards against a delay after some kind of failure that is longer than the rest of the 6 s: refused, ended without a
-/// response, rejected, answered with no list, and never answered in full.
+/// How a poll fails.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum PollFailure {
+    Refused,
+    EndedWithoutResponse,
+    Rejected,
+    NotAList,
+    NeverComplete,
+}
+
+impl PollFailure {
+    const ALL: [PollFailure; 5] = [
+        PollFailure::Refused,
+        PollFailure::EndedWithoutResponse,
+        PollFailure::Rejected,
+        PollFailure::NotAList,
+        PollFailure::NeverComplete,
+    ];
+
+    /// What discovery sends; none if it does not even accept the connection.
+    fn response(self) -> Option<&'static [u8]> {
+        match self {
+            PollFailure::Refused => None,
+            PollFailure::EndedWithoutResponse => Some(b""),
+            PollFailure::Rejected => Some(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+            PollFailure::NotAList => Some(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
+            PollFailure::NeverComplete => Some(b"HTTP/1.1 200 OK\r\nContent-"),
+        }
+    }
+}
+
+/// Polls fail in every possible way: refused, ended without a response, rejected, answered with something that is
+/// no list, or never answered completely. After each the next poll has to come within 5 s; with one kind of failure
+/// that takes longer, the ingress would send requests by an outdated list after an outage that others notice
+/// sooner.
 #[test]
 fn however_polls_fail_the_next_one_comes_within_five_seconds() {
-    let responses: [Option<&[u8]>; 5] = [
-        None,
-        Some(b""),
-        Some(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
-        Some(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
-        Some(b"HTTP/1.1 200 OK\r\nContent-"),
-    ];
-    for (kind, response) in responses.into_iter().enumerate() {
+    for failure in PollFailure::ALL {
+        let response = failure.response();
         let mut rig = WatchRig::new(Backoff::shared_service(10_000_000, 2900));
-        if response.is_none() {
+        if failure == PollFailure::Refused {
             rig.listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             // the first one refuses from now on
         }
@@ -445,7 +487,7 @@
                 rig.read_poll(peer);
                 peer.write_all(text).unwrap();
             }
-            if kind == 1 {
+            if failure == PollFailure::EndedWithoutResponse {
                 drop(peer.take());
             }
             // Until it has failed: by what came, or by its time.
@@ -453,7 +495,7 @@
                 if rig.watch.connection.is_none() {
                     break;
                 }
-                if kind == 4 {
+                if failure == PollFailure::NeverComplete {
                     rig.now = rig.now.max(rig.watch.next_timer_at);
                     rig.watch.on_timer(rig.now, rig.poll.registry());
                     break;
@@ -464,15 +506,16 @@
                 rig.run_timer();
             }
             // A poll that waited longer than a failed one may was a watch: what it misses has a time of its own.
-            let was_watch = kind == 4 && round == 0;
-            assert!(was_watch || rig.now <= last + MAX_RETRY_GAP, "kind {kind}: {} us", rig.now - last);
+            let was_watch = failure == PollFailure::NeverComplete && round == 0;
+            assert!(was_watch || rig.now <= last + MAX_RETRY_GAP, "{failure:?}: {} us", rig.now - last);
             last = rig.now;
         }
     }
 }
 
-/// Guards against writing the next request behind a part of the one before, where discovery has answered before it had that
-/// whole: what it reads then is no request, and the next poll waits for an answer that cannot come.
+/// Discovery responds before it has received the whole request. The next request was written behind the part of the
+/// first one, discovery could not make sense of it, and the watch waited for a response that could not come; the
+/// next poll needs a connection of its own.
 #[test]
 fn a_connection_with_a_request_half_written_is_not_used_again() {
     let mut rig = WatchRig::new(Backoff::LOCAL_AGENT);
@@ -487,8 +530,9 @@
     assert!(rig.watch.connection.is_none(), "the next poll has a connection of its own");
 }
 
-/// Guards against new configurations that come faster than discovery answers: each gave up the poll that was pending, though
-/// it names the same address, and no list came for as long as they went on.
+/// The configuration is reloaded several times a second, always with the same discovery, which is slow to answer.
+/// Each reload gave up the pending poll and began a new one, so that no list arrived for as long as the reloads
+/// went on; a request for the whole list has to stay pending.
 #[test]
 fn a_configuration_with_the_same_address_keeps_the_snapshot_that_is_pending() {
     let mut rig = WatchRig::new(Backoff::LOCAL_AGENT);
--- a/src/bin/ingress/error_chain/tests.rs
+++ b/src/bin/ingress/error_chain/tests.rs
@@ -6,6 +6,8 @@
 use ingress::SettingsReader;
 use std::io;
 
+/// An error wraps others, some of which have the same text as the error within. The log line shows each text once,
+/// from the general to the cause; the operator needs the cause, and a repeated text only hides it.
 #[test]
 fn each_source_is_shown_once_behind_its_error() {
     let poll = EventLoopError::Poll(io::Error::other("no memory"));
--- a/src/bin/ingress/event_loop/arrival_clock/tests.rs
+++ b/src/bin/ingress/event_loop/arrival_clock/tests.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// The ingress waits in the poll, and a request ends that wait. It has arrived just now, so its client's time
+/// counts from the return of the poll and not from the beginning of the wait; the client would lose that time
+/// otherwise.
 #[test]
 fn what_ends_a_wait_has_just_arrived() {
     let mut clock = ArrivalClock::new(1000);
@@ -11,6 +14,9 @@
     assert_eq!(clock.arrived_at(), 8000, "the wait was over");
 }
 
+/// The process is busy for 87 ms, and a request arrives meanwhile. The next poll returns it at once, and nobody
+/// knows when exactly it came, so its time counts from the poll before; counted from the read, a backend would be
+/// given more time than the client has.
 #[test]
 fn what_came_while_the_process_was_busy_counts_from_the_poll_before() {
     let mut clock = ArrivalClock::new(1000);
@@ -21,6 +27,8 @@
     assert_eq!(clock.arrived_at(), 97_000, "nothing was there when the call began");
 }
 
+/// A wait of at most 5 ms lasts 89 ms, because the machine is overloaded. What the poll then reports can have
+/// arrived as soon as the wait should have ended, and its time counts from there.
 #[test]
 fn what_came_while_a_wait_lasted_too_long_counts_from_its_end() {
     let mut clock = ArrivalClock::new(1000);
@@ -30,7 +38,9 @@
     assert_eq!(clock.arrived_at(), 90_000);
 }
 
-/// A process that is stopped in a poll and continued returns from it with an interruption, and nothing is reported.
+/// The process is stopped during a poll and continued, and the poll returns with an interruption and without
+/// events. A request may have arrived meanwhile; its time counts from the last poll that reported anything, not
+/// from the interruption.
 #[test]
 fn an_interrupted_wait_reports_nothing() {
     let mut clock = ArrivalClock::new(1000);
--- a/src/bin/ingress/event_loop/shutdown/tests.rs
+++ b/src/bin/ingress/event_loop/shutdown/tests.rs
@@ -4,6 +4,9 @@
 
 const STARTED: Micros = 1_000_000_000;
 
+/// After SIGTERM requests are served for as long as the longest deadline of a request, but no longer than the
+/// process has before SIGKILL. A later end would lose the requests that are still open when it is killed; an
+/// earlier one would fail requests that could have been served. A second SIGTERM changes nothing.
 #[test]
 fn the_reply_deadline_follows_the_longest_deadline_up_to_a_bound() {
     for (longest_deadline, reply_time) in [(0, 400_000), (900_000, 1_300_000), (60_000_000, 3_400_000)] {
@@ -17,6 +20,9 @@
     }
 }
 
+/// Clients go on connecting after SIGTERM, as they have not heard of the shutdown. The listener stays open while
+/// they come, and for as long as failed accepts may hide some; it closes when none has come for 0.3 s, or when a
+/// new request could no longer be served.
 #[test]
 fn connections_are_accepted_while_they_come_and_time_is_left() {
     let mut shutdown = Shutdown::new(3_000_000);
--- a/src/bin/ingress/event_loop/source/tests.rs
+++ b/src/bin/ingress/event_loop/source/tests.rs
@@ -2,6 +2,8 @@
 
 use super::*;
 
+/// The poll names a ready socket by a number. Two sockets with one number would have the ingress read from the
+/// wrong connection and leave the other one's client without an answer.
 #[test]
 fn each_source_has_a_token_of_its_own() {
     let fixed = [Source::Listener, Source::Signals, Source::Discovery, Source::Peers];
@@ -11,8 +13,9 @@
     }
 }
 
-/// Guards against handling clients in another order than that in which they became ready: of two requests with one id the
-/// first one came in good faith.
+/// Two clients send requests with the same id, one after the other, in a moment when many sockets are ready. The
+/// first one is accepted and the second one gets an error; when sockets were sorted without keeping that order, the
+/// copy could be accepted and the original rejected.
 #[test]
 fn sockets_of_one_kind_are_handled_in_the_order_in_which_they_became_ready() {
     let socket = |source: Source| ReadySocket { token: source.into(), writable: false, closed: false };
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -17,13 +17,13 @@
 /// The command that every client may send.
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
-/// An event loop that was started with a configuration, whose file is at a path.
+/// Starts an event loop with a configuration, which it reads again from the file at this path.
 fn started_with(config: Config, path: String) -> Result<EventLoop, EventLoopError> {
     let retry = StartRetry::new();
     EventLoop::start(config, Reload::new(path), register_signals(retry).unwrap(), retry)
 }
 
-/// An event loop whose iterations the test runs, and a client that is connected to it.
+/// Starts an event loop whose iterations the test runs, and connects a client to it.
 fn start(name: &str, config: &str) -> (EventLoop, TcpStream) {
     let file = std::env::temp_dir().join(format!("ingress-{name}-{}.json", std::process::id()));
     std::fs::write(&file, config).unwrap();
@@ -40,8 +40,9 @@
     (event_loop, client)
 }
 
-/// Guards against an exit with something unread: what comes after the last read of a connection was received, and would
-/// be reset with the connection.
+/// The ingress shuts down, and the rest of a command arrives after its last read and just before the process exits.
+/// The kernel has accepted those bytes, so the client counts on an answer; an exit without another read would reset
+/// the connection and lose the command.
 #[test]
 fn commands_received_just_before_the_exit_are_answered() {
     let (mut event_loop, mut client) = start("end", CONFIG);
@@ -63,8 +64,9 @@
     assert_eq!(&reply, b"+PONG\r\n");
 }
 
-/// Guards against a listener that is closed with clients in its queue, whose connections the kernel has taken: they are
-/// reset with the listener. More wait than are accepted in a batch.
+/// The ingress shuts down while a hundred clients wait to be accepted, more than it accepts at once. Their
+/// connections are established and their commands sent; a listener that is closed first would reset all of them.
+/// They have to be accepted and answered before it closes.
 #[test]
 fn clients_queued_when_the_listener_closes_are_answered() {
     let (mut event_loop, first) = start("line", CONFIG);
@@ -88,7 +90,8 @@
     }
 }
 
-/// Guards against a request that is opened when the reply deadline of the shutdown is over already.
+/// A request arrives so late in a shutdown that nothing can be served any more. It is rejected at once, so that the
+/// client can try another ingress; a request that was still opened would be lost when the process exits.
 #[test]
 fn requests_after_the_reply_deadline_are_rejected_at_once() {
     let (mut event_loop, mut client) = start("late", CONFIG);
@@ -103,7 +106,7 @@
     assert_eq!((&reply, event_loop.requests.len()), (b"-BUSY\r\n", 0));
 }
 
-/// A request, of a customer with this number and with an id of its own.
+/// An encoded request of the customer with this number, with an id of its own.
 fn request_command(number: usize) -> Vec<u8> {
     let (customer, id) = (format!("{number:016x}"), format!("q{number}"));
     let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
@@ -127,10 +130,17 @@
 enum Disconnect {
     /// They close the connection.
     Full,
-    /// They end their sending only.
+    /// They close only their sending direction.
     Half,
 }
 
+/// A client whose request is in flight.
+struct ClientInFlight {
+    client: TcpStream,
+    /// How many commands backends got for its request.
+    commands: usize,
+}
+
 /// An event loop between clients and two backends that the test plays.
 struct Testbed {
     event_loop: EventLoop,
@@ -168,19 +178,19 @@
         TcpStream::connect(self.address).unwrap()
     }
 
-    /// A client whose request is in flight, and how many commands backends got for it.
-    fn client_in_flight(&mut self) -> (TcpStream, usize) {
+    /// Connects a client and runs iterations until its request is in flight.
+    fn client_in_flight(&mut self) -> ClientInFlight {
         let mut client = self.client();
         client.write_all(&request_command(1)).unwrap();
-        let mut received = 0;
+        let mut commands = 0;
         self.iterate_until("the first attempt", |testbed| {
-            received += testbed.take_commands();
-            received > 0
+            commands += testbed.take_commands();
+            commands > 0
         });
-        (client, received)
+        ClientInFlight { client, commands }
     }
 
-    /// Polls, without an iteration, until what is ready fulfils a condition.
+    /// Polls, without running an iteration, until the ready sockets fulfil a condition.
     fn poll_until(&mut self, condition: impl Fn(&[ReadySocket]) -> bool) -> Vec<ReadySocket> {
         let (mut events, mut ready) = (Events::with_capacity(1024), Vec::new());
         for _ in 0..10_000 {
@@ -193,7 +203,7 @@
         panic!("never ready: {ready:?}");
     }
 
-    /// Runs iterations, while the clock stands still, until a condition is fulfilled.
+    /// Runs iterations without advancing the clock until a condition is fulfilled.
     fn iterate_until(&mut self, what: &str, mut condition: impl FnMut(&mut Testbed) -> bool) {
         for _ in 0..10_000 {
             if condition(self) {
@@ -227,8 +237,8 @@
         commands
     }
 
-    /// Runs some more iterations, each a tick after the last, and gives how many commands backends got.
-    fn take_commands_of(&mut self, iterations: u64) -> usize {
+    /// Runs iterations, each a tick after the last, and returns how many commands backends got.
+    fn take_commands_after(&mut self, iterations: u64) -> usize {
         let mut commands = self.take_commands();
         for _ in 0..iterations {
             self.event_loop.now += self.event_loop.tick;
@@ -239,7 +249,7 @@
         commands
     }
 
-    /// Disconnects clients, and polls until all of them have: the loop is to see that in one iteration.
+    /// Disconnects clients and polls until all disconnects are ready, so that the loop sees them in one iteration.
     fn disconnect(&mut self, clients: Vec<TcpStream>, disconnect: Disconnect) -> Vec<ReadySocket> {
         let count = clients.len();
         match disconnect {
@@ -249,13 +259,14 @@
                 clients.into_iter().for_each(std::mem::forget); // half open to the end of the test
             }
         }
-        let gone = |socket: &&ReadySocket| socket.closed && matches!(socket.source(), Source::Client(_));
-        self.poll_until(|ready| ready.iter().filter(gone).count() >= count)
+        let is_disconnected =
+            |socket: &&ReadySocket| socket.closed && matches!(socket.source(), Source::Client(_));
+        self.poll_until(|ready| ready.iter().filter(is_disconnected).count() >= count)
     }
 }
 
-/// Guards against a retry for a client whose disconnect is seen in the iteration in which its first attempt fails: the
-/// backends' sockets were handled first.
+/// A backend rejects an attempt, and its client disconnects at the same moment. The ingress handled the backend's
+/// reply first, knew nothing of the disconnect yet, and sent a retry to another backend for a client that was gone.
 #[test]
 fn a_rejected_attempt_is_not_retried_for_a_disconnected_client() {
     for (cancellation, kind) in [
@@ -264,8 +275,8 @@
         (Cancellation::Allowed, Disconnect::Half),
         (Cancellation::Forbidden, Disconnect::Half),
     ] {
-        let mut testbed = Testbed::new("gone-retry", cancellation);
-        let (client, first) = testbed.client_in_flight();
+        let mut testbed = Testbed::new("disconnect-retry", cancellation);
+        let ClientInFlight { client, commands: first } = testbed.client_in_flight();
         for connection in testbed.connections.iter_mut().flatten() {
             connection.write_all(b"-BUSY\r\n").unwrap();
         }
@@ -273,20 +284,21 @@
         let mut ready = testbed.poll_until(|ready| ready.iter().any(replied));
         ready.extend(testbed.disconnect(vec![client], kind));
         testbed.event_loop.process_ready(&mut ready);
-        assert_eq!((first, testbed.take_commands_of(200)), (1, 0), "{cancellation:?}, {kind:?}");
+        assert_eq!((first, testbed.take_commands_after(200)), (1, 0), "{cancellation:?}, {kind:?}");
     }
 }
 
-/// Guards against a burst of disconnects in which the place of one request goes to the next, whose client has
-/// disconnected as well.
+/// Forty clients wait behind the concurrency limit and all disconnect at once. When the first request was ended its
+/// place went to the next one, whose disconnect was not handled yet, and so backends got requests of clients that
+/// were gone.
 #[test]
-fn of_many_disconnected_clients_none_takes_the_place_of_another() {
+fn of_many_disconnected_clients_none_is_sent_in_place_of_another() {
     for (cancellation, kind) in [
         (Cancellation::Allowed, Disconnect::Full),
         (Cancellation::Forbidden, Disconnect::Full),
         (Cancellation::Allowed, Disconnect::Half),
     ] {
-        let mut testbed = Testbed::new("gone-burst", cancellation);
+        let mut testbed = Testbed::new("disconnect-burst", cancellation);
         let mut clients: Vec<_> = (0..40).map(|_| testbed.client()).collect();
         for (number, client) in clients.iter_mut().enumerate() {
             client.write_all(&request_command(number)).unwrap();
@@ -296,63 +308,66 @@
             sent += testbed.take_commands();
             testbed.event_loop.requests.len() >= 22
         });
-        sent += testbed.take_commands_of(1);
+        sent += testbed.take_commands_after(1);
         assert!((1..22).contains(&sent), "{sent} sent");
         let mut ready = testbed.disconnect(clients, kind);
         testbed.event_loop.process_ready(&mut ready);
-        assert_eq!(testbed.take_commands_of(200), 0, "{cancellation:?}, {kind:?}");
+        assert_eq!(testbed.take_commands_after(200), 0, "{cancellation:?}, {kind:?}");
     }
 }
 
-/// Guards against opening a request whose client's disconnect is seen in the same iteration.
+/// A client sends a request and disconnects at once, so that the ingress sees both in the same iteration. The
+/// request must not be forwarded, as the backend would execute it for nobody.
 #[test]
 fn requests_sent_just_before_a_disconnect_are_not_forwarded() {
     for kind in [Disconnect::Full, Disconnect::Half] {
-        let mut testbed = Testbed::new("gone-said", Cancellation::Allowed);
+        let mut testbed = Testbed::new("disconnect-after-send", Cancellation::Allowed);
         let mut client = testbed.client();
         let before = testbed.event_loop.clients.len();
         testbed.iterate_until("the client is accepted", |testbed| testbed.event_loop.clients.len() > before);
         client.write_all(&request_command(1)).unwrap();
         let mut ready = testbed.disconnect(vec![client], kind);
         testbed.event_loop.process_ready(&mut ready);
-        assert_eq!(testbed.take_commands_of(50), 0, "{kind:?}");
+        assert_eq!(testbed.take_commands_after(50), 0, "{kind:?}");
     }
 }
 
-/// Guards against a hedged request, or a retry after a timeout, that is due in the iteration in which its client
-/// disconnects.
+/// A client disconnects in the iteration in which its request is due to be hedged or retried after a timeout. The
+/// disconnect counts first; otherwise a second backend would get a request that nobody waits for.
 #[test]
 fn timers_due_at_a_disconnect_begin_no_attempt_for_its_client() {
     for cancellation in [Cancellation::Allowed, Cancellation::Forbidden] {
-        let mut testbed = Testbed::new("gone-hedge", cancellation);
-        let (client, first) = testbed.client_in_flight();
+        let mut testbed = Testbed::new("disconnect-hedge", cancellation);
+        let ClientInFlight { client, commands: first } = testbed.client_in_flight();
         let mut ready = testbed.disconnect(vec![client], Disconnect::Full);
         testbed.event_loop.now += 300_000; // past the time after which a request is hedged
         testbed.event_loop.process_ready(&mut ready);
-        assert_eq!((first, testbed.take_commands_of(100)), (1, 0), "{cancellation:?}");
+        assert_eq!((first, testbed.take_commands_after(100)), (1, 0), "{cancellation:?}");
     }
 }
 
-/// Guards against a disconnect that the policy is not told of: a client's connection that is closed for want of memory while
-/// commands of the same iteration are handled is behind the ones that were reported together.
+/// While the commands of an iteration are handled, the ingress closes a client's connection for want of memory. The
+/// policy had been notified of that iteration's disconnects before, so it never heard of this one, and went on
+/// retrying the request for a client that was gone.
 #[test]
 fn a_disconnect_between_two_commands_ends_its_request() {
-    let mut testbed = Testbed::new("gone-between", Cancellation::Allowed);
-    let (_client, first) = testbed.client_in_flight();
+    let mut testbed = Testbed::new("disconnect-between", Cancellation::Allowed);
+    let ClientInFlight { client: _client, commands: first } = testbed.client_in_flight();
     let id = testbed.event_loop.requests.ids()[0];
     testbed.event_loop.process_client_event(ClientEvent::Disconnected(id));
     testbed.event_loop.run_policy();
     assert_eq!(
         (first, testbed.event_loop.requests.len()),
         (1, 0),
-        "its attempt is cancelled, and it is gone"
+        "its attempt is cancelled, and the request is closed"
     );
-    assert_eq!(testbed.take_commands_of(200), 0);
+    assert_eq!(testbed.take_commands_after(200), 0);
 }
 
-/// Guards against writing a command once its time to begin is over: the loop was held up while the connection came up, and
-/// handled what was ready before it looked at the timers. A key may be forgotten by then. The retry that follows must not
-/// begin either: the loop's clock says that there is time left, the exact clock that the client has given up.
+/// The ingress stalls while a connection to a backend is established, and the attempt's time to begin passes. It
+/// handled the established connection before its timers and sent the command, though the backend may have forgotten
+/// the idempotency key by then. The retry that follows must not begin either: by the clock of the loop there is
+/// time left, by the exact clock the client has given up.
 #[test]
 fn an_attempt_whose_connection_comes_up_too_late_does_not_begin() {
     // Its accept queue is full: no connection comes up until that is emptied.
@@ -391,7 +406,7 @@
     }
     // The queue is empty: a retry that is begun beyond the client's time comes up at once.
     accept_all();
-    // Held up since the connection was begun: its timer is due, and nothing was handled meanwhile.
+    // The loop stalled since the connection was begun: its timer is due, and nothing was handled meanwhile.
     testbed.event_loop.now += testbed.event_loop.connect_timeout;
     testbed.event_loop.process_ready(&mut ready);
     accept_all();
@@ -402,8 +417,9 @@
     }
 }
 
-/// Guards against a timer for each failed call to accept, each of which sets the next one: where descriptors stay used up,
-/// every client that came added another retry each 10 ms.
+/// All descriptors are used up, and accepting fails for one client after another. Each failed call set a timer of
+/// its own, and each of those set the next one, so that every new client added one more retry each 10 ms for as
+/// long as descriptors were short. However often accepting fails, one timer is set.
 #[test]
 fn accepting_is_retried_by_one_timer_however_often_it_failed() {
     // Eight connections beyond what is reserved, six of them for clients.
@@ -422,7 +438,8 @@
     assert_eq!(due.iter().filter(|timer| **timer == Timer::RetryAccept).count(), 1);
 }
 
-/// Operators look for these texts: they stay as they are, and name the key at fault.
+/// An ingress cannot start because a limit is too small or an address is in use. Operators look for these texts,
+/// which name the setting at fault; so they stay as they are.
 #[test]
 fn each_start_failure_has_its_text() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/src/bin/ingress/event_loop/timer_queue/tests.rs
+++ b/src/bin/ingress/event_loop/timer_queue/tests.rs
@@ -2,7 +2,9 @@
 
 use super::*;
 
-/// The order decides which of two things happens first: it must not change with the names.
+/// Several timers are due at the same time, and their order decides what a client sees: an attempt that times out
+/// and the deadline of its client, for example. The order is that of the variants, so that renaming or sorting them
+/// must not change it unnoticed.
 #[test]
 fn timers_due_at_once_run_in_the_order_of_their_variants() {
     let mut timers = TimerQueue::default();
--- a/src/bin/ingress/logging/tests.rs
+++ b/src/bin/ingress/logging/tests.rs
@@ -29,6 +29,8 @@
     }
 }
 
+/// A log line has the name of the part that wrote it, a message and its fields. Operators search the log for these,
+/// and lines below the chosen level must not appear.
 #[test]
 fn lines_have_target_message_and_fields() {
     let recorded = Recorded::default();
@@ -45,13 +47,13 @@
     assert_eq!(log, expected);
 }
 
-/// A log that tells when a line is about to be written, and then is stuck until the test lets it go on.
-struct Stuck {
+/// A log that reports when a line is about to be written, and then blocks until the test releases it.
+struct BlockedLog {
     reached: Sender<()>,
     released: Receiver<()>,
 }
 
-impl io::Write for Stuck {
+impl io::Write for BlockedLog {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.reached.send(());
         let _ = self.released.recv();
@@ -63,11 +65,12 @@
     }
 }
 
-/// Guards against waiting for a log that nobody reads: a full pipe held up all that the ingress does, for good.
+/// The log is a pipe that nobody reads. The ingress waited for room in it and stood still for good, with all its
+/// clients; it has to drop further lines instead.
 #[test]
-fn a_log_that_is_stuck_holds_nobody_up() {
+fn a_blocked_log_drops_lines_and_delays_nobody() {
     let ((reached, is_reached), (release, released)) = (channel(), channel());
-    let (mut writer, guard) = buffered_writer(Stuck { reached, released });
+    let (mut writer, guard) = buffered_writer(BlockedLog { reached, released });
     let dropped = writer.error_counter();
     writer.write_all(b"first\n").unwrap();
     is_reached.recv().unwrap();
--- a/src/bin/ingress/resp/tests.rs
+++ b/src/bin/ingress/resp/tests.rs
@@ -11,6 +11,8 @@
     Ok(length.map(|length| (texts, length)))
 }
 
+/// A command arrives in pieces of any size. It is parsed only when its last byte is there, and the bytes behind it
+/// belong to the next command; cut too early or too late, it would be another command.
 #[test]
 fn a_command_is_complete_only_with_its_last_byte() {
     let complete = b"*2\r\n$4\r\nINFO\r\n$4\r\nlo\r\n\r\n*1";
@@ -21,6 +23,9 @@
     }
 }
 
+/// A client sends something that can never become a valid command, or announces more than is allowed. It is
+/// rejected as soon as that is certain; if the ingress waited for the rest, the client could have it collect memory
+/// without end.
 #[test]
 fn a_malformed_or_oversized_command_is_rejected_at_its_first_wrong_byte() {
     for malformed in [
@@ -50,6 +55,9 @@
     }
 }
 
+/// A backend's reply is an array with a value, which may be followed by nulls and a load report. An incomplete
+/// reply is waited for, and a malformed or endless one is an error; taken for good, it would give a client a value
+/// that no backend sent.
 #[test]
 fn a_reply_is_parsed_with_its_nulls_and_within_its_limits() {
     let complete = b"*3\r\n$2\r\nhi\r\n*-1\r\n$9\r\nutil=0.61\r\n";
