--- a/fault-plan/src/tests.rs
+++ b/fault-plan/src/tests.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// A test writes a plan of faults into an environment variable, and the process under test reads it there. Each
+/// field arrives as it was written, and an unknown kind of fault is an error; a fault that was silently dropped
+/// would let a test pass without its fault.
 #[test]
 fn a_plan_survives_the_environment() {
     let plan = FaultPlan {
@@ -13,8 +16,10 @@
     assert!(FaultPlan::from_json("{\"seed\":1,\"faults\":[{\"kind\":\"none\"}]}").is_err());
 }
 
+/// A fault is planned for part of a run. Before and after that it must not strike, as a process might not even
+/// start; where two faults of one kind overlap, their probabilities add up.
 #[test]
-fn faults_are_met_between_their_times_only() {
+fn faults_strike_only_between_their_times() {
     let fault =
         |from_ms, until_ms| Fault { from_ms, until_ms, ..Fault::always(FaultKind::FailedAccept, 0.5) };
     let plan = FaultPlan { faults: vec![fault(10, 30), fault(20, 30)], ..FaultPlan::default() };
@@ -23,6 +28,8 @@
     assert_eq!(plan.probability(FaultKind::FailedSocket, 20), 0.0);
 }
 
+/// A plan steps the wall clock twice, forward and then further back. From each step on the process sees the sum of
+/// the steps so far, as on a machine whose clock is corrected repeatedly.
 #[test]
 fn steps_of_the_clock_add_up() {
     let step = |at_ms, by_ms| ClockStep { at_ms, by_ms };
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -56,6 +56,8 @@
     Seen { requests: vec![request], arrivals, ..Seen::default() }
 }
 
+/// A non-idempotent request is retried after a rejection, and a keyed one within its window; both are allowed. If
+/// the oracle reported them, whoever runs the soak would search for a fault that does not exist.
 #[test]
 fn a_request_that_keeps_the_rules_is_no_violation() {
     let rejected = ArrivalRecord { rejected: true, ..arrival(SECOND + 1000) };
@@ -66,6 +68,9 @@
     assert_eq!(rules(false, &seen(retried, arrivals)), []);
 }
 
+/// A client gets no answer, a closed connection, the value of another request, or bytes that it never asked for.
+/// Each is a fault that a customer would notice, and the oracle has to report it; an error, or a client that left
+/// by itself, is none.
 #[test]
 fn answers_that_are_missing_or_wrong_are_found() {
     for (ending, expected) in [
@@ -81,8 +86,9 @@
     assert_eq!(rules(false, &stray), [Rule::SecondAnswer]);
 }
 
-/// A close may cross a request on a connection in use, but not one that was read; and a process that is killed answers
-/// nobody.
+/// The ingress closes an idle connection while a request is on its way to it, and the client simply sends it once
+/// more; that is allowed. If a backend has seen the request, the ingress had read it and the close is a lost
+/// request. An ingress that the soak itself kills answers nobody, which is no fault of the program.
 #[test]
 fn closes_are_excused_where_the_protocol_excuses_them() {
     let crossing = RequestRecord { may_cross_close: true, ..request(Class::Keyed, Ending::Closed) };
@@ -93,6 +99,10 @@
     assert_eq!(rules(false, &seen), []);
 }
 
+/// A request reaches backends twice: a non-idempotent one, a keyed one after its window, one beside the other where
+/// no hedging is allowed, or more often than the settings allow. A customer's order could be executed twice, or
+/// backends get needless load, and the oracle has to report each; two attempts at once are no violation where
+/// hedging is allowed.
 #[test]
 fn repeats_are_judged_by_class_and_settings() {
     let twice =
@@ -107,6 +117,8 @@
     assert_eq!(rules(true, &seen(request(Class::Idempotent, Ending::Served), many)), [Rule::TooManyAttempts]);
 }
 
+/// A backend is given more time than the client will wait, or gets a request 0.2 s after its client has
+/// disconnected. It works for nobody in both cases, and the oracle has to report that.
 #[test]
 fn times_told_and_attempts_for_nobody_are_found() {
     let overstated = ArrivalRecord { time_told: 2 * SECOND, ..arrival(2 * SECOND) };
@@ -126,6 +138,9 @@
     }
 }
 
+/// A backend is listed as draining, and the ingress knows it. What reaches the backend within the grace period, and
+/// the time that it takes the soak to see it, is allowed; one request later than that would have failed at a
+/// backend that shuts down, and is reported.
 #[test]
 fn what_comes_to_a_draining_backend_past_the_grace_is_found() {
     let at = |at| Seen { arrivals: vec![arrival(at)], ..told(Listing::Draining, false) };
@@ -133,6 +148,9 @@
     assert_eq!(rules(true, &at(2 * SECOND + 360_001)), [Rule::SentToDraining]);
 }
 
+/// A backend restarts and gets as many requests as one that has run for long, though it can bear only a few while
+/// it warms up. A real one would be overloaded by its own start, so the oracle has to report it; a backend that
+/// gets none is no violation.
 #[test]
 fn a_cold_backend_that_gets_an_even_part_is_found() {
     // 100 requests a second for each of two backends, one of which has just started.
@@ -144,6 +162,9 @@
     assert_eq!(rules(true, &Seen { arrivals: spared, ..told(Listing::Up, true) }), []);
 }
 
+/// An ingress crashes, does not become ready, or does not end in time after SIGTERM; a client that sends garbage is
+/// neither answered nor disconnected within 3 s. Each would cost an operator requests or descriptors and has to be
+/// reported; a process that the soak kills is no violation.
 #[test]
 fn processes_and_bad_clients_are_judged() {
     for (event, expected) in [
@@ -165,7 +186,8 @@
     }
 }
 
-/// An ingress that stands still may be late by that.
+/// The soak stops an ingress for a moment, so that it notices a disconnect later and sends an attempt behind it.
+/// That delay is the soak's own doing and is allowed; without a stop in the plan the same attempt is a violation.
 #[test]
 fn pauses_of_the_plan_are_allowed_for() {
     let left = request(Class::Keyed, Ending::Left);
@@ -178,6 +200,9 @@
     assert_eq!(rules(true, &seen), [Rule::AttemptAfterDisconnect]);
 }
 
+/// Customers are served 1.6 times what their quotas allow, more than delayed messages between ingresses can
+/// explain. The operator is paid for the quota only, so the oracle has to report it; what lies within the quotas is
+/// no violation.
 #[test]
 fn quotas_that_are_passed_by_far_are_found() {
     let plan = plan_without_pauses(true);
@@ -202,6 +227,9 @@
     assert_eq!(rules(true, &sent(1.6)), [Rule::QuotaExceeded]);
 }
 
+/// An ingress counts fewer requests or attempts than clients and backends saw, or more failures. Operators watch
+/// these counters, and the oracle has to report counters that are wrong; those of an ingress that served nothing
+/// are all zero.
 #[test]
 fn counters_that_miss_something_are_found() {
     let counted = CounterRecord { ingress: 0, requests: 1, answers: 1, not_served: 0, attempts_begun: 1 };
@@ -217,6 +245,8 @@
     }
 }
 
+/// The soak reads an ingress's counters from two lines of its log. Without them, as when the log could not be
+/// written, there are no counters to compare; zeros in their place would look like a fault of the ingress.
 #[test]
 fn counters_are_read_from_the_log() {
     let log =
--- a/fault-soak/tests/plan.rs
+++ b/fault-soak/tests/plan.rs
@@ -5,6 +5,8 @@
 
 const SHAPE: Shape = Shape { ingresses: 10, backends: 6, clients: 24, seconds: 8 };
 
+/// A run of the soak fails, and somebody plays its seed again to find the cause. The same seed has to give the same
+/// faults at the same times, and another seed others.
 #[test]
 fn a_seed_gives_one_plan() {
     let plan = |seed| SoakPlan::draw(seed, SHAPE, &TroubleKind::ALL);
@@ -12,6 +14,9 @@
     assert_ne!(plan(7).troubles, plan(8).troubles);
 }
 
+/// Each plan has at least two faults that overlap in time, as faults that come together are what the soak is for.
+/// All end well before the run does, so that the ingresses have time to recover and a request that is lost is not
+/// mistaken for one cut off by the end.
 #[test]
 fn troubles_overlap_and_end_before_the_run() {
     for seed in 1..300 {
@@ -23,6 +28,8 @@
     }
 }
 
+/// Somebody who searches for a cause has the soak play one kind of fault only. A fault of another kind in that plan
+/// would lead the search astray.
 #[test]
 fn troubles_of_given_kinds_alone_are_drawn() {
     let plan = SoakPlan::draw(3, SHAPE, &[TroubleKind::Reload]);
@@ -34,6 +41,9 @@
     SoakPlan { troubles: troubles.to_vec(), ..SoakPlan::draw(1, SHAPE, &TroubleKind::ALL) }
 }
 
+/// Faults are planned by the time of the whole run, but a process that restarted counts from its own start. Its
+/// plan must begin later by as much and include a clock that was stepped before it started; otherwise faults would
+/// strike at other times, or other processes, than the report says.
 #[test]
 fn the_shim_gets_what_strikes_its_process_by_the_clock_of_its_start() {
     let short = Trouble { kind: TroubleKind::ShortReads, from_ms: 3000, until_ms: 5000, target: 14 };
--- a/fleet-experiments/tests/experiments.rs
+++ b/fleet-experiments/tests/experiments.rs
@@ -34,6 +34,8 @@
     point[key].as_f64().unwrap_or_else(|| panic!("{key} in {point}"))
 }
 
+/// An experiment names two sizes of the endpoint list. There is a point for each of them, with the size it was
+/// measured at; a missing or mislabelled point would put a wrong number into the capacity page.
 #[test]
 fn a_list_is_measured_at_each_size() {
     let points = points("endpoint_list");
@@ -43,6 +45,8 @@
     assert_eq!(zones, [12.0, 23.0]);
 }
 
+/// Requests come to a fleet with nothing else to do, and the time that each takes is measured. All of them have to
+/// be sent to a backend, as a rejection is faster and would make the measured time too short.
 #[test]
 fn all_requests_of_an_idle_fleet_are_sent_on() {
     for point in points("request") {
@@ -50,8 +54,9 @@
     }
 }
 
-/// Guards against quota messages that grow with the fleet at one rate: each ingress has its own customers to
-/// ask of.
+/// The fleet doubles while the rate of requests at each ingress stays the same. The messages of one ingress may
+/// grow with its requests, but must not double with the fleet; if they did, a large fleet would do nothing but
+/// exchange messages.
 #[test]
 fn quota_messages_of_an_ingress_grow_with_requests_and_not_with_the_fleet() {
     let points = points("quota");
@@ -69,7 +74,8 @@
     assert!(of(12.0, 4.0) < 2.0 * of(6.0, 4.0), "{points:?}");
 }
 
-/// The same draws give the same results: two plays differ in nothing.
+/// Somebody runs an experiment again, with the same seed, to check a number in the capacity page. The models have
+/// to give exactly the same points.
 #[test]
 fn models_are_deterministic() {
     for table in ["quota", "discovery", "slow_start"] {
@@ -77,6 +83,8 @@
     }
 }
 
+/// Discovery comes back after an outage. Each of fifty ingresses polls it exactly once, within 5 s and without
+/// being rejected; more polls would overload it again, and later ones would leave ingresses with an outdated list.
 #[test]
 fn a_fleet_polls_a_discovery_that_is_back_once_each() {
     let points = points("discovery");
@@ -84,6 +92,8 @@
     assert!(number(&points[0], "longest_gap_s") <= 5.0, "{points:?}");
 }
 
+/// Backends start in a modelled fleet and get more and more requests. The experiment has to count them: a counter
+/// that stays at zero would report that the limit was kept whatever happened.
 #[test]
 fn a_ramp_counts_what_backends_in_slow_start_get() {
     let points = points("slow_start");
@@ -91,12 +101,16 @@
     assert_eq!(number(&points[0], "runs_over_limit"), 0.0, "{points:?}");
 }
 
+/// A real ingress gets an endpoint list and then a change of it. Both have to be in force and the process still
+/// running before times and memory are reported, as the numbers would otherwise be those of an ingress that failed.
 #[test]
 fn a_real_ingress_applies_a_list_and_its_changes() {
     let points = points("ingress_endpoint_list");
     assert!(points[0]["applied"] == true && points[0]["running"] == true, "{points:?}");
 }
 
+/// Nine of ten real ingresses are restarted under load, and all get a new configuration. Each has to poll discovery
+/// and serve requests again; an operator who rolls out a new version relies on that.
 #[test]
 fn restarted_ingresses_poll_discovery_and_apply_a_new_configuration() {
     let points = points("ingress_restart");
@@ -104,13 +118,16 @@
     assert!(number(&points[0], "first_poll_last_s").is_finite() && number(&points[0], "served") > 0.0);
 }
 
+/// A hundred requests go through a real ingress, and their latency is measured. All have to be served, since errors
+/// come back faster than values and would make the latency look better than it is.
 #[test]
 fn requests_through_a_real_ingress_are_all_served() {
     let points = points("ingress_latency");
     assert_eq!(number(&points[0], "served"), 100.0, "{points:?}");
 }
 
-/// An error in a file is reported in one line that names key and reason, with exit status 2.
+/// Somebody writes an experiment file with a mistake in it. The program says in one line which key is wrong and
+/// why, and exits with status 2, before it starts a run that takes hours.
 #[test]
 fn errors_in_experiment_files_name_the_key() {
     let cases = [
@@ -157,13 +174,15 @@
     }
 }
 
-/// The file that the capacity page rests on is one that can be run.
+/// The capacity page names the file that its numbers were measured with. That file has to be readable by today's
+/// program, or nobody could measure them again.
 #[test]
 fn the_experiments_of_the_capacity_page_are_well_formed() {
     ExperimentFile::parse(include_str!("../experiments/capacity.toml")).unwrap();
 }
 
-/// Files written before tables and keys were renamed say the same as those of today.
+/// Tables and keys of experiment files were renamed. Files written before that have to mean the same as today, as
+/// older results could not be repeated otherwise.
 #[test]
 fn experiment_files_with_former_names_are_still_read() {
     let former = ExperimentFile::parse(include_str!("former_names.toml")).unwrap();
@@ -171,6 +190,8 @@
     assert_eq!(former, ExperimentFile::parse(SMALL).unwrap());
 }
 
+/// An experiment file has no experiment, no sizes, or a size of zero. Each has an error of its own with experiment
+/// and key, by which the program tells its user what to write instead.
 #[test]
 fn errors_in_sizes_have_their_kind() {
     let parse = |table: &str| ExperimentFile::parse(&format!("seed = 1\n{table}")).unwrap_err();
--- a/fleet-experiments/tests/fit.rs
+++ b/fleet-experiments/tests/fit.rs
@@ -2,6 +2,9 @@
 
 use fleet_experiments::fit::{fit_line, fit_results, Point};
 
+/// Measured points are fitted with a straight line, from which the capacity page extrapolates. Points on a line
+/// give exactly that line; points on a curve are reported with a large error, since a reader would otherwise trust
+/// a number that is far off. One size, or a value of zero, gives no line at all.
 #[test]
 fn a_straight_line_is_found_and_a_bent_one_has_a_large_error() {
     let points =
@@ -22,6 +25,8 @@
     assert_eq!(fit_line(&zero), None, "nothing to be a share of");
 }
 
+/// Results of fleets of two sizes lie in one file. Only points that differ in a single size belong on one line, and
+/// three of them are too few; mixed together they would give a slope that means nothing.
 #[test]
 fn fits_need_four_sizes_that_differ_in_nothing_else() {
     let point = |rate: u64, ingresses: u64, messages: u64| {
@@ -37,8 +42,8 @@
     assert!(fit_results("{").is_err());
 }
 
-/// The results that the capacity page rests on have the names of their time: they are fitted like those of
-/// today.
+/// Names in the results were changed after the capacity page was written. Fitted today, the old file has to give
+/// the same lines as under the new names, or the page's numbers could not be checked any more.
 #[test]
 fn results_with_former_names_are_fitted_like_those_of_today() {
     let former = include_str!("../results/capacity-after.jsonl");
--- a/fleet-experiments/tests/slow_start.rs
+++ b/fleet-experiments/tests/slow_start.rs
@@ -3,9 +3,10 @@
 
 use fleet_experiments::experiments::slow_start::{simulate, Ramp};
 
-/// Guards against a budget that grows with what is offered, and against draws that change within the rule's
-/// window for all ingresses at once: at a multiple of 1.2 each start passed the bound, by up to 1.7 times.
-/// Answers that take no longer however much is asked hide from all ingresses what a backend can do.
+/// Backends start while a fleet gets up to 2.5 times the requests that it can serve, and their latency says nothing
+/// about the load. When the budget of a starting backend grew with what was offered, or all ingresses drew anew at
+/// the same moment, starts passed the bound by up to 1.7 times, and a real backend would have broken down again
+/// right after its start.
 #[test]
 fn backends_in_slow_start_are_not_overloaded_by_a_fleet_that_is_asked_for_too_much() {
     let ramp = |ingresses, backends, capacity, overload_factor, load| Ramp {
@@ -33,7 +34,9 @@
     }
 }
 
-/// Where answers slow down with what is asked, backends in slow start get less, and still serve their part.
+/// Backends start in a fleet with spare capacity, and answer more slowly the more they get. Ingresses see that and
+/// send them less, but they must still serve some part and only a minority of requests may be rejected; backends
+/// that get nothing would never warm up.
 #[test]
 fn backends_in_slow_start_serve_their_part_where_answers_tell_of_the_load() {
     for (ingresses, seed) in [(30, 1), (30, 2), (300, 3)] {
--- a/tests/system_call_faults.rs
+++ b/tests/system_call_faults.rs
@@ -183,8 +183,9 @@
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
 }
 
-/// No socket can be opened during the first 0.4 s of a start, as on a machine short of memory. The process ended
-/// with an error, and an operator had to start it again; it has to try again until it is ready.
+/// No socket can be opened during the first 0.4 s of a start, as on a machine that is short of descriptors or
+/// buffers. The process ended with an error, and an operator had to start it again; it has to try again until it is
+/// ready.
 #[test]
 fn the_ingress_starts_though_no_socket_can_be_made_for_a_moment() {
     let backend = Backend::start(reply_with_value);
