--- a/tests/gateway/retry.rs
+++ b/tests/gateway/retry.rs
@@ -6,6 +6,9 @@
 };
 use ingress::*;
 
+/// A backend does not answer a customer's order, and the attempt times out. The order may have been executed, so it
+/// is neither hedged nor retried, and the client gets an error rather than a rejection, which would say that
+/// sending it again is harmless.
 #[test]
 fn a_non_idempotent_request_fails_after_a_timeout_without_a_retry() {
     let mut harness = GatewayHarness::new(settings(), 4);
@@ -17,6 +20,9 @@
     assert!(is_failed(&end) && !is_rejected(&end) && sent_to(&end).is_empty());
 }
 
+/// One backend rejects a customer's order, which it has therefore not executed, and the order goes to another
+/// backend. That one resets the connection, after which the order may have been executed; the client gets an error,
+/// and no third backend gets the order.
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_never_executed() {
     let mut harness = GatewayHarness::new(settings(), 4);
@@ -27,6 +33,9 @@
     assert!(is_failed(&end) && !is_rejected(&end), "the second attempt may have been executed");
 }
 
+/// A keyed request fails at a backend that may have executed it. Only the backends of its cell know its idempotency
+/// key, and only for some time, so a retry goes to one of those or to none; any other backend would execute the
+/// request a second time.
 #[test]
 fn a_keyed_retry_stays_in_its_cell_and_window() {
     let mut harness = GatewayHarness::new(settings(), 6);
@@ -47,8 +56,9 @@
     assert!(sent_to(&end).is_empty() && is_failed(&end) && !is_rejected(&end), "outside the window");
 }
 
-/// Guards against a retry whose connection is established only after the window of its idempotency key: the
-/// attempt begins only then.
+/// A keyed request fails when the window of its idempotency key is nearly over. An attempt begins only once its
+/// connection is established, which may take a quarter of a second; if that is longer than the window lasts, the
+/// backend has forgotten the key and would execute the request again, so there is no retry.
 #[test]
 fn a_keyed_retry_needs_time_to_connect_within_its_window() {
     for (delay, expected_retries) in [(1_600_000, 1), (1_800_000, 0)] {
@@ -69,6 +79,9 @@
     }
 }
 
+/// A keyed request fails, and all backends of its cell have been removed from the list meanwhile, the one that got
+/// it included. The ingress still has to know which cell that was: the backends that are left do not know the key
+/// and would execute the request again, so the client gets an error.
 #[test]
 fn a_keyed_retry_keeps_to_its_cell_after_its_first_backend_is_removed() {
     let mut harness = GatewayHarness::new(settings(), 6);
@@ -81,8 +94,9 @@
     assert!(sent_to(&end).is_empty() && is_failed(&end), "no backend left that knows the key");
 }
 
-/// Guards against retry budgets that are harmless one by one: a hundred full ones were spent at once when all
-/// backends slowed down at a start, and kept them slow.
+/// All backends become slow just after a fleet of a hundred gateways has started. Each gateway had a small budget
+/// for hedged requests, harmless by itself, but a hundred of them were spent at once and kept the backends slow;
+/// together the gateways may hedge only a part of the requests.
 #[test]
 fn hedging_of_a_hundred_gateways_does_not_double_the_load_of_slow_backends() {
     let (mut first_attempts, mut hedges) = (0, 0);
--- a/tests/system_call_faults.rs
+++ b/tests/system_call_faults.rs
@@ -197,7 +197,7 @@
 }
 
 /// The ingress cannot open sockets for a while, so that no request reaches its backend. It counted that as failures
-/// of the backend, ejected it, suspected its whole zone and told its peers; a healthy backend lost requests
+/// of the backend, ejected it, suspected its whole zone and notified its peers; a healthy backend lost requests
 /// everywhere for a shortage on one machine.
 #[test]
 fn no_backend_is_blamed_for_a_socket_that_cannot_be_made() {
