--- a/tests/decision_digest/random.rs
+++ b/tests/decision_digest/random.rs
@@ -25,7 +25,7 @@
         self.next() % bound
     }
 
-    /// True in so many cases of a hundred.
+    /// Whether a draw falls into this many cases of a hundred.
     pub fn percent(&mut self, share: u64) -> bool {
         self.below(100) < share
     }
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -84,17 +84,29 @@
     }
 }
 
-/// A backend that replies to nothing until the gate is opened.
-fn gated_backend() -> (Backend, Arc<AtomicBool>) {
-    let gate = Arc::new(AtomicBool::new(false));
-    let shared = gate.clone();
-    let backend = Backend::start(move |args| {
-        while !shared.load(Ordering::SeqCst) {
-            thread::sleep(Duration::from_millis(1));
-        }
-        reply_with_value(args)
-    });
-    (backend, gate)
+/// A backend that replies to nothing until its gate is opened.
+struct GatedBackend {
+    backend: Backend,
+    is_open: Arc<AtomicBool>,
+}
+
+impl GatedBackend {
+    fn start() -> GatedBackend {
+        let is_open = Arc::new(AtomicBool::new(false));
+        let shared = is_open.clone();
+        let backend = Backend::start(move |args| {
+            while !shared.load(Ordering::SeqCst) {
+                thread::sleep(Duration::from_millis(1));
+            }
+            reply_with_value(args)
+        });
+        GatedBackend { backend, is_open }
+    }
+
+    /// Lets the backend reply to all that it has received, and to what comes later.
+    fn open_gate(&self) {
+        self.is_open.store(true, Ordering::SeqCst);
+    }
 }
 
 /// A client sends 400 requests at once and disconnects while the first ten are in flight. Because the rest of its
@@ -102,8 +114,9 @@
 /// backends for a client that was gone.
 #[test]
 fn pipelined_requests_are_not_sent_once_their_client_has_disconnected() {
-    let (backend, gate) = gated_backend();
-    let ingress = IngressSetup::with_backends(&[&backend]).start();
+    let gated = GatedBackend::start();
+    let backend = &gated.backend;
+    let ingress = IngressSetup::with_backends(&[backend]).start();
     let mut client = ingress.client();
     let requests: Vec<u8> =
         (0..400).flat_map(|number| encode_request("refer", &format!("r{number}"), 7000)).collect();
@@ -112,7 +125,7 @@
     ingress.wait_until_input_is_processed();
     client.disconnect();
     ingress.wait_until_input_is_processed();
-    gate.store(true, Ordering::SeqCst);
+    gated.open_gate();
     assert_eq!(ingress.client().round_trip(&encode_request("refer", "last", 7000)), "value of last");
     let sent = backend.request_ids();
     assert!(sent.len() == 11 && sent[10] == "last", "{sent:?}");
@@ -123,10 +136,11 @@
 /// backend of the new list. Neither client may lose its request to the operator's change.
 #[test]
 fn a_reload_does_not_disturb_requests_in_flight() {
-    let ((working, gate), slow, other) =
-        (gated_backend(), UnreachableBackend::new(), Backend::start(reply_with_value));
+    let (gated, slow, other) =
+        (GatedBackend::start(), UnreachableBackend::new(), Backend::start(reply_with_value));
+    let working = &gated.backend;
     let (old, new) = (DiscoveryServer::start(), DiscoveryServer::start());
-    let mut setup = with_long_connect_timeout(IngressSetup::with_backends(&[&working]));
+    let mut setup = with_long_connect_timeout(IngressSetup::with_backends(&[working]));
     setup.discovery = Some(old.address);
     let ingress = setup.start();
     let (mut first, mut second) = (ingress.client(), ingress.client());
@@ -142,7 +156,7 @@
     ingress.signal("HUP");
     assert_eq!(second.read_reply(), "value of r2");
     assert_eq!(other.request_ids(), ["r2"]);
-    gate.store(true, Ordering::SeqCst);
+    gated.open_gate();
     assert_eq!(first.read_reply(), "value of r1");
     // The first connection that is established to the old address is for the next request, and for no earlier one.
     new.publish(endpoint_json("s-1", slow.address, "up"));
