--- a/tests/gateway/load_shedding.rs
+++ b/tests/gateway/load_shedding.rs
@@ -32,8 +32,8 @@
 }
 
 /// All backends are slow, and gateways reject part of the customers. If each gateway chose for itself, a rejected
-/// client that retries elsewhere would be admitted there, and the load would not fall; all of them reject the same
-/// customers for some seconds.
+/// client that retries elsewhere would be admitted there, and the load would not fall; so all of them reject the
+/// same customers.
 #[test]
 fn all_gateways_shed_the_same_customers() {
     let verdicts = |own_id: u16| {
