--- a/src/action.rs
+++ b/src/action.rs
@@ -1,6 +1,6 @@
 //! What a gateway asks its host to do.
 
-use crate::{BackendId, GatewayId, Micros, RequestId};
+use crate::{BackendId, Duration, GatewayId, Instant, RequestId};
 
 /// What a gateway asks its host to do; several are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
@@ -11,15 +11,15 @@
         id: RequestId,
         /// Where to.
         backend: BackendId,
-        /// When to give the attempt up; 0 for the client's deadline.
-        expires_at: Micros,
+        /// When to give the attempt up; none for the client's deadline.
+        expires_at: Option<Instant>,
     },
     /// Final answer: rejected, trying again is harmless.
     Reject {
         /// The request.
         id: RequestId,
         /// How long the client should keep away; 0 gives no advice.
-        retry_after: Micros,
+        retry_after: Duration,
     },
     /// Final answer: failed, with no promise.
     Fail(RequestId),
@@ -33,7 +33,7 @@
     /// Wake the gateway after `delay` with [`Event::Timer`](crate::Event::Timer).
     SetTimer {
         /// From now.
-        delay: Micros,
+        delay: Duration,
         /// Comes back with the event.
         token: u32,
     },
@@ -44,23 +44,8 @@
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Check the health of a backend.
-    CheckHealth(BackendId),
-    /// Close idle connections to a backend.
-    CloseIdleConnections(BackendId),
     /// Subscribe to discovery, or no longer.
     WatchEndpoints(bool),
-    /// Ask discovery for the whole endpoint list once.
-    FetchEndpoints,
-    /// Add to a shared number.
-    IncrementCounter {
-        /// Its name.
-        name: u64,
-        /// The amount.
-        delta: f64,
-        /// How long a new name lives.
-        lifetime: Micros,
-    },
     /// A line for the log.
     Log(String),
 }
--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -6,11 +6,15 @@
 const IDEMPOTENT: usize = 0;
 const KEYED: usize = 1;
 const NON_IDEMPOTENT: usize = 2;
-const WINDOW: Micros = 2_000_000;
-const GRACE: Micros = 250_000;
-const DEADLINE: Micros = 10_000_000;
+const WINDOW: Duration = Duration::from_secs(2);
+const GRACE: Duration = Duration::from_millis(250);
+const DEADLINE: Instant = Instant::from_micros(10_000_000);
 const BACKEND: BackendId = BackendId(7);
 
+fn at(micros: u64) -> Instant {
+    Instant::from_micros(micros)
+}
+
 /// Whether the settings let two attempts of a request be in flight together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Hedging {
@@ -36,9 +40,9 @@
     })
 }
 
-/// An attempt whose command carries exactly the time that the client has left.
-fn begun(number: u16, at: Micros) -> AttemptBegun {
-    AttemptBegun { number, backend: BACKEND, at, time_told: DEADLINE - at }
+/// An attempt that states to the backend the time that the client has left.
+fn begun(number: u16, at: Instant) -> AttemptBegun {
+    AttemptBegun { number, backend: BACKEND, at, stated_timeout: DEADLINE.duration_since(at) }
 }
 
 /// A non-idempotent request is rejected by its first backend, retried, and answered just before its client gives
@@ -48,9 +52,9 @@
 fn a_request_that_keeps_the_rules_violates_nothing() {
     let auditor = auditor(Hedging::Forbidden);
     let mut request = RequestAudit::new(&auditor, NON_IDEMPOTENT, DEADLINE);
-    assert_eq!(request.attempt_begun(&auditor, &begun(0, 0)), []);
+    assert_eq!(request.attempt_begun(&auditor, &begun(0, at(0))), []);
     assert_eq!(request.attempt_ended(0, Outcome::Rejected), None);
-    assert_eq!(request.attempt_begun(&auditor, &begun(1, 10)), []);
+    assert_eq!(request.attempt_begun(&auditor, &begun(1, at(10))), []);
     assert_eq!(request.attempt_ended(1, Outcome::Ok), None);
     assert_eq!(request.answered(DEADLINE), None);
 }
@@ -69,12 +73,12 @@
     ] {
         let auditor = auditor(hedging);
         let mut request = RequestAudit::new(&auditor, class, DEADLINE);
-        request.attempt_begun(&auditor, &begun(0, 0));
+        request.attempt_begun(&auditor, &begun(0, at(0)));
         if first == FirstAttempt::Reset {
             request.attempt_ended(0, Outcome::Reset);
         }
         assert_eq!(
-            request.attempt_begun(&auditor, &begun(1, 10)),
+            request.attempt_begun(&auditor, &begun(1, at(10))),
             expected,
             "class {class}, hedging {hedging:?}, first {first:?}"
         );
@@ -88,12 +92,12 @@
 fn a_keyed_retry_after_its_window_is_a_violation() {
     let auditor = auditor(Hedging::Allowed);
     let mut request = RequestAudit::new(&auditor, KEYED, DEADLINE);
-    request.attempt_begun(&auditor, &begun(0, 0));
+    request.attempt_begun(&auditor, &begun(0, at(0)));
     request.attempt_ended(0, Outcome::ConnectFailed);
-    request.attempt_begun(&auditor, &begun(1, 100));
+    request.attempt_begun(&auditor, &begun(1, at(100)));
     request.attempt_ended(1, Outcome::TimedOut);
-    assert_eq!(request.attempt_begun(&auditor, &begun(2, WINDOW + 100)), []);
-    assert_eq!(request.attempt_begun(&auditor, &begun(2, WINDOW + 101)), [ViolationKind::KeyExpired]);
+    assert_eq!(request.attempt_begun(&auditor, &begun(2, at(100) + WINDOW)), []);
+    assert_eq!(request.attempt_begun(&auditor, &begun(2, at(101) + WINDOW)), [ViolationKind::KeyExpired]);
 }
 
 /// A keyed request times out at one backend and is retried at a backend of another zone or cell, which does not
@@ -110,9 +114,9 @@
         let mut auditor = Auditor::new(rules);
         for (backend, zone, cell) in [(1, 1, 1), (2, 2, 1), (3, 1, 2)] {
             let endpoint = Endpoint { backend: BackendId(backend), zone, cell, ..Endpoint::default() };
-            auditor.endpoint_listed(&endpoint, 0);
+            auditor.endpoint_listed(&endpoint, at(0));
         }
-        let attempt = |number, backend| AttemptBegun { backend: BackendId(backend), ..begun(number, 10) };
+        let attempt = |number, backend| AttemptBegun { backend: BackendId(backend), ..begun(number, at(10)) };
         let mut request = RequestAudit::new(&auditor, 0, DEADLINE);
         request.attempt_begun(&auditor, &attempt(0, 3));
         request.attempt_ended(0, Outcome::ConnectFailed);
@@ -132,11 +136,13 @@
 fn attempts_beyond_the_limit_with_too_much_time_or_for_no_client_are_violations() {
     let auditor = auditor(Hedging::Allowed);
     let mut request = RequestAudit::new(&auditor, IDEMPOTENT, DEADLINE);
-    assert_eq!(request.attempt_begun(&auditor, &begun(3, 0)), [ViolationKind::TooManyAttempts]);
-    let overstated = AttemptBegun { time_told: DEADLINE + 150_001, ..begun(1, 0) };
+    assert_eq!(request.attempt_begun(&auditor, &begun(3, at(0))), [ViolationKind::TooManyAttempts]);
+    let in_time = begun(1, at(0));
+    let stated_timeout = in_time.stated_timeout + Duration::from_micros(150_001);
+    let overstated = AttemptBegun { stated_timeout, ..in_time };
     assert_eq!(request.attempt_begun(&auditor, &overstated), [ViolationKind::TimeOverstated]);
-    request.client_gone();
-    assert_eq!(request.attempt_begun(&auditor, &begun(2, 0)), [ViolationKind::AttemptAfterEnd]);
+    request.client_disconnected();
+    assert_eq!(request.attempt_begun(&auditor, &begun(2, at(0))), [ViolationKind::AttemptAfterEnd]);
 }
 
 /// A client gets its answer after it has given up, or gets two answers to one request. A client that reads the
@@ -145,7 +151,7 @@
 fn late_and_second_answers_are_violations() {
     let auditor = auditor(Hedging::Allowed);
     let mut request = RequestAudit::new(&auditor, IDEMPOTENT, DEADLINE);
-    assert_eq!(request.answered(DEADLINE + 50_001), Some(ViolationKind::LateAnswer));
+    assert_eq!(request.answered(DEADLINE + Duration::from_micros(50_001)), Some(ViolationKind::LateAnswer));
     assert_eq!(request.answered(DEADLINE), Some(ViolationKind::SecondAnswer));
 }
 
@@ -157,7 +163,7 @@
     let auditor = auditor(Hedging::Allowed);
     let mut request = RequestAudit::new(&auditor, IDEMPOTENT, DEADLINE);
     assert_eq!(request.attempt_ended(0, Outcome::NotSent), None, "it never began");
-    request.attempt_begun(&auditor, &begun(0, 0));
+    request.attempt_begun(&auditor, &begun(0, at(0)));
     assert_eq!(request.attempt_ended(0, Outcome::Error), None);
     assert_eq!(request.attempt_ended(0, Outcome::Error), Some(ViolationKind::UnexpectedEnd));
 }
@@ -172,15 +178,15 @@
     let begin = |auditor: &Auditor, at| {
         RequestAudit::new(auditor, IDEMPOTENT, DEADLINE).attempt_begun(auditor, &begun(0, at))
     };
-    auditor.backend_listed(BACKEND, Availability::Draining, 1000);
-    auditor.backend_listed(BACKEND, Availability::Gone, 5000);
-    assert_eq!(begin(&auditor, 1000 + GRACE), []);
-    assert_eq!(begin(&auditor, 1001 + GRACE), [ViolationKind::ClosedBackend]);
-    auditor.backend_listed(BACKEND, Availability::Ready, 6000);
-    assert_eq!(begin(&auditor, 1001 + GRACE), []);
+    auditor.backend_listed(BACKEND, Availability::Draining, at(1000));
+    auditor.backend_listed(BACKEND, Availability::Gone, at(5000));
+    assert_eq!(begin(&auditor, at(1000) + GRACE), []);
+    assert_eq!(begin(&auditor, at(1001) + GRACE), [ViolationKind::ClosedBackend]);
+    auditor.backend_listed(BACKEND, Availability::Ready, at(6000));
+    assert_eq!(begin(&auditor, at(1001) + GRACE), []);
     // Others that close later make it forget those that closed long ago.
-    auditor.backend_listed(BACKEND, Availability::Gone, 7000);
-    auditor.backend_listed(BackendId(8), Availability::Gone, 7000 + CLOSED_BACKEND_RETENTION);
+    auditor.backend_listed(BACKEND, Availability::Gone, at(7000));
+    auditor.backend_listed(BackendId(8), Availability::Gone, at(7000) + CLOSED_BACKEND_RETENTION);
     assert_eq!((auditor.closed_since.len(), auditor.closing_order.len()), (1, 1));
 }
 
@@ -190,7 +196,9 @@
 fn a_burst_of_violations_is_counted_and_logged_once() {
     let mut auditor = auditor(Hedging::Allowed);
     let violation = Violation { kind: ViolationKind::NoAnswer, request: Some(RequestId(1)) };
-    let logged = [0, 10, LOG_INTERVAL - 1, LOG_INTERVAL].map(|now| auditor.count(violation, now));
+    let again_at = at(0) + LOG_INTERVAL;
+    let times = [at(0), at(10), again_at - Duration::MICROSECOND, again_at];
+    let logged = times.map(|now| auditor.count(violation, now));
     assert_eq!(logged, [true, false, false, true]);
     assert_eq!(auditor.counts().collect::<Vec<_>>(), [(ViolationKind::NoAnswer, 4)]);
 }
--- a/src/bin/ingress/command.rs
+++ b/src/bin/ingress/command.rs
@@ -6,7 +6,7 @@
 mod template;
 
 pub use error::CommandError;
-use ingress::{CustomerId, Idempotency, Micros, Request};
+use ingress::{CustomerId, Duration, Idempotency, Request};
 use options::{is_token, parse_customer, Options};
 use std::ops::Range;
 use template::CommandTemplate;
@@ -25,7 +25,7 @@
     pub classes: Vec<ClassSchema>,
     /// The names of the plans; a request's plan is its place here.
     pub plans: Vec<String>,
-    /// The most units that a request may cost.
+    /// The most units that a request may take.
     pub max_units: f64,
     /// How many gateways there are.
     pub gateway_count: u64,
@@ -67,10 +67,10 @@
 /// A client's request.
 #[derive(Debug)]
 pub struct Command {
-    /// The request as the gateway is told of it; the caller fills in its id and deadline.
+    /// The request for the gateway; the caller fills in its id and deadline.
     pub request: Request,
     /// How long the client waits for the reply.
-    pub timeout: Micros,
+    pub timeout: Duration,
     /// The command as it was sent, less its timeout.
     template: CommandTemplate,
 }
@@ -130,7 +130,7 @@
     }
 
     /// Appends the command as a backend gets it, with the time that is left for the attempt.
-    pub fn encode(&self, timeout: Micros, out: &mut Vec<u8>) {
+    pub fn encode(&self, timeout: Duration, out: &mut Vec<u8>) {
         self.template.encode(timeout, out);
     }
 
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -6,7 +6,11 @@
 use std::io::{Read, Write};
 
 /// The longest time from a failed poll to the next one: 6 s, less what a response takes.
-const MAX_RETRY_GAP: Micros = 5_000_000;
+const MAX_RETRY_GAP: Duration = Duration::from_secs(5);
+/// Within which discovery must be polled.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
+/// When the tests begin.
+const START: Instant = Instant::from_micros(1_000_000_000);
 
 /// The failure of a poll that discovery rejects.
 fn rejected() -> PollError {
@@ -19,11 +23,11 @@
 /// same host serves one ingress only and is polled at once.
 #[test]
 fn a_hundred_watches_neither_start_nor_retry_in_unison() {
-    let now: Micros = 1_000_000_000;
+    let now = START;
     let watch = |seed| {
         let options = WatchOptions {
             max_body_bytes: MAX_BODY_BYTES,
-            backoff: Backoff::shared_service(10_000_000, 100),
+            backoff: Backoff::shared_service(MAX_POLL_INTERVAL, 100),
             seed,
             now,
         };
@@ -31,10 +35,13 @@
     };
     let mut watches: Vec<Watch> = (0..100).map(watch).collect();
     let most_at_once = |watches: &[Watch]| {
-        let mut times: Vec<Micros> = watches.iter().map(|watch| watch.next_timer_at).collect();
+        let mut times: Vec<Instant> = watches.iter().map(|watch| watch.next_timer_at).collect();
         times.sort_unstable();
         (0..100)
-            .map(|first| times[first..].iter().take_while(|at| **at < times[first] + 100_000).count())
+            .map(|first| {
+                let end = times[first] + Duration::from_millis(100);
+                times[first..].iter().take_while(|at| **at < end).count()
+            })
             .max()
     };
     assert!(most_at_once(&watches) <= Some(20), "first polls in a tenth of a second");
@@ -53,13 +60,13 @@
     watch: Watch,
     poll: mio::Poll,
     listener: std::net::TcpListener,
-    now: Micros,
+    now: Instant,
     lists: Vec<u64>,
 }
 
 impl WatchRig {
     fn new(backoff: Backoff) -> WatchRig {
-        let (listener, now) = (std::net::TcpListener::bind("127.0.0.1:0").unwrap(), 1_000_000_000);
+        let (listener, now) = (std::net::TcpListener::bind("127.0.0.1:0").unwrap(), START);
         let options = WatchOptions { max_body_bytes: MAX_BODY_BYTES, backoff, seed: 7, now };
         let watch = Watch::new(listener.local_addr().unwrap(), location_names(), 41, Token(0), options);
         let mut rig = WatchRig { watch, poll: mio::Poll::new().unwrap(), listener, now, lists: Vec::new() };
@@ -85,12 +92,13 @@
     }
 
     /// Reads the next poll from a connection. Returns its timeout.
-    fn read_poll(&mut self, stream: &mut std::net::TcpStream) -> Micros {
+    fn read_poll(&mut self, stream: &mut std::net::TcpStream) -> Duration {
         let (mut head, mut byte) = (String::new(), [0]);
         for _ in 0..100_000 {
             if head.ends_with("\r\n\r\n") {
                 let timeout_ms = head.split("timeout_ms=").nth(1).and_then(|text| text.split(' ').next());
-                return timeout_ms.map_or(0, |text| text.parse::<Micros>().unwrap() * 1000);
+                return timeout_ms
+                    .map_or(Duration::ZERO, |text| Duration::from_millis(text.parse().unwrap()));
             }
             match stream.read(&mut byte) {
                 Ok(1) => head.push(char::from(byte[0])),
@@ -122,20 +130,23 @@
 /// new poll has to be open before that time.
 #[test]
 fn a_watch_that_falls_silent_is_open_again_before_what_it_missed_counts_as_delivered() {
-    for backoff in
-        [Backoff::LOCAL_AGENT, Backoff::shared_service(10_000_000, 6), Backoff::shared_service(500_000, 300)]
-    {
+    for backoff in [
+        Backoff::LOCAL_AGENT,
+        Backoff::shared_service(MAX_POLL_INTERVAL, 6),
+        Backoff::shared_service(Duration::from_millis(500), 300),
+    ] {
         let mut rig = WatchRig::new(backoff);
         let mut silent = rig.accept();
         let timeout = rig.read_poll(&mut silent);
-        let delivered_at = rig.now + (timeout + 2_000_000).max(6_000_000);
+        let delivered_at = rig.now + (timeout + Duration::from_secs(2)).max(Duration::from_secs(6));
         rig.run_timer(); // the silence is detected
         let mut retried = rig.accept();
-        assert_eq!(rig.read_poll(&mut retried), 0, "what was missed is asked for at once");
-        assert!(rig.now + 1_000_000 <= delivered_at, "{} us are left", delivered_at.saturating_sub(rig.now));
+        assert_eq!(rig.read_poll(&mut retried), Duration::ZERO, "what was missed is asked for at once");
+        let left = delivered_at.duration_since(rig.now);
+        assert!(rig.now + Duration::from_secs(1) <= delivered_at, "{} us are left", left.as_micros());
         rig.respond(&mut retried, 42);
         rig.run_timer();
-        assert!(rig.read_poll(&mut retried) > 0, "from then on the watch waits for changes");
+        assert!(rig.read_poll(&mut retried) > Duration::ZERO, "from then on the watch waits for changes");
     }
 }
 
@@ -156,7 +167,8 @@
     }
     let mut third = rig.accept();
     rig.read_poll(&mut third);
-    assert!(rig.now < started_at + 6_000_000 - 500_000, "after {} us", rig.now - started_at);
+    let elapsed = rig.now.duration_since(started_at);
+    assert!(elapsed < Duration::from_millis(5500), "after {} us", elapsed.as_micros());
 }
 
 /// The agent on the same host closes each connection at once, again and again. What it knows counts as delivered to
@@ -172,7 +184,8 @@
             rig.run_ready();
         }
         rig.run_timer();
-        assert!(rig.now <= failed_at + 150_000, "a delay of {} us", rig.now - failed_at);
+        let delay = rig.now.duration_since(failed_at);
+        assert!(delay <= Duration::from_millis(150), "a delay of {} us", delay.as_micros());
     }
 }
 
@@ -204,21 +217,21 @@
 /// but works on it all the same.
 struct SharedDiscovery {
     /// How long it works on a poll.
-    service_time: Micros,
+    service_time: Duration,
     /// When the last poll in the queue is served.
-    free_at: Micros,
+    free_at: Instant,
 }
 
 /// How a poll of [`SharedDiscovery`] ended.
 struct PollEnd {
-    at: Micros,
+    at: Instant,
     is_answered: bool,
 }
 
 impl SharedDiscovery {
-    const MAX_QUEUEING: Micros = 2_000_000;
+    const MAX_QUEUEING: Duration = Duration::from_secs(2);
 
-    fn poll(&mut self, now: Micros) -> PollEnd {
+    fn poll(&mut self, now: Instant) -> PollEnd {
         let begins_at = self.free_at.max(now);
         self.free_at = begins_at + self.service_time;
         if begins_at > now + Self::MAX_QUEUEING {
@@ -232,9 +245,9 @@
 #[derive(Debug)]
 struct Outage {
     /// The longest that an ingress without a response went without a poll, once discovery could be reached.
-    longest_gap: Micros,
+    longest_gap: Duration,
     /// The 95th percentile of the time to a response, from the return on, or from an ingress's start if that is later.
-    p95: Micros,
+    p95: Duration,
     /// How many polls reached discovery, from the return on.
     polls: usize,
 }
@@ -248,14 +261,15 @@
     AfterReturn,
 }
 
-const DOWN_AT: Micros = 1_000_000_000;
-const RETURN_AT: Micros = DOWN_AT + 8_000_000;
+const DOWN_AT: Instant = START;
+// 8 s later.
+const RETURN_AT: Instant = Instant::from_micros(1_008_000_000);
 
 impl Restart {
-    fn at(self) -> Micros {
+    fn at(self) -> Instant {
         match self {
-            Restart::BeforeReturn => DOWN_AT + 5_000_000,
-            Restart::AfterReturn => RETURN_AT + 1_000_000,
+            Restart::BeforeReturn => DOWN_AT + Duration::from_secs(5),
+            Restart::AfterReturn => RETURN_AT + Duration::from_secs(1),
         }
     }
 }
@@ -265,13 +279,13 @@
     watch: Watch,
     is_killed: bool,
     has_restarted: bool,
-    answered_at: Option<Micros>,
-    last_poll_at: Micros,
+    answered_at: Option<Instant>,
+    last_poll_at: Instant,
 }
 
 impl Ingress {
     /// The time from which an ingress could reach discovery. One that is killed restarts at `restart_at`.
-    fn reachable_since(is_killed: bool, restart_at: Micros) -> Micros {
+    fn reachable_since(is_killed: bool, restart_at: Instant) -> Instant {
         if is_killed {
             RETURN_AT.max(restart_at)
         } else {
@@ -284,19 +298,20 @@
 struct Fleet {
     ingress_count: u64,
     seed: u64,
-    restart_at: Micros,
+    restart_at: Instant,
     discovery: SharedDiscovery,
     ingresses: Vec<Ingress>,
     /// When an ingress polls next, by its number.
-    due: std::collections::BTreeSet<(Micros, usize)>,
+    due: std::collections::BTreeSet<(Instant, usize)>,
     outage: Outage,
 }
 
 impl Fleet {
     /// A fleet of which `killed` in ten ingresses are killed and start again.
     fn new(ingress_count: u64, polls_per_second: u64, killed: u64, restart: Restart, seed: u64) -> Fleet {
-        let discovery = SharedDiscovery { service_time: 1_000_000 / polls_per_second, free_at: 0 };
-        let outage = Outage { longest_gap: 0, p95: 0, polls: 0 };
+        let service_time = Duration::from_secs(1) / polls_per_second;
+        let discovery = SharedDiscovery { service_time, free_at: Instant::ZERO };
+        let outage = Outage { longest_gap: Duration::ZERO, p95: Duration::ZERO, polls: 0 };
         let (ingresses, due, restart_at) = (Vec::new(), std::collections::BTreeSet::new(), restart.at());
         let mut fleet = Fleet { ingress_count, seed, restart_at, discovery, ingresses, due, outage };
         for number in 0..ingress_count {
@@ -305,16 +320,16 @@
             watch.fail(DOWN_AT, &PollError::ConnectionEnded);
             fleet.due.insert((watch.next_timer_at, number as usize));
             let is_killed = number % 10 < killed;
-            let (has_restarted, answered_at, last_poll_at) = (false, None, 0);
+            let (has_restarted, answered_at, last_poll_at) = (false, None, Instant::ZERO);
             fleet.ingresses.push(Ingress { watch, is_killed, has_restarted, answered_at, last_poll_at });
         }
         fleet
     }
 
-    fn watch(&self, number: u64, now: Micros) -> Watch {
+    fn watch(&self, number: u64, now: Instant) -> Watch {
         let options = WatchOptions {
             max_body_bytes: MAX_BODY_BYTES,
-            backoff: Backoff::shared_service(10_000_000, self.ingress_count),
+            backoff: Backoff::shared_service(MAX_POLL_INTERVAL, self.ingress_count),
             seed: self.seed * 100_000 + number,
             now,
         };
@@ -333,9 +348,9 @@
         }
         let answered_after = |ingress: &Ingress| {
             let since = Ingress::reachable_since(ingress.is_killed, self.restart_at);
-            ingress.answered_at.expect("all got a response").saturating_sub(since)
+            ingress.answered_at.expect("all got a response").duration_since(since)
         };
-        let mut times: Vec<Micros> = self.ingresses.iter().map(answered_after).collect();
+        let mut times: Vec<Duration> = self.ingresses.iter().map(answered_after).collect();
         times.sort_unstable();
         Outage { p95: times[times.len() * 19 / 20 - 1], ..self.outage }
     }
@@ -344,14 +359,14 @@
         let watch = self.watch(number as u64 + self.ingress_count, self.restart_at);
         self.due.insert((watch.next_timer_at, number));
         let (is_killed, has_restarted) = (true, true);
-        let (answered_at, last_poll_at) = (None, 0);
+        let (answered_at, last_poll_at) = (None, Instant::ZERO);
         self.ingresses[number] = Ingress { watch, is_killed, has_restarted, answered_at, last_poll_at };
     }
 
-    fn poll(&mut self, number: usize, now: Micros) {
+    fn poll(&mut self, number: usize, now: Instant) {
         let ingress = &mut self.ingresses[number];
         let since = Ingress::reachable_since(ingress.has_restarted, self.restart_at);
-        let gap = now.saturating_sub(since.max(ingress.last_poll_at));
+        let gap = now.duration_since(since.max(ingress.last_poll_at));
         self.outage.longest_gap = self.outage.longest_gap.max(gap);
         ingress.last_poll_at = now;
         let end = if now < RETURN_AT {
@@ -364,7 +379,7 @@
         if end.is_answered {
             ingress.answered_at = Some(end.at);
             // Killed ones poll again at their start.
-            let next = if ingress.has_restarted { Micros::MAX } else { end.at.max(self.restart_at) };
+            let next = if ingress.has_restarted { Instant::FAR_FUTURE } else { end.at.max(self.restart_at) };
             self.due.insert((next, number));
         } else {
             ingress.watch.fail(end.at, &rejected());
@@ -387,7 +402,10 @@
             let outage = Fleet::new(ingresses, polls_per_second, 7, restart, seed).run();
             let count = ingresses as usize;
             assert!(outage.longest_gap <= MAX_RETRY_GAP, "{ingresses}: {outage:?}");
-            assert!(outage.p95 <= 6_000_000, "nineteen in twenty are in time, {ingresses}: {outage:?}");
+            assert!(
+                outage.p95 <= Duration::from_secs(6),
+                "nineteen in twenty are in time, {ingresses}: {outage:?}"
+            );
             // Each once, those killed after the return once more, and few in vain.
             let needed = match restart {
                 Restart::BeforeReturn => count,
@@ -409,9 +427,9 @@
     for seed in 0..20 {
         let options = WatchOptions {
             max_body_bytes: MAX_BODY_BYTES,
-            backoff: Backoff::shared_service(10_000_000, 300),
+            backoff: Backoff::shared_service(MAX_POLL_INTERVAL, 300),
             seed,
-            now: 1_000_000_000,
+            now: START,
         };
         let mut watch = Watch::new(([127, 0, 0, 1], 1).into(), location_names(), 41, Token(0), options);
         let mut started_at = watch.next_timer_at;
@@ -421,16 +439,13 @@
             let mut connection = Connection::open(unread, poll.registry(), Token(0)).unwrap();
             connection.set_request(b"GET".to_vec());
             watch.connection = Some(connection);
-            watch.response_due_at = started_at + 30_000_000;
+            watch.response_due_at = started_at + Duration::from_secs(30);
             watch.next_timer_at =
                 watch.response_due_at.min(started_at + watch.schedule.backoff.response_timeout);
-            assert!(watch.next_timer_at <= started_at + 3_000_000);
+            assert!(watch.next_timer_at <= started_at + Duration::from_secs(3));
             watch.fail(watch.next_timer_at, &PollError::TimedOut);
-            assert!(
-                watch.next_timer_at <= started_at + MAX_RETRY_GAP,
-                "{} us",
-                watch.next_timer_at - started_at
-            );
+            let gap = watch.next_timer_at.duration_since(started_at);
+            assert!(gap <= MAX_RETRY_GAP, "{} us", gap.as_micros());
             started_at = watch.next_timer_at;
         }
     }
@@ -475,7 +490,7 @@
 fn however_polls_fail_the_next_one_comes_within_five_seconds() {
     for failure in PollFailure::ALL {
         let response = failure.response();
-        let mut rig = WatchRig::new(Backoff::shared_service(10_000_000, 2900));
+        let mut rig = WatchRig::new(Backoff::shared_service(MAX_POLL_INTERVAL, 2900));
         if failure == PollFailure::Refused {
             rig.listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             // the first one refuses from now on
@@ -507,7 +522,8 @@
             }
             // A poll that waited longer than a failed one may was a watch: what it misses has a time of its own.
             let was_watch = failure == PollFailure::NeverComplete && round == 0;
-            assert!(was_watch || rig.now <= last + MAX_RETRY_GAP, "{failure:?}: {} us", rig.now - last);
+            let gap = rig.now.duration_since(last);
+            assert!(was_watch || gap <= MAX_RETRY_GAP, "{failure:?}: {} us", gap.as_micros());
             last = rig.now;
         }
     }
@@ -542,9 +558,9 @@
     rig.watch.set_address(address, rig.now);
     rig.run_timer();
     let mut snapshot = rig.accept();
-    assert_eq!(rig.read_poll(&mut snapshot), 0, "the first one asks for the whole list");
+    assert_eq!(rig.read_poll(&mut snapshot), Duration::ZERO, "the first one asks for the whole list");
     for _ in 0..3 {
-        rig.now += 100_000;
+        rig.now += Duration::from_millis(100);
         rig.watch.set_address(address, rig.now);
         rig.run_ready();
     }
--- a/src/bin/ingress/event_loop/timer_queue/tests.rs
+++ b/src/bin/ingress/event_loop/timer_queue/tests.rs
@@ -2,28 +2,32 @@
 
 use super::*;
 
+fn at(micros: u64) -> Instant {
+    Instant::from_micros(micros)
+}
+
 /// Several timers are due at the same time, and their order decides what a client sees: an attempt that times out
 /// and the deadline of its client, for example. The order is that of the variants, so that renaming or sorting them
 /// must not change it unnoticed.
 #[test]
 fn timers_due_at_once_run_in_the_order_of_their_variants() {
     let mut timers = TimerQueue::default();
-    timers.schedule(5, Timer::ReplyDeadline);
-    timers.schedule(5, Timer::Sweep);
-    timers.schedule(5, Timer::ClientDeadline(RequestId(1)));
-    timers.schedule(5, Timer::AttemptTimeout(RequestId(2), 0));
-    timers.schedule(5, Timer::Policy(9));
-    timers.schedule(4, Timer::StopAccepting);
-    timers.schedule(6, Timer::Policy(1));
-    assert_eq!(timers.next_due_at(), Some(4));
-    let due = timers.take_due(5);
+    timers.schedule(at(5), Timer::ReplyDeadline);
+    timers.schedule(at(5), Timer::Sweep);
+    timers.schedule(at(5), Timer::ClientDeadline(RequestId(1)));
+    timers.schedule(at(5), Timer::AttemptTimeout(AttemptId { request: RequestId(2), number: 0 }));
+    timers.schedule(at(5), Timer::Policy(9));
+    timers.schedule(at(4), Timer::StopAccepting);
+    timers.schedule(at(6), Timer::Policy(1));
+    assert_eq!(timers.next_due_at(), Some(at(4)));
+    let due = timers.take_due(at(5));
     let expected = [
         Timer::StopAccepting,
         Timer::Policy(9),
-        Timer::AttemptTimeout(RequestId(2), 0),
+        Timer::AttemptTimeout(AttemptId { request: RequestId(2), number: 0 }),
         Timer::ClientDeadline(RequestId(1)),
         Timer::Sweep,
         Timer::ReplyDeadline,
     ];
-    assert_eq!((due.as_slice(), timers.next_due_at()), (expected.as_slice(), Some(6)));
+    assert_eq!((due.as_slice(), timers.next_due_at()), (expected.as_slice(), Some(at(6))));
 }
--- a/src/state/peer.rs
+++ b/src/gossip/peer.rs
@@ -1,7 +1,6 @@
 //! What a gateway knows of a peer, and what waits to be sent to it.
 
-use crate::gossip::{LatencySample, MAX_USAGE_REPORTS};
-use crate::{CustomerId, Micros};
+use crate::{CustomerId, Duration, Instant};
 use std::collections::BTreeMap;
 
 /// A customer whose usage waits to be reported to a peer.
@@ -13,12 +12,22 @@
     pub requests_grant: bool,
 }
 
-/// A latency sample on its way to the peers.
-pub struct QueuedSample {
-    /// How many more messages carry it.
-    pub retransmissions: u8,
-    /// The sample.
-    pub sample: LatencySample,
+/// How a process of a peer came to be heard for the first time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PeerStart {
+    /// No earlier process of the peer was known.
+    FirstHeard,
+    /// It follows another one, whose messages were heard.
+    Restarted,
+}
+
+/// Whether a peer's process has run for longer than the one here.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PeerAge {
+    /// It started before this one.
+    Older,
+    /// It started with this one or later.
+    NotOlder,
 }
 
 /// What the incarnation and the sequence number of a message say of it.
@@ -29,17 +38,14 @@
     /// It is a newer one of the incarnation that is known.
     Current,
     /// It is the first one of an incarnation.
-    NewIncarnation {
-        /// Whether an earlier incarnation was known.
-        restarted: bool,
-    },
+    NewIncarnation(PeerStart),
 }
 
-/// How long a message may be on its way. After this, one of an earlier incarnation says that it still runs, and one whose
-/// sequence number seems to have gone back says that the numbers have wrapped meanwhile.
-const MAX_MESSAGE_DELAY: Micros = 1_000_000;
-/// Messages that a peer sent before the first one that came here, from which on it has run for longer than this gateway: a
-/// process that starts is heard within its first few, whatever is lost.
+/// How long a message may be on its way. After this, one of an earlier incarnation says that it still runs,
+/// and one whose sequence number seems to have gone back says that the numbers have wrapped meanwhile.
+const MAX_MESSAGE_DELAY: Duration = Duration::from_secs(1);
+/// Messages that a peer sent before the first one that came here, from which on it has run for longer than
+/// this gateway: a process that starts is heard within its first few, whatever is lost.
 const MESSAGES_OF_AN_OLDER_PEER: u16 = 16;
 
 /// An incarnation in whose place there is another one.
@@ -48,14 +54,14 @@
     /// Its number.
     incarnation: u32,
     /// When the next one was first heard.
-    at: Micros,
+    at: Instant,
 }
 
 /// A peer's record.
 #[derive(Default)]
 pub struct Peer {
-    /// The latest incarnation known; 0 for none. It tells processes apart and does not order them: it is read from a
-    /// wall clock, which may be stepped.
+    /// The latest incarnation known; 0 for none. It tells processes apart and does not order them: it is read
+    /// from a wall clock, which may be stepped.
     pub incarnation: u32,
     /// The one before.
     pub superseded: Option<SupersededIncarnation>,
@@ -66,9 +72,9 @@
     /// Messages sent to it, wrapping.
     pub sent_messages: u16,
     /// When a message was last received.
-    pub last_heard_at: Micros,
+    pub last_heard_at: Instant,
     /// When the next message may be sent.
-    pub next_send_at: Micros,
+    pub next_send_at: Instant,
     /// Where in the outbox the last message ended.
     pub last_sent: CustomerId,
     /// The customers to report to it.
@@ -76,8 +82,8 @@
 }
 
 impl Peer {
-    /// Takes note of a message's incarnation and sequence number.
-    pub fn receive(&mut self, incarnation: u32, sequence: u16, now: Micros) -> Receipt {
+    /// Records a message's incarnation and sequence number, and tells whether it is to be handled.
+    pub fn receive(&mut self, incarnation: u32, sequence: u16, now: Instant) -> Receipt {
         let same_incarnation = incarnation == self.incarnation;
         let is_behind = sequence.wrapping_sub(self.last_sequence) as i16 <= 0;
         let overtaken = is_behind && now < self.last_heard_at + MAX_MESSAGE_DELAY;
@@ -92,28 +98,32 @@
         let superseded = SupersededIncarnation { incarnation: self.incarnation, at: now };
         self.superseded = restarted.then_some(superseded);
         (self.incarnation, self.first_sequence) = (incarnation, sequence);
-        Receipt::NewIncarnation { restarted }
+        Receipt::NewIncarnation(if restarted { PeerStart::Restarted } else { PeerStart::FirstHeard })
     }
 
     /// Whether a message of this incarnation may have been on its way since before the peer's restart.
-    fn was_superseded_lately(&self, incarnation: u32, now: Micros) -> bool {
+    fn was_superseded_lately(&self, incarnation: u32, now: Instant) -> bool {
         let superseded = self.superseded.filter(|superseded| superseded.incarnation == incarnation);
         superseded.is_some_and(|superseded| now < superseded.at + MAX_MESSAGE_DELAY)
     }
 
-    /// Whether the peer's process started before the one here, as far as messages tell; wall clocks decide only where they
-    /// do not.
-    pub fn started_before(&self, own_incarnation: u32) -> bool {
+    /// Whether the peer's process started before the one here, as far as messages tell; wall clocks decide
+    /// only where they do not.
+    pub fn age(&self, own_incarnation: u32) -> PeerAge {
         let restarted_since = self.superseded.is_some();
-        let is_older = self.first_sequence >= MESSAGES_OF_AN_OLDER_PEER;
-        !restarted_since && (is_older || self.incarnation < own_incarnation)
+        let is_in_midstream = self.first_sequence >= MESSAGES_OF_AN_OLDER_PEER;
+        if !restarted_since && (is_in_midstream || self.incarnation < own_incarnation) {
+            PeerAge::Older
+        } else {
+            PeerAge::NotOlder
+        }
     }
 
-    /// Takes from the outbox what the next message carries. It goes round from where the last one ended:
-    /// otherwise the last customers would never be sent when more change than fit.
-    pub fn next_batch(&mut self) -> Vec<(CustomerId, OutboxEntry)> {
+    /// Takes from the outbox what the next message carries, `most` customers at most. It goes round from
+    /// where the last one ended: otherwise the last customers would never be sent when more change than fit.
+    pub fn next_batch(&mut self, most: usize) -> Vec<(CustomerId, OutboxEntry)> {
         let rotated = self.outbox.range(self.last_sent..).chain(self.outbox.range(..self.last_sent));
-        let batch: Vec<_> = rotated.take(MAX_USAGE_REPORTS).map(|(id, entry)| (*id, *entry)).collect();
+        let batch: Vec<_> = rotated.take(most).map(|(id, entry)| (*id, *entry)).collect();
         self.last_sent = batch.last().map_or(self.last_sent, |(id, _)| CustomerId(id.0 + 1));
         for (id, entry) in &batch {
             let retransmissions = entry.retransmissions - 1;
--- a/src/state/peer/tests.rs
+++ b/src/gossip/peer/tests.rs
@@ -1,6 +1,11 @@
 //! Tests of [`super`].
 
 use super::*;
+use crate::gossip::MAX_USAGE_REPORTS;
+
+fn at(micros: u64) -> Instant {
+    Instant::from_micros(micros)
+}
 
 /// The network delivers a message twice, or an older one after a newer one. Both are ignored, since an old total
 /// would undo what the newer one said about a customer's usage; a sequence number that wraps round from 65,535 to 0
@@ -8,12 +13,12 @@
 #[test]
 fn repeats_and_overtaken_messages_are_outdated() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5, 65_535, 10), Receipt::NewIncarnation { restarted: false });
-    assert_eq!(peer.receive(5, 65_535, 20), Receipt::Outdated, "a repeat");
-    assert_eq!(peer.receive(5, 65_534, 30), Receipt::Outdated, "overtaken");
-    assert_eq!(peer.last_heard_at, 10);
-    assert_eq!(peer.receive(5, 0, 40), Receipt::Current, "the sequence number wrapped");
-    assert_eq!(peer.last_heard_at, 40);
+    assert_eq!(peer.receive(5, 65_535, at(10)), Receipt::NewIncarnation(PeerStart::FirstHeard));
+    assert_eq!(peer.receive(5, 65_535, at(20)), Receipt::Outdated, "a repeat");
+    assert_eq!(peer.receive(5, 65_534, at(30)), Receipt::Outdated, "overtaken");
+    assert_eq!(peer.last_heard_at, at(10));
+    assert_eq!(peer.receive(5, 0, at(40)), Receipt::Current, "the sequence number wrapped");
+    assert_eq!(peer.last_heard_at, at(40));
 }
 
 /// A peer restarts and numbers its messages from the beginning. Its new messages are accepted at once, though their
@@ -22,10 +27,10 @@
 #[test]
 fn a_restarted_peer_counts_its_messages_anew() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5, 100, 10), Receipt::NewIncarnation { restarted: false });
-    assert_eq!(peer.receive(6, 1, 20), Receipt::NewIncarnation { restarted: true });
-    assert_eq!(peer.receive(5, 101, 30), Receipt::Outdated, "from before the restart");
-    assert_eq!(peer.receive(6, 2, 40), Receipt::Current);
+    assert_eq!(peer.receive(5, 100, at(10)), Receipt::NewIncarnation(PeerStart::FirstHeard));
+    assert_eq!(peer.receive(6, 1, at(20)), Receipt::NewIncarnation(PeerStart::Restarted));
+    assert_eq!(peer.receive(5, 101, at(30)), Receipt::Outdated, "from before the restart");
+    assert_eq!(peer.receive(6, 2, at(40)), Receipt::Current);
 }
 
 /// More customers wait to be reported to a peer than one message holds. The next message begins with the ones that
@@ -37,10 +42,10 @@
     let entry = OutboxEntry { retransmissions: 2, requests_grant: true };
     let outbox = (0..count).map(|id| (CustomerId(id), entry)).collect();
     let mut peer = Peer { outbox, ..Peer::default() };
-    let first = peer.next_batch();
+    let first = peer.next_batch(MAX_USAGE_REPORTS);
     assert_eq!(first.len(), MAX_USAGE_REPORTS);
     assert!(first.iter().all(|(_, entry)| entry.requests_grant));
-    let second = peer.next_batch();
+    let second = peer.next_batch(MAX_USAGE_REPORTS);
     assert_eq!(second[0].0, CustomerId(count - 1), "the customer that did not fit");
     assert!(second[0].1.requests_grant);
     assert!(!second[1].1.requests_grant, "a grant is requested once");
@@ -52,10 +57,10 @@
 #[test]
 fn a_peer_that_restarts_with_its_clock_set_back_is_heard() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5_000_000, 100, 10), Receipt::NewIncarnation { restarted: false });
-    assert_eq!(peer.receive(5, 1, 20), Receipt::NewIncarnation { restarted: true });
-    assert_eq!(peer.receive(5_000_000, 101, 30), Receipt::Outdated, "from before the restart");
-    assert_eq!(peer.receive(5, 2, 40), Receipt::Current);
+    assert_eq!(peer.receive(5_000_000, 100, at(10)), Receipt::NewIncarnation(PeerStart::FirstHeard));
+    assert_eq!(peer.receive(5, 1, at(20)), Receipt::NewIncarnation(PeerStart::Restarted));
+    assert_eq!(peer.receive(5_000_000, 101, at(30)), Receipt::Outdated, "from before the restart");
+    assert_eq!(peer.receive(5, 2, at(40)), Receipt::Current);
 }
 
 /// A peer is cut off for forty minutes and sends so many messages meanwhile that its sequence numbers seem to have
@@ -64,9 +69,13 @@
 #[test]
 fn a_peer_that_was_cut_off_for_long_is_heard_at_once() {
     let mut peer = Peer::default();
-    peer.receive(5, 100, 10);
-    let after_the_cut = 10 + 40 * 60 * 1_000_000;
+    peer.receive(5, 100, at(10));
+    let after_the_cut = at(10) + Duration::from_secs(40 * 60);
     assert_eq!(peer.receive(5, 100 + 40_000, after_the_cut), Receipt::Current);
-    assert_eq!(peer.receive(5, 100 + 39_999, after_the_cut + 10), Receipt::Outdated, "overtaken");
-    assert_eq!(peer.receive(5, 100 + 40_001, after_the_cut + 20), Receipt::Current);
+    assert_eq!(
+        peer.receive(5, 100 + 39_999, after_the_cut + Duration::from_micros(10)),
+        Receipt::Outdated,
+        "overtaken"
+    );
+    assert_eq!(peer.receive(5, 100 + 40_001, after_the_cut + Duration::from_micros(20)), Receipt::Current);
 }
--- a/src/policy/permissions/tests.rs
+++ b/src/policy/permissions/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`].
 
 use super::*;
-use crate::IdempotencyScope;
+use crate::{Idempotency, IdempotencyScope};
 
 /// A request whose first attempt failed and was never executed.
 const FAILED_ONCE: AttemptFacts = AttemptFacts {
@@ -11,9 +11,13 @@
     attempts: 1,
     in_flight: 0,
     may_have_executed: false,
-    answered: false,
+    closed: false,
 };
 
+fn at(micros: u64) -> Instant {
+    Instant::from_micros(micros)
+}
+
 /// Whether an attempt is the first one, a retry or a hedged request follows from the attempts before it. The log
 /// names the kind, and an operator reads there why a request was sent a second time.
 #[test]
@@ -30,11 +34,11 @@
 /// retried until its key's window ends, and not at that very moment.
 #[test]
 fn an_attempt_that_is_not_allowed_is_refused_with_its_reason() {
-    let window = 1000;
+    let window = Duration::from_micros(1000);
     let keyed = Idempotency::Keyed { scope: IdempotencyScope::Fleet, window };
     let executed = AttemptFacts { may_have_executed: true, ..FAILED_ONCE };
     for (facts, expected) in [
-        (AttemptFacts { answered: true, ..FAILED_ONCE }, AttemptRefusal::Answered),
+        (AttemptFacts { closed: true, ..FAILED_ONCE }, AttemptRefusal::Closed),
         (AttemptFacts { attempts: 3, ..FAILED_ONCE }, AttemptRefusal::AttemptLimit),
         (AttemptFacts { in_flight: 1, ..FAILED_ONCE }, AttemptRefusal::InFlight),
         (
@@ -45,8 +49,8 @@
         assert_eq!(may_start_attempt(&facts), Err(expected), "{facts:?}");
     }
     assert_eq!(may_start_attempt(&AttemptFacts { idempotency: keyed, ..executed }), Ok(AttemptKind::Retry));
-    assert_eq!(may_repeat_key(window, 50, 1049), Ok(()));
-    assert_eq!(may_repeat_key(window, 50, 1050), Err(AttemptRefusal::KeyExpired));
+    assert_eq!(may_repeat_key(window, at(50), at(1049)), Ok(()));
+    assert_eq!(may_repeat_key(window, at(50), at(1050)), Err(AttemptRefusal::KeyExpired));
 }
 
 /// A connection to a backend is established late: the client has its answer, the attempt's time is over, or the
@@ -54,11 +58,11 @@
 /// nobody, or execute a request whose idempotency key is forgotten.
 #[test]
 fn a_command_is_written_only_while_its_client_waits_and_its_time_lasts() {
-    let facts = WriteFacts { now: 100, expires_at: 200, begins_by: 150, answered: false };
-    let at = |now| may_begin_writing(&WriteFacts { now, ..facts });
-    assert_eq!((at(150), at(151)), (Ok(()), Err(WriteRefusal::ConnectedTooLate)));
-    assert_eq!(at(200), Err(WriteRefusal::Expired));
-    assert_eq!(may_begin_writing(&WriteFacts { answered: true, ..facts }), Err(WriteRefusal::Answered));
+    let facts = WriteFacts { now: at(100), expires_at: at(200), begins_by: at(150), closed: false };
+    let begin_at = |micros| may_begin_writing(&WriteFacts { now: at(micros), ..facts });
+    assert_eq!((begin_at(150), begin_at(151)), (Ok(()), Err(WriteRefusal::ConnectedTooLate)));
+    assert_eq!(begin_at(200), Err(WriteRefusal::Expired));
+    assert_eq!(may_begin_writing(&WriteFacts { closed: true, ..facts }), Err(WriteRefusal::Closed));
 }
 
 /// A backend that is draining, was removed, or was never listed is sent nothing. Its operator is shutting it down,
@@ -76,8 +80,9 @@
 /// which fails a non-idempotent request.
 #[test]
 fn a_connection_is_reused_only_between_its_least_and_longest_idle_time() {
-    let limits = ReuseLimits { min_idle_time: 20, max_idle_time: 100 };
-    let after = |idle_time| may_reuse_connection(idle_time, limits);
+    let limits =
+        ReuseLimits { min_idle_time: Duration::from_micros(20), max_idle_time: Duration::from_micros(100) };
+    let after = |micros| may_reuse_connection(Duration::from_micros(micros), limits);
     assert_eq!((after(19), after(20)), (Err(ReuseRefusal::TooFresh), Ok(())));
     assert_eq!((after(99), after(100)), (Ok(()), Err(ReuseRefusal::TooOld)));
 }
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -3,6 +3,9 @@
 use super::settings::{endpoint, SECOND, START};
 use ingress::*;
 
+/// The time from a timer to the next one.
+const TIMER_INTERVAL: Duration = Duration::from_millis(20);
+
 /// A request that a gateway got, and what it asked for at once.
 pub struct SubmittedRequest {
     pub id: RequestId,
@@ -12,7 +15,7 @@
 /// A gateway with its clock.
 pub struct GatewayHarness {
     pub gateway: Gateway,
-    pub now: Micros,
+    pub now: Instant,
     pub next_request_id: u64,
 }
 
@@ -45,10 +48,10 @@
     }
 
     /// Lets time pass, waking the gateway as it asked.
-    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
+    pub fn advance(&mut self, span: Duration) -> Vec<Action> {
         let (mut actions, end) = (Vec::new(), self.now + span);
         while self.now < end {
-            self.now += 20_000;
+            self.now += TIMER_INTERVAL;
             actions.extend(self.handle(Event::Timer(0)));
         }
         actions
@@ -70,7 +73,7 @@
     ) -> SubmittedRequest {
         let id = RequestId(self.next_request_id);
         self.next_request_id += 1;
-        let deadline = self.now + 4 * SECOND;
+        let deadline = self.now + SECOND * 4;
         let customer = CustomerId(customer);
         let gateway_set_start = if set_size == 6.0 { 15.0 } else { 0.0 };
         let request = Request {
@@ -94,13 +97,13 @@
         backend: BackendId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.end_attempt_after(100_000, id, attempt, backend, outcome)
+        self.end_attempt_after(Duration::from_millis(100), id, attempt, backend, outcome)
     }
 
     /// Ends an attempt that took this long.
     pub fn end_attempt_after(
         &mut self,
-        elapsed: Micros,
+        elapsed: Duration,
         id: RequestId,
         attempt: u16,
         backend: BackendId,
@@ -112,7 +115,7 @@
 
 /// The end of an attempt, without a meter or a load report. A request that was served has its final answer.
 pub fn attempt_ended(
-    elapsed: Micros,
+    elapsed: Duration,
     id: RequestId,
     attempt: u16,
     backend: BackendId,
@@ -125,9 +128,8 @@
         outcome,
         answered: outcome == Outcome::Ok,
         elapsed,
-        metered: None,
         charged_units: None,
-        load_report: None,
+        reported_queue_depth: None,
     })
 }
 
