--- a/src/bin/ingress/backends/reply/tests.rs
+++ b/src/bin/ingress/backends/reply/tests.rs
@@ -2,7 +2,9 @@
 
 use super::*;
 
-/// A backend may report more than the queue depth, or what cannot be read: neither must hide the other values.
+/// A backend reports how long its queue is, among other values and some that cannot be read. The queue depth is
+/// found all the same, and nonsense is no depth; an ingress that overlooked a long queue would go on sending
+/// requests that wait there.
 #[test]
 fn the_queue_depth_is_found_in_a_load_report() {
     for (text, expected) in [
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -133,8 +133,9 @@
     assert_eq!((charged_units, reported_queue_depth), (Some(3.0), Some(6.0)));
 }
 
-/// Disconnects, timers, first bytes, messages of peers, health checks and counters each have their own fields at
-/// their own offsets. Read from elsewhere, they would concern another request, peer or backend.
+/// Disconnects, timers, first bytes and messages of peers each have their own fields at their own offsets. Read
+/// from elsewhere, they would concern another request or peer. Health checks and counters are read as well, though
+/// no decision uses them.
 #[test]
 fn other_events_are_read_from_their_places() {
     assert!(matches!(read_event(event_record(90, &[(3, &[6])])), Event::ClientDisconnected(RequestId(6))));
@@ -150,7 +151,8 @@
     assert!(matches!(read_event(counter), Event::Unused));
 }
 
-/// An unknown outcome is refused also where no decision uses the event: the frame is read at the wrong places.
+/// An event that no decision uses arrives with an outcome that does not exist, so the frame was read at the wrong
+/// places. It is an error that names the field, as whatever follows in that frame would be read wrongly too.
 #[test]
 fn an_unused_event_with_an_unknown_outcome_is_refused() {
     for (code, outcome_at) in [(30, 9), (40, 11)] {
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -94,7 +94,8 @@
     assert_eq!(ArrivalFacts { grant: owner, ..facts }.decide(), ArrivalDecision::DecideNow);
 }
 
-/// A request that comes with no time to wait for an answer is decided by what is known.
+/// A request arrives with too little time left to wait for the answer of a quota owner. It is decided at once by
+/// what is known here, as its client would have given up before the answer comes.
 #[test]
 fn a_request_without_time_does_not_wait_for_a_grant() {
     let plan = plan(0);
@@ -120,10 +121,11 @@
     assert_ne!(decide(&concurrency, QuotaLimit::Concurrency, recent), ArrivalDecision::DecideNow);
 }
 
-/// A gateway's share of a hard limit is used up, while its customer is inside its quota: others may have
-/// units left, and are asked for them at once. Where there are no others the request is decided.
+/// A gateway's share of a hard limit is used up, while its customer is inside its quota. Other gateways may have
+/// units left, which are requested at once, so that the customer gets what it pays for; where there are no other
+/// gateways the request is decided here.
 #[test]
-fn units_of_a_hard_limit_are_asked_of_the_gateways_that_hold_them() {
+fn units_of_a_hard_limit_are_requested_from_the_gateways_that_hold_them() {
     let plan = plan(0);
     let owner = GrantStatus { is_quota_owner: true, ..arrival(&plan, Duration::ZERO).grant };
     let facts =
--- a/src/policy/attempt_expiry/tests.rs
+++ b/src/policy/attempt_expiry/tests.rs
@@ -32,22 +32,25 @@
     }
 }
 
-/// A late answer would be worth nothing, but hold a place of the customer's concurrency quota: the attempt
-/// ends with its latency objective.
+/// A backend is slow, and an answer after the latency objective would be worth nothing. The attempt ends at the
+/// objective, since until then it holds one of the few places of its customer's concurrency quota, and the
+/// customer's next requests are rejected.
 #[test]
 fn an_attempt_that_is_worthless_when_late_ends_with_its_objective() {
     assert_eq!(attempt_expiry(&facts(&class(0.0))), Some(ARRIVAL + OBJECTIVE));
 }
 
-/// A retry is sent just before the objective, or after it: it has a tick to be answered in.
+/// A retry is sent just before the latency objective, or after it. If it expired at once, the backend would execute
+/// a request whose answer nobody reads; it has at least one tick.
 #[test]
 fn an_attempt_has_a_tick_at_least() {
     let (class, late) = (class(0.0), ARRIVAL + OBJECTIVE * 2);
     assert_eq!(attempt_expiry(&ExpiryFacts { now: late, ..facts(&class) }), Some(late + TICK));
 }
 
-/// A late answer is worth something, or holds nobody up, or the fleet is small: the attempt goes on until the
-/// client's deadline.
+/// A late answer is worth something, or the customer has no concurrency quota whose place it would hold, or the
+/// fleet is small. The attempt goes on until the client's deadline, since ending it early would fail a request that
+/// could still be served.
 #[test]
 fn other_attempts_go_on_until_the_deadline() {
     let worthless = class(0.0);
--- a/src/policy/load_balancing/candidate/tests.rs
+++ b/src/policy/load_balancing/candidate/tests.rs
@@ -16,9 +16,11 @@
     step: 0,
 };
 
-/// Backends differ in one thing each. The costs are those that the factors of the rule give.
+/// Backends differ in one thing each: their load, zone, failures, an earlier attempt there, an ejection, or their
+/// capacity. Each raises the cost by its own factor, which decides what a client would rather get: a distant
+/// backend, a loaded one, or one that fails.
 #[test]
-fn each_fault_has_its_factor() {
+fn each_disadvantage_raises_the_cost_by_its_factor() {
     assert_eq!(IDLE.cost(), 1.0);
     assert_eq!(CandidateFacts { in_flight: 3, ..IDLE }.cost(), 4.0);
     assert_eq!(CandidateFacts { in_own_zone: false, ..IDLE }.cost(), 1.05);
@@ -46,7 +48,8 @@
     assert_eq!(CandidateFacts { fleet_size: 100, ..queueing }.cost(), 4.0);
 }
 
-/// A candidate is looked past, in search of better ones, if it is ejected or fails often.
+/// A candidate that is ejected, or fails more than four times in ten, does not end the search for a healthy one. If
+/// it did, requests would go to failing backends while healthy ones stand further on in the list.
 #[test]
 fn candidates_that_are_ejected_or_fail_often_are_suspect() {
     assert!(!CandidateFacts { failure_rate: 0.4, ..IDLE }.is_suspect());
--- a/src/policy/load_balancing/reported_queue/tests.rs
+++ b/src/policy/load_balancing/reported_queue/tests.rs
@@ -5,7 +5,8 @@
 /// When the report comes.
 const NOW: Instant = Instant::from_micros(100_000_000);
 
-/// A backend reports a queue once and then nothing more. The queue is taken to empty with time.
+/// A backend reports a long queue once and then nothing more. The queue is taken to empty with time; otherwise the
+/// backend would get no requests for good, and so could never report a shorter one.
 #[test]
 fn a_report_counts_less_and_less() {
     let mut queue = ReportedQueue::default();
@@ -15,7 +16,8 @@
     assert!(later < 0.2, "{later}");
 }
 
-/// A report is nonsense: it counts as the deepest queue that is believed, or as none.
+/// A backend reports an infinite or a negative queue. It counts as the deepest queue that is believed, or as none,
+/// so that one faulty report neither removes a backend for good nor draws all requests to it.
 #[test]
 fn reports_beyond_belief_are_limited() {
     let mut queue = ReportedQueue::default();
@@ -25,8 +27,9 @@
     assert_eq!(queue.depth_at(NOW), 0.0);
 }
 
-/// A backend rejects attempts of this gateway, one of thirty: the queue there counts as one request longer
-/// for each gateway with each rejection.
+/// A backend rejects an attempt of one of thirty gateways because its queue is full. The others will send it
+/// requests as well, so its queue counts as thirty requests longer, and the next attempts go elsewhere instead of
+/// being rejected too.
 #[test]
 fn a_rejection_counts_for_all_gateways() {
     let mut queue = ReportedQueue::default();
--- a/src/policy/load_balancing/slow_start/tests.rs
+++ b/src/policy/load_balancing/slow_start/tests.rs
@@ -39,8 +39,9 @@
     (0..1000).take_while(|_| may_send(backend).then(|| backend.begin_attempt(now, WINDOW)).is_some()).count()
 }
 
-/// A backend starts. It has a fifth of its capacity then, and all of it twenty seconds later; one that
-/// started long ago has all of it.
+/// A backend starts and can bear a fifth of its usual load; after twenty seconds it can bear all of it. With more
+/// load in between it would be overloaded by its own start, with less the other backends would bear its part for
+/// longer than needed.
 #[test]
 fn the_capacity_grows_from_the_floor() {
     let (slow_start, starting) = (slow_start(0, 1), backend(Some(START)));
@@ -77,7 +78,9 @@
     assert!(sent <= 5, "{sent}");
 }
 
-/// The draw goes on with time: every gateway may send the backend something sooner or later.
+/// The gateways of a large fleet draw who may send to a starting backend. The draw is repeated as time passes, so
+/// that every gateway may send it something sooner or later; a gateway that never could would have no backend at
+/// all where all of them have just started.
 #[test]
 fn another_gateway_may_send_after_a_while() {
     let times = || (0..100).map(|draw| START + WINDOW * DRAW_WINDOWS * draw);
@@ -88,7 +91,8 @@
     }
 }
 
-/// A backend with all its capacity is not limited.
+/// A backend has run for long. Its warm-up no longer limits it, however many attempts it gets; a limit that stayed
+/// would reject requests that it could serve.
 #[test]
 fn a_backend_out_of_slow_start_is_sent_any_number() {
     let mut running = backend(Some(START));
--- a/src/policy/load_balancing/subset/tests.rs
+++ b/src/policy/load_balancing/subset/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::{Endpoint, IdempotencyScope};
 
-/// Three gateways share five backends. Each looks at all of them, once: there are few, and the weight is a
-/// part of their cost.
+/// Three gateways share five backends. Each compares all of them, once: with so few, looking at a part only could
+/// miss the one idle backend.
 #[test]
 fn few_backends_are_all_compared() {
     let subset = Subset::new(5, 3, &RetryScope::Anywhere);
@@ -31,7 +31,8 @@
     assert_eq!(subset.size * 40 / 2400, 8);
 }
 
-/// A keyed request is retried. The backends that know its key may be outside the subset: all are looked at.
+/// A keyed request is retried, and only few backends know its key. They may be outside the gateway's usual subset,
+/// so all backends are looked at; otherwise the client would get an error although a retry was possible.
 #[test]
 fn a_limited_scope_is_looked_for_among_all_backends() {
     let scope = RetryScope::Within(IdempotencyScope::Cell, Endpoint::default());
@@ -46,7 +47,8 @@
     assert!(!subset.has_enough(0, 32) && subset.has_enough(0, 33));
 }
 
-/// A choice starts anywhere in the subset, and goes on at its beginning from its end.
+/// A choice starts anywhere in the subset and goes on at its beginning from its end. A search that stopped at the
+/// end would hardly ever find the first backends, and load the last ones.
 #[test]
 fn positions_wrap_at_the_end_of_the_subset() {
     let subset = Subset::new(100, 100, &RetryScope::Anywhere);
--- a/src/policy/load_balancing/tests.rs
+++ b/src/policy/load_balancing/tests.rs
@@ -94,14 +94,16 @@
     }
 }
 
-/// Four backends are alike. Chance spreads the attempts over them: each gets a tenth of them at least.
+/// Four backends differ in nothing. Chance spreads the attempts over them, each getting at least a tenth; if all
+/// gateways chose the first one, it would be overloaded while the others stand idle.
 #[test]
 fn attempts_are_spread_over_backends_that_are_alike() {
     let choices = Fixture::with_backends(4).choices();
     assert!(choices.len() == 4 && choices.values().all(|count| *count > 100), "{choices:?}");
 }
 
-/// One of four backends has an attempt in flight: the idle ones are chosen.
+/// One of four backends has an attempt in flight. The next request goes to an idle one, where it does not have to
+/// wait.
 #[test]
 fn the_least_loaded_backend_is_chosen() {
     let mut fixture = Fixture::with_backends(4);
@@ -124,7 +126,8 @@
     assert!(fixture.choices().contains_key(&0));
 }
 
-/// An attempt at one backend failed. The retry goes to another one, if there is another.
+/// An attempt at one backend failed. Its retry goes to another one, since the first would likely fail it again; if
+/// there is no other, it goes to the same one rather than to none.
 #[test]
 fn a_retry_goes_to_another_backend() {
     let fixture = Fixture::with_backends(3);
@@ -135,10 +138,10 @@
     assert_eq!(alone.choose(1, &[attempt_at(0)], &RetryScope::Anywhere), Ok(BackendId(0)));
 }
 
-/// A backend reports a long queue: the others are chosen. A second process of it has none, and is chosen
-/// again.
+/// A backend reports a long queue, and requests go to others, where they need not wait. After a restart the
+/// backend's queue is empty, and it gets requests again; the old report says nothing of the new process.
 #[test]
-fn a_backend_with_a_reported_queue_is_avoided_until_it_starts_anew() {
+fn a_backend_with_a_reported_queue_is_avoided_until_it_restarts() {
     let mut fixture = Fixture::with_backends(3);
     fixture.backends.get_mut(BackendId(0)).expect("it is listed").reported_queue.report(50.0, NOW);
     assert!(!fixture.choices().contains_key(&0));
@@ -147,14 +150,16 @@
     assert!(fixture.choices().contains_key(&0));
 }
 
-/// No backend is listed as ready.
+/// No backend is listed as ready. The choice says so, rather than naming a backend or some other reason, so that
+/// whoever reads the log of a rejected request looks at discovery and not at the backends.
 #[test]
-fn without_ready_backends_that_is_the_reason() {
+fn a_choice_without_ready_backends_gives_that_reason() {
     let fixture = Fixture::with_backends(0);
     assert_eq!(fixture.choose(1, &[], &RetryScope::Anywhere), Err(NoBackend::NoneReady));
 }
 
-/// A keyed request may be retried in the zone of its first attempt only, where no backend is left.
+/// A keyed request may be retried only in the zone of its first attempt, where no backend is left. No backend of
+/// another zone is chosen, as it does not know the key and would execute the request a second time.
 #[test]
 fn outside_of_the_scope_no_backend_is_chosen() {
     let fixture = Fixture::with_backends(3);
@@ -163,7 +168,8 @@
     assert_eq!(fixture.choose(1, &[], &scope), Err(NoBackend::OutOfScope));
 }
 
-/// The only backend has just started, and was sent as much as it can bear: the request has to wait.
+/// The only backend has just started, and was sent as much as it can bear. It is not chosen, and the request has to
+/// wait; one request more from each gateway would overload the backend at its start.
 #[test]
 fn a_backend_in_slow_start_that_was_sent_enough_is_not_chosen() {
     let mut fixture = Fixture::new(vec![Endpoint { started_at: Some(NOW), ..endpoint(0) }]);
--- a/src/policy/outlier_detection/evidence/tests.rs
+++ b/src/policy/outlier_detection/evidence/tests.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 
-/// Attempts end in every way there is. Only those that the backend determined say something of it, and a
-/// rejection is no failure.
+/// Attempts end in every possible way. A timeout, a cancelled attempt and one that was never sent may have causes
+/// that are not the backend's, and a rejection only says that its queue is full; if these counted as failures,
+/// healthy backends would be ejected under load.
 #[test]
 fn outcomes_that_the_backend_did_not_determine_are_no_evidence() {
     let is_failure = |outcome| Evidence::of(outcome).map(Evidence::is_failure);
--- a/src/policy/quota/owner_assignment/tests.rs
+++ b/src/policy/quota/owner_assignment/tests.rs
@@ -44,8 +44,8 @@
     assert_eq!(fraction(&owner), 0.5 / 20.0 + 0.25);
 }
 
-/// A customer whose requests come to a single gateway has that one as its only owner, with the whole hard
-/// limit.
+/// All requests of a customer come to one gateway. It is the only owner, with the whole hard limit; a part assigned
+/// to a gateway that the customer never reaches would be lost to the customer.
 #[test]
 fn a_single_gateway_owns_all() {
     let settings = manager(1).settings;
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -158,8 +158,9 @@
     assert_eq!(shortage(&mut asker, START, &request), Some(expected));
 }
 
-/// A request is held for a grant. The first one asks the owners; a second one a moment later waits for the
-/// same answer; the answer is for both.
+/// A customer sends two requests within a moment, and both are held for a grant. The first one asks the owners, the
+/// second one waits for the same answer, and the answer is for both; a question for each would be more messages
+/// than an owner can receive.
 #[test]
 fn requests_that_wait_share_one_request_for_a_grant() {
     let mut manager = manager(LARGE_FLEET);
@@ -176,11 +177,11 @@
     assert_eq!(manager.on_grant(START, owner + 1, &grant(customer, 9.0, 0)), None, "not an owner");
 }
 
-/// An owner has charged a request that waited for its grant. If the request is admitted the owner knows of it
-/// already; if it is rejected after all the owner has to be told that the units were not used. In a small
-/// fleet there are other owners, which know of neither.
+/// An owner has charged a request that waited for its grant. If the request is admitted, the owner knows that
+/// already; if it is rejected after all, the owner must be notified, or the customer pays for units that it did not
+/// use. In a small fleet there are other owners, which know of neither.
 #[test]
-fn owners_are_told_what_they_cannot_know() {
+fn owners_are_notified_of_what_they_cannot_know() {
     let mut large = manager(LARGE_FLEET);
     let customer = customer_owned(&mut large, RATE_QUOTA, false);
     let owner = large.customers[&customer].quota_owners[0];
@@ -206,7 +207,8 @@
     assert_eq!(plan_by(CONCURRENCY_QUOTA), CONCURRENCY_QUOTA);
 }
 
-/// A customer that was not seen for more than 10 s counts as unseen to load shedding.
+/// A customer was not seen for more than ten seconds. It counts as unseen again, and so is exempt from the lightest
+/// load shedding: its first request after a pause is more likely to be served than the next of a steady sender.
 #[test]
 fn a_customer_is_familiar_for_ten_seconds() {
     let mut manager = manager(SMALL_FLEET);
@@ -249,11 +251,12 @@
     assert!((manager.customers[&customer].tokens - 20.0).abs() < 1e-9);
 }
 
-/// An owner restarts, and has forgotten all usage. The gateway that was active for a customer a moment ago
-/// reports it again; customers that were not seen for some seconds are not worth a message. In a large fleet
-/// an owner that is heard for the first time has not forgotten anything.
+/// An owner restarts and has forgotten all usage, so that customers could use their full quotas once more. The
+/// gateway that was active for a customer a moment ago reports it again; customers that were not seen for some
+/// seconds are not worth a message. In a large fleet an owner that is heard for the first time has not forgotten
+/// anything.
 #[test]
-fn a_restarted_owner_is_told_of_active_customers() {
+fn a_restarted_owner_gets_reports_on_active_customers() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, RATE_QUOTA, false);
     let owner = manager.customers[&customer].quota_owners[0];
--- a/src/policy/quota/token_wait/tests.rs
+++ b/src/policy/quota/token_wait/tests.rs
@@ -8,7 +8,8 @@
 /// The time of the requests under test.
 const NOW: Instant = Instant::from_micros(5_000_000);
 
-/// A request that lacks tokens of its quota for a second and of its hard limit for two has to wait for two.
+/// A request lacks tokens of its quota for one second and of its hard limit for two. Its client is advised to wait
+/// for two; after one it would be rejected again.
 #[test]
 fn the_longest_wait_counts() {
     let quota = Shortage { limit: QuotaLimit::Rate, seconds: 1.0 };
--- a/src/state/backend_table/tests.rs
+++ b/src/state/backend_table/tests.rs
@@ -21,8 +21,9 @@
     ids
 }
 
-/// Backends come, drain and come back by changes of the list. The ready ones, their capacity and their tags
-/// are always those of the latest entries.
+/// Backends are listed, drain and come back. The ready ones, their capacity and their tags are always those of the
+/// latest entries; an index that was left behind would send requests to a draining backend, or none to one that
+/// came back.
 #[test]
 fn changes_of_the_list_keep_the_indexes() {
     let mut table = table();
@@ -38,7 +39,8 @@
     assert_eq!(table.by_tag(backend_tag(2)), Some(BackendId(2)));
 }
 
-/// The list says nothing of a backend's size, or nonsense: it counts as one of usual size.
+/// The endpoint list gives a backend no size, or one that makes no sense. It counts as a backend of usual size;
+/// with a size of zero it would get no requests, and with NaN no choice could be made at all.
 #[test]
 fn a_backend_without_a_size_has_the_size_one() {
     let mut table = table();
@@ -46,8 +48,8 @@
     assert_eq!(table.ready_capacity(), 1.0);
 }
 
-/// A new list lacks a backend with an attempt in flight. Its record is kept until the attempt has ended, but
-/// it is not ready any more.
+/// A new list lacks a backend that is still executing a request. Its record is kept until that attempt has ended,
+/// so that its end can be taken into account, but it gets nothing new.
 #[test]
 fn a_backend_that_is_not_listed_is_known_while_attempts_are_in_flight() {
     let mut table = table();
@@ -62,7 +64,8 @@
     assert!(table.get(BackendId(1)).is_none());
 }
 
-/// Two gateways have the same list in orders of their own: each prefers other backends.
+/// Two gateways have the same list. Each keeps it in an order of its own and so prefers other backends; with one
+/// order for all, the whole fleet would send to the same few backends.
 #[test]
 fn each_gateway_has_an_order_of_its_own() {
     let order_of = |own_id| {
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -25,7 +25,9 @@
     assert_eq!(Duration::from_secs(u64::MAX), Duration::MAX);
 }
 
-/// Floats come from settings and from sums over them: none may become a span that is longer than meant.
+/// Fractions of a second come from settings and from sums over them, and may be negative, infinite or no number.
+/// Each becomes a span in whole microseconds that is never longer than meant, so that no limit lasts longer than
+/// the settings say.
 #[test]
 fn fractions_are_cut_to_whole_microseconds() {
     assert_eq!(Duration::from_secs_f64(1.25), Duration::from_millis(1250));
