--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -87,15 +87,23 @@
         let at_once = self.quota.ownership().sends_grant_requests_at_once();
         for recipient in self.quota.report_recipients(id, purpose) {
             self.peers.queue(recipient.gateway, id, recipient.entry);
-            let may_send = at_once || self.peers.may_send(self.now, recipient.gateway);
-            if recipient.entry.requests_grant && may_send {
+            if !recipient.entry.requests_grant {
+                continue;
+            }
+            if at_once || self.peers.may_send(self.now, recipient.gateway) {
                 self.flush_outbox(recipient.gateway, actions);
             }
         }
     }
 
+    /// Sends each peer that may be sent a message the usage reports that wait for it.
+    pub(crate) fn flush_ready_outboxes(&mut self, actions: &mut Vec<Action>) {
+        let ready = self.peers.ready_to_send(self.now);
+        ready.into_iter().for_each(|peer| self.flush_outbox(peer, actions));
+    }
+
     /// Sends a peer the usage reports that wait for it, as many as a message holds.
-    pub(crate) fn flush_outbox(&mut self, to: u16, actions: &mut Vec<Action>) {
+    fn flush_outbox(&mut self, to: u16, actions: &mut Vec<Action>) {
         let Some(batch) = self.peers.next_batch(to) else { return };
         let now = self.now;
         let reports = batch.into_iter().filter_map(|(id, entry)| self.quota.usage_report(now, to, id, entry));
--- a/src/policy/quota/report_outbox.rs
+++ b/src/policy/quota/reporting.rs
@@ -51,7 +51,9 @@
             let requests_grant = purpose == ReportPurpose::GrantRequest && can_grant;
             ReportRecipient { gateway, entry: OutboxEntry { retransmissions, requests_grant } }
         };
-        others.map(recipient).collect()
+        let mut recipients = Vec::with_capacity(customer.quota_owners.len());
+        recipients.extend(others.map(recipient));
+        recipients
     }
 
     /// The report of a customer's usage to a peer that owns its quota.
@@ -120,7 +122,7 @@
         let reports_again = start == PeerStart::Restarted || ownership.reports_to_new_peers();
         let mut unreported = Vec::new();
         for (id, customer) in &mut self.customers {
-            customer.forget_usage_of(peer);
+            customer.remote.forget(peer);
             let is_active = now.duration_since(customer.last_seen_at) < ACTIVE_CUSTOMER_TIME;
             if reports_again && is_active && customer.quota_owners.contains(&peer) {
                 unreported.push(*id);
@@ -129,3 +131,6 @@
         unreported
     }
 }
+
+#[cfg(test)]
+mod tests;
