--- a/src/gossip/peer/tests.rs
+++ b/src/gossip/peer/tests.rs
@@ -47,8 +47,9 @@
     assert!(!second[1].1.requests_grant, "a grant is requested once");
 }
 
-/// Guards against ordering processes by their wall clocks: one that restarts after a step back was not heard
-/// until its clock had caught up.
+/// A machine's wall clock is set back, and its gateway restarts with a lower start number. When a higher number
+/// counted as newer, its messages were ignored until the clock had caught up, and customers could exceed their
+/// quotas through it.
 #[test]
 fn a_peer_that_restarts_with_its_clock_set_back_is_heard() {
     let mut peer = Peer::default();
@@ -58,8 +59,9 @@
     assert_eq!(peer.receive(5, 2, at(40)), Receipt::Current);
 }
 
-/// Guards against taking messages for outdated behind a long cut: by then the peer has sent so many that the
-/// sequence numbers seem to have gone back, and it would not be heard until it had sent as many again.
+/// A peer is cut off for forty minutes and sends so many messages meanwhile that its sequence numbers seem to have
+/// gone back. Its messages were ignored for as long again after the network was back, and what customers used
+/// through it stayed unknown.
 #[test]
 fn a_peer_that_was_cut_off_for_long_is_heard_at_once() {
     let mut peer = Peer::default();
--- a/src/policy/quota/ownership/tests.rs
+++ b/src/policy/quota/ownership/tests.rs
@@ -76,7 +76,7 @@
 /// counts single requests, and is asked twice for each, since a lost message must not admit what is beyond
 /// the quota.
 #[test]
-fn a_designated_owner_is_asked_for_each_request() {
+fn a_grant_of_a_designated_owner_is_requested_for_each_request() {
     assert_eq!(shared().grant_freshness(), Duration::from_millis(100));
     assert_eq!(shared().grant_attempts(), 1);
     assert_eq!(QuotaOwnership::Designated.grant_freshness(), Duration::ZERO);
--- a/src/policy/quota/remote_usage/tests.rs
+++ b/src/policy/quota/remote_usage/tests.rs
@@ -29,7 +29,7 @@
 /// A gateway restarts, or is cut off in the middle of its attempts. Their ends will never be reported, and
 /// must not count against the customer's concurrency quota for ever.
 #[test]
-fn attempts_of_a_gateway_that_is_gone_are_dropped() {
+fn attempts_of_a_gateway_that_restarts_or_falls_silent_are_dropped() {
     let mut remote = RemoteUsage::default();
     reported(&mut remote, 1, 3);
     reported(&mut remote, 2, 4);
--- a/src/policy/quota/reporting/tests.rs
+++ b/src/policy/quota/reporting/tests.rs
@@ -6,11 +6,11 @@
 use crate::policy::quota::{GrantScope, GrantTiming};
 use crate::Request;
 
-/// An owner has charged a request that waited for its grant. If the request is admitted the owner knows of it
-/// already; if it is rejected after all the owner has to be told that the units were not used. In a small
-/// fleet there are other owners, which know of neither.
+/// An owner has charged a request that waited for its grant. If the request is admitted, the owner knows that
+/// already; if it is rejected after all, the owner must be notified, or the customer pays for units that it did not
+/// use. In a small fleet there are other owners, which know of neither.
 #[test]
-fn owners_are_told_what_they_cannot_know() {
+fn owners_are_notified_of_what_they_cannot_know() {
     let mut large = manager(LARGE_FLEET);
     let customer = customer_owned(&mut large, RATE_QUOTA, false);
     let owner = large.customers[&customer].quota_owners[0];
@@ -25,11 +25,12 @@
     assert_eq!(small.report_after_admission(customer, DecisionPoint::GrantWait), Some(ReportPurpose::Usage));
 }
 
-/// An owner restarts, and has forgotten all usage. The gateway that was active for a customer a moment ago
-/// reports it again; customers that were not seen for some seconds are not worth a message. In a large fleet
-/// an owner that is heard for the first time has not forgotten anything.
+/// An owner restarts and has forgotten all usage, so that customers could use their full quotas once more. The
+/// gateway that was active for a customer a moment ago reports it again; customers that were not seen for some
+/// seconds are not worth a message. In a large fleet an owner that is heard for the first time has not forgotten
+/// anything.
 #[test]
-fn a_restarted_owner_is_told_of_active_customers() {
+fn a_restarted_owner_gets_reports_on_active_customers() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, RATE_QUOTA, false);
     let owner = manager.customers[&customer].quota_owners[0];
