--- a/fault-plan/src/tests.rs
+++ b/fault-plan/src/tests.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// A test writes a plan of faults into an environment variable, and the process under test reads it there. Each
+/// field arrives as it was written, and an unknown kind of fault is an error; a fault that was silently dropped
+/// would let a test pass without its fault.
 #[test]
 fn a_plan_survives_the_environment() {
     let plan = FaultPlan {
@@ -18,6 +21,8 @@
     assert!(FaultPlan::from_json("{\"seed\":1,\"faults\":[{\"kind\":\"none\"}]}").is_err());
 }
 
+/// A fault is planned for part of a run. Before and after that it must not strike, as a process might not even
+/// start; where two faults of one kind overlap, their probabilities add up.
 #[test]
 fn faults_are_active_between_their_times_only() {
     let fault = |from_ms, until_ms| ScheduledFault {
@@ -31,6 +36,8 @@
     assert_eq!(plan.probability(SystemCallFault::FailedSocket, 20), 0.0);
 }
 
+/// A plan steps the wall clock twice, forward and then further back. From each step on the process sees the sum of
+/// the steps so far, as on a machine whose clock is corrected repeatedly.
 #[test]
 fn steps_of_the_clock_add_up() {
     let step = |at_ms, by_ms| ClockStep { at_ms, by_ms };
--- a/src/bin/ingress/event_loop/shutdown/tests.rs
+++ b/src/bin/ingress/event_loop/shutdown/tests.rs
@@ -6,6 +6,9 @@
 /// How long requests with long deadlines are served after the signal.
 const LONGEST_REPLY_TIME: Duration = Duration::from_millis(3400);
 
+/// After SIGTERM requests are served for as long as the longest deadline of a request, but no longer than the
+/// process has before SIGKILL. A later end would lose the requests that are still open when it is killed; an
+/// earlier one would fail requests that could have been served. A second SIGTERM changes nothing.
 #[test]
 fn the_reply_deadline_follows_the_longest_deadline_up_to_a_bound() {
     for (longest_deadline, reply_time) in [
@@ -30,6 +33,9 @@
     }
 }
 
+/// Clients go on connecting after SIGTERM, as they have not heard of the shutdown. The listener stays open while
+/// they come, and for as long as failed accepts may hide some; it closes when none has come for 0.3 s, or when a
+/// new request could no longer be served.
 #[test]
 fn connections_are_accepted_while_they_come_and_time_is_left() {
     let mut shutdown = Shutdown::new(Duration::from_secs(3));
--- a/src/policy/start_times/tests.rs
+++ b/src/policy/start_times/tests.rs
@@ -5,7 +5,7 @@
 const BACKEND: BackendId = BackendId(7);
 const SECOND: Duration = Duration::from_secs(1);
 const HOUR: Duration = Duration::from_secs(3600);
-/// When the host's process started, by every clock.
+/// When the host's process started, by the monotonic and by the wall clock.
 const START: Instant = Instant::from_micros(1_000_000_000_000);
 
 /// How far off the wall clock was when it was read.
@@ -44,6 +44,8 @@
     now.duration_since(started_at)
 }
 
+/// The wall clock is never stepped, and a backend's age is simply the time since its start. A backend that is taken
+/// for older than it is gets full load before it is warmed up; a start time of 0 means that it started long ago.
 #[test]
 fn without_a_step_the_age_is_that_of_the_clock() {
     assert_eq!(age(&[], unix(START - HOUR), SECOND * 10), HOUR + SECOND * 10);
@@ -51,8 +53,11 @@
     assert_eq!(StartTimes::default().host_time(BACKEND, UnixTime::default(), START), None, "long ago");
 }
 
+/// The wall clock is set back or forward by an hour, and a backend's start time may have been read before or after
+/// that step. The two readings give ages an hour apart; the younger one counts, since a backend that has just
+/// started would break down under full load, while slow start only costs an old one some of its load.
 #[test]
-fn the_colder_of_two_readings_counts() {
+fn the_younger_of_two_possible_ages_counts() {
     let (back, forward) = (Offset::Behind(HOUR), Offset::Ahead(HOUR));
     assert_eq!(
         age(&[back], unix(START + SECOND * 4 - HOUR), SECOND * 10),
@@ -67,8 +72,11 @@
     );
 }
 
+/// By one reading of the clock a backend starts in the future, so that reading cannot be the one that its start
+/// time was taken from, and another one counts. If it counted all the same, a backend that has run for long would
+/// seem new and lose its load; a start slightly in the future only means that clocks differ a little.
 #[test]
-fn a_reading_from_the_future_is_none() {
+fn a_start_in_the_future_by_one_clock_reading_is_judged_by_another() {
     let (back, forward) = (Offset::Behind(HOUR), Offset::Ahead(HOUR));
     assert_eq!(age(&[forward], unix(START + HOUR + SECOND * 4), SECOND * 10), SECOND * 6, "set forward");
     assert_eq!(
@@ -88,6 +96,9 @@
     );
 }
 
+/// A backend's age is known, and then the wall clock is stepped. Its age must not jump, or backends that have run
+/// for long would all get the small load of a slow start at once; only when it is no longer listed is its start
+/// forgotten.
 #[test]
 fn a_start_keeps_its_time_whatever_the_clock_does_later() {
     let mut times = StartTimes::default();
@@ -102,8 +113,9 @@
     assert_ne!(times.host_time(BACKEND, unix_time, START + SECOND * 3), Some(started_at));
 }
 
-/// Guards against taking a backend for old that was listed with another start a moment ago: its clock was set
-/// back while the one here was not read, or not stepped.
+/// A backend restarts on a machine whose wall clock was set back by an hour, so that it seems to have started long
+/// ago. But a moment before it was still listed with its earlier start; it cannot be older than that list, and
+/// would otherwise get full load right after its restart.
 #[test]
 fn a_new_start_is_no_older_than_the_last_list_with_the_earlier_one() {
     let mut times = StartTimes::default();
