--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,10 +1,13 @@
-//! What a gateway is told at its start: request classes, plans, limits and the figures of the rules. The values come
-//! from the deployment alone; [`SettingsReader`] reads them.
+//! The settings of a gateway: request classes, plans, limits and the figures of the rules. The values come from the
+//! deployment alone; [`SettingsReader`] reads them.
 
+mod error;
 mod reader;
+mod values;
 
 use crate::{Duration, GatewayId};
-pub use reader::{SettingsError, SettingsReader};
+pub use error::SettingsError;
+pub use reader::{LoadReportField, SettingsReader};
 
 /// Which backends recognise the idempotency key of a request that they have seen before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,15 +39,15 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns the full weight.
+    /// An answer within this time earns the full priority weight.
     pub latency_objective: Duration,
     /// The objective grows by this multiple of a request's own work.
     pub latency_objective_stretch: f64,
-    /// The longest that a client waits, over all its tries.
+    /// The longest that a client waits, its own retries included.
     pub deadline: Duration,
-    /// What an answer in time is worth.
+    /// The priority of an answer within the latency objective.
     pub priority_weight: f64,
-    /// The share of the weight that is left after the objective.
+    /// The share of the priority weight that an answer after the objective earns.
     pub late_weight: f64,
     /// Whether it may be executed again.
     pub idempotency: Idempotency,
@@ -65,12 +68,8 @@
     pub hard_limit_rate: f64,
     /// Units that the hard limit's token bucket holds.
     pub hard_limit_burst: f64,
-    /// Units by which the hard limit's token bucket may go below nothing.
-    pub hard_limit_slack: f64,
     /// Factor on the priority weight.
     pub price: f64,
-    /// Share of the priority weight that is earned beyond the quota.
-    pub over_quota_weight: f64,
     /// Share of the priority weight that forwarding beyond the quota costs.
     pub over_quota_cost: f64,
 }
@@ -84,36 +83,30 @@
     pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancellation: bool,
-    /// Backends may be health checked.
-    pub health_checks: bool,
     /// Gateways may send each other messages.
     pub peer_messages: bool,
-    /// Messages that a gateway takes in, in a second.
+    /// Messages that a gateway receives in a second, at the most.
     pub peer_messages_per_second: f64,
-    /// Clients are told how long to keep away.
+    /// Rejections may carry the time after which to retry.
     pub retry_after: bool,
-    /// The longest pause that a client keeps.
+    /// The longest such time that clients follow.
     pub max_retry_after: Duration,
-    /// A shared counter may be used.
-    pub shared_counter: bool,
     /// Requests open at once.
     pub max_open_requests: u32,
-    /// A connection still not up by then has failed; an attempt may begin that much after its send.
+    /// How long establishing a connection may take; an attempt may begin that much after it was sent.
     pub connect_timeout: Duration,
 }
 
 /// The figures of the rules.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// A final answer counts until this long past the deadline.
-    pub answer_slack: Duration,
     /// New work to a draining backend must have ended after this.
     pub drain_grace: Duration,
     /// A backend starts at this share of its capacity or more.
     pub slow_start_floor: f64,
     /// It has its full capacity after this long.
     pub slow_start_duration: Duration,
-    /// A backend in slow start falls over when sent more than this multiple of its capacity ...
+    /// A backend in slow start fails when it is sent more than this multiple of its capacity ...
     pub overload_factor: f64,
     /// ... for this long.
     pub overload_window: Duration,
@@ -124,10 +117,10 @@
 /// How the endpoint list comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Discovery {
-    /// By itself.
+    /// It is pushed: a watch delivers each change.
     #[default]
     Push,
-    /// Only when polled.
+    /// It has to be polled.
     Poll,
 }
 
@@ -143,7 +136,7 @@
     Live,
 }
 
-/// What a gateway is told at its start.
+/// The settings of a gateway, which it is given at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// How many gateways there are.
@@ -166,8 +159,6 @@
     pub discovery: Discovery,
     /// What the sizes of endpoints mean.
     pub size_meaning: SizeMeaning,
-    /// The period of the meter that reports use; 0 for none.
-    pub meter_period: Duration,
     /// Units are guesses, settled with the answer.
     pub postpaid: bool,
 }
