--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -12,39 +12,41 @@
 //! | which plan does a customer have? | `identity.rs` |
 //! | when are owners asked for a grant, and what does their answer mean? | `grant_request.rs` |
 //! | what do owners make of a report, and what do they grant? | `usage_report.rs` |
-//! | what is reported, and to whom? | `report_outbox.rs` |
+//! | what is reported, and to whom? | `reporting.rs` |
 //! | how are buckets refilled and charged? | `customer.rs`, `hard_limit.rs`, `token_bucket.rs` |
+//! | what do other gateways use? | `remote_usage.rs` |
 
 mod customer;
 mod gateway_set;
-mod gateway_usage;
 mod grant_request;
 mod hard_limit;
 mod identity;
 mod owner_assignment;
 mod ownership;
-mod report_outbox;
+mod remote_usage;
+mod reporting;
 mod settings;
 mod token_bucket;
 pub(crate) mod token_wait;
 mod usage_report;
 
-pub(crate) use grant_request::{GrantAnswers, GrantRequestStep, GrantScope, GrantTiming};
+pub(crate) use grant_request::{grant_wait, GrantAnswers, GrantRequestStep, GrantScope, GrantTiming};
+pub(crate) use identity::GrantStatus;
 pub(crate) use ownership::QuotaOwnership;
-pub(crate) use report_outbox::{DecisionPoint, ReportPurpose};
+pub(crate) use reporting::{DecisionPoint, ReportPurpose};
 pub(crate) use token_wait::{Shortage, TokenFacts, TokenWait};
 
 use crate::{CustomerId, Duration, Instant, Plan, Settings};
 use customer::{record_lifetime, Customer, Role};
 use gateway_set::GatewaySet;
-use gateway_usage::GatewayUsage;
 use grant_request::GrantRequest;
-use hard_limit::HardLimitShare;
+use hard_limit::{HardLimitShare, HARD_LIMIT_OWNERS};
 use identity::{IdentityClaim, CUSTOMER_IDLE_TIME};
 use owner_assignment::OwnerAssignment;
+use remote_usage::{GatewayUsage, RemoteUsage};
 use settings::QuotaSettings;
 use std::collections::BTreeMap;
-use token_bucket::{refill_time, time_to_refill};
+use token_bucket::{refill_time, time_to_refill, QuotaBucket};
 
 /// Time constant of rates of usage: longer than pauses, shorter than shifts of load.
 pub(crate) const USAGE_RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
@@ -55,17 +57,6 @@
 /// Attempts of a peer that reports nothing count as in flight for so long.
 const REPORTED_IN_FLIGHT_LIFETIME: Duration = Duration::from_millis(1500);
 
-/// What a gateway knows of the grants for a customer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct GrantStatus {
-    /// Whether this gateway owns the customer's quota, and needs no grant.
-    pub is_quota_owner: bool,
-    /// The time since the last grant.
-    pub grant_age: Duration,
-    /// Whether another gateway could grant units of the hard limit.
-    pub hard_limit_is_elsewhere: bool,
-}
-
 /// Counts what customers use, and decides what they may use.
 ///
 /// It is told of requests, attempts, reports and grants, and asked by their facts. What is to be sent to
@@ -98,16 +89,6 @@
         self.settings.ownership
     }
 
-    /// What is known of the grants for a customer.
-    pub(crate) fn grant_status(&self, now: Instant, id: CustomerId) -> GrantStatus {
-        let customer = &self.customers[&id];
-        GrantStatus {
-            is_quota_owner: customer.is_quota_owner,
-            grant_age: now.duration_since(customer.granted_at),
-            hard_limit_is_elsewhere: customer.hard_limit.owners != [self.settings.own_id; 2],
-        }
-    }
-
     /// Draws units from a customer's token buckets; negative units are given back.
     pub(crate) fn charge(&mut self, id: CustomerId, units: f64) {
         if let Some(customer) = self.customers.get_mut(&id) {
@@ -144,16 +125,15 @@
         let keeps_old_totals = self.settings.ownership.keeps_old_totals();
         self.customers.retain(|id, customer| {
             let plan = &self.settings.plans[customer.plan];
-            if plan.concurrency_quota > 0 && customer.is_quota_owner {
-                customer.expire_reported_in_flight(now, REPORTED_IN_FLIGHT_LIFETIME);
+            if plan.concurrency_quota > 0 && customer.role.is_owner() {
+                customer.remote.expire_in_flight(now, REPORTED_IN_FLIGHT_LIFETIME);
             }
             if plan.concurrency_quota > 0 && customer.in_flight > 0 {
                 with_attempts.push(*id);
             }
-            let is_recent = |usage: &GatewayUsage| {
-                now.duration_since(usage.reported_at) <= record_lifetime(plan, Role::Owner)
-            };
-            customer.usage_by_gateway.retain(|_, usage| keeps_old_totals || is_recent(usage));
+            if !keeps_old_totals {
+                customer.remote.forget_old(now, record_lifetime(plan, Role::Owner));
+            }
             customer.must_be_kept(plan, now)
         });
         with_attempts
@@ -170,7 +150,7 @@
         tracing::debug!(target: "policy", customers = self.customers.len(), "withheld tokens released");
         self.usage_known_since = None;
         for customer in self.customers.values_mut() {
-            customer.tokens += std::mem::take(&mut customer.withheld_tokens).max(0.0);
+            customer.bucket.release_withheld();
         }
     }
 
--- a/src/policy/quota/report_outbox.rs
+++ b/src/policy/quota/reporting.rs
@@ -51,7 +51,9 @@
             let requests_grant = purpose == ReportPurpose::GrantRequest && can_grant;
             ReportRecipient { gateway, entry: OutboxEntry { retransmissions, requests_grant } }
         };
-        others.map(recipient).collect()
+        let mut recipients = Vec::with_capacity(customer.quota_owners.len());
+        recipients.extend(others.map(recipient));
+        recipients
     }
 
     /// The report of a customer's usage to a peer that owns its quota.
@@ -65,7 +67,7 @@
         let own_id = self.settings.own_id;
         let (customer, plan) = self.refill(id, now)?;
         let was_granted_lately = now.duration_since(customer.granted_at) < LEVEL_FRESHNESS;
-        let is_level_known = customer.is_quota_owner || was_granted_lately;
+        let is_level_known = customer.role.is_owner() || was_granted_lately;
         // One of the two is drawn to grant units of the hard limit: two grants would waste one.
         let draw = hash(now.as_micros() ^ id.0);
         let drawn_owner = customer.hard_limit.owners[usize::from(draw < SECOND_OWNER_SHARE)];
@@ -91,7 +93,7 @@
         if is_known_to_owner && !ownership.reports_granted_units() {
             return None;
         }
-        let needs_new_grant = point == DecisionPoint::Arrival && !customer.is_quota_owner;
+        let needs_new_grant = point == DecisionPoint::Arrival && !customer.role.is_owner();
         if needs_new_grant && ownership.renews_grants_after_admission() {
             Some(ReportPurpose::GrantRequest)
         } else {
@@ -120,7 +122,7 @@
         let reports_again = start == PeerStart::Restarted || ownership.reports_to_new_peers();
         let mut unreported = Vec::new();
         for (id, customer) in &mut self.customers {
-            customer.forget_usage_of(peer);
+            customer.remote.forget(peer);
             let is_active = now.duration_since(customer.last_seen_at) < ACTIVE_CUSTOMER_TIME;
             if reports_again && is_active && customer.quota_owners.contains(&peer) {
                 unreported.push(*id);
@@ -129,3 +131,6 @@
         unreported
     }
 }
+
+#[cfg(test)]
+mod tests;
