--- a/src/bin/ingress/command.rs
+++ b/src/bin/ingress/command.rs
@@ -97,18 +97,17 @@
         arguments: &[&[u8]],
         schema: &CommandSchema,
     ) -> Result<Command, CommandError> {
-        let customer = parse_customer(arguments[1])?;
-        if !is_token(arguments[2]) {
+        let [_, customer, client_request_id, options, ..] = arguments else {
+            return Err(CommandError::ArgumentCount { expected: verb.argument_count() });
+        };
+        let customer = parse_customer(customer)?;
+        if !is_token(client_request_id) {
             return Err(CommandError::InvalidId);
         }
-        let options = Options::parse(arguments[3])?;
-        let class_name = options.class.ok_or(CommandError::MissingOption("c"))?;
-        let class = schema.classes.iter().position(|class| class.name.as_bytes() == class_name);
-        let class = class.ok_or(CommandError::UnknownClass)?;
-        let plan_name = options.plan.ok_or(CommandError::MissingOption("t"))?;
-        let plan = schema.plans.iter().position(|plan| plan.as_bytes() == plan_name);
-        let plan = plan.ok_or(CommandError::UnknownPlan)?;
-        let timeout = options.timeout.clone().ok_or(CommandError::MissingOption("d"))?;
+        let options = Options::parse(options)?;
+        let class = options.class_index(schema)?;
+        let plan = options.plan_index(schema)?;
+        let timeout = options.timeout()?;
         options.check_idempotency(verb, schema.classes[class].idempotency)?;
         let quota = options.quota_parameters(schema)?;
         let request = Request {
--- a/src/bin/ingress/command/options.rs
+++ b/src/bin/ingress/command/options.rs
@@ -17,6 +17,24 @@
 use ingress::{Duration, Idempotency};
 use std::ops::Range;
 
+/// The names of the options.
+mod name {
+    /// The class of the request.
+    pub const CLASS: &str = "c";
+    /// The plan of the customer.
+    pub const PLAN: &str = "t";
+    /// The timeout.
+    pub const TIMEOUT: &str = "d";
+    /// The idempotency key.
+    pub const IDEMPOTENCY_KEY: &str = "k";
+    /// The units of the request.
+    pub const UNITS: &str = "units";
+    /// The size of the gateway set.
+    pub const GATEWAY_SET_SIZE: &str = "spread";
+    /// The first gateway of the set.
+    pub const GATEWAY_SET_START: &str = "first";
+}
+
 /// The longest timeout that a client may set, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
 /// The highest size or start of a gateway set that is parsed.
@@ -27,23 +45,23 @@
 const MAX_INTEGER_DIGITS: usize = 10;
 /// The most characters of a decimal number.
 const MAX_NUMBER_LEN: usize = 20;
-/// How many hex digits name a customer.
+/// The number of hex digits of a customer.
 const CUSTOMER_DIGITS: usize = 16;
-/// Customers are numbers below this.
+/// The number above all customers.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
 
-/// The option that says how long the client waits.
+/// The option with the client's timeout.
 #[derive(Clone, Debug)]
 pub struct TimeoutOption {
     /// How long the client waits.
     pub duration: Duration,
-    /// Where the option's value is in the options' text.
+    /// The range of the option's value in the options' text.
     pub position: Range<usize>,
 }
 
 /// How much a request takes from its customer's quota, and which gateways share that quota.
 pub struct QuotaParameters {
-    /// How many units it takes.
+    /// The units that it takes.
     pub units: f64,
     /// How many gateways the customer's requests are spread over.
     pub gateway_set_size: u64,
@@ -55,14 +73,14 @@
 #[derive(Default)]
 pub struct Options<'a> {
     /// The name of the request's class.
-    pub class: Option<&'a [u8]>,
+    class: Option<&'a [u8]>,
     /// The name of the customer's plan.
-    pub plan: Option<&'a [u8]>,
+    plan: Option<&'a [u8]>,
     /// How long the client waits.
-    pub timeout: Option<TimeoutOption>,
+    timeout: Option<TimeoutOption>,
     /// The idempotency key.
     idempotency_key: Option<&'a [u8]>,
-    /// How much quota the request takes.
+    /// The units that the request takes from the quota.
     units: Option<f64>,
     /// How many gateways the customer's requests are spread over.
     gateway_set_size: Option<u64>,
@@ -86,28 +104,48 @@
     fn add(&mut self, option: &'a [u8], start: usize) -> Result<(), CommandError> {
         let equals = option.iter().position(|byte| *byte == b'=').ok_or(CommandError::OptionWithoutValue)?;
         let (name, value) = (&option[..equals], &option[equals + 1..]);
-        match name {
-            b"c" => set_once(&mut self.class, value, "c"),
-            b"t" => set_once(&mut self.plan, value, "t"),
-            b"k" => set_once(&mut self.idempotency_key, value, "k"),
-            b"d" => {
-                let duration = Duration::from_millis(parse_integer(value, MAX_TIMEOUT_MS, "d")?);
+        // A name that is no text is none of those known here.
+        match std::str::from_utf8(name).unwrap_or_default() {
+            name::CLASS => set_once(&mut self.class, value, name::CLASS),
+            name::PLAN => set_once(&mut self.plan, value, name::PLAN),
+            name::IDEMPOTENCY_KEY => set_once(&mut self.idempotency_key, value, name::IDEMPOTENCY_KEY),
+            name::TIMEOUT => {
+                let duration = Duration::from_millis(parse_integer(value, MAX_TIMEOUT_MS, name::TIMEOUT)?);
                 let position = start + equals + 1..start + option.len();
-                set_once(&mut self.timeout, TimeoutOption { duration, position }, "d")
+                set_once(&mut self.timeout, TimeoutOption { duration, position }, name::TIMEOUT)
             }
-            b"units" => set_once(&mut self.units, parse_number(value, "units")?, "units"),
-            b"spread" => {
-                let size = parse_integer(value, MAX_GATEWAY_NUMBER, "spread")?;
-                set_once(&mut self.gateway_set_size, size, "spread")
+            name::UNITS => set_once(&mut self.units, parse_number(value, name::UNITS)?, name::UNITS),
+            name::GATEWAY_SET_SIZE => {
+                let size = parse_integer(value, MAX_GATEWAY_NUMBER, name::GATEWAY_SET_SIZE)?;
+                set_once(&mut self.gateway_set_size, size, name::GATEWAY_SET_SIZE)
             }
-            b"first" => {
-                let first = parse_integer(value, MAX_GATEWAY_NUMBER, "first")?;
-                set_once(&mut self.gateway_set_start, first, "first")
+            name::GATEWAY_SET_START => {
+                let first = parse_integer(value, MAX_GATEWAY_NUMBER, name::GATEWAY_SET_START)?;
+                set_once(&mut self.gateway_set_start, first, name::GATEWAY_SET_START)
             }
             _ => Ok(()),
         }
     }
 
+    /// The index of the request's class in the schema.
+    pub fn class_index(&self, schema: &CommandSchema) -> Result<usize, CommandError> {
+        let class_name = self.class.ok_or(CommandError::MissingOption(name::CLASS))?;
+        let index = schema.classes.iter().position(|class| class.name.as_bytes() == class_name);
+        index.ok_or(CommandError::UnknownClass)
+    }
+
+    /// The index of the customer's plan in the schema.
+    pub fn plan_index(&self, schema: &CommandSchema) -> Result<usize, CommandError> {
+        let plan_name = self.plan.ok_or(CommandError::MissingOption(name::PLAN))?;
+        let index = schema.plans.iter().position(|plan| plan.as_bytes() == plan_name);
+        index.ok_or(CommandError::UnknownPlan)
+    }
+
+    /// The client's timeout.
+    pub fn timeout(&self) -> Result<TimeoutOption, CommandError> {
+        self.timeout.clone().ok_or(CommandError::MissingOption(name::TIMEOUT))
+    }
+
     /// Checks that the verb is the one for the class, and that a key is given where the class needs one.
     pub fn check_idempotency(&self, verb: Verb, idempotency: Idempotency) -> Result<(), CommandError> {
         if !verb.suits(idempotency) {
@@ -115,7 +153,7 @@
         }
         let needs_key = matches!(idempotency, Idempotency::Keyed { .. });
         if needs_key && !self.idempotency_key.is_some_and(is_token) {
-            return Err(CommandError::MissingOption("k"));
+            return Err(CommandError::MissingOption(name::IDEMPOTENCY_KEY));
         }
         Ok(())
     }
@@ -123,12 +161,14 @@
     /// The request's units and gateway set, checked against the settings: a number out of range must reach neither the
     /// customer's record in the gateway nor a backend.
     pub fn quota_parameters(&self, schema: &CommandSchema) -> Result<QuotaParameters, CommandError> {
-        let units = self.units.ok_or(CommandError::MissingOption("units"))?;
-        let gateway_set_size = self.gateway_set_size.ok_or(CommandError::MissingOption("spread"))?;
-        let gateway_set_start = self.gateway_set_start.ok_or(CommandError::MissingOption("first"))?;
-        check_range(units > 0.0 && units <= schema.max_units, "units")?;
-        check_range((1..=schema.gateway_count).contains(&gateway_set_size), "spread")?;
-        check_range(gateway_set_start < schema.gateway_count, "first")?;
+        let units = self.units.ok_or(CommandError::MissingOption(name::UNITS))?;
+        let gateway_set_size =
+            self.gateway_set_size.ok_or(CommandError::MissingOption(name::GATEWAY_SET_SIZE))?;
+        let gateway_set_start =
+            self.gateway_set_start.ok_or(CommandError::MissingOption(name::GATEWAY_SET_START))?;
+        check_range(units > 0.0 && units <= schema.max_units, name::UNITS)?;
+        check_range((1..=schema.gateway_count).contains(&gateway_set_size), name::GATEWAY_SET_SIZE)?;
+        check_range(gateway_set_start < schema.gateway_count, name::GATEWAY_SET_START)?;
         Ok(QuotaParameters { units, gateway_set_size, gateway_set_start })
     }
 }
--- a/src/bin/ingress/discovery/http.rs
+++ b/src/bin/ingress/discovery/http.rs
@@ -5,6 +5,8 @@
 
 /// The most bytes of a response's head.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The status of a successful response.
+const STATUS_OK: u16 = 200;
 /// The most headers of a response.
 const MAX_HEADERS: usize = 64;
 /// A response's body may take this part of the memory, as a divisor: with the spare capacity of its buffer and the list
@@ -107,7 +109,7 @@
         httparse::Status::Partial if received.len() > MAX_HEAD_BYTES => return Err(HttpError::HeadTooLong),
         httparse::Status::Partial => return Ok(None),
     };
-    if response.code != Some(200) {
+    if response.code != Some(STATUS_OK) {
         return Err(HttpError::Status(response.code.unwrap_or(0)));
     }
     let framing = parse_framing(response.headers, max_body_bytes)?;
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -167,7 +167,8 @@
         }
         self.report_disconnects();
         sort_for_processing(ready);
-        self.poll_discovery(ready.first().is_some_and(|socket| socket.source() == Source::Discovery));
+        let discovery = ready.first().filter(|socket| socket.source() == Source::Discovery);
+        self.poll_discovery(discovery);
         if std::mem::take(&mut self.peer_messages_pending) {
             self.receive_peer_messages();
         }
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -25,14 +25,14 @@
 }
 
 impl AttemptEnd {
-    /// An attempt that was not sent.
-    fn not_sent(attempt: AttemptId, backend: BackendId, request_closed: bool) -> AttemptEnd {
+    /// An attempt of an open request that was not sent.
+    fn not_sent(attempt: AttemptId, backend: BackendId) -> AttemptEnd {
         AttemptEnd {
             attempt,
             backend,
             outcome: Outcome::NotSent,
             elapsed: Duration::ZERO,
-            request_closed,
+            request_closed: false,
             reported_queue_depth: None,
         }
     }
@@ -67,7 +67,8 @@
         let Some(request) = self.requests.get_mut(id) else {
             // The request has ended and been removed: there is no attempt to log, count or audit.
             let attempt = AttemptId { request: id, number: 0 };
-            return self.pending_events.push_back(AttemptEnd::not_sent(attempt, backend, true).into());
+            let end = AttemptEnd { request_closed: true, ..AttemptEnd::not_sent(attempt, backend) };
+            return self.pending_events.push_back(end.into());
         };
         let request_closed = request.closed;
         let number = u16::try_from(request.attempts.len()).unwrap_or(u16::MAX);
@@ -85,10 +86,10 @@
         let has_expired = expires_at <= self.clock.now().max(self.now);
         if refusal.is_some() || has_expired {
             tracing::debug!(target: "attempt", request = id.0, attempt = number, ?refusal, has_expired, "not sent");
-            return self.end_attempt(AttemptEnd::not_sent(attempt, backend, request_closed));
+            return self.end_attempt(AttemptEnd { request_closed, ..AttemptEnd::not_sent(attempt, backend) });
         }
         if !self.reserve_descriptor(backend) {
-            return self.end_attempt(AttemptEnd::not_sent(attempt, backend, false));
+            return self.end_attempt(AttemptEnd::not_sent(attempt, backend));
         }
         self.assign_last_attempt(attempt);
     }
@@ -212,7 +213,8 @@
             self.backends.cancel(connection, attempt_id);
             attempt.connection = None;
             let elapsed = self.clock.now().duration_since(attempt.started_at);
-            ended.push(AttemptEnd { elapsed, ..AttemptEnd::not_sent(attempt_id, attempt.backend, true) });
+            let not_sent = AttemptEnd::not_sent(attempt_id, attempt.backend);
+            ended.push(AttemptEnd { elapsed, request_closed: true, ..not_sent });
         }
         ended.into_iter().for_each(|end| self.end_attempt(end));
     }
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -2,6 +2,7 @@
 
 use super::clock::unix_time;
 use super::shutdown::MIN_ACCEPTING_TIME;
+use super::source::ReadySocket;
 use super::timer_queue::Timer;
 use super::{EventLoop, EventLoopError};
 use crate::discovery::{EndpointList, PollHealth};
@@ -19,11 +20,11 @@
 }
 
 impl EventLoop {
-    /// Applies the endpoint lists that discovery has sent, if its connection is ready, and runs the watch's timer.
-    pub(super) fn poll_discovery(&mut self, is_ready: bool) {
+    /// Applies the endpoint lists that discovery has sent, if its socket is `ready`, and runs the watch's timer.
+    pub(super) fn poll_discovery(&mut self, ready: Option<&ReadySocket>) {
         let (now, registry, mut lists) = (self.now, self.poll.registry(), Vec::new());
         let mut health = [PollHealth::Unchanged; 2];
-        if is_ready {
+        if ready.is_some() {
             health[0] = self.watch.on_ready(now, registry, &mut |list| lists.push(list));
         }
         health[1] = self.watch.on_timer(now, registry);
--- a/src/bin/ingress/event_loop/descriptor_budget.rs
+++ b/src/bin/ingress/event_loop/descriptor_budget.rs
@@ -12,8 +12,8 @@
 const MAX_OVER_LIMIT_CLIENTS: usize = 8;
 /// The fewest connections that an ingress can serve with.
 const MIN_CONNECTIONS: usize = 8;
-/// The greatest share of the budget for the clients, and for the backends, in eighths.
-const MAX_SHARE_EIGHTHS: usize = 6;
+/// The greatest share of the budget for the clients, and for the backends, in percent.
+const MAX_SHARE_PERCENT: usize = 75;
 
 /// The limits on the connections of clients and backends.
 pub struct DescriptorBudget {
@@ -46,7 +46,7 @@
 
     /// The most connections of either clients or backends.
     fn max_share(&self) -> usize {
-        self.max_connections * MAX_SHARE_EIGHTHS / 8
+        self.max_connections * MAX_SHARE_PERCENT / 100
     }
 
     /// Whether all connections are in use.
--- a/src/bin/ingress/event_loop/source.rs
+++ b/src/bin/ingress/event_loop/source.rs
@@ -4,6 +4,14 @@
 use mio::event::Event;
 use mio::Token;
 
+/// The token of the listener.
+const LISTENER: Token = Token(0);
+/// The token of the signals.
+const SIGNALS: Token = Token(1);
+/// The token of the connection to discovery.
+const DISCOVERY: Token = Token(2);
+/// The token of the socket for gossip.
+const PEERS: Token = Token(3);
 /// The first token of a connection; from here on, even tokens are clients and odd ones backends.
 const FIRST_CONNECTION: usize = 4;
 
@@ -27,10 +35,10 @@
 impl From<Source> for Token {
     fn from(source: Source) -> Token {
         match source {
-            Source::Listener => Token(0),
-            Source::Signals => Token(1),
-            Source::Discovery => Token(2),
-            Source::Peers => Token(3),
+            Source::Listener => LISTENER,
+            Source::Signals => SIGNALS,
+            Source::Discovery => DISCOVERY,
+            Source::Peers => PEERS,
             Source::Client(key) => Token(FIRST_CONNECTION + 2 * key),
             Source::Backend(key) => Token(FIRST_CONNECTION + 2 * key + 1),
         }
@@ -39,13 +47,20 @@
 
 impl From<Token> for Source {
     fn from(token: Token) -> Source {
-        match token.0 {
-            0 => Source::Listener,
-            1 => Source::Signals,
-            2 => Source::Discovery,
-            3 => Source::Peers,
-            number if (number - FIRST_CONNECTION) % 2 == 0 => Source::Client((number - FIRST_CONNECTION) / 2),
-            number => Source::Backend((number - FIRST_CONNECTION) / 2),
+        match token {
+            LISTENER => Source::Listener,
+            SIGNALS => Source::Signals,
+            DISCOVERY => Source::Discovery,
+            PEERS => Source::Peers,
+            Token(number) => {
+                let connection = number - FIRST_CONNECTION;
+                let key = connection / 2;
+                if connection % 2 == 0 {
+                    Source::Client(key)
+                } else {
+                    Source::Backend(key)
+                }
+            }
         }
     }
 }
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -70,9 +70,8 @@
         let options = watch_options(&config, now);
         let memory_share = config.max_memory / MEMORY_DIVISOR;
         let (settings, endpoints) = (config.settings, config.cached_endpoints);
-        let token = Source::Discovery.into();
-        let watch =
-            Watch::new(config.discovery_address, config.location_names, endpoints.index, token, options);
+        let (token, index) = (Source::Discovery.into(), endpoints.index);
+        let watch = Watch::new(config.discovery_address, config.location_names, index, token, options);
         let mut event_loop = EventLoop {
             poll: sockets.poll,
             clock,
--- a/src/bin/ingress/resp/decode.rs
+++ b/src/bin/ingress/resp/decode.rs
@@ -4,6 +4,9 @@
 use super::{MAX_ELEMENTS, MAX_LENGTH_DIGITS, MAX_LINE_LEN, MAX_TOTAL_LEN, MAX_VALUE_LEN};
 use std::ops::Range;
 
+/// The bytes of the CR LF that ends a line or a bulk string.
+const TERMINATOR_LEN: usize = 2;
+
 /// The type of a reply's element.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElementKind {
@@ -66,7 +69,7 @@
 
 /// Parses the line of at most `max_len` bytes that begins at `start`.
 fn parse_line(buffer: &[u8], start: usize, max_len: usize) -> Parsed<Line> {
-    let max_len_with_terminator = max_len + 2;
+    let max_len_with_terminator = max_len + TERMINATOR_LEN;
     let received = &buffer[start..buffer.len().min(start + max_len_with_terminator)];
     match received.iter().position(|byte| *byte == b'\n') {
         Some(newline) if newline > 0 && received[newline - 1] == b'\r' => {
@@ -104,7 +107,7 @@
 /// The position after the bulk string whose body is `body`, terminator included.
 fn bulk_string_end(buffer: &[u8], body: &Range<usize>) -> Parsed<usize> {
     match buffer.get(body.end..).unwrap_or_default() {
-        [b'\r', b'\n', ..] => Ok(Some(body.end + 2)),
+        [b'\r', b'\n', ..] => Ok(Some(body.end + TERMINATOR_LEN)),
         [] | [b'\r'] => Ok(None),
         _ => Err(ProtocolError::UnterminatedBulkString),
     }
