--- a/src/bin/ingress/event_loop/counters.rs
+++ b/src/bin/ingress/event_loop/counters.rs
@@ -27,7 +27,7 @@
     /// Attempts that were never executed since no connection was established.
     pub connect_failed: u64,
     /// Attempts that were cancelled, or not sent.
-    pub withdrawn: u64,
+    pub cancelled: u64,
 }
 
 impl Counters {
@@ -38,7 +38,7 @@
             Outcome::Rejected => &mut self.rejected,
             Outcome::Error | Outcome::TimedOut | Outcome::Reset => &mut self.failed,
             Outcome::ConnectFailed => &mut self.connect_failed,
-            Outcome::Cancelled | Outcome::NotSent => &mut self.withdrawn,
+            Outcome::Cancelled | Outcome::NotSent => &mut self.cancelled,
         };
         *counter += 1;
     }
@@ -65,7 +65,7 @@
             rejected = counters.rejected,
             failed = counters.failed,
             connect_failed = counters.connect_failed,
-            withdrawn = counters.withdrawn,
+            cancelled = counters.cancelled,
             "attempts"
         );
         tracing::info!(
