--- a/tests/support/src/backend.rs
+++ b/tests/support/src/backend.rs
@@ -1,4 +1,8 @@
-//! Backends that reply as a test specifies, and refuse connections until it accepts them.
+//! Backends that reply as a test specifies.
+
+mod unreachable;
+
+pub use unreachable::UnreachableBackend;
 
 use super::discovery::endpoint_json;
 use stand_ins::resp::{encode_served, read_value};
@@ -16,8 +20,6 @@
 const DUPLICATE_DELAY: Duration = Duration::from_micros(300);
 /// How often an idle connection looks whether it is to be closed.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How many connections fill the accept queue of an unreachable backend.
-const BACKLOG: usize = 4;
 /// The position of the request's id among the words of a command.
 const ID_POSITION: usize = 2;
 /// The load report of all replies.
@@ -216,45 +218,3 @@
         }
     }
 }
-
-/// A backend to which no connection is established until [`accept_connections`](Self::accept_connections):
-/// its accept queue is full, and the kernel drops what arrives.
-pub struct UnreachableBackend {
-    /// Where it listens.
-    pub address: SocketAddr,
-    /// The listening socket.
-    socket: socket2::Socket,
-    /// The connections that fill the accept queue.
-    backlog: Vec<socket2::Socket>,
-}
-
-impl Default for UnreachableBackend {
-    fn default() -> UnreachableBackend {
-        UnreachableBackend::new()
-    }
-}
-
-impl UnreachableBackend {
-    /// Listens, and fills the accept queue.
-    pub fn new() -> UnreachableBackend {
-        let stream = || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        let socket = stream();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
-        socket.listen(0).unwrap();
-        let address = socket.local_addr().unwrap().as_socket().unwrap();
-        let connect = |_| {
-            let one = stream();
-            one.set_nonblocking(true).unwrap();
-            let _ = one.connect(&address.into());
-            one
-        };
-        let backlog = (0..BACKLOG).map(connect).collect();
-        UnreachableBackend { address, socket, backlog }
-    }
-
-    /// From now on connections are established, in the order in which they were begun.
-    pub fn accept_connections(self) -> Backend {
-        drop(self.backlog);
-        Backend::on(self.socket.into(), reply_with_value)
-    }
-}
