--- a/fault-soak/src/oracle/backends.rs
+++ b/fault-soak/src/oracle/backends.rs
@@ -1,7 +1,7 @@
 //! Rules about backends: what they may be sent while they drain, and during their slow start.
 
 use super::{ingress_of, Oracle, Rule};
-use crate::record::{ArrivalRecord, EndpointChange, EndpointStatus, Micros};
+use crate::record::{to_millis, ArrivalRecord, EndpointChange, EndpointStatus, Micros};
 use crate::settings::{DRAIN_GRACE, OVERLOAD_FACTOR, OVERLOAD_WINDOW, SLOW_START_DURATION, SLOW_START_FLOOR};
 
 /// For how long after a start the budget of a backend is checked.
@@ -92,7 +92,7 @@
         let Some(notified_at) = self.sender_notified_at(arrival, change) else { return };
         let limit = notified_at + DRAIN_GRACE + self.slack();
         if arrival.at > limit && arrival.at < until {
-            let detail = format!("{} ms after its ingress was notified", (arrival.at - notified_at) / 1000);
+            let detail = format!("{} ms after its ingress was notified", to_millis(arrival.at - notified_at));
             self.report(Rule::SentToDraining, &arrival.id, detail);
         }
     }
--- a/fault-soak/src/oracle/ingresses.rs
+++ b/fault-soak/src/oracle/ingresses.rs
@@ -3,7 +3,7 @@
 use super::{ingress_of, Oracle, Rule, Violation};
 use crate::ingress::Ingress;
 use crate::plan::SoakPlan;
-use crate::record::{CounterRecord, Micros, Observations, Outcome, ProcessEvent};
+use crate::record::{to_millis, CounterRecord, Micros, Observations, Outcome, ProcessEvent};
 use crate::settings::{METERED_BURST, METERED_RATE};
 use std::collections::HashSet;
 use std::path::Path;
@@ -68,7 +68,7 @@
         for input in &observations.invalid_inputs {
             let limit = input.at + INVALID_INPUT_TIMEOUT + self.slack();
             if input.responded_at.is_none_or(|responded_at| responded_at > limit) {
-                let waited_ms = input.responded_at.map(|responded_at| (responded_at - input.at) / 1000);
+                let waited_ms = input.responded_at.map(|responded_at| to_millis(responded_at - input.at));
                 let detail = format!("ingress {}: error or close after {waited_ms:?} ms", input.ingress);
                 self.report_general(Rule::InvalidInputIgnored, detail);
             }
@@ -84,7 +84,8 @@
                 ProcessEvent::Crashed | ProcessEvent::NotReady => Rule::Crashed,
                 _ => continue,
             };
-            let detail = format!("ingress {}: {:?} at {} ms", record.ingress, record.event, record.at / 1000);
+            let detail =
+                format!("ingress {}: {:?} at {} ms", record.ingress, record.event, to_millis(record.at));
             self.report_general(rule, detail);
         }
     }
--- a/fault-soak/src/oracle/requests.rs
+++ b/fault-soak/src/oracle/requests.rs
@@ -2,7 +2,7 @@
 
 use super::{Oracle, Rule};
 use crate::record::{
-    ArrivalRecord, Micros, Observations, Outcome, ProcessEvent, RequestClass, RequestRecord,
+    to_millis, ArrivalRecord, Micros, Observations, Outcome, ProcessEvent, RequestClass, RequestRecord,
 };
 use crate::settings::{ANSWER_SLACK, KEY_WINDOW, MAX_ATTEMPTS};
 use std::collections::HashMap;
@@ -60,14 +60,14 @@
     /// Whether a request got its answer.
     fn judge_answer(&mut self, request: &RequestRecord, arrivals: &[&ArrivalRecord]) {
         let excused = self.was_ended(request.ingress, request.sent_at, request.ended_at);
-        let waited_ms = request.ended_at.saturating_sub(request.sent_at) / 1000;
+        let waited_ms = to_millis(request.ended_at.saturating_sub(request.sent_at));
         match request.outcome {
             Outcome::WrongValue => {
                 self.report(Rule::WrongValue, &request.id, "another request's value".into());
             }
             // Where the machine stalls for longer than clients wait, a late answer looks like a lost one.
             Outcome::Unanswered if !excused && self.observations.longest_stall < ANSWER_SLACK => {
-                let detail = format!("no answer in {waited_ms} ms of {} ms", request.timeout / 1000);
+                let detail = format!("no answer in {waited_ms} ms of {} ms", to_millis(request.timeout));
                 self.report(Rule::Lost, &request.id, detail);
             }
             // A close may cross a request on a reused connection, unless the request was read.
@@ -95,7 +95,8 @@
     fn judge_time_budget(&mut self, request: &RequestRecord, arrival: &ArrivalRecord) {
         let time_left = (request.sent_at + request.timeout).saturating_sub(arrival.at);
         if arrival.time_budget > time_left + TIME_SLACK + self.slack() {
-            let detail = format!("{} ms announced, {} ms left", arrival.time_budget / 1000, time_left / 1000);
+            let detail =
+                format!("{} ms announced, {} ms left", to_millis(arrival.time_budget), to_millis(time_left));
             self.report(Rule::TimeOverstated, &request.id, detail);
         }
     }
@@ -105,7 +106,7 @@
         let disconnected = request.outcome == Outcome::Disconnected;
         if disconnected && arrival.at > request.ended_at + DISCONNECT_SLACK + self.slack() {
             let detail =
-                format!("{} ms after its client disconnected", (arrival.at - request.ended_at) / 1000);
+                format!("{} ms after its client disconnected", to_millis(arrival.at - request.ended_at));
             self.report(Rule::AttemptAfterDisconnect, &request.id, detail);
         }
     }
@@ -113,7 +114,7 @@
     /// Whether an attempt was allowed beside or after earlier ones.
     fn judge_repeat(&mut self, request: &RequestRecord, earlier: &[&ArrivalRecord], arrival: &ArrivalRecord) {
         let Some(first) = earlier.iter().find(|earlier| !earlier.rejected) else { return };
-        let after_ms = (arrival.at - first.at) / 1000;
+        let after_ms = to_millis(arrival.at - first.at);
         if request.class == RequestClass::NonIdempotent {
             let detail =
                 format!("sent to backend {} {after_ms} ms after backend {}", arrival.backend, first.backend);
--- a/fault-soak/src/plan.rs
+++ b/fault-soak/src/plan.rs
@@ -15,6 +15,10 @@
 const FIRST_FAULT_MS: u64 = 1500;
 /// The time without faults at the end, in milliseconds, in which their consequences are still observed.
 const QUIET_END_MS: u64 = 1500;
+/// The least time between the first begin and the last end of a fault, in milliseconds.
+const MIN_FAULT_SPAN_MS: u64 = 1000;
+/// Milliseconds in a second.
+const MILLIS_PER_SECOND: u64 = 1000;
 /// How many groups of faults a plan has.
 const GROUPS: RangeInclusive<usize> = 1..=2;
 /// How many faults overlap in a group.
@@ -79,6 +83,13 @@
     pub seconds: u64,
 }
 
+impl Shape {
+    /// How long clients send requests, in milliseconds.
+    pub fn duration_ms(&self) -> u64 {
+        self.seconds * MILLIS_PER_SECOND
+    }
+}
+
 /// All that is fixed before a run begins.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SoakPlan {
@@ -101,7 +112,8 @@
     /// The order of the draws decides what a seed stands for, and stays as it is.
     pub fn draw(seed: u64, shape: Shape, scenarios: &[FaultScenario]) -> SoakPlan {
         let mut random = StdRng::seed_from_u64(seed);
-        let last_ms = (shape.seconds * 1000).saturating_sub(QUIET_END_MS).max(FIRST_FAULT_MS + 1000);
+        let last_ms =
+            shape.duration_ms().saturating_sub(QUIET_END_MS).max(FIRST_FAULT_MS + MIN_FAULT_SPAN_MS);
         let hedging = random.random_bool(0.5);
         let cancellation = random.random_bool(0.7);
         let groups = random.random_range(GROUPS);
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -7,9 +7,17 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Instant;
 
-/// Microseconds since the run began.
+/// A time since the run began, or a span, in microseconds.
 pub type Micros = u64;
 
+/// Microseconds in a millisecond.
+pub const MICROS_PER_MILLI: Micros = 1000;
+
+/// A time or a span in whole milliseconds.
+pub fn to_millis(micros: Micros) -> u64 {
+    micros / MICROS_PER_MILLI
+}
+
 /// How a request ended, as its client observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Outcome {
@@ -203,7 +211,7 @@
 
     /// The time since the run began, in milliseconds.
     pub fn now_ms(&self) -> u64 {
-        self.now() / 1000
+        to_millis(self.now())
     }
 
     /// The observations so far.
--- a/fault-soak/src/report.rs
+++ b/fault-soak/src/report.rs
@@ -6,7 +6,7 @@
 
 use crate::oracle::{quota_use, Rule, Violation};
 use crate::plan::SoakPlan;
-use crate::record::{Observations, Outcome};
+use crate::record::{to_millis, Observations, Outcome, MICROS_PER_MILLI};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -15,8 +15,6 @@
 const MAX_ANSWER_TIME: u64 = 60_000_000;
 /// The significant digits of answer times in the histogram.
 const HISTOGRAM_DIGITS: u8 = 2;
-/// Microseconds in a millisecond.
-const MICROS_PER_MILLI: f64 = 1000.0;
 /// How many violations the result of a run has in full.
 const MAX_VIOLATIONS_IN_FULL: usize = 12;
 
@@ -69,7 +67,7 @@
         violations.iter().for_each(|violation| *counts.entry(violation.rule).or_default() += 1);
         let violations = violations.into_iter().take(MAX_VIOLATIONS_IN_FULL).collect();
         RunResult {
-            longest_stall_ms: observations.longest_stall / 1000,
+            longest_stall_ms: to_millis(observations.longest_stall),
             totals: Totals::of(observations),
             quota_use: quota_use(&plan, observations),
             plan,
@@ -111,7 +109,7 @@
         for request in observations.requests.iter().filter(|request| is_answer(request.outcome)) {
             times.saturating_record(request.ended_at.saturating_sub(request.sent_at));
         }
-        let quantile_ms = |quantile| times.value_at_quantile(quantile) as f64 / MICROS_PER_MILLI;
+        let quantile_ms = |quantile| times.value_at_quantile(quantile) as f64 / MICROS_PER_MILLI as f64;
         self.median_ms = quantile_ms(0.5);
         self.p99_ms = quantile_ms(0.99);
         self.longest_ms = quantile_ms(1.0);
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -77,7 +77,7 @@
     let plan = &context.plan;
     let mut progress = vec![Progress::default(); plan.faults.len()];
     let mut threads = Vec::new();
-    let end_ms = plan.shape.seconds * 1000;
+    let end_ms = plan.shape.duration_ms();
     while context.recorder.now_ms() < end_ms && !interrupted.load(Ordering::SeqCst) {
         for (fault, progress) in plan.faults.iter().zip(&mut progress) {
             let now = context.recorder.now_ms();
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -34,6 +34,9 @@
 /// How many ingresses serve a customer of that plan.
 pub const METERED_SET_SIZE: usize = 3;
 
+/// The seeds of runs are so far apart that no two ingresses share one.
+const SEED_STRIDE: u64 = 1000;
+
 /// The addresses of an ingress and of what it talks to.
 #[derive(Clone, Debug)]
 pub struct Addresses {
@@ -56,7 +59,7 @@
     let peers: Vec<String> = addresses.peers.iter().map(|address| format!("\"{address}\"")).collect();
     let peers = peers.join(",");
     let fleet_size = addresses.listen.len();
-    let seed = plan.seed.wrapping_mul(1000) + number as u64 + 1;
+    let seed = plan.seed.wrapping_mul(SEED_STRIDE) + number as u64 + 1;
     let SoakPlan { hedging, cancellation, .. } = plan;
     format!(
         r#"{{"name":"n{number}","listen":"{listen}","discovery":"{discovery}","seed":"{seed:016x}",
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -2,7 +2,7 @@
 
 use super::customer::value_of;
 use crate::context::RunContext;
-use crate::record::{ArrivalRecord, Micros};
+use crate::record::{ArrivalRecord, Micros, MICROS_PER_MILLI};
 use crate::scenario::FaultScenario;
 use stand_ins::resp::{encode_served, parse_command};
 use stand_ins::server::{is_timeout, listen, serve};
@@ -202,7 +202,7 @@
             id: id.to_string(),
             backend: self.shared.number,
             at,
-            time_budget: budget_ms * 1000,
+            time_budget: budget_ms * MICROS_PER_MILLI,
             rejected,
             ended_at: None,
         });
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -5,7 +5,9 @@
 
 use super::customer::{metered, unmetered};
 use crate::context::RunContext;
-use crate::record::{InvalidInputRecord, Micros, Outcome, RequestClass, RequestRecord};
+use crate::record::{
+    to_millis, InvalidInputRecord, Micros, Outcome, RequestClass, RequestRecord, MICROS_PER_MILLI,
+};
 use crate::rotation::Rotation;
 use crate::scenario::FaultScenario;
 use crate::settings::{ANSWER_SLACK, MAX_TIMEOUT_MS, METERED_SET_SIZE};
@@ -191,7 +193,7 @@
             _ => RequestClass::NonIdempotent,
         };
         let id = format!("i{ingress}-c{}-{}", self.number, self.requests);
-        let timeout = self.random.random_range(TIMEOUTS_MS) * 1000;
+        let timeout = self.random.random_range(TIMEOUTS_MS) * MICROS_PER_MILLI;
         let is_metered = self.random.random_bool(METERED_SHARE);
         let metered = is_metered.then(|| self.draw_metered_customer(ingress));
         PendingRequest { id, class, sent_at: 0, timeout, metered }
@@ -207,7 +209,7 @@
     /// The command of a request.
     fn encode(&self, request: &PendingRequest) -> Vec<u8> {
         let customer = request.metered.unwrap_or_else(|| unmetered(self.number as u64 + 1));
-        encode_request(request.class, &request.id, customer, request.timeout / 1000)
+        encode_request(request.class, &request.id, customer, to_millis(request.timeout))
     }
 
     /// Writes commands, at once or a few bytes at a time.
@@ -254,7 +256,7 @@
     /// Disconnects before the answers, or after the first one.
     fn disconnect(&mut self, ingress: usize, mut connection: Connection, pending: Vec<PendingRequest>) {
         let time_ms = self.random.random_range(0..=MAX_TIME_TO_DISCONNECT_MS);
-        let disconnects_at = self.context.recorder.now() + time_ms * 1000;
+        let disconnects_at = self.context.recorder.now() + time_ms * MICROS_PER_MILLI;
         let Some(first) = pending.first() else { return };
         let first_outcome = connection.await_outcome(&self.context.recorder, &first.id, disconnects_at);
         drop(connection);
--- a/fault-soak/src/stand_in/discovery.rs
+++ b/fault-soak/src/stand_in/discovery.rs
@@ -2,7 +2,7 @@
 //! or truncate its responses.
 
 use crate::context::RunContext;
-use crate::record::{EndpointChange, EndpointStatus, Notification};
+use crate::record::{to_millis, EndpointChange, EndpointStatus, Notification};
 use crate::scenario::FaultScenario;
 use stand_ins::endpoint::{list_json, EndpointEntry, ListKind};
 use stand_ins::http::{read_head, response, Poll};
@@ -115,7 +115,7 @@
         listed.status = status;
         listed.version = version;
         if restarted {
-            listed.started_at_ms = unix_time_ms() + self.context.plan.clock_offset_ms(at / 1000);
+            listed.started_at_ms = unix_time_ms() + self.context.plan.clock_offset_ms(to_millis(at));
         }
         let change = EndpointChange { version, backend, status, restarted, at };
         self.context.recorder.observations().changes.push(change);
--- a/fleet-experiments/src/experiments/endpoint_list.rs
+++ b/fleet-experiments/src/experiments/endpoint_list.rs
@@ -6,6 +6,7 @@
 use crate::report::Report;
 use crate::simulation::{endpoint, ingress_settings, ready_endpoints, START, ZONES};
 use crate::statistics::{p50, p99};
+use crate::units::{MICROS_PER_SECOND, NANOS_PER_MICRO};
 use hdrhistogram::Histogram;
 use ingress::{Action, Availability, Duration, Endpoint, EndpointUpdate, Event, Gateway, Instant};
 use serde::{Deserialize, Serialize};
@@ -97,8 +98,8 @@
             backends,
             snapshot_us,
             repeated_snapshot_us,
-            change_us: p50(&change_ns) as f64 / 1e3,
-            change_p99_us: p99(&change_ns) as f64 / 1e3,
+            change_us: p50(&change_ns) as f64 / NANOS_PER_MICRO,
+            change_p99_us: p99(&change_ns) as f64 / NANOS_PER_MICRO,
             changes: self.changes,
             zone_backends: backends.div_ceil(ZONES),
             zone_lost_us,
@@ -114,7 +115,7 @@
             let availability = if change % 2 == 0 { Availability::Draining } else { Availability::Ready };
             let changed = endpoint(change / 2 * CHANGE_STRIDE % backends, availability, None);
             let time_us = ingress.update(EndpointUpdate::Delta, vec![changed]);
-            times.record((time_us * 1e3) as u64)?;
+            times.record((time_us * NANOS_PER_MICRO) as u64)?;
         }
         Ok(times)
     }
@@ -149,6 +150,6 @@
         let started_at = std::time::Instant::now();
         self.gateway.handle(self.now, Event::Endpoints(update, endpoints), &mut self.actions);
         self.actions.clear();
-        started_at.elapsed().as_secs_f64() * 1e6
+        started_at.elapsed().as_secs_f64() * MICROS_PER_SECOND
     }
 }
--- a/fleet-experiments/src/experiments/ingress_endpoint_list.rs
+++ b/fleet-experiments/src/experiments/ingress_endpoint_list.rs
@@ -5,6 +5,7 @@
 use crate::ingress_process::{check_capacity, DiscoveryMode, IngressConfig, IngressProcess, InitialList};
 use crate::report::Report;
 use crate::stand_in::discovery::{endpoint_json, list_json, Discovery, EndpointStatus, ListKind};
+use crate::units::MICROS_PER_SECOND;
 use anyhow::ensure;
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -147,7 +148,7 @@
             ensure!(applied, "change {change} was not applied");
         }
         ensure!(ingress.answers_ping(), "no answer after the changes");
-        Ok((ingress.cpu_seconds() - cpu_before) / self.changes as f64 * 1e6)
+        Ok((ingress.cpu_seconds() - cpu_before) / self.changes as f64 * MICROS_PER_SECOND)
     }
 }
 
--- a/fleet-experiments/src/experiments/ingress_latency.rs
+++ b/fleet-experiments/src/experiments/ingress_latency.rs
@@ -7,6 +7,7 @@
 use crate::stand_in::backend;
 use crate::stand_in::discovery::{endpoint_json, Discovery, EndpointStatus};
 use crate::statistics::{p50, p99};
+use crate::units::MICROS_PER_SECOND;
 use anyhow::anyhow;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -127,7 +128,7 @@
             requests: self.requests,
             backends: self.backends,
             served,
-            cpu_us_per_request: cpu_seconds / self.requests as f64 * 1e6,
+            cpu_us_per_request: cpu_seconds / self.requests as f64 * MICROS_PER_SECOND,
             ingress_p50_us: p50(&through_ingress),
             ingress_p99_us: p99(&through_ingress),
             direct_p50_us: p50(&direct),
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -5,6 +5,7 @@
 use crate::report::Report;
 use crate::simulation::{attempt_served, ingress_settings, ready_endpoints, REQUEST_DEADLINE, SECOND, START};
 use crate::statistics::{p50, p99};
+use crate::units::NANOS_PER_MICRO;
 use hdrhistogram::Histogram;
 use ingress::{Action, CustomerId, Duration, EndpointUpdate, Event, Gateway, Instant, Request, RequestId};
 use serde::{Deserialize, Serialize};
@@ -99,9 +100,9 @@
                 requests: self.requests,
                 sent: cost.sent,
                 memory_bytes: cost.memory_bytes,
-                p50_us: p50(&cost.time_ns) as f64 / 1e3,
-                mean_us: cost.time_ns.mean() / 1e3,
-                p99_us: p99(&cost.time_ns) as f64 / 1e3,
+                p50_us: p50(&cost.time_ns) as f64 / NANOS_PER_MICRO,
+                mean_us: cost.time_ns.mean() / NANOS_PER_MICRO,
+                p99_us: p99(&cost.time_ns) as f64 / NANOS_PER_MICRO,
             };
             report.record(self.name(), &point)?;
             measured.push(ingress);
--- a/fleet-experiments/src/lib.rs
+++ b/fleet-experiments/src/lib.rs
@@ -16,3 +16,4 @@
 pub mod simulation;
 pub mod stand_in;
 pub mod statistics;
+pub mod units;
--- /dev/null
+++ b/fleet-experiments/src/units.rs
@@ -0,0 +1,6 @@
+//! Units that measurements are converted to.
+
+/// Nanoseconds in a microsecond.
+pub const NANOS_PER_MICRO: f64 = 1e3;
+/// Microseconds in a second.
+pub const MICROS_PER_SECOND: f64 = 1e6;
