--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -1,4 +1,4 @@
-//! Requests through the decision module: what one costs by the number of backends, customers and ingresses.
+//! Requests through the decision module: the cost of one by the number of backends, customers and ingresses.
 
 use crate::experiment::{Environment, Experiment, Sizes};
 use crate::procfs;
@@ -13,9 +13,9 @@
 const REQUESTS_PER_SECOND: u64 = 1034;
 /// The time from a request to its answer.
 const ANSWER_DELAY: Duration = Duration::from_micros(900);
-/// The time in flight that the answer reports.
+/// The time in flight that an answer reports.
 const REPORTED_ELAPSED: Duration = Duration::from_millis(100);
-/// One request for so many counted ones is made before them and not counted.
+/// One warm-up request is sent for so many that are measured.
 const WARM_UP_SHARE: u64 = 10;
 
 /// Sizes to measure at: each list is varied with the others at their first value.
@@ -43,7 +43,7 @@
     ingresses: u64,
 }
 
-/// What requests cost at one point: times in microseconds.
+/// The costs of requests at one point: times in microseconds.
 #[derive(Debug, Serialize)]
 struct Point {
     /// The sizes.
@@ -63,7 +63,7 @@
     p99_us: f64,
 }
 
-/// What requests through one ingress came to.
+/// The measurements of requests through one ingress.
 struct RequestCost {
     /// Nanoseconds of each request with its answer.
     time_ns: Histogram<u64>,
@@ -88,8 +88,8 @@
     }
 
     fn run(&self, environment: &Environment, report: &mut Report) -> anyhow::Result<()> {
-        // Kept until the end: memory that one ingress frees must not pass for memory that the next one does
-        // not take.
+        // Dropped only at the end: memory that one ingress frees must not pass for memory that the next one
+        // does not need.
         let mut measured = Vec::new();
         for size in self.points() {
             let mut ingress = LoadedIngress::new(size, environment.seed)?;
@@ -133,7 +133,7 @@
     random: fastrand::Rng,
     /// Customers that send requests.
     customers: u64,
-    /// Kept to reuse its memory.
+    /// The actions of one event; the allocation is reused.
     actions: Vec<Action>,
 }
 
@@ -151,7 +151,8 @@
 
     /// Sends it requests, the first of which are not counted.
     fn drive(&mut self, requests: u64) -> anyhow::Result<RequestCost> {
-        let (mut time_ns, mut sent) = (Histogram::new(3)?, 0);
+        let mut time_ns = Histogram::new(3)?;
+        let mut sent = 0;
         let warm_up = requests / WARM_UP_SHARE;
         let memory_before = procfs::own_resident_memory();
         for number in 0..requests + warm_up {
--- a/fleet-experiments/src/experiments/slow_start/overload_rule.rs
+++ b/fleet-experiments/src/experiments/slow_start/overload_rule.rs
@@ -1,10 +1,10 @@
-//! The overload rule: what a backend in slow start may be sent, and how much of it was used.
+//! The overload rule: how much a backend in slow start may be sent, and how much of that was used.
 
 use super::Ramp;
 use crate::simulation::START;
 use ingress::{Duration, Instant};
 
-/// The window in which sends are held against the rule.
+/// The window that the rule is about.
 pub const WINDOW: Duration = Duration::from_secs(3);
 /// The share of its capacity that a backend serves as it starts.
 pub const SLOW_START_FLOOR: f64 = 0.23;
@@ -15,7 +15,7 @@
 /// When their slow start is over.
 pub const SLOW_START_END: Instant = RESTART.saturating_add(SLOW_START_DURATION);
 
-/// What a backend that restarted may be sent from then until `until`.
+/// How many requests a restarted backend may be sent from its restart until `until`.
 fn budget(ramp: &Ramp, until: Instant) -> f64 {
     let age = until.duration_since(RESTART).min(SLOW_START_DURATION).as_secs_f64();
     let duration = SLOW_START_DURATION.as_secs_f64();
@@ -23,13 +23,13 @@
     ramp.overload_factor * ramp.capacity * capacity_served
 }
 
-/// Sends to a backend, in its budget over the whole slow start.
+/// Requests sent to a backend, as a share of its budget over the slow start.
 pub fn budget_used(ramp: &Ramp, sends: &[Instant]) -> f64 {
     sends.len() as f64 / budget(ramp, SLOW_START_END)
 }
 
-/// The fullest window within the slow start of a backend, in what the rule lets pass there. `sends` is in
-/// order.
+/// The fullest window within the slow start of a backend, as a share of what the rule allows there. `sends`
+/// is sorted.
 pub fn peak_window(ramp: &Ramp, sends: &[Instant]) -> f64 {
     let mut peak = 0.0;
     for (first, window_start) in sends.iter().enumerate() {
--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -1,4 +1,5 @@
-//! Real ingresses on loopback: each started with a configuration of its own, and ended with its handle.
+//! Real ingresses on loopback, each with a configuration of its own, that are killed when their handles are
+//! dropped.
 
 mod config;
 
@@ -6,17 +7,20 @@
 
 use crate::procfs::{self, ProcessMemory};
 use anyhow::{bail, Context};
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use stand_ins::process::set_config_file;
+use stand_ins::resp::ping;
+use stand_ins::server::listen;
+use std::io::Read;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
 /// The most ingresses that may be started.
 const MAX_PROCESSES: u64 = 400;
-/// The memory that each is taken to need when there is to be room for all of them.
+/// The memory that is reckoned for each.
 const MEMORY_PER_PROCESS: u64 = 16 << 20;
-/// How long an ingress may take to answer a ping.
+/// How long an ingress may take to answer a PING.
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
 /// The time between two pings of an ingress that is not ready yet.
 const PING_INTERVAL: Duration = Duration::from_millis(2);
@@ -28,7 +32,8 @@
     }
     let meminfo = std::fs::read_to_string("/proc/meminfo").context("cannot read /proc/meminfo")?;
     let needed = processes * MEMORY_PER_PROCESS;
-    let (total, free) = (procfs::bytes(&meminfo, "MemTotal"), procfs::bytes(&meminfo, "MemAvailable"));
+    let total = procfs::bytes(&meminfo, "MemTotal");
+    let free = procfs::bytes(&meminfo, "MemAvailable");
     let available = (total / 2).min(free);
     if needed > available {
         bail!("{processes} processes want {} MB, and {} MB are free for them", needed >> 20, available >> 20);
@@ -36,7 +41,7 @@
     Ok(())
 }
 
-/// An ingress that runs; it is ended with this handle.
+/// A running ingress; it is killed when the handle is dropped.
 pub struct IngressProcess {
     /// Where it listens.
     pub address: SocketAddr,
@@ -53,7 +58,7 @@
 impl IngressProcess {
     /// Starts an ingress at a port of its own.
     pub fn start(program: &Path, config: &IngressConfig) -> anyhow::Result<IngressProcess> {
-        let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
+        let address = listen()?.local_addr()?;
         let file_name = format!("fleet-experiments-{}-{}.json", std::process::id(), address.port());
         let config_file = std::env::temp_dir().join(file_name);
         std::fs::write(&config_file, config.to_json(address))
@@ -63,17 +68,15 @@
         Ok(IngressProcess { address, started_at: Instant::now(), child, config_file, program })
     }
 
-    /// Starts the program with a configuration file, and nothing of it from the environment.
+    /// Starts the program with a configuration file.
     fn spawn(program: &Path, config_file: &Path) -> anyhow::Result<Child> {
         let mut command = Command::new(program);
-        command.env("LB_CONFIG", config_file).stdin(Stdio::null()).stderr(Stdio::piped());
-        for name in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
-            command.env_remove(name);
-        }
+        set_config_file(&mut command, config_file);
+        command.stdin(Stdio::null()).stderr(Stdio::piped());
         command.spawn().with_context(|| format!("cannot start {}", program.display()))
     }
 
-    /// Kills it and starts it anew, at the same address.
+    /// Kills it and restarts it, at the same address.
     pub fn restart(&mut self) -> anyhow::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
@@ -82,7 +85,7 @@
         Ok(())
     }
 
-    /// Gives it another configuration and tells it to reload.
+    /// Writes another configuration and has the ingress reload it.
     pub fn reconfigure(&self, config: &IngressConfig) -> anyhow::Result<()> {
         let new_file = self.config_file.with_extension("new");
         std::fs::write(&new_file, config.to_json(self.address))?;
@@ -105,19 +108,9 @@
         bail!("the ingress at {} was not ready in {timeout:?}", self.address)
     }
 
-    /// Whether it answers a ping.
+    /// Whether it answers a PING on a connection of its own.
     pub fn answers_ping(&self) -> bool {
-        self.ping().unwrap_or(false)
-    }
-
-    /// Sends a ping on a connection of its own; false for an answer that is not the right one.
-    fn ping(&self) -> std::io::Result<bool> {
-        let mut stream = TcpStream::connect(self.address)?;
-        stream.set_read_timeout(Some(PING_TIMEOUT))?;
-        stream.write_all(b"*1\r\n$4\r\nPING\r\n")?;
-        let mut answer = [0; 7];
-        stream.read_exact(&mut answer)?;
-        Ok(&answer == b"+PONG\r\n")
+        ping(self.address, PING_TIMEOUT).unwrap_or(false)
     }
 
     /// Whether it still runs.
@@ -135,7 +128,7 @@
         procfs::cpu_seconds(self.child.id())
     }
 
-    /// Ends it; what it wrote to its log.
+    /// Kills it; returns its log.
     pub fn end(mut self) -> String {
         let _ = self.child.kill();
         let mut log = String::new();
--- a/fleet-experiments/tests/experiments.rs
+++ b/fleet-experiments/tests/experiments.rs
@@ -1,4 +1,4 @@
-//! Every experiment in small, judged by counts; and what bad experiment files get.
+//! Every experiment in small, judged by counts; and the errors of invalid experiment files.
 
 use fleet_experiments::experiment_file::{ExperimentFile, ExperimentFileError};
 use fleet_experiments::report::Report;
@@ -48,7 +48,7 @@
 /// Requests come to a fleet with nothing else to do, and the time that each takes is measured. All of them have to
 /// be sent to a backend, as a rejection is faster and would make the measured time too short.
 #[test]
-fn all_requests_of_an_idle_fleet_are_sent_on() {
+fn all_requests_of_an_idle_fleet_are_forwarded() {
     for point in points("request") {
         assert_eq!(number(&point, "sent"), 500.0, "{point}");
     }
@@ -163,8 +163,8 @@
     for (index, (text, key)) in cases.into_iter().enumerate() {
         let why = ExperimentFile::parse(text).map(|_| ()).expect_err(text).to_string();
         assert!(why.contains(key) && !why.contains('\n'), "{text:?}: {why}");
-        let file =
-            std::env::temp_dir().join(format!("fleet-experiments-bad-{}-{index}.toml", std::process::id()));
+        let file = std::env::temp_dir()
+            .join(format!("fleet-experiments-invalid-{}-{index}.toml", std::process::id()));
         std::fs::write(&file, text).unwrap();
         let output =
             Command::new(env!("CARGO_BIN_EXE_fleet-experiments")).arg("run").arg(&file).output().unwrap();
--- a/fleet-experiments/tests/fit.rs
+++ b/fleet-experiments/tests/fit.rs
@@ -42,6 +42,19 @@
     assert!(fit_results("{").is_err());
 }
 
+/// Two files of results are kept in the repository, one measured before a change and one after it. Both have to be
+/// readable and give lines for the same measurements, as a reader could not compare the two otherwise.
+#[test]
+fn kept_result_files_are_fitted() {
+    let names = |results: &str| -> Vec<String> {
+        let fits = fit_results(results).unwrap();
+        fits.iter().map(|fit| fit.split(':').next().unwrap().to_string()).collect()
+    };
+    let before = names(include_str!("../results/capacity-before.jsonl"));
+    assert!(!before.is_empty());
+    assert_eq!(before, names(include_str!("../results/capacity-after.jsonl")));
+}
+
 /// Names in the results were changed after the capacity page was written. Fitted today, the old file has to give
 /// the same lines as under the new names, or the page's numbers could not be checked any more.
 #[test]
--- a/fleet-experiments/tests/slow_start.rs
+++ b/fleet-experiments/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start over a whole fleet: what is sent to backends that have just started, counted in the rule's
-//! window.
+//! Slow start in a fleet: the requests to backends that have just started, in the window of the overload
+//! rule.
 
 use fleet_experiments::experiments::slow_start::{simulate, Ramp};
 
@@ -8,7 +8,7 @@
 /// the same moment, starts passed the bound by up to 1.7 times, and a real backend would have broken down again
 /// right after its start.
 #[test]
-fn backends_in_slow_start_are_not_overloaded_by_a_fleet_that_is_asked_for_too_much() {
+fn backends_in_slow_start_are_not_overloaded_by_an_overloaded_fleet() {
     let ramp = |ingresses, backends, capacity, overload_factor, load| Ramp {
         ingresses,
         backends,
@@ -38,7 +38,7 @@
 /// send them less, but they must still serve some part and only a minority of requests may be rejected; backends
 /// that get nothing would never warm up.
 #[test]
-fn backends_in_slow_start_serve_their_part_where_answers_tell_of_the_load() {
+fn backends_in_slow_start_serve_their_part_where_answer_times_show_the_load() {
     for (ingresses, seed) in [(30, 1), (30, 2), (300, 3)] {
         let ramp = Ramp {
             ingresses,
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -1,4 +1,4 @@
-//! Closing connections: those that are done with, idle or too slow, and all of them at a shutdown.
+//! Closes connections: those that have ended, are idle or too slow, and all of them at a shutdown.
 
 use super::connection::Connection;
 use super::error::ClientError;
@@ -9,39 +9,64 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The client has closed its end.
-    ClientGone,
-    /// It broke, as a read or a write has shown.
+    Disconnected,
+    /// A read or a write has failed.
     Broken,
     /// It was idle, and its descriptor was needed.
-    MadeRoom,
-    /// It was idle, and the process ends.
+    DescriptorNeeded,
+    /// It was idle during the shutdown.
     Draining,
-    /// No command ever came.
-    Silent,
-    /// The client was told of the end, and had its time to read that.
-    Lingered,
+    /// No command has ever arrived on it.
+    NoCommand,
+    /// The time for reading the last reply is over.
+    LingerTimeout,
     /// The client does not read its replies.
-    NotReading,
-    /// Clients hold all the memory that they may, and this one has unread replies.
+    WriteTimeout,
+    /// The memory limit of all clients is reached, and this one has unread replies.
     OutOfMemory,
 }
 
 impl CloseReason {
     /// All reasons.
     pub const ALL: [CloseReason; 8] = [
-        CloseReason::ClientGone,
+        CloseReason::Disconnected,
         CloseReason::Broken,
-        CloseReason::MadeRoom,
+        CloseReason::DescriptorNeeded,
         CloseReason::Draining,
-        CloseReason::Silent,
-        CloseReason::Lingered,
-        CloseReason::NotReading,
+        CloseReason::NoCommand,
+        CloseReason::LingerTimeout,
+        CloseReason::WriteTimeout,
         CloseReason::OutOfMemory,
     ];
 
-    /// Whether replies may go with the connection: nobody waits for them.
+    /// Whether replies may be lost with the connection, since the client does not wait for them.
     fn may_drop_replies(self) -> bool {
-        !matches!(self, CloseReason::MadeRoom | CloseReason::Draining | CloseReason::Silent)
+        !matches!(self, CloseReason::DescriptorNeeded | CloseReason::Draining | CloseReason::NoCommand)
+    }
+}
+
+/// The order in which idle connections are closed for their descriptors, the least first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct IdleCloseOrder {
+    /// It has sent a command, or is active in this iteration. Others are closed first.
+    ///
+    /// A descriptor is freed before it is known whether a client waits for it, so a connection that was accepted in this
+    /// iteration would be closed before its first command has arrived.
+    has_priority: bool,
+    /// When it was last active.
+    last_active_at: Instant,
+    /// Of connections that were last active at the same time, the one accepted first is closed.
+    serial: u64,
+}
+
+impl IdleCloseOrder {
+    /// The place of a connection in this order.
+    fn of(connection: &Connection, now: Instant) -> IdleCloseOrder {
+        IdleCloseOrder {
+            has_priority: connection.has_sent_command() || connection.last_active_at >= now,
+            last_active_at: connection.last_active_at,
+            serial: connection.serial,
+        }
     }
 }
 
@@ -50,27 +75,18 @@
     pub fn close_longest_idle(&mut self, now: Instant) -> bool {
         loop {
             let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
-            // Those that never sent a command go first, except those of this very turn: descriptors are freed before
-            // it is known whether anybody waits for one, and what the latest client sends may not have arrived.
-            // Many fall idle at one clock: of these the one accepted first goes.
-            let order = |connection: &Connection| {
-                let is_spared = connection.has_sent_command() || connection.last_active_at >= now;
-                (is_spared, connection.last_active_at, connection.serial)
-            };
-            let longest = idle.min_by_key(|(_, connection)| order(connection));
-            let Some((key, idle_since)) = longest.map(|(key, connection)| (key, connection.last_active_at))
-            else {
-                return false;
-            };
-            self.close_if_silent(key, idle_since, CloseReason::MadeRoom);
+            let longest = idle.min_by_key(|(_, connection)| IdleCloseOrder::of(connection, now));
+            let Some((key, connection)) = longest else { return false };
+            let idle_since = connection.last_active_at;
+            self.close_if_still_idle(key, idle_since, CloseReason::DescriptorNeeded);
             if !self.connections.contains(key) {
                 return true;
             }
         }
     }
 
-    /// Closes connections as soon as they are idle, from now on. While connections are still accepted, those that
-    /// have not sent a command yet are kept.
+    /// Closes connections as soon as they are idle, from now on. While connections are still accepted, those that have not
+    /// sent a command yet stay open.
     pub fn drain(&mut self, now: Instant, accepting: Accepting) {
         self.draining = true;
         if accepting == Accepting::Stop {
@@ -79,32 +95,32 @@
         let closable = self.keys_of(|connection| {
             connection.is_idle() && (connection.has_sent_command() || accepting == Accepting::Stop)
         });
-        closable.into_iter().for_each(|key| self.close_if_silent(key, now, CloseReason::Draining));
+        closable.into_iter().for_each(|key| self.close_if_still_idle(key, now, CloseReason::Draining));
     }
 
-    /// Closes connections whose clients take too long to send, to read, or to end.
+    /// Closes connections whose clients take too long to send, to read or to close their end.
     pub fn close_expired(&mut self, now: Instant) {
         self.close_late_clients(now);
         if self.lingering_count == 0 {
             return;
         }
         for key in self.keys_of(|connection| connection.is_linger_over(now)) {
-            // A client over the limit may have sent its request by now: once it is told so, the next call closes it.
+            // A client over the limit may have sent its request by now. It is answered first, and closed by the next call.
             self.read(key, now);
             let connection = self.connections.get(key);
             if connection.is_some_and(|connection| connection.is_shut_down() || connection.output.is_empty())
             {
-                self.remove(key, CloseReason::Lingered);
+                self.remove(key, CloseReason::LingerTimeout);
             }
         }
     }
 
-    /// Closes connections that send nothing, leave a command incomplete or read nothing for too long: they hold
+    /// Closes connections that send nothing, leave a command incomplete or read nothing for too long, since they use
     /// descriptors and memory.
     fn close_late_clients(&mut self, now: Instant) {
         let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
         let not_reading = self.keys_of(|connection| connection.output.is_timed_out(now));
-        not_reading.into_iter().for_each(|key| self.remove(key, CloseReason::NotReading));
+        not_reading.into_iter().for_each(|key| self.remove(key, CloseReason::WriteTimeout));
         for key in overdue {
             // The rest may have arrived by now.
             self.read(key, now);
@@ -113,7 +129,7 @@
                 continue;
             };
             if connection.input.is_empty() {
-                self.close_if_silent(key, now, CloseReason::Silent);
+                self.close_if_still_idle(key, now, CloseReason::NoCommand);
                 continue;
             }
             connection.abort_command(ClientError::CommandTimeout);
@@ -121,7 +137,7 @@
         }
     }
 
-    /// Moves a connection on to its end if nothing is left to be written.
+    /// Shuts down or closes a connection whose replies are all written, if it is to end.
     pub(super) fn close_if_done(&mut self, key: usize, now: Instant) {
         let connection = &mut self.connections[key];
         if connection.is_ready_for_shutdown() {
@@ -132,22 +148,25 @@
         }
     }
 
-    /// Closes a connection that has fallen idle while all are to be closed.
+    /// Closes a connection that has become idle during the shutdown.
     pub(super) fn close_if_drained(&mut self, key: usize, now: Instant) {
         if self.draining && self.connections.get(key).is_some_and(Connection::is_idle) {
-            self.close_if_silent(key, now, CloseReason::Draining);
+            self.close_if_still_idle(key, now, CloseReason::Draining);
         }
     }
 
-    /// Closes an idle connection unless a command has arrived on it that was not read yet.
-    fn close_if_silent(&mut self, key: usize, now: Instant, reason: CloseReason) {
+    /// Closes an idle connection, unless a command has arrived on it meanwhile.
+    ///
+    /// A request in the socket's buffer would be lost with the connection: its client would see a close in place of a
+    /// reply. So the buffer is read to its end right before the close.
+    fn close_if_still_idle(&mut self, key: usize, now: Instant, reason: CloseReason) {
         self.read(key, now);
         if self.connections.get(key).is_some_and(Connection::is_idle) {
             self.remove(key, reason);
         }
     }
 
-    /// Closes and forgets a connection, and reports its requests that have no reply yet.
+    /// Closes and removes a connection, and reports its requests without a reply as disconnected.
     pub(super) fn remove(&mut self, key: usize, reason: CloseReason) {
         let connection = self.connections.remove(key); // Dropping it closes the socket and ends its polling.
         let replies_owed = connection.replies.len();
@@ -167,12 +186,12 @@
         self.lingering_count -= usize::from(connection.linger_until.is_some());
         self.over_limit_count -= usize::from(connection.over_limit);
         self.memory.release(&connection);
-        // The latest first: a request that waits in a queue must not be started in the place of an earlier one, only
+        // The latest first: otherwise the end of an earlier request would start a later one of this client, only for it
         // to be cancelled.
         let pending = connection.replies.pending_latest_first();
         let disconnected: Vec<ClientEvent> = pending.map(ClientEvent::Disconnected).collect();
         if !disconnected.is_empty() {
-            // Commands that were not taken yet need not be started.
+            // Commands that were not handled yet are dropped.
             self.events.retain(|event| {
                 !matches!(event, ClientEvent::Command { reply_to, .. } if reply_to.serial == connection.serial)
             });
@@ -180,7 +199,7 @@
         }
     }
 
-    /// The keys of the connections that are `selected`.
+    /// The keys of the connections that fulfil a condition.
     fn keys_of(&self, selected: impl Fn(&Connection) -> bool) -> Vec<usize> {
         let connections = self.connections.iter().filter(|(_, connection)| selected(connection));
         connections.map(|(key, _)| key).collect()
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -16,9 +16,9 @@
 pub(super) enum Answer {
     /// The value that a backend gave.
     Served,
-    /// It was not executed.
+    /// A rejection: retrying the request is safe.
     Rejected,
-    /// It may have been executed.
+    /// A failure: the request may have been executed.
     Failed,
 }
 
@@ -128,7 +128,7 @@
             class = request.class,
             timeout_ms = timeout.as_millis(),
             waited_us = self.now.duration_since(arrived_at).as_micros(),
-            client = ?reply_to,
+            client = reply_to.client(),
             "opened"
         );
         self.counters.requests += 1;
--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -1,7 +1,7 @@
 //! Idle clients use up the descriptors while discovery is down. It must be polled again all the same, a connection to a
 //! backend must be established and a reload take effect, whether discovery pushes the endpoint list or has to be polled.
 
-mod support;
+use test_support as support;
 
 use std::fs;
 use std::io::{ErrorKind, Read};
--- a/tests/fleet_quota.rs
+++ b/tests/fleet_quota.rs
@@ -2,7 +2,7 @@
 //! know the true state. The test plays the network: messages are delayed, some are lost, and a gateway receives only so
 //! many in a second.
 
-mod support;
+use test_support as support;
 
 use ingress::*;
 use std::cmp::Reverse;
--- a/tests/ingress/main.rs
+++ b/tests/ingress/main.rs
@@ -1,7 +1,6 @@
 //! The built ingress tested through its sockets, between backends, discovery, peers and clients that the tests play.
 
-#[path = "../support/mod.rs"]
-mod support;
+use test_support as support;
 
 mod backend_connections;
 mod client_connections;
