--- a/src/gossip/units/tests.rs
+++ b/src/gossip/units/tests.rs
@@ -19,7 +19,7 @@
 }
 
 /// A message tells how full a customer's token bucket is in a single byte. Levels beyond full or below empty are
-/// cut to the nearest step, and an unknown one is told apart from an empty bucket; a customer whose level is merely
+/// cut to the nearest step, and an unknown one differs from an empty bucket; a customer whose level is merely
 /// unknown would be rejected otherwise.
 #[test]
 fn a_token_level_keeps_its_fill_and_an_unknown_one_gives_none() {
--- a/src/policy/quota/usage_report/tests.rs
+++ b/src/policy/quota/usage_report/tests.rs
@@ -6,7 +6,7 @@
 use crate::Duration;
 
 /// Two gateways request 15 of a customer's 20 units at the same time. The owner charges the first grant at
-/// once, without waiting for the report of its use, so that the second one is told that 5 units are left.
+/// once, without waiting for the report of its use, so that the second one learns that only 5 units are left.
 #[test]
 fn an_owner_charges_what_it_grants_at_once() {
     let mut manager = manager(LARGE_FLEET);
@@ -23,7 +23,7 @@
 }
 
 /// A plan allows two attempts in flight over all gateways. The owner has granted one to each of two peers; a
-/// third is told that two are in flight elsewhere, and has its request wait as long as an answer takes.
+/// third learns that two are in flight elsewhere, and has its request wait as long as an answer takes.
 #[test]
 fn a_concurrency_quota_counts_what_was_granted_elsewhere() {
     let mut counting = manager(LARGE_FLEET);
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -56,7 +56,7 @@
 }
 
 /// A backend reset the connection after it got the command of a payout. Another attempt might pay twice: it
-/// is refused, and the client is told that the request failed, not that it may safely try again.
+/// is refused, and the client gets an error, which does not say that it may safely try again.
 #[test]
 fn a_non_idempotent_request_that_may_have_been_executed_is_neither_retried_nor_rejected() {
     let idempotency = Idempotency::NonIdempotent;
