--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// A request with tokens, at a gateway that owns no quota and had a grant so long ago.
+/// A request with tokens, at a gateway that owns no quota and whose last grant has this age.
 fn arrival(plan: &Plan, grant_age: Duration) -> ArrivalFacts<'_> {
     ArrivalFacts {
         now: NOW,
--- a/src/policy/concurrency_limit/tests.rs
+++ b/src/policy/concurrency_limit/tests.rs
@@ -6,7 +6,7 @@
 /// Ten backends, shared by two gateways.
 const LOAD: GatewayLoad = GatewayLoad { in_flight: 0, ready_backends: 10, fleet_size: 2 };
 
-/// A pressure of about so much, by a long row of answers.
+/// A pressure close to this ratio, after a long series of such answers.
 fn pressure_of(ratio: f64) -> Pressure {
     let mut pressure = Pressure::default();
     (1..=1000).for_each(|second| pressure.record(Instant::ZERO + Duration::from_secs(second), ratio));
--- a/src/policy/load_balancing/tests.rs
+++ b/src/policy/load_balancing/tests.rs
@@ -45,7 +45,7 @@
         Fixture { balancer: LoadBalancer::new(&settings, 3), backends, outlier_detector }
     }
 
-    /// A gateway with so many backends in its own zone.
+    /// A gateway with this many backends in its own zone.
     fn with_backends(count: u64) -> Fixture {
         Fixture::new((0..count).map(endpoint).collect())
     }
@@ -67,7 +67,7 @@
         choices
     }
 
-    /// Has two attempts fail at a backend, which ejects it.
+    /// Records two failed attempts at a backend, by which it is ejected.
     fn eject(&mut self, backend: u64) {
         let facts = OutcomeFacts { now: NOW, class: CLASS, zone: OWN_ZONE, evidence: Evidence::Failure };
         let health = &mut self.backends.get_mut(BackendId(backend)).expect("it is listed").health;
--- a/src/policy/outlier_detection/tests.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -15,7 +15,7 @@
 /// The zone of the backends.
 const ZONE: u8 = 3;
 
-/// A time so long after [`START`].
+/// The time this many milliseconds after [`START`].
 fn after_millis(millis: u64) -> Instant {
     START + Duration::from_millis(millis)
 }
@@ -34,7 +34,7 @@
     OutlierDetector::new(&[class.clone(), class], START)
 }
 
-/// A backend of which nothing is known.
+/// A backend without any recorded attempt.
 fn backend() -> BackendHealth {
     BackendHealth::new(2)
 }
@@ -44,7 +44,7 @@
     OutcomeFacts { now, class: CLASS, zone: ZONE, evidence }
 }
 
-/// Has so many attempts end with the same evidence at one moment.
+/// Records the end of this many attempts, all with the same evidence and at the same time.
 fn end_attempts(
     detector: &mut OutlierDetector,
     health: &mut BackendHealth,
--- a/src/policy/quota/remote_usage/tests.rs
+++ b/src/policy/quota/remote_usage/tests.rs
@@ -5,7 +5,7 @@
 /// The time of the reports under test.
 const NOW: Instant = Instant::from_micros(5_000_000);
 
-/// A usage of which a gateway reported so many attempts in flight, now.
+/// Records that a gateway has just reported this many attempts in flight.
 fn reported(remote: &mut RemoteUsage, gateway: u16, in_flight: u8) {
     let mut usage = remote.of_gateway(gateway).unwrap_or_default();
     remote.set_in_flight(&mut usage, in_flight);
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -56,7 +56,7 @@
     (0..).map(CustomerId).find(owns).expect("some customer of so many")
 }
 
-/// The shortage that a request for so many units meets, where no peer was ever heard.
+/// The shortage of tokens for a request, at a gateway that has never heard of a peer.
 pub(super) fn shortage(manager: &mut QuotaManager, now: Instant, request: &Request) -> Option<Shortage> {
     let facts = TokenFacts { now, request, answer_seconds: 0.25 };
     manager.token_wait(&facts, |_| None).longest()
--- a/tests/ingress/peers.rs
+++ b/tests/ingress/peers.rs
@@ -53,10 +53,10 @@
 }
 
 /// Anybody who can reach the port may send datagrams to an ingress. If it believed those of a stranger, or cut or
-/// overlong ones, a forged usage report would use up a customer's quota; only a whole message from a peer's address
+/// overlong ones, a forged usage report would use up a customer's quota; only a complete message from a peer's address
 /// is answered. What the ingress sends is 256 bytes at most, the limit of the network between peers.
 #[test]
-fn only_whole_messages_from_the_address_of_a_peer_are_answered() {
+fn only_complete_messages_from_the_address_of_a_peer_are_answered() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
     let own = unused_address();
