--- a/fault-soak/tests/kept_results.rs
+++ b/fault-soak/tests/kept_results.rs
@@ -15,6 +15,8 @@
         .collect()
 }
 
+/// The pages name runs of the soak whose results are kept in the repository. Today's program has to read all 200
+/// runs of each file and make a report of them, or nobody could check what the pages say.
 #[test]
 fn kept_result_files_are_read_and_reported() {
     for file in [FIRST_HUNT, SECOND_HUNT] {
@@ -25,7 +27,8 @@
     }
 }
 
-/// What was injected then is what the seed draws today.
+/// Somebody plays a seed of the kept results again. The program has to draw the faults that were injected then, as
+/// the run could not be compared otherwise.
 #[test]
 fn kept_results_have_the_plans_of_their_seeds() {
     for result in parse(SECOND_HUNT) {
@@ -34,6 +37,8 @@
     }
 }
 
+/// Fields and kinds of faults were renamed after the first results were written. A file of that time still has to
+/// give the faults of each run and its counts; a field that was read as zero would falsify the report.
 #[test]
 fn fields_with_former_names_are_read() {
     let results = parse(FIRST_HUNT);
@@ -50,7 +55,8 @@
     assert_eq!(of_seed(201).totals.disconnected, 39);
 }
 
-/// A line of a kept file as it would be with a violation of the rule that was renamed.
+/// A rule was renamed after the first results were written. A violation of it under its former name still counts as
+/// one of that rule, and does not get lost in a report.
 #[test]
 fn rules_with_former_names_are_read() {
     let line = FIRST_HUNT.lines().next().unwrap();
@@ -63,7 +69,8 @@
     assert_eq!(result.violations[0].rule, Rule::InvalidInputIgnored);
 }
 
-/// A result that is written today is read again.
+/// The soak writes a result, and the report reads it later. Nothing may be lost or changed in between, or the
+/// report would differ from what was seen.
 #[test]
 fn a_result_that_is_written_is_read_again() {
     for result in parse(SECOND_HUNT) {
--- a/fleet-experiments/tests/fit.rs
+++ b/fleet-experiments/tests/fit.rs
@@ -42,7 +42,8 @@
     assert!(fit_results("{").is_err());
 }
 
-/// Both kept result files are read, and give the same fits: one was measured before a change, one after it.
+/// Two files of results are kept in the repository, one measured before a change and one after it. Both have to be
+/// readable and give lines for the same measurements, as a reader could not compare the two otherwise.
 #[test]
 fn kept_result_files_are_fitted() {
     let names = |results: &str| -> Vec<String> {
--- a/stand-ins/tests/protocols.rs
+++ b/stand-ins/tests/protocols.rs
@@ -13,6 +13,8 @@
     (0..bytes.len()).map(|length| &bytes[..length])
 }
 
+/// A command reaches a stand-in for a backend in pieces. It is parsed only when it is complete, and what follows is
+/// left alone; a stand-in that took half a command for a whole one would make the ingress look faulty.
 #[test]
 fn a_command_is_parsed_once_its_last_byte_has_come() {
     let bytes = encode_command(&["CALL.GET", "7", "", "c=quote"]);
@@ -29,6 +31,8 @@
     assert_eq!(parse_command(b"+PONG\r\n"), None);
 }
 
+/// A reply of the ingress reaches a stand-in for a client in pieces. It is parsed only when it is complete; a part
+/// taken for the whole would be reported as a wrong value.
 #[test]
 fn a_reply_is_parsed_once_its_last_byte_has_come() {
     let value = |text: &str, length| ReceivedReply { reply: Reply::Value(text.into()), length };
@@ -46,6 +50,8 @@
     }
 }
 
+/// A stand-in for a backend replies with a value and perhaps a load report, in the bytes of the protocol. With
+/// other bytes the ingress would rightly report an error, and the test would blame it.
 #[test]
 fn the_reply_of_a_backend_has_a_value_and_a_load_report() {
     assert_eq!(encode_served("abc", None), b"*3\r\n$3\r\nabc\r\n$-1\r\n$-1\r\n");
@@ -55,6 +61,8 @@
     assert_eq!(read_value(&mut &b"*2\r\n$3\r\nabc\r\n"[..]), None);
 }
 
+/// A stand-in for a client sends requests of each class with the command, options and key of that class. A keyed
+/// request without its key, for example, would test nothing about idempotency keys.
 #[test]
 fn requests_have_the_options_of_their_class() {
     let customer = Customer { number: 255, plan: "metered", set_size: 3, set_start: 9 };
@@ -73,6 +81,8 @@
     assert!("none".parse::<RequestClass>().is_err());
 }
 
+/// A stand-in for discovery answers polls for the whole list and for changes, and refuses anything else. If it
+/// answered any request, an ingress that asks for the wrong thing would pass its tests.
 #[test]
 fn polls_are_parsed_and_other_requests_are_not() {
     let parse = |target: &str| Poll::parse(&format!("GET {target} HTTP/1.1\r\nHost: d\r\n\r\n")).ok();
@@ -88,6 +98,8 @@
     assert!(Poll::parse("POST /v1/endpoints HTTP/1.1\r\n\r\n").is_err());
 }
 
+/// A stand-in reads a request that arrives completely, breaks off, or comes while the stand-in is being stopped. It
+/// gives a head only in the first case; waiting for the rest in the others would hang the test.
 #[test]
 fn the_head_of_a_request_is_read_until_the_connection_is_to_be_closed() {
     let head = "GET /v1/endpoints HTTP/1.1\r\n\r\n";
@@ -97,6 +109,8 @@
     assert_eq!(response("{}"), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
 }
 
+/// A stand-in for discovery sends its list in the protocol's JSON, with each entry's name, place, status and start.
+/// An entry that was written differently would be refused by the ingress, and no test would get a backend.
 #[test]
 fn lists_have_the_entries_of_their_endpoints() {
     let entry = EndpointEntry {
