--- a/src/bin/ingress/backends/attempt.rs
+++ b/src/bin/ingress/backends/attempt.rs
@@ -52,10 +52,8 @@
     pub attempt: AttemptId,
     /// The backend that the connection leads to.
     pub backend: BackendId,
-    /// When the command that was written was encoded.
-    pub at: Instant,
     /// The timeout that the command states.
-    pub stated_timeout: Duration,
+    pub stated_timeout: StatedTimeout,
 }
 
 /// The timeout that a command states to its backend, which is true at the time of its encoding.
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -143,19 +143,14 @@
         let was_unwritten = connection.is_not_yet_written();
         let result = connection.write_command();
         if was_unwritten && connection.written > 0 {
-            let StatedTimeout { stated_at: at, timeout: stated_timeout } = connection.stated_timeout;
-            let backend = connection.backend;
-            self.begun.extend(connection.attempt.map(|attempt| BegunAttempt {
-                attempt,
-                backend,
-                at,
-                stated_timeout,
-            }));
+            let Connection { backend, stated_timeout, .. } = *connection;
+            let begun = connection.attempt.map(|attempt| BegunAttempt { attempt, backend, stated_timeout });
+            self.begun.extend(begun);
         }
         if result.is_ok() {
             return;
         }
-        // The backend may have said why before the connection broke, for instance that it has too many.
+        // The backend may have sent a rejection before it closed the connection, as at its connection limit.
         let id = ConnectionId { key, serial: connection.serial };
         let assigned_at = connection.state_since;
         self.read(key, assigned_at);
@@ -230,13 +225,8 @@
         let Some(attempt) = connection.attempt else { return };
         let (backend, started_at) = (connection.backend, connection.state_since);
         if let Some(idle_time) = connection.idle_before {
-            let failed = matches!(result.outcome, Outcome::Reset | Outcome::ConnectFailed);
-            let was_immediate = ended_at.is_some_and(|at| at <= started_at + IMMEDIATE_FAILURE);
-            if !failed {
-                self.idle_reuse.record(idle_time, IdleReuse::Alive);
-            } else if connection.received.is_empty() && was_immediate {
-                self.idle_reuse.record(idle_time, IdleReuse::Stale);
-            }
+            let reuse = idle_reuse(connection, result.outcome, ended_at);
+            reuse.into_iter().for_each(|reuse| self.idle_reuse.record(idle_time, reuse));
         }
         self.push_completion(attempt, backend, started_at, result);
     }
@@ -260,3 +250,13 @@
         });
     }
 }
+
+/// The result of the reuse of a connection whose attempt has ended with this outcome; none if it shows nothing about the
+/// idle time before.
+fn idle_reuse(connection: &Connection, outcome: Outcome, ended_at: Option<Instant>) -> Option<IdleReuse> {
+    if !matches!(outcome, Outcome::Reset | Outcome::ConnectFailed) {
+        return Some(IdleReuse::Alive);
+    }
+    let was_immediate = ended_at.is_some_and(|at| at <= connection.state_since + IMMEDIATE_FAILURE);
+    (connection.received.is_empty() && was_immediate).then_some(IdleReuse::Stale)
+}
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -100,7 +100,7 @@
 
     /// Closes connections whose clients take too long to send, to read or to close their end.
     pub fn close_expired(&mut self, now: Instant) {
-        self.close_late_clients(now);
+        self.close_timed_out(now);
         if self.lingering_count == 0 {
             return;
         }
@@ -117,7 +117,7 @@
 
     /// Closes connections that send nothing, leave a command incomplete or read nothing for too long, since they use
     /// descriptors and memory.
-    fn close_late_clients(&mut self, now: Instant) {
+    fn close_timed_out(&mut self, now: Instant) {
         let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
         let not_reading = self.keys_of(|connection| connection.output.is_timed_out(now));
         not_reading.into_iter().for_each(|key| self.remove(key, CloseReason::WriteTimeout));
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -132,7 +132,7 @@
     }
 
     /// Whether it waits for its client to send the rest of a command, or to read.
-    pub fn is_client_late(&self) -> bool {
+    pub fn awaits_client(&self) -> bool {
         !self.input.is_empty() || self.output.is_blocked()
     }
 
--- a/src/bin/ingress/clients/memory.rs
+++ b/src/bin/ingress/clients/memory.rs
@@ -47,7 +47,7 @@
         let Some(connection) = self.connections.get_mut(key) else { return };
         self.memory.account(connection);
         while self.memory.is_exceeded() {
-            let closable = self.connections.iter_mut().filter(|(_, connection)| connection.is_client_late());
+            let closable = self.connections.iter_mut().filter(|(_, connection)| connection.awaits_client());
             let largest = closable.max_by_key(|(_, connection)| connection.accounted_memory);
             let Some((key, connection)) = largest else { return };
             if connection.input.is_empty() {
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -16,8 +16,8 @@
             let begun = AttemptBegun {
                 number,
                 backend: begun.backend,
-                at: begun.at,
-                stated_timeout: begun.stated_timeout,
+                at: begun.stated_timeout.stated_at,
+                stated_timeout: begun.stated_timeout.timeout,
             };
             let violated = request.audit.attempt_begun(&self.auditor, &begun);
             violated.into_iter().for_each(|kind| self.report_violation(kind, Some(id)));
