--- a/fleet-experiments/src/experiments/ingress_endpoint_list.rs
+++ b/fleet-experiments/src/experiments/ingress_endpoint_list.rs
@@ -107,10 +107,8 @@
         let mut ingress = IngressProcess::start(program, &self.config(discovery.address))?;
         ingress.wait_until_ready(TIMEOUT)?;
         let snapshot = publish_snapshot(&discovery, &ingress, body)?;
-        let change_cpu_us = match snapshot.applied {
-            true => Some(self.publish_changes(&discovery, &ingress, backends)?),
-            false => None,
-        };
+        let change_cpu_us =
+            if snapshot.applied { Some(self.publish_changes(&discovery, &ingress, backends)?) } else { None };
         let running = ingress.is_running();
         let log = ingress.end();
         let reason = log.lines().find(|line| line.contains("discovery:")).map(str::to_string);
