--- a/src/state/endpoint_index/tests.rs
+++ b/src/state/endpoint_index/tests.rs
@@ -7,10 +7,11 @@
     (0..index.len()).map(|position| index.get(position).expect("there is one at each position")).collect()
 }
 
-/// Backends come and go at random, with keys that are often alike, some of them twice. The index always has
-/// the order of a sorted list with the same changes, for long lists, short ones and none.
+/// Backends are added and removed in any order, some with equal keys, down to none. All along the index has to
+/// equal a list that is sorted anew; a backend that is missing from it would never get a request, and one left over
+/// would get requests after its removal.
 #[test]
-fn it_is_the_sorted_list_after_any_changes() {
+fn the_index_equals_a_sorted_list_after_any_changes() {
     let mut random = fastrand::Rng::with_seed(7);
     for size in [0u64, 1, 3, 600, 5_000] {
         let key = |number: u64| number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 52; // few keys: many are alike
@@ -38,7 +39,8 @@
     }
 }
 
-/// The list grows to fifty thousand backends. No part grows with it, so that a change stays cheap.
+/// Fifty thousand backends are listed one by one. A change touches one part of the index, so parts must stay small;
+/// if one grew with the list, each change at a large deployment would hold up all requests.
 #[test]
 fn no_part_grows_with_the_list() {
     let mut index = EndpointIndex::default();
