--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -28,7 +28,7 @@
                 target: "policy", request = request.id.0, claimed_plan, recorded_plan = observed.plan,
                 "hard limit evaded"
             );
-            return self.reject(request.id, RejectReason::OverQuota, Duration::MAX, actions);
+            return self.reject(request.id, RejectReason::HardLimitEvaded, Duration::MAX, actions);
         }
         if !self.passes_load_shedding(&request, observed.familiarity) {
             return self.reject(request.id, RejectReason::Shed, Duration::MAX, actions);
@@ -43,7 +43,12 @@
                 let draw = self.draw();
                 if self.quota.skips_grant_request(self.now, request.customer, draw) {
                     tracing::debug!(target: "policy", request = request.id.0, "grant request skipped");
-                    return self.reject(request.id, RejectReason::OverQuota, Duration::MAX, actions);
+                    return self.reject(
+                        request.id,
+                        RejectReason::GrantRequestSkipped,
+                        Duration::MAX,
+                        actions,
+                    );
                 }
                 self.requests.insert(RequestState { awaiting_grant: true, ..state });
                 self.await_grant(&request, scope, timing, actions);
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding: which customers are rejected under overload, in stages of rising severity.
 
 use super::pressure::{Pressure, LOW_PRESSURE};
-use crate::state::hash;
+use crate::state::{hash, Salt};
 use crate::{CustomerId, Duration, Instant, Plan};
 use std::fmt;
 
@@ -19,8 +19,8 @@
 const MIN_STAGE_TIME_DOWN: Duration = Duration::from_secs(2);
 /// How long the same customers are shed: longer than their clients retry.
 const SHEDDING_EPOCH: Duration = Duration::from_secs(10);
-/// Bits by which the number of the epoch is shifted before it is mixed with a customer's identifier.
-const EPOCH_SALT_SHIFT: u32 = 33;
+/// Mixes the number of the epoch into a customer's draw.
+const EPOCH_SALT: Salt = Salt::from_bit(33);
 /// Share of requests rejected for want of capacity that raises an alert while the pressure is not low.
 const ALERT_REJECTION_RATE: f64 = 0.05;
 /// Weight of one request in the rejection rate.
@@ -165,7 +165,7 @@
 /// A number from 0 to 1, the same for a customer at all gateways for an epoch.
 pub(crate) fn epoch_draw(now: Instant, customer: CustomerId) -> f64 {
     let epoch = now.period_index(SHEDDING_EPOCH);
-    hash(customer.0 ^ epoch << EPOCH_SALT_SHIFT)
+    hash(customer.0 ^ EPOCH_SALT.of(epoch))
 }
 
 #[cfg(test)]
--- a/src/policy/reasons.rs
+++ b/src/policy/reasons.rs
@@ -1,16 +1,21 @@
-//! Why the policy rejects, ejects or does not retry, as its log events tell.
+//! The reasons of rejections and ejections, as log lines spell them.
 
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// It names no class or plan that there is, or no number of units.
+    /// It names a class or a plan that does not exist, or a number of units that makes no sense.
     Invalid,
-    /// Too little time is left to hold, watch or serve it.
+    /// Too little time is left for it to be answered.
     NoTime,
-    /// Load shedding lets none of its kind in now.
+    /// Its customer is shed at the present stage of load shedding.
     Shed,
-    /// Its customer is over its quota, or no grant came.
+    /// Its customer has used its quota or its hard limit.
     OverQuota,
+    /// Its customer is far beyond its quota, and the owners of the quota are not asked for each of its requests.
+    GrantRequestSkipped,
+    /// It names a plan with a hard limit that is not the plan of its customer's record, by which the limit might
+    /// be exceeded.
+    HardLimitEvaded,
     /// The gateway has as much in flight and queued as it may.
     Saturated,
     /// It was queued for as long as it may be, or its attempts came to nothing.
@@ -22,6 +27,6 @@
 pub enum EjectionReason {
     /// Too many of its answers were failures.
     Failures,
-    /// It answers nobody.
+    /// It has answered no attempt of the class for too long.
     Silence,
 }
