--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -112,9 +112,9 @@
         receiver_incarnation == self.incarnation
     }
 
-    /// When a message of a peer last came: [`Instant::ZERO`] for never, none for a peer that has no record.
+    /// When a message of a peer last came.
     pub fn last_heard_at(&self, peer: u16) -> Option<Instant> {
-        self.peers.get(&peer).map(|peer| peer.last_heard_at)
+        self.peers.get(&peer).and_then(|peer| peer.last_heard_at)
     }
 
     /// Whether all other gateways are known, and started within a time of this one.
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -72,7 +72,7 @@
     /// Messages sent to it, wrapping.
     pub(super) sent_messages: u16,
     /// When a message was last received.
-    pub(super) last_heard_at: Instant,
+    pub(super) last_heard_at: Option<Instant>,
     /// When the next message may be sent.
     pub(super) next_send_at: Instant,
     /// Where in the outbox the last message ended.
@@ -86,11 +86,12 @@
     pub(super) fn receive(&mut self, incarnation: u32, sequence: u16, now: Instant) -> Receipt {
         let same_incarnation = incarnation == self.incarnation;
         let is_behind = sequence.wrapping_sub(self.last_sequence) as i16 <= 0;
-        let overtaken = is_behind && now < self.last_heard_at + MAX_MESSAGE_DELAY;
+        let heard_lately = self.last_heard_at.is_some_and(|heard_at| now < heard_at + MAX_MESSAGE_DELAY);
+        let overtaken = is_behind && heard_lately;
         if (same_incarnation && overtaken) || self.was_superseded_lately(incarnation, now) {
             return Receipt::Outdated;
         }
-        (self.last_sequence, self.last_heard_at) = (sequence, now);
+        (self.last_sequence, self.last_heard_at) = (sequence, Some(now));
         if same_incarnation {
             return Receipt::Current;
         }
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -38,7 +38,11 @@
         min_queue_time: MIN_QUEUE_TIME,
         plan,
         wait: TokenWait::default(),
-        grant: GrantStatus { is_quota_owner: false, grant_age, hard_limit_is_elsewhere: true },
+        grant: GrantStatus {
+            is_quota_owner: false,
+            grant_age: Some(grant_age),
+            hard_limit_is_elsewhere: true,
+        },
         ownership: QuotaOwnership::Designated,
     }
 }
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -67,16 +67,16 @@
     pub own_rate: f64,
     /// Attempts in flight from this gateway.
     pub in_flight: u32,
-    /// When a request or a report last named the customer; [`Instant::ZERO`] for never.
-    pub last_seen_at: Instant,
+    /// When a request or a report last named the customer.
+    pub last_seen_at: Option<Instant>,
     /// The gateways that add up the customer's usage.
     pub quota_owners: Vec<u16>,
     /// Whether this gateway is one of the owners.
     pub role: Role,
     /// The usage through all other gateways.
     pub remote: RemoteUsage,
-    /// When a grant last came, to a gateway that is not an owner; [`Instant::ZERO`] for never.
-    pub granted_at: Instant,
+    /// When a grant last came, to a gateway that is not an owner.
+    pub granted_at: Option<Instant>,
     /// The last request for a grant, and the requests that wait for it.
     pub grant_request: GrantRequest,
 }
@@ -124,7 +124,7 @@
     /// A gateway that sees little of the customer counts with a floor, so that its share of the tokens is
     /// never nothing.
     pub(super) fn own_share(&self, plan: &Plan) -> f64 {
-        let knows_others = self.role.is_owner() || self.granted_at > Instant::ZERO;
+        let knows_others = self.role.is_owner() || self.granted_at.is_some();
         let floor = if knows_others { MIN_OWN_RATE } else { 1.0 };
         let own_rate = self.own_rate.max(plan.rate / self.gateway_set.size.max(1.0) * floor);
         own_rate / (own_rate + self.remote.rate()).max(MIN_TOTAL_RATE)
@@ -165,7 +165,8 @@
     /// Whether the record has to be kept: a customer that comes again starts with full buckets.
     pub(super) fn must_be_kept(&self, plan: &Plan, now: Instant) -> bool {
         let in_use = self.in_flight > 0 || !self.grant_request.waiting.is_empty();
-        in_use || now.duration_since(self.last_seen_at) <= record_lifetime(plan, self.role)
+        let lifetime = record_lifetime(plan, self.role);
+        in_use || self.last_seen_at.is_some_and(|seen_at| now.duration_since(seen_at) <= lifetime)
     }
 
     /// A report of the usage, without a request for a grant. The level of the quota's bucket is included
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -62,8 +62,8 @@
 /// What was last asked of a customer's owners, and which requests wait for the answer.
 #[derive(Default)]
 pub(super) struct GrantRequest {
-    /// When the grant was requested; [`Instant::ZERO`] for never.
-    pub requested_at: Instant,
+    /// When the grant was requested.
+    pub requested_at: Option<Instant>,
     /// The units that it is requested for.
     pub units: f64,
     /// Whether this gateway's share of the hard limit lacks them, too.
@@ -79,7 +79,7 @@
 impl GrantRequest {
     /// Begins a new request for a grant, which nobody has answered.
     fn start(&mut self, now: Instant, units: f64, scope: GrantScope) {
-        self.requested_at = now;
+        self.requested_at = Some(now);
         self.units = units;
         self.needs_hard_limit = scope == GrantScope::QuotaAndHardLimit;
         self.answered_by.clear();
@@ -108,7 +108,9 @@
         let grant_request = &mut customer.grant_request;
         grant_request.waiting.push(request.id);
         let is_first = grant_request.waiting.len() == 1;
-        let is_old = now.duration_since(grant_request.requested_at) > MAX_GRANT_WAIT;
+        let is_old = grant_request
+            .requested_at
+            .is_none_or(|requested_at| now.duration_since(requested_at) > MAX_GRANT_WAIT);
         if !is_first && !is_old && timing == GrantTiming::WithOthers {
             return GrantRequestStep::AwaitAnswer;
         }
@@ -135,7 +137,7 @@
         self.settings.ownership.rations_grant_requests()
             && has_concurrency_quota
             && !customer.role.is_owner()
-            && is_recent(now, customer.granted_at)
+            && customer.granted_at.is_some_and(|granted_at| is_recent(now, granted_at))
             && draw * customer.remote.rate() > max_request_rate
     }
 
@@ -157,7 +159,8 @@
         }
         customer.grant_request.answered_by.push(from);
         // Units of the hard limit are for a request that waits: kept longer, they would overfill the bucket.
-        if now.duration_since(customer.grant_request.requested_at) < HARD_LIMIT_GRANT_LIFETIME {
+        let requested_at = customer.grant_request.requested_at;
+        if requested_at.is_some_and(|at| now.duration_since(at) < HARD_LIMIT_GRANT_LIFETIME) {
             customer.hard_limit.granted += grant.hard_limit_grant;
         }
         let answers = if customer.hard_limit_owners_answered(own_id) {
@@ -178,7 +181,7 @@
     /// Sets the bucket to what an owner says, less the usage that the owner cannot know of yet.
     fn apply_grant(&mut self, plan: &Plan, grant: &QuotaGrant, now: Instant) {
         self.remote.replace(grant.remote_rate, u32::from(grant.remote_in_flight));
-        self.granted_at = now;
+        self.granted_at = Some(now);
         let unreported_units = wrapping_delta(grant.receiver_total, wrap_total(self.total_units));
         self.bucket.set(grant.tokens - unreported_units);
         // What the owner granted it has charged, too: it need not be reported again.
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -28,8 +28,8 @@
 pub(crate) struct GrantStatus {
     /// Whether this gateway owns the customer's quota, and needs no grant.
     pub is_quota_owner: bool,
-    /// The time since the last grant.
-    pub grant_age: Duration,
+    /// The time since the last grant; none where none came.
+    pub grant_age: Option<Duration>,
     /// Whether another gateway could grant units of the hard limit.
     pub hard_limit_is_elsewhere: bool,
 }
@@ -61,13 +61,13 @@
         };
         let own_id = self.settings.own_id;
         let customer = self.record_identity(now, request.customer, &claim);
-        let is_unseen = customer.last_seen_at == Instant::ZERO
-            || now.duration_since(customer.last_seen_at) > CUSTOMER_IDLE_TIME;
-        customer.last_seen_at = now;
+        let is_unseen =
+            customer.last_seen_at.is_none_or(|seen_at| now.duration_since(seen_at) > CUSTOMER_IDLE_TIME);
+        customer.last_seen_at = Some(now);
         let familiarity = if is_unseen { Familiarity::Unseen } else { Familiarity::Known };
         let grant = GrantStatus {
             is_quota_owner: customer.role.is_owner(),
-            grant_age: now.duration_since(customer.granted_at),
+            grant_age: customer.granted_at.map(|granted_at| now.duration_since(granted_at)),
             hard_limit_is_elsewhere: customer.hard_limit.owners != [own_id; HARD_LIMIT_OWNERS],
         };
         ObservedCustomer { plan: customer.plan as u16, familiarity, grant }
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -66,7 +66,8 @@
     ) -> Option<UsageReport> {
         let own_id = self.settings.own_id;
         let (customer, plan) = self.refill(id, now)?;
-        let was_granted_lately = now.duration_since(customer.granted_at) < LEVEL_FRESHNESS;
+        let was_granted_lately =
+            customer.granted_at.is_some_and(|granted_at| now.duration_since(granted_at) < LEVEL_FRESHNESS);
         let is_level_known = customer.role.is_owner() || was_granted_lately;
         // One of the two is drawn to grant units of the hard limit: two grants would waste one.
         let draw = hash(now.as_micros() ^ id.0);
@@ -123,7 +124,9 @@
         let mut unreported = Vec::new();
         for (id, customer) in &mut self.customers {
             customer.remote.forget(peer);
-            let is_active = now.duration_since(customer.last_seen_at) < ACTIVE_CUSTOMER_TIME;
+            let is_active = customer
+                .last_seen_at
+                .is_some_and(|seen_at| now.duration_since(seen_at) < ACTIVE_CUSTOMER_TIME);
             if reports_again && is_active && customer.quota_owners.contains(&peer) {
                 unreported.push(*id);
             }
--- a/src/policy/quota/token_wait.rs
+++ b/src/policy/quota/token_wait.rs
@@ -76,7 +76,7 @@
         let units = facts.request.units;
         let usage_known = ownership.knows_usage_without_grant()
             || customer.role.is_owner()
-            || is_recent(facts.now, customer.granted_at);
+            || customer.granted_at.is_some_and(|granted_at| is_recent(facts.now, granted_at));
         // Peers have used some units since their last reports.
         let unreported_units =
             customer.remote.rate() * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND;
@@ -131,7 +131,7 @@
         started_at: Instant,
         last_heard_at: impl Fn(u16) -> Option<Instant>,
     ) -> bool {
-        if self.grant_request.requested_at == Instant::ZERO {
+        if self.grant_request.requested_at.is_none() {
             return false;
         }
         let draw = hash(facts.request.id.0 ^ START_SALT.of(started_at.as_micros()));
--- a/src/policy/quota/token_wait/tests.rs
+++ b/src/policy/quota/token_wait/tests.rs
@@ -45,7 +45,7 @@
 /// one earns.
 #[test]
 fn an_owner_that_is_alive_but_does_not_answer_is_overloaded() {
-    let grant_request = GrantRequest { requested_at: NOW, ..GrantRequest::default() };
+    let grant_request = GrantRequest { requested_at: Some(NOW), ..GrantRequest::default() };
     let customer = Customer { quota_owners: vec![1], grant_request, ..Customer::default() };
     let costly = Plan { over_quota_cost: 3.0, ..plan() };
     let rejected = |customer: &Customer, heard: Option<Instant>| {
@@ -73,6 +73,6 @@
     let remote = RemoteUsage::with_rate(9.5);
     let unknown = Customer { remote, gateway_set: set, ..Customer::default() };
     assert_eq!(unknown.own_share(&plan()), 5.0 / 14.5);
-    let known = Customer { granted_at: NOW, ..unknown };
+    let known = Customer { granted_at: Some(NOW), ..unknown };
     assert_eq!(known.own_share(&plan()), 0.5 / 10.0);
 }
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -47,7 +47,7 @@
         if customer.plan != usize::from(report.plan) || !customer.role.is_owner() {
             return None;
         }
-        customer.last_seen_at = customer.last_seen_at.max(now);
+        customer.last_seen_at = customer.last_seen_at.max(Some(now));
         let known_usage = customer.remote.of_gateway(from);
         let mut usage = known_usage.unwrap_or_default();
         customer.reset_forgotten_total(plan, &mut usage, now, from, report);
