--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -37,14 +37,7 @@
         encode: impl FnOnce(&mut Vec<u8>),
     ) -> Option<AssignedConnection> {
         let now = stated_timeout.stated_at;
-        if let Err(refusal) = self.may_assign(backend) {
-            let (request, number) = (attempt.request.0, attempt.number);
-            tracing::debug!(target: "attempt", request, attempt = number, backend = backend.0, ?refusal, "not sent");
-            let result = ExchangeResult::without_reply(Outcome::NotSent);
-            self.push_completion(attempt, backend, now, result);
-            return None;
-        }
-        let key = match self.acquire(registry, backend, now) {
+        let key = match self.connection_for(registry, backend, attempt, now) {
             Ok(key) => key,
             Err(outcome) => {
                 self.push_completion(attempt, backend, now, ExchangeResult::without_reply(outcome));
@@ -65,6 +58,28 @@
     }
 
     /// The attempt on a connection if nothing of its command is written yet.
+    /// The key of a connection for an attempt; the error is the attempt's outcome.
+    fn connection_for(
+        &mut self,
+        registry: &Registry,
+        backend: BackendId,
+        attempt: AttemptId,
+        now: Instant,
+    ) -> Result<usize, Outcome> {
+        if let Err(refusal) = self.may_assign(backend) {
+            tracing::debug!(
+                target: "attempt",
+                request = attempt.request.0,
+                attempt = attempt.number,
+                backend = backend.0,
+                ?refusal,
+                "not sent"
+            );
+            return Err(Outcome::NotSent);
+        }
+        self.acquire(registry, backend, now)
+    }
+
     pub fn not_yet_written(&self, key: usize) -> Option<AttemptId> {
         self.connections
             .get(key)
