--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,8 +1,8 @@
 //! Checks the invariants of `docs/INVARIANTS.md` while the program runs.
 //!
-//! The host reports what it did to an [`Auditor`] and to the [`RequestAudit`] of each request; neither decides anything.
-//! A violation is counted by its kind, and logged by the host unless one of its kind was logged a moment ago. The cost
-//! of an event does not depend on the number of backends, peers or customers.
+//! The host reports what it did to an [`Auditor`] and to the [`RequestAudit`] of each request; neither
+//! decides anything. A violation is counted by its kind, and logged by the host unless one of its kind was
+//! logged a moment ago. The cost of an event does not depend on the number of backends, peers or customers.
 
 mod request;
 mod violation;
--- a/src/audit/request.rs
+++ b/src/audit/request.rs
@@ -84,15 +84,16 @@
         checks.into_iter().filter(|(violated, _)| *violated).map(|(_, kind)| kind).collect()
     }
 
-    /// Whether backends may have forgotten the idempotency key of an earlier attempt that may have been executed.
+    /// Whether backends may have forgotten the idempotency key of an earlier attempt that may have been
+    /// executed.
     fn is_key_expired(&self, now: Instant) -> bool {
         let Idempotency::Keyed { window, .. } = self.idempotency else { return false };
         let first = self.begun.iter().find(|earlier| earlier.may_have_executed);
         first.is_some_and(|first| now > first.begun_at + window)
     }
 
-    /// Whether the backend at a location does not know the idempotency key of an earlier attempt that may have been
-    /// executed.
+    /// Whether the backend at a location does not know the idempotency key of an earlier attempt that may
+    /// have been executed.
     fn is_key_unknown_at(&self, location: Option<Location>) -> bool {
         let Idempotency::Keyed { scope, .. } = self.idempotency else { return false };
         let first = self.begun.iter().find(|earlier| earlier.may_have_executed);
@@ -105,7 +106,8 @@
         self.begun.iter().any(|attempt| attempt.may_have_executed)
     }
 
-    /// Records how an attempt has ended, and returns what that violates. An attempt that never began has no record.
+    /// Records how an attempt has ended, and returns what that violates. An attempt that never began has no
+    /// record.
     pub fn attempt_ended(&mut self, number: u16, outcome: Outcome) -> Option<ViolationKind> {
         let attempt = self.begun.iter_mut().find(|attempt| attempt.number == number)?;
         let was_in_flight = std::mem::replace(&mut attempt.in_flight, false);
--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, or whose reply is not completed in time. Called at intervals.
+    /// Closes connections that have been idle for too long, or whose reply is not completed in time. Called
+    /// at intervals.
     pub fn sweep(&mut self, now: Instant) {
         self.idle_reuse.decay();
         self.close_expired(now);
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest, to free its descriptor. Returns false if none is idle.
+    /// Closes the connection that has been idle for longest, to free its descriptor. Returns false if none is
+    /// idle.
     pub fn close_longest_idle(&mut self) -> bool {
         let idle = self.connections.iter().filter(|(_, connection)| connection.attempt.is_none());
         let longest = idle.min_by_key(|(_, connection)| (connection.state_since, connection.serial));
--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -135,8 +135,9 @@
 
     /// Whether an idle connection is open and has no unread bytes.
     ///
-    /// A duplicate reply would be taken for the reply to the next command, since replies carry no id, and a command on a
-    /// connection that the backend has closed would fail. The read detects both right before the connection is used.
+    /// A duplicate reply would be taken for the reply to the next command, since replies carry no id, and a
+    /// command on a connection that the backend has closed would fail. The read detects both right before the
+    /// connection is used.
     pub fn is_quiet(&mut self) -> bool {
         let read = self.stream.read(&mut [0]);
         read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -11,7 +11,8 @@
 use ingress::{BackendId, Duration, Instant, Outcome};
 use mio::Registry;
 
-/// The most bytes of a reply. The parser rejects a reply far earlier; this limits the reads of an iteration in any case.
+/// The most bytes of a reply. The parser rejects a reply far earlier; this limits the reads of an iteration
+/// in any case.
 const MAX_REPLY_BYTES: usize = 256 * 1024;
 /// A failure this soon after the assignment of an attempt means that the connection was dead before.
 const IMMEDIATE_FAILURE: Duration = Duration::from_millis(10);
@@ -26,8 +27,8 @@
 }
 
 impl Backends {
-    /// Assigns an attempt to a connection, and writes the command that `encode` appends. Returns none if that has failed;
-    /// the end of the attempt is among the completions then.
+    /// Assigns an attempt to a connection, and writes the command that `encode` appends. Returns none if that
+    /// has failed; the end of the attempt is among the completions then.
     pub fn assign(
         &mut self,
         registry: &Registry,
@@ -57,7 +58,6 @@
         Some(AssignedConnection { connection: id, command })
     }
 
-    /// The attempt on a connection if nothing of its command is written yet.
     /// The key of a connection for an attempt; the error is the attempt's outcome.
     fn connection_for(
         &mut self,
@@ -80,6 +80,7 @@
         self.acquire(registry, backend, now)
     }
 
+    /// The attempt on a connection if nothing of its command is written yet.
     pub fn not_yet_written(&self, key: usize) -> Option<AttemptId> {
         self.connections
             .get(key)
@@ -87,7 +88,8 @@
             .and_then(|connection| connection.attempt)
     }
 
-    /// Replaces a command of which nothing is written yet by the one that `encode` appends, with another stated timeout.
+    /// Replaces a command of which nothing is written yet by the one that `encode` appends, with another
+    /// stated timeout.
     pub fn rewrite_command(
         &mut self,
         key: usize,
@@ -107,14 +109,14 @@
         self.connections.get(id.key).filter(|connection| connection.serial == id.serial)
     }
 
-    /// Whether a connection is open and its command not completely written, so that the backend cannot have begun to
-    /// execute it.
+    /// Whether a connection is open and its command not completely written, so that the backend cannot have
+    /// begun to execute it.
     pub fn is_unsent(&self, id: ConnectionId) -> bool {
         self.connection(id).is_some_and(|connection| connection.command_state() == CommandState::Unsent)
     }
 
-    /// Closes a connection if it is still open and carries this attempt, and returns how much of the command was written.
-    /// There is no completion: the caller accounts for the end of the attempt.
+    /// Closes a connection if it is still open and carries this attempt, and returns how much of the command
+    /// was written. There is no completion: the caller accounts for the end of the attempt.
     pub fn cancel(&mut self, id: ConnectionId, attempt: AttemptId) -> Option<CommandState> {
         let connection = self.connection(id)?;
         if connection.attempt != Some(attempt) {
@@ -125,10 +127,11 @@
         Some(command)
     }
 
-    /// Ends an attempt whose connection is not established, or whose command is not completely written, in time.
+    /// Ends an attempt whose connection is not established, or whose command is not completely written, in
+    /// time.
     ///
-    /// A command that is written later might reach the backend after the window of its idempotency key, and be executed
-    /// twice. The policy relies on this timeout when it judges the window.
+    /// A command that is written later might reach the backend after the window of its idempotency key, and
+    /// be executed twice. The policy relies on this timeout when it judges the window.
     pub fn on_connect_timeout(&mut self, id: ConnectionId, attempt: AttemptId) {
         let carries_attempt =
             self.connection(id).is_some_and(|connection| connection.attempt == Some(attempt));
@@ -138,7 +141,8 @@
         }
     }
 
-    /// Reads from a ready connection, and writes to it if it is writable. If it becomes idle, it does so at `now`.
+    /// Reads from a ready connection, and writes to it if it is writable. If it becomes idle, it does so at
+    /// `now`.
     pub fn on_ready(&mut self, key: usize, now: Instant, readiness: Readiness) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         if readiness == Readiness::Writable {
@@ -233,8 +237,8 @@
         self.remove(key, reason);
     }
 
-    /// Records the end of the attempt on a connection, if it carries one. Without `ended_at` a failure does not count
-    /// against the reuse of idle connections.
+    /// Records the end of the attempt on a connection, if it carries one. Without `ended_at` a failure does
+    /// not count against the reuse of idle connections.
     pub(super) fn complete(&mut self, key: usize, result: ExchangeResult, ended_at: Option<Instant>) {
         let connection = &self.connections[key];
         let Some(attempt) = connection.attempt else { return };
@@ -266,8 +270,8 @@
     }
 }
 
-/// The result of the reuse of a connection whose attempt has ended with this outcome; none if it shows nothing about the
-/// idle time before.
+/// The result of the reuse of a connection whose attempt has ended with this outcome; none if it shows
+/// nothing about the idle time before.
 fn idle_reuse(connection: &Connection, outcome: Outcome, ended_at: Option<Instant>) -> Option<IdleReuse> {
     if !matches!(outcome, Outcome::Reset | Outcome::ConnectFailed) {
         return Some(IdleReuse::Alive);
--- a/src/bin/ingress/backends/idle_reuse.rs
+++ b/src/bin/ingress/backends/idle_reuse.rs
@@ -38,9 +38,9 @@
 
 /// Counts the results of reuses by the idle time before them.
 ///
-/// On some networks a connection is dead after a fraction of a second without traffic. That shows only once a command is
-/// written, which then counts as possibly executed and often cannot be retried. So idle times after which many reuses
-/// fail are avoided.
+/// On some networks a connection is dead after a fraction of a second without traffic. That shows only once a
+/// command is written, which then counts as possibly executed and often cannot be retried. So idle times
+/// after which many reuses fail are avoided.
 #[derive(Default)]
 pub struct IdleReuseTracker {
     /// By the binary logarithm of the idle milliseconds.
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -20,11 +20,11 @@
 pub const BUFFER_SIZE: usize = 32 * 1024;
 /// The least time for which a connection is idle after a reply.
 ///
-/// A duplicate reply would be taken for the reply to the next command, since replies carry no id. It arrives some
-/// milliseconds after the first one, so it is found before the connection is reused.
+/// A duplicate reply would be taken for the reply to the next command, since replies carry no id. It arrives
+/// some milliseconds after the first one, so it is found before the connection is reused.
 pub const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
-/// Idle connections are closed after four fifths of the backends' keep-alive timeout. If both ends closed them at the
-/// same time, a command could be written to a connection that the backend is closing.
+/// Idle connections are closed after four fifths of the backends' keep-alive timeout. If both ends closed
+/// them at the same time, a command could be written to a connection that the backend is closing.
 const IDLE_TIME_FACTOR: u64 = 4;
 /// See [`IDLE_TIME_FACTOR`].
 const IDLE_TIME_DIVISOR: u64 = 5;
@@ -65,8 +65,8 @@
 }
 
 impl Backends {
-    /// Without any backend. Backends close connections that have been idle for `keepalive_timeout`; `token` returns the
-    /// poll's token of the connection with a key.
+    /// Without any backend. Backends close connections that have been idle for `keepalive_timeout`; `token`
+    /// returns the poll's token of the connection with a key.
     pub fn new(keepalive_timeout: Duration, token: fn(usize) -> Token) -> Self {
         Backends {
             connections: Slab::new(),
@@ -97,7 +97,8 @@
         self.connections.len()
     }
 
-    /// Applies the addresses and availabilities of an endpoint list, and returns the backends that are no longer listed.
+    /// Applies the addresses and availabilities of an endpoint list, and returns the backends that are no
+    /// longer listed.
     pub fn update_endpoints(&mut self, endpoints: &EndpointList) -> Vec<BackendId> {
         let mut removed = self.missing_backends(endpoints);
         let mut closed_to_new_work = HashSet::new();
@@ -138,8 +139,8 @@
         self.pools.get(&entry.endpoint.backend).is_some_and(|pool| pool.address != entry.address)
     }
 
-    /// Ends attempts of which nothing is written yet at backends that take no new work: they would begin once their
-    /// connections are established, perhaps at another backend with the same address.
+    /// Ends attempts of which nothing is written yet at backends that take no new work: they would begin once
+    /// their connections are established, perhaps at another backend with the same address.
     fn cancel_unsent(&mut self, closed_to_new_work: &HashSet<BackendId>) {
         let is_unsent = |connection: &Connection| {
             connection.is_not_yet_written() && closed_to_new_work.contains(&connection.backend)
@@ -160,7 +161,8 @@
         may_send_to(self.pools.get(&backend).map(|pool| pool.availability))
     }
 
-    /// Whether an attempt at a backend would need a new connection. `now` is the exact time, not that of the tick.
+    /// Whether an attempt at a backend would need a new connection. `now` is the exact time, not that of the
+    /// tick.
     pub fn needs_connection(&self, backend: BackendId, now: Instant) -> bool {
         self.pools.get(&backend).is_some_and(|pool| self.newest_reusable(pool, now).is_none())
     }
@@ -173,7 +175,8 @@
         pool.idle.iter().rposition(|key| may_reuse_connection(idle_time(*key), limits).is_ok())
     }
 
-    /// Takes an idle connection to a backend or opens a new one, and returns its key; the error is the attempt's outcome.
+    /// Takes an idle connection to a backend or opens a new one, and returns its key; the error is the
+    /// attempt's outcome.
     pub(super) fn acquire(
         &mut self,
         registry: &Registry,
@@ -186,7 +189,8 @@
         }
     }
 
-    /// Takes the newest idle connection to a backend that may be reused, and closes those that turn out to be unusable.
+    /// Takes the newest idle connection to a backend that may be reused, and closes those that turn out to be
+    /// unusable.
     fn take_idle(&mut self, backend: BackendId, now: Instant) -> Option<usize> {
         loop {
             let position = self.newest_reusable(self.pools.get(&backend)?, now)?;
@@ -201,7 +205,8 @@
         }
     }
 
-    /// Begins to open a connection to a backend. A shortage of sockets on this machine is no failure of the backend's.
+    /// Begins to open a connection to a backend. A shortage of sockets on this machine is no failure of the
+    /// backend's.
     fn connect(&mut self, registry: &Registry, backend: BackendId, now: Instant) -> Result<usize, Outcome> {
         let address = self.pools.get(&backend).and_then(|pool| pool.address).ok_or(Outcome::ConnectFailed)?;
         let mut stream = TcpStream::connect(address).map_err(|error| {
@@ -224,7 +229,8 @@
         Ok(key)
     }
 
-    /// Returns a connection whose attempt has ended to its backend's pool, unless the backend has another address by now.
+    /// Returns a connection whose attempt has ended to its backend's pool, unless the backend has another
+    /// address by now.
     pub(super) fn release(&mut self, key: usize, now: Instant) -> Usability {
         let connection = &mut self.connections[key];
         let Some(pool) = self.pools.get_mut(&connection.backend) else { return Usability::Unusable };
--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -1,8 +1,8 @@
-//! The connections of clients: accepts them, parses their commands, and sends each its replies in the order of its
-//! requests.
+//! The connections of clients: accepts them, parses their commands, and sends each its replies in the order
+//! of its requests.
 //!
-//! Memory, descriptors and time are limited for each connection and for all together, so that no client can exhaust
-//! what the others need.
+//! Memory, descriptors and time are limited for each connection and for all together, so that no client can
+//! exhaust what the others need.
 
 mod accepting;
 mod closing;
@@ -136,19 +136,21 @@
     unregistered: Option<TcpStream>,
     /// The earliest time at which the input of this iteration can have arrived.
     arrival_time: Instant,
-    /// Since when connections may be waiting to be accepted; none if the queue was empty when it was last read.
+    /// Since when connections may be waiting to be accepted; none if the queue was empty when it was last
+    /// read.
     queued_since: Option<Instant>,
     /// Since when every attempt to accept a connection has failed.
     accept_failing_since: Option<Instant>,
     /// The number of closed connections by reason.
     close_counts: [u64; CloseReason::ALL.len()],
-    /// Connections that this side has closed with replies owed, each with one request without a reply. Such a close
-    /// violates an invariant.
+    /// Connections that this side has closed with replies owed, each with one request without a reply. Such a
+    /// close violates an invariant.
     abandoned: Vec<Option<RequestId>>,
 }
 
 impl Clients {
-    /// Accepts from a listener that is registered already; `memory_limit` is the most bytes of all connections together.
+    /// Accepts from a listener that is registered already; `memory_limit` is the most bytes of all
+    /// connections together.
     pub fn new(
         listener: TcpListener,
         schema: CommandSchema,
@@ -223,7 +225,8 @@
         counts.filter(|(_, count)| *count > 0)
     }
 
-    /// Takes the connections that this side has closed with replies owed, each with one request without a reply.
+    /// Takes the connections that this side has closed with replies owed, each with one request without a
+    /// reply.
     pub fn take_abandoned(&mut self) -> Vec<Option<RequestId>> {
         std::mem::take(&mut self.abandoned)
     }
--- a/src/bin/ingress/clients/accepting.rs
+++ b/src/bin/ingress/clients/accepting.rs
@@ -9,11 +9,12 @@
 
 /// The most connections accepted in an iteration.
 const MAX_ACCEPTS_PER_ITERATION: usize = 64;
-/// How long accepting has to fail before idle connections are closed: several retries, since a failure may be transient.
+/// How long accepting has to fail before idle connections are closed: several retries, since a failure may be
+/// transient.
 const MIN_ACCEPT_FAILURE_TIME: Duration = Duration::from_millis(100);
 
-/// Whether an error of accepting concerns only the connection that was to be accepted: Linux also reports errors of the
-/// connection itself.
+/// Whether an error of accepting concerns only the connection that was to be accepted: Linux also reports
+/// errors of the connection itself.
 fn concerns_one_connection(error: &io::Error) -> bool {
     use ErrorKind::{
         ConnectionAborted, HostUnreachable, Interrupted, NetworkDown, NetworkUnreachable, TimedOut,
@@ -72,8 +73,8 @@
         listener.accept().map(|(stream, _)| stream)
     }
 
-    /// Handles a lack of descriptors or memory in spite of the limits. The caller retries a little later; if accepting goes
-    /// on failing, an idle connection is closed.
+    /// Handles a lack of descriptors or memory in spite of the limits. The caller retries a little later; if
+    /// accepting goes on failing, an idle connection is closed.
     fn on_accept_failure(&mut self, now: Instant) {
         let failing_since = *self.accept_failing_since.get_or_insert(now);
         if now >= failing_since + MIN_ACCEPT_FAILURE_TIME {
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -50,8 +50,8 @@
 struct IdleCloseOrder {
     /// It has sent a command, or is active in this iteration. Others are closed first.
     ///
-    /// A descriptor is freed before it is known whether a client waits for it, so a connection that was accepted in this
-    /// iteration would be closed before its first command has arrived.
+    /// A descriptor is freed before it is known whether a client waits for it, so a connection that was
+    /// accepted in this iteration would be closed before its first command has arrived.
     has_priority: bool,
     /// When it was last active.
     last_active_at: Instant,
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Closes connections as soon as they are idle, from now on. While connections are still accepted, those that have not
-    /// sent a command yet stay open.
+    /// Closes connections as soon as they are idle, from now on. While connections are still accepted, those
+    /// that have not sent a command yet stay open.
     pub fn drain(&mut self, now: Instant, accepting: Accepting) {
         self.draining = true;
         if accepting == Accepting::Stop {
@@ -105,7 +105,8 @@
             return;
         }
         for key in self.keys_of(|connection| connection.is_linger_over(now)) {
-            // A client over the limit may have sent its request by now. It is answered first, and closed by the next call.
+            // A client over the limit may have sent its request by now. It is answered first, and closed by
+            // the next call.
             self.read(key, now);
             let connection = self.connections.get(key);
             if connection.is_some_and(|connection| connection.is_shut_down() || connection.output.is_empty())
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Closes connections that send nothing, leave a command incomplete or read nothing for too long, since they use
-    /// descriptors and memory.
+    /// Closes connections that send nothing, leave a command incomplete or read nothing for too long, since
+    /// they use descriptors and memory.
     fn close_timed_out(&mut self, now: Instant) {
         let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
         let not_reading = self.keys_of(|connection| connection.output.is_timed_out(now));
@@ -157,8 +158,8 @@
 
     /// Closes an idle connection, unless a command has arrived on it meanwhile.
     ///
-    /// A request in the socket's buffer would be lost with the connection: its client would see a close in place of a
-    /// reply. So the buffer is read to its end right before the close.
+    /// A request in the socket's buffer would be lost with the connection: its client would see a close in
+    /// place of a reply. So the buffer is read to its end right before the close.
     fn close_if_still_idle(&mut self, key: usize, now: Instant, reason: CloseReason) {
         self.read(key, now);
         if self.connections.get(key).is_some_and(Connection::is_idle) {
@@ -186,15 +187,16 @@
         self.lingering_count -= usize::from(connection.linger_until.is_some());
         self.over_limit_count -= usize::from(connection.over_limit);
         self.memory.release(&connection);
-        // The latest first: otherwise the end of an earlier request would start a later one of this client, only for it
-        // to be cancelled.
+        // The latest first: otherwise the end of an earlier request would start a later one of this client,
+        // only for it to be cancelled.
         let pending = connection.replies.pending_latest_first();
         let disconnected: Vec<ClientEvent> = pending.map(ClientEvent::Disconnected).collect();
         if !disconnected.is_empty() {
             // Commands that were not handled yet are dropped.
-            self.events.retain(|event| {
-                !matches!(event, ClientEvent::Command { reply_to, .. } if reply_to.serial == connection.serial)
-            });
+            let serial = connection.serial;
+            self.events.retain(
+                |event| !matches!(event, ClientEvent::Command { reply_to, .. } if reply_to.serial == serial),
+            );
             self.events.extend(disconnected);
         }
     }
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -10,8 +10,8 @@
 use mio::net::TcpStream;
 use std::net::Shutdown;
 
-/// The most replies that a connection may be owed before reading from it pauses. All clients together, sending and never
-/// reading, must fit in the memory.
+/// The most replies that a connection may be owed before reading from it pauses. All clients together,
+/// sending and never reading, must fit in the memory.
 const MAX_PENDING_REPLIES: usize = 256;
 /// The most bytes of unread replies of a connection before reading from it pauses.
 const MAX_UNREAD_BYTES: usize = 64 * 1024;
@@ -51,13 +51,15 @@
     pub accounted_memory: usize,
     /// The latest of its acceptance, its last command, and the time when all its replies were written.
     pub last_active_at: Instant,
-    /// When the incomplete command in `input` began to arrive; before the first command, when the connection was accepted.
+    /// When the incomplete command in `input` began to arrive; before the first command, when the connection
+    /// was accepted.
     command_started_at: Instant,
     /// Rejected commands since the last valid one.
     consecutive_errors: u32,
     /// The state of closing it.
     close_state: CloseState,
-    /// When it is closed even if the client has not closed its end. A connection over the limit has this from the start.
+    /// When it is closed even if the client has not closed its end. A connection over the limit has this from
+    /// the start.
     pub linger_until: Option<Instant>,
     /// It was accepted over the limit: its first request is rejected.
     pub over_limit: bool,
@@ -157,7 +159,8 @@
     /// Appends received bytes to the input.
     pub fn receive(&mut self, bytes: &[u8], now: Instant) {
         if self.is_closing() {
-            // Reading and discarding them prevents a reset by the kernel, which would lose the client's last replies.
+            // Reading and discarding them prevents a reset by the kernel, which would lose the client's last
+            // replies.
             return self.extend_lingering(now);
         }
         if self.input.is_empty() && self.has_sent_command() {
@@ -222,8 +225,8 @@
         self.close_state == CloseState::Closing && !self.is_busy()
     }
 
-    /// Shuts down the sending side and leaves the connection open for a while. If it were closed at once, input that is
-    /// still arriving would reset it, and the client would lose its last replies.
+    /// Shuts down the sending side and leaves the connection open for a while. If it were closed at once,
+    /// input that is still arriving would reset it, and the client would lose its last replies.
     pub fn start_lingering_close(&mut self, now: Instant) {
         let _ = self.stream.shutdown(Shutdown::Write);
         self.close_state = CloseState::ShutDown;
--- a/src/bin/ingress/clients/memory.rs
+++ b/src/bin/ingress/clients/memory.rs
@@ -40,9 +40,9 @@
 impl Clients {
     /// Accounts for the memory of a connection, and closes connections while the limit of all is exceeded.
     ///
-    /// The limits of single connections do not bound their sum. The connection that takes the most is closed, of those
-    /// that wait for their clients: with an error if it has an incomplete command. A connection with replies that the
-    /// ingress has not written yet is not closed.
+    /// The limits of single connections do not bound their sum. The connection that takes the most is closed,
+    /// of those that wait for their clients: with an error if it has an incomplete command. A connection with
+    /// replies that the ingress has not written yet is not closed.
     pub(super) fn enforce_memory_limit(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         self.memory.account(connection);
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -72,8 +72,9 @@
 
     /// Reads from a connection and parses its commands, up to the limit of an iteration.
     ///
-    /// A request would be lost if reading ended after a short read: the poll reports each arrival once, and a short read
-    /// does not mean that the socket is empty. Only a read that would block ends the loop before its limit.
+    /// A request would be lost if reading ended after a short read: the poll reports each arrival once, and a
+    /// short read does not mean that the socket is empty. Only a read that would block ends the loop before
+    /// its limit.
     fn read_and_parse(&mut self, key: usize, now: Instant) {
         for _ in 0..MAX_READS_PER_ITERATION {
             if self.parse_commands(key, now) == Intake::Paused {
@@ -121,7 +122,8 @@
         loop {
             let connection = &mut self.connections[key];
             if connection.is_closing() {
-                parsed = connection.input.len(); // Input after the last command that gets a reply is discarded.
+                // Input after the last command that gets a reply is discarded.
+                parsed = connection.input.len();
             }
             if connection.is_backlogged() || parsed >= connection.input.len() {
                 break;
--- a/src/bin/ingress/clients/reply_queue.rs
+++ b/src/bin/ingress/clients/reply_queue.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Sets the reply at a sequence number, and moves the replies that wait for no earlier one to `out`; false if the
-    /// reply has left the queue before.
+    /// Sets the reply at a sequence number, and moves the replies that wait for no earlier one to `out`;
+    /// false if the reply has left the queue before.
     pub fn complete(&mut self, sequence: u64, reply: &[u8], out: &mut Vec<u8>) -> bool {
         let Some(index) = sequence.checked_sub(self.first_sequence) else { return false };
         let index = index as usize;
--- a/src/bin/ingress/command.rs
+++ b/src/bin/ingress/command.rs
@@ -1,5 +1,5 @@
-//! The `CALL` commands: strictly parsed as clients send them, and encoded again for a backend with the attempt's own
-//! timeout.
+//! The `CALL` commands: strictly parsed as clients send them, and encoded again for a backend with the
+//! attempt's own timeout.
 
 mod error;
 mod options;
@@ -76,7 +76,8 @@
 }
 
 impl Command {
-    /// Parses a command from its arguments' places in `buffer`, the verb first; `None` if the verb is another one.
+    /// Parses a command from its arguments' places in `buffer`, the verb first; `None` if the verb is another
+    /// one.
     pub fn parse(
         buffer: &[u8],
         arguments: &[Range<usize>],
--- a/src/bin/ingress/command/options.rs
+++ b/src/bin/ingress/command/options.rs
@@ -1,6 +1,7 @@
 //! Parsing a command's customer, id and options.
 //!
-//! This is the one place that knows the names of the options. Options that are not listed are the backend's concern.
+//! This is the one place that knows the names of the options. Options that are not listed are the backend's
+//! concern.
 //!
 //! | option | term in the code |
 //! | --- | --- |
@@ -158,8 +159,8 @@
         Ok(())
     }
 
-    /// The request's units and gateway set, checked against the settings: a number out of range must reach neither the
-    /// customer's record in the gateway nor a backend.
+    /// The request's units and gateway set, checked against the settings: a number out of range must reach
+    /// neither the customer's record in the gateway nor a backend.
     pub fn quota_parameters(&self, schema: &CommandSchema) -> Result<QuotaParameters, CommandError> {
         let units = self.units.ok_or(CommandError::MissingOption(name::UNITS))?;
         let gateway_set_size =
--- a/src/bin/ingress/command/template.rs
+++ b/src/bin/ingress/command/template.rs
@@ -11,7 +11,8 @@
 /// The number of arguments before the options.
 const ARGUMENTS_BEFORE_OPTIONS: usize = 3;
 
-/// An encoded command without the two parts that depend on the timeout: the length of the options, and the timeout.
+/// An encoded command without the two parts that depend on the timeout: the length of the options, and the
+/// timeout.
 #[derive(Debug)]
 pub struct CommandTemplate {
     /// The range of the request's id.
--- a/src/bin/ingress/config.rs
+++ b/src/bin/ingress/config.rs
@@ -1,6 +1,7 @@
 //! The configuration file and the environment variables that override it.
 //!
-//! The keys of `settings` are [`SettingsReader`]'s concern. Of the others, these differ from the terms in the code:
+//! The keys of `settings` are [`SettingsReader`]'s concern. Of the others, these differ from the terms in the
+//! code:
 //!
 //! | key | term in the code |
 //! | --- | --- |
--- a/src/bin/ingress/config/error.rs
+++ b/src/bin/ingress/config/error.rs
@@ -1,5 +1,5 @@
-//! Why a configuration is rejected. Every text names the key at fault; the text of a source is not repeated in that
-//! of the error around it.
+//! Why a configuration is rejected. Every text names the key at fault; the text of a source is not repeated
+//! in that of the error around it.
 
 use crate::discovery::EndpointListError;
 use ingress::SettingsError;
--- a/src/bin/ingress/config/flatten.rs
+++ b/src/bin/ingress/config/flatten.rs
@@ -2,8 +2,8 @@
 
 use serde_json::Value;
 
-/// The pairs of nested settings: `{"limits":{"max_open":5}}` gives `limits.max_open` with `5`. A list of objects gives its
-/// length as `count` beside its objects, a list of plain values one value with commas.
+/// The pairs of nested settings: `{"limits":{"max_open":5}}` gives `limits.max_open` with `5`. A list of
+/// objects gives its length as `count` beside its objects, a list of plain values one value with commas.
 pub fn flatten(value: &Value) -> Vec<(String, String)> {
     let mut pairs = Vec::new();
     append("", value, &mut pairs);
--- a/src/bin/ingress/discovery/connection.rs
+++ b/src/bin/ingress/discovery/connection.rs
@@ -70,7 +70,8 @@
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // Not connected yet, or the send buffer is full: the poll reports when the socket is writable.
+                // Not connected yet, or the send buffer is full: the poll reports when the socket is
+                // writable.
                 Err(error) if is_not_ready(&error) => break,
                 Err(error) => return Err(error),
             }
--- a/src/bin/ingress/discovery/endpoint_list.rs
+++ b/src/bin/ingress/discovery/endpoint_list.rs
@@ -29,7 +29,8 @@
 pub struct EndpointEntry {
     /// The backend as the gateway knows it, without the time of its start.
     pub endpoint: Endpoint,
-    /// When the backend's process started, by the wall clock of the machine that recorded it; zero for long ago.
+    /// When the backend's process started, by the wall clock of the machine that recorded it; zero for long
+    /// ago.
     pub started_at: UnixTime,
     /// Where to connect to; none only for a backend that was removed.
     pub address: Option<SocketAddr>,
@@ -59,8 +60,8 @@
         Ok(EndpointList { index, is_snapshot, entries })
     }
 
-    /// Reads a list from the body of a response, an entry at a time: a JSON tree of the whole list would take many times
-    /// the memory of its text.
+    /// Reads a list from the body of a response, an entry at a time: a JSON tree of the whole list would take
+    /// many times the memory of its text.
     pub fn from_bytes(body: &[u8], location_names: &LocationNames) -> serde_json::Result<EndpointList> {
         let mut deserializer = serde_json::Deserializer::from_slice(body);
         let list = de::Deserializer::deserialize_map(&mut deserializer, ListVisitor { location_names })?;
@@ -172,7 +173,8 @@
     }
 }
 
-/// The id of a backend: a hash of its name, which is the same at every ingress, so that gossip can refer to it.
+/// The id of a backend: a hash of its name, which is the same at every ingress, so that gossip can refer to
+/// it.
 fn backend_id(name: &str) -> BackendId {
     let hash_byte = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     BackendId(name.bytes().fold(FNV_OFFSET_BASIS, hash_byte))
--- a/src/bin/ingress/discovery/error.rs
+++ b/src/bin/ingress/discovery/error.rs
@@ -1,5 +1,5 @@
-//! Why an endpoint list, a response or a poll of discovery is unusable. The text of a source is not repeated in that
-//! of the error around it.
+//! Why an endpoint list, a response or a poll of discovery is unusable. The text of a source is not repeated
+//! in that of the error around it.
 
 use std::io;
 use thiserror::Error;
--- a/src/bin/ingress/discovery/http.rs
+++ b/src/bin/ingress/discovery/http.rs
@@ -9,8 +9,8 @@
 const STATUS_OK: u16 = 200;
 /// The most headers of a response.
 const MAX_HEADERS: usize = 64;
-/// A response's body may take this part of the memory, as a divisor: with the spare capacity of its buffer and the list
-/// that is built from it, it takes several times its length.
+/// A response's body may take this part of the memory, as a divisor: with the spare capacity of its buffer
+/// and the list that is built from it, it takes several times its length.
 const MEMORY_PER_BODY: usize = 8;
 /// The limit of a response's body where the memory is small.
 const MIN_BODY_LIMIT: usize = 4 << 20;
--- a/src/bin/ingress/discovery/poll.rs
+++ b/src/bin/ingress/discovery/poll.rs
@@ -10,7 +10,8 @@
 pub enum PollRequest {
     /// A snapshot of the list, at once.
     Snapshot,
-    /// The changes since a version of the list, as soon as there are any, or an empty response after a timeout.
+    /// The changes since a version of the list, as soon as there are any, or an empty response after a
+    /// timeout.
     Changes {
         /// The version of the latest list.
         since: u64,
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -12,10 +12,11 @@
 use mio::{Registry, Token};
 use std::net::SocketAddr;
 
-/// How long after a poll's timeout its response is waited for. Changes in a lost response count as known 2 s after
-/// the timeout, so the next poll has to be answered by then.
+/// How long after a poll's timeout its response is waited for. Changes in a lost response count as known 2 s
+/// after the timeout, so the next poll has to be answered by then.
 const RESPONSE_GRACE: Duration = Duration::from_millis(750);
-/// The delay after an immediate empty response. A watch counts as unbroken if the next poll follows within 200 ms.
+/// The delay after an immediate empty response. A watch counts as unbroken if the next poll follows within
+/// 200 ms.
 const EMPTY_RESPONSE_DELAY: Duration = Duration::from_millis(50);
 /// A response faster than this did not wait for changes.
 const IMMEDIATE_RESPONSE: Duration = Duration::from_millis(20);
@@ -71,8 +72,8 @@
     max_body_bytes: usize,
     /// When [`Watch::on_timer`] is to be called next.
     pub next_timer_at: Instant,
-    /// The last poll timed out. The next one does not wait for changes: it is answered at once with those that were missed,
-    /// and a second timeout is detected soon.
+    /// The last poll timed out. The next one does not wait for changes: it is answered at once with those
+    /// that were missed, and a second timeout is detected soon.
     last_poll_timed_out: bool,
 }
 
@@ -102,10 +103,11 @@
         }
     }
 
-    /// Moves the watch to another address and polls it for a snapshot at once, without regard to a pending poll or backoff.
+    /// Moves the watch to another address and polls it for a snapshot at once, without regard to a pending
+    /// poll or backoff.
     ///
-    /// A snapshot that is pending at the same address is waited for. Otherwise configurations that are reloaded faster
-    /// than discovery responds would cancel each poll, and no list would ever arrive.
+    /// A snapshot that is pending at the same address is waited for. Otherwise configurations that are
+    /// reloaded faster than discovery responds would cancel each poll, and no list would ever arrive.
     pub fn set_address(&mut self, address: SocketAddr, now: Instant) {
         let awaits_snapshot = self.index.is_none() && self.poll_started_at.is_some();
         if awaits_snapshot && address == self.address {
@@ -150,8 +152,9 @@
         self.start_poll(now, registry)
     }
 
-    /// Times the pending poll out. After the first timeout in a row the next poll starts at once, without backoff, since
-    /// changes may have been missed. Poll timeouts are random, so ingresses do not all do this at the same time.
+    /// Times the pending poll out. After the first timeout in a row the next poll starts at once, without
+    /// backoff, since changes may have been missed. Poll timeouts are random, so ingresses do not all do this
+    /// at the same time.
     fn on_response_timeout(&mut self, now: Instant, registry: &Registry) -> PollHealth {
         let is_first_timeout = !std::mem::replace(&mut self.last_poll_timed_out, true);
         let health = self.fail(now, &PollError::TimedOut);
@@ -176,8 +179,8 @@
         }
         self.poll_started_at = Some(now);
         self.response_due_at = now + response_timeout;
-        // The long timeout of a watch counts once the request is written. A connection that is not established by the
-        // short one is closed, since the system would retry it ever more seldom.
+        // The long timeout of a watch counts once the request is written. A connection that is not
+        // established by the short one is closed, since the system would retry it ever more seldom.
         let request_due_at = now + self.schedule.backoff.response_timeout;
         self.next_timer_at = self.response_due_at.min(request_due_at);
         self.flush(now)
@@ -241,8 +244,8 @@
         }
     }
 
-    /// Closes a connection that has ended between two polls, or on which bytes arrived then: those would be parsed
-    /// as the response to the next poll.
+    /// Closes a connection that has ended between two polls, or on which bytes arrived then: those would be
+    /// parsed as the response to the next poll.
     fn on_input_between_polls(&mut self, now: Instant, stream_state: StreamState) {
         let has_input = self.connection.as_ref().is_some_and(|connection| !connection.received().is_empty());
         if stream_state == StreamState::Ended || has_input {
@@ -265,8 +268,8 @@
         self.index = Some(response.endpoints.index);
         self.poll_started_at = None;
         self.last_poll_timed_out = false;
-        // A response may arrive before the request is written. The connection is closed then, since the rest of that
-        // request would be read by discovery as the beginning of the next one.
+        // A response may arrive before the request is written. The connection is closed then, since the rest
+        // of that request would be read by discovery as the beginning of the next one.
         let request_sent = self.connection.as_ref().is_some_and(Connection::is_request_sent);
         let has_ended = stream_state == StreamState::Ended || response.persistence == Persistence::Close;
         if has_ended || !request_sent {
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -1,8 +1,8 @@
-//! The event loop: passes input from the sockets to the policy, executes the policy's actions in their order, and owns
-//! the requests and the timers.
+//! The event loop: passes input from the sockets to the policy, executes the policy's actions in their order,
+//! and owns the requests and the timers.
 //!
-//! It makes no decisions: it chooses no backend, starts no retry, and rejects a request by itself only where a limit is
-//! reached. The clock is read once per iteration; the policy sees it in steps of its tick.
+//! It makes no decisions: it chooses no backend, starts no retry, and rejects a request by itself only where
+//! a limit is reached. The clock is read once per iteration; the policy sees it in steps of its tick.
 
 mod actions;
 mod arrival_clock;
@@ -103,8 +103,8 @@
 impl EventLoop {
     /// Runs until a signal to stop was received and all requests are answered, or the time for that is over.
     pub fn run(mut self) -> Result<(), EventLoopError> {
-        // All ready sockets have to fit into one iteration: a client's disconnect must not be handled after a backend's
-        // reply that arrived later.
+        // All ready sockets have to fit into one iteration: a client's disconnect must not be handled after a
+        // backend's reply that arrived later.
         let mut events = Events::with_capacity(self.descriptors.max_sockets());
         let mut ready = Vec::new();
         loop {
@@ -131,8 +131,8 @@
             Err(error) if error.kind() == io::ErrorKind::Interrupted => self.arrivals.poll_interrupted(),
             Err(error) => return Err(EventLoopError::Poll(error)),
         }
-        // Input within a tick of the last reading is handled at that reading's time: sleeping until the tick is over
-        // would delay every request.
+        // Input within a tick of the last reading is handled at that reading's time: sleeping until the tick
+        // is over would delay every request.
         if clock >= self.now + self.tick {
             self.now = clock;
         }
@@ -146,7 +146,8 @@
             return Duration::ZERO;
         }
         if self.shutdown.is_past_reply_deadline(self.now) || self.clients.has_write_retries() {
-            // The end of the process must not be missed by more than a tick, and no socket reports a write to retry.
+            // The end of the process must not be missed by more than a tick, and no socket reports a write to
+            // retry.
             return self.tick;
         }
         let next_timer_at =
@@ -156,10 +157,11 @@
         wake_at.duration_since(called_at)
     }
 
-    /// Runs one iteration. Discovery is handled first, so that the policy knows a draining backend before it sends
-    /// anything; replies are handled before the timers that would time them out.
+    /// Runs one iteration. Discovery is handled first, so that the policy knows a draining backend before it
+    /// sends anything; replies are handled before the timers that would time them out.
     fn process_ready(&mut self, ready: &mut [ReadySocket]) {
-        // First of all, so that no other socket or timer begins an attempt for a client that has disconnected.
+        // First of all, so that no other socket or timer begins an attempt for a client that has
+        // disconnected.
         for socket in ready.iter().filter(|socket| socket.closed) {
             if let Source::Client(key) = socket.source() {
                 self.clients.on_disconnect(key);
--- a/src/bin/ingress/event_loop/arrival_clock.rs
+++ b/src/bin/ingress/event_loop/arrival_clock.rs
@@ -1,8 +1,9 @@
 //! Estimates when the input that the poll reports arrived.
 //!
-//! A process that is delayed between two readings of its clock, as on an overloaded machine, would count clients'
-//! timeouts from too late a time. That shows as late answers and as attempts that state more time than the client has.
-//! The time between calls of the poll, and what a call takes beyond its timeout, bound how old the input can be.
+//! A process that is delayed between two readings of its clock, as on an overloaded machine, would count
+//! clients' timeouts from too late a time. That shows as late answers and as attempts that state more time
+//! than the client has. The time between calls of the poll, and what a call takes beyond its timeout, bound
+//! how old the input can be.
 
 use ingress::{Duration, Instant};
 
@@ -36,7 +37,8 @@
         self.reported_at = returned_at;
     }
 
-    /// Records a call that was interrupted and reported nothing, as when the process is stopped and continued.
+    /// Records a call that was interrupted and reported nothing, as when the process is stopped and
+    /// continued.
     pub fn poll_interrupted(&mut self) {
         self.arrived_at = self.reported_at;
     }
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -53,7 +53,8 @@
     }
 }
 
-/// The outcome of an attempt that timed out: only a backend that has the complete command may have executed it.
+/// The outcome of an attempt that timed out: only a backend that has the complete command may have executed
+/// it.
 fn timeout_outcome(command: CommandState) -> Outcome {
     match command {
         CommandState::Sent => Outcome::TimedOut,
@@ -82,10 +83,18 @@
             begins_by: self.now + self.connect_timeout,
             connection: None,
         });
-        // The exact time: the loop may have been delayed since it read its clock, and the client have given up.
+        // The exact time: the loop may have been delayed since it read its clock, and the client have given
+        // up.
         let has_expired = expires_at <= self.clock.now().max(self.now);
         if refusal.is_some() || has_expired {
-            tracing::debug!(target: "attempt", request = id.0, attempt = number, ?refusal, has_expired, "not sent");
+            tracing::debug!(
+                target: "attempt",
+                request = id.0,
+                attempt = number,
+                ?refusal,
+                has_expired,
+                "not sent"
+            );
             return self.end_attempt(AttemptEnd { request_closed, ..AttemptEnd::not_sent(attempt, backend) });
         }
         if !self.reserve_descriptor(backend) {
@@ -126,7 +135,8 @@
         self.audit_begun_attempts();
     }
 
-    /// Whether there is a descriptor for an attempt at a backend, if need be after closing an idle connection.
+    /// Whether there is a descriptor for an attempt at a backend, if need be after closing an idle
+    /// connection.
     fn reserve_descriptor(&mut self, backend: BackendId) -> bool {
         !self.backends.needs_connection(backend, self.clock.now())
             || self.descriptors.reserve_for_backend(&mut self.clients, &mut self.backends, self.now)
@@ -201,8 +211,8 @@
         self.pending_events.push_back(end.into());
     }
 
-    /// Ends the attempts of a closed request whose commands are not sent yet. This is done even where the settings
-    /// allow no cancellation: a backend that never received the command has nothing to cancel.
+    /// Ends the attempts of a closed request whose commands are not sent yet. This is done even where the
+    /// settings allow no cancellation: a backend that never received the command has nothing to cancel.
     pub(super) fn cancel_unsent(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id).filter(|request| request.closed) else { return };
         let mut ended = Vec::new();
@@ -219,12 +229,13 @@
         ended.into_iter().for_each(|end| self.end_attempt(end));
     }
 
-    /// Encodes the command on a connection anew if nothing of it is written yet, or ends its attempt if it may not
-    /// begin any more.
+    /// Encodes the command on a connection anew if nothing of it is written yet, or ends its attempt if it
+    /// may not begin any more.
     ///
-    /// Without this a backend would work for a client that has given up. The timeout in the command was true when the
-    /// connection was begun, up to a connect timeout ago, and a loop that was delayed writes before it runs the timers
-    /// that would have ended the attempt. So the exact clock decides here, before the first byte.
+    /// Without this a backend would work for a client that has given up. The timeout in the command was true
+    /// when the connection was begun, up to a connect timeout ago, and a loop that was delayed writes before
+    /// it runs the timers that would have ended the attempt. So the exact clock decides here, before the
+    /// first byte.
     pub(super) fn prepare_to_write(&mut self, key: usize) {
         let Some(attempt_id) = self.backends.not_yet_written(key) else { return };
         let Some(request) = self.requests.get(attempt_id.request) else { return };
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -1,5 +1,5 @@
-//! Reports to the audit what was done, and logs what it finds. A violation never ends the process in service; in a
-//! debug build, as in tests, it panics.
+//! Reports to the audit what was done, and logs what it finds. A violation never ends the process in service;
+//! in a debug build, as in tests, it panics.
 
 use super::EventLoop;
 use crate::backends::AttemptId;
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -22,7 +22,8 @@
     Failed,
 }
 
-/// The longest timeout of a client that is used: the timers of answered requests would otherwise pile up for hours.
+/// The longest timeout of a client that is used: the timers of answered requests would otherwise pile up for
+/// hours.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
 /// How long a reply may take to reach the client, besides two ticks.
 const REPLY_TRANSIT_TIME: Duration = Duration::from_millis(2);
@@ -52,8 +53,8 @@
         outcome
     }
 
-    /// Reports all disconnected clients to the policy before any other event: the place that a request leaves in the
-    /// queue must not go to another disconnected client.
+    /// Reports all disconnected clients to the policy before any other event: the place that a request leaves
+    /// in the queue must not go to another disconnected client.
     pub(super) fn report_disconnects(&mut self) {
         let disconnected = |event: &ClientEvent| match event {
             ClientEvent::Disconnected(id) => Some(*id),
@@ -63,7 +64,8 @@
         ids.into_iter().for_each(|id| self.report_disconnect(id));
     }
 
-    /// Closes a request whose client has disconnected, and reports that to the policy, unless it was closed before.
+    /// Closes a request whose client has disconnected, and reports that to the policy, unless it was closed
+    /// before.
     fn report_disconnect(&mut self, id: RequestId) {
         if self.requests.close(id).is_none() {
             return;
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Opens a request and passes it to the policy, or rejects it where a limit is reached. Its timeout counts from its
-    /// arrival, which is earlier than now if the process was delayed.
+    /// Opens a request and passes it to the policy, or rejects it where a limit is reached. Its timeout
+    /// counts from its arrival, which is earlier than now if the process was delayed.
     fn open_request(&mut self, id: RequestId, reply_to: ReplyHandle, arrived_at: Instant, command: Command) {
         // Backends and clients could not tell two requests with one id apart.
         let id_hash = self.requests.hash_id(&command);
@@ -160,8 +162,8 @@
         violated.into_iter().for_each(|kind| self.report_violation(kind, Some(id)));
     }
 
-    /// Fails a request that has no final reply at its client's deadline. The policy answers each request before that;
-    /// if it does not, the client still gets a reply.
+    /// Fails a request that has no final reply at its client's deadline. The policy answers each request
+    /// before that; if it does not, the client still gets a reply.
     pub(super) fn fail_unanswered(&mut self, id: RequestId) {
         if self.requests.is_open(id) {
             self.reply(id, FAILED_REPLY, Answer::Failed);
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -13,14 +13,15 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook_mio::v1_0::Signals;
 
-/// Installs the handlers of signals: SIGTERM and SIGINT begin the graceful shutdown, SIGHUP reloads the configuration,
-/// SIGUSR1 logs the counters.
+/// Installs the handlers of signals: SIGTERM and SIGINT begin the graceful shutdown, SIGHUP reloads the
+/// configuration, SIGUSR1 logs the counters.
 pub fn register_signals(retry: StartRetry) -> Result<Signals, EventLoopError> {
     retry.run(|| Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR1])).map_err(EventLoopError::Signals)
 }
 
 impl EventLoop {
-    /// Applies the endpoint lists that discovery has sent, if its socket is `ready`, and runs the watch's timer.
+    /// Applies the endpoint lists that discovery has sent, if its socket is `ready`, and runs the watch's
+    /// timer.
     pub(super) fn poll_discovery(&mut self, ready: Option<&ReadySocket>) {
         let (now, registry, mut lists) = (self.now, self.poll.registry(), Vec::new());
         let mut health = [PollHealth::Unchanged; 2];
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Reloads the configuration if that is due, and moves the watch to the address of discovery that it names.
+    /// Reloads the configuration if that is due, and moves the watch to the address of discovery that it
+    /// names.
     pub(super) fn reload(&mut self) {
         match self.reload.attempt(self.now) {
             ReloadOutcome::Applied(discovery) => self.watch.set_address(discovery, self.now),
--- a/src/bin/ingress/event_loop/descriptor_budget.rs
+++ b/src/bin/ingress/event_loop/descriptor_budget.rs
@@ -5,8 +5,8 @@
 use crate::clients::{Capacity, Clients};
 use ingress::Instant;
 
-/// Descriptors of neither clients nor backends: standard streams, poll, listener, signals, discovery, peers, and a
-/// reserve for descriptors that are opened before others are closed.
+/// Descriptors of neither clients nor backends: standard streams, poll, listener, signals, discovery, peers,
+/// and a reserve for descriptors that are opened before others are closed.
 const RESERVED_DESCRIPTORS: usize = 20;
 /// Clients that are accepted beyond the budget to be sent a rejection.
 const MAX_OVER_LIMIT_CLIENTS: usize = 8;
@@ -29,8 +29,8 @@
 }
 
 impl DescriptorBudget {
-    /// The budget by the configuration, or by the system's limit if that is lower: connecting without a free descriptor
-    /// fails.
+    /// The budget by the configuration, or by the system's limit if that is lower: connecting without a free
+    /// descriptor fails.
     pub fn new(configured: usize) -> Result<Self, EventLoopError> {
         let allowed = configured.min(system_limit().unwrap_or(usize::MAX));
         let max_connections = allowed.checked_sub(RESERVED_DESCRIPTORS + MAX_OVER_LIMIT_CLIENTS);
--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -3,8 +3,8 @@
 use crate::clients::{AcceptOutcome, Clients};
 use ingress::{Duration, Instant};
 
-/// How long connections are accepted at least after the signal: clients go on connecting for up to 0.4 s, or longer
-/// where they have not noticed the shutdown.
+/// How long connections are accepted at least after the signal: clients go on connecting for up to 0.4 s, or
+/// longer where they have not noticed the shutdown.
 pub const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(500);
 /// After that, accepting ends once no connection was opened for this long.
 const ACCEPTING_QUIET_TIME: Duration = Duration::from_millis(300);
@@ -18,7 +18,8 @@
 const MAX_REPLY_DEADLINE: Duration = Duration::from_secs(3);
 /// How long after that deadline the last requests are failed: SIGKILL may come 0.7 s after it.
 const REPLY_MARGIN: Duration = Duration::from_millis(400);
-/// How long after the reply deadline the process ends, even if clients still send: SIGKILL may come 0.3 s after it.
+/// How long after the reply deadline the process ends, even if clients still send: SIGKILL may come 0.3 s
+/// after it.
 const EXIT_MARGIN: Duration = Duration::from_millis(150);
 
 /// The phase of the shutdown.
@@ -93,7 +94,8 @@
         now >= self.reply_deadline() + EXIT_MARGIN
     }
 
-    /// Whether to go on accepting connections: more are waiting, or the latest one was opened a short while ago.
+    /// Whether to go on accepting connections: more are waiting, or the latest one was opened a short while
+    /// ago.
     pub fn keeps_accepting(&self, now: Instant, accepted: AcceptOutcome, last_accepted_at: Instant) -> bool {
         let arriving = accepted != AcceptOutcome::Drained || now < last_accepted_at + ACCEPTING_QUIET_TIME;
         arriving && now + MIN_ACCEPTING_TIME < self.reply_deadline()
@@ -108,7 +110,8 @@
     pub fn is_drained(&self, now: Instant, clients: &Clients) -> bool {
         let Phase::Draining { since, .. } = self.phase else { return false };
         let waited = now.duration_since(since);
-        // An incomplete command, or replies that are not read, would otherwise delay the process until it is killed.
+        // An incomplete command, or replies that are not read, would otherwise delay the process until it is
+        // killed.
         clients.len() == 0
             || (waited > DRAINING_IDLE_CLIENT_TIME && clients.busy_count() == 0)
             || waited > MAX_DRAINING_TIME
--- a/src/bin/ingress/event_loop/source.rs
+++ b/src/bin/ingress/event_loop/source.rs
@@ -82,8 +82,8 @@
         self.token.into()
     }
 
-    /// Its place in the order of processing: changes of the endpoint list come before attempts are sent, replies of
-    /// backends before new commands of clients.
+    /// Its place in the order of processing: changes of the endpoint list come before attempts are sent,
+    /// replies of backends before new commands of clients.
     fn processing_order(&self) -> u8 {
         match self.source() {
             Source::Discovery => 0,
@@ -94,7 +94,8 @@
     }
 }
 
-/// Sorts sockets into the order of processing; those of one kind stay in the order in which they became ready.
+/// Sorts sockets into the order of processing; those of one kind stay in the order in which they became
+/// ready.
 pub fn sort_for_processing(ready: &mut [ReadySocket]) {
     ready.sort_by_key(ReadySocket::processing_order);
 }
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -26,7 +26,8 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Requests may take this part of the memory, and the buffers of clients' connections as much again, as a divisor.
+/// Requests may take this part of the memory, and the buffers of clients' connections as much again, as a
+/// divisor.
 const MEMORY_DIVISOR: usize = 4;
 
 /// The sockets that are open from the start on.
@@ -42,8 +43,8 @@
 }
 
 impl EventLoop {
-    /// Opens the sockets. From then on clients can connect; they are served once [`EventLoop::run`] runs. Calls that fail
-    /// for a moment are retried.
+    /// Opens the sockets. From then on clients can connect; they are served once [`EventLoop::run`] runs.
+    /// Calls that fail for a moment are retried.
     pub fn start(
         mut config: Config,
         reload: Reload,
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -9,7 +9,8 @@
 
 /// How often expired connections and ids are removed.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// The most batches of connections that are accepted before the listener is closed: more than its queue holds.
+/// The most batches of connections that are accepted before the listener is closed: more than its queue
+/// holds.
 const MAX_FINAL_ACCEPTS: usize = 64;
 
 impl EventLoop {
@@ -59,7 +60,8 @@
             self.clients.drain(self.now, Accepting::Continue);
             self.timers.schedule(self.now + ACCEPTING_CHECK_INTERVAL, Timer::StopAccepting);
         } else {
-            // Closing the listener resets the connections in its queue, and their requests are lost: accept them first.
+            // Closing the listener resets the connections in its queue, and their requests are lost: accept
+            // them first.
             for _ in 0..MAX_FINAL_ACCEPTS {
                 if accepted == AcceptOutcome::Drained {
                     break;
--- a/src/bin/ingress/logging.rs
+++ b/src/bin/ingress/logging.rs
@@ -1,7 +1,7 @@
 //! The log: events of `tracing`, written to standard error by a thread of its own.
 //!
-//! A standard error that is full or closed must not block the event loop, which would show as late answers. Events go
-//! through a bounded buffer, and lines that do not fit are dropped.
+//! A standard error that is full or closed must not block the event loop, which would show as late answers.
+//! Events go through a bounded buffer, and lines that do not fit are dropped.
 
 use std::fmt::{self, Write};
 use std::io;
@@ -13,7 +13,8 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The environment variable with the least severe level that is logged: `error`, `warn`, `info`, `debug`, `trace` or `off`.
+/// The environment variable with the least severe level that is logged: `error`, `warn`, `info`, `debug`,
+/// `trace` or `off`.
 pub const LEVEL_VARIABLE: &str = "LB_LOG";
 /// The target of an event whose message names its origin itself.
 pub const UNTITLED: &str = "";
--- a/src/bin/ingress/main.rs
+++ b/src/bin/ingress/main.rs
@@ -1,4 +1,5 @@
-//! The ingress: connects the policy of one gateway with the sockets of clients, backends, discovery and peers.
+//! The ingress: connects the policy of one gateway with the sockets of clients, backends, discovery and
+//! peers.
 
 mod backends;
 mod clients;
--- a/src/bin/ingress/peers.rs
+++ b/src/bin/ingress/peers.rs
@@ -37,7 +37,8 @@
         Ok(PeerSocket { socket, addresses })
     }
 
-    /// Passes the messages that have arrived to `on_message`. Datagrams that are too long or not from a peer are dropped.
+    /// Passes the messages that have arrived to `on_message`. Datagrams that are too long or not from a peer
+    /// are dropped.
     pub fn receive(&mut self, mut on_message: impl FnMut(GatewayId, Vec<u8>)) -> Backlog {
         // One byte more than allowed, to detect datagrams that are too long.
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
@@ -50,7 +51,8 @@
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Backlog::Empty,
-                // The system reports that an earlier message could not be delivered; the next receive succeeds.
+                // The system reports that an earlier message could not be delivered; the next receive
+                // succeeds.
                 Err(_) => {}
             }
         }
@@ -63,7 +65,8 @@
         u16::try_from(index).ok().map(GatewayId)
     }
 
-    /// Sends a message to one peer or to all. A message that cannot be sent is dropped: gossip tolerates losses.
+    /// Sends a message to one peer or to all. A message that cannot be sent is dropped: gossip tolerates
+    /// losses.
     pub fn send(&self, to: Option<GatewayId>, bytes: &[u8]) {
         let address = match to {
             Some(gateway) => self.addresses.by_gateway.get(usize::from(gateway.0)),
--- a/src/bin/ingress/reload.rs
+++ b/src/bin/ingress/reload.rs
@@ -1,5 +1,5 @@
-//! Reloads the configuration file on SIGHUP. Only the address of discovery takes effect; all other values are fixed from
-//! the start on.
+//! Reloads the configuration file on SIGHUP. Only the address of discovery takes effect; all other values are
+//! fixed from the start on.
 
 use crate::config::{environment_variable, Config, ConfigFileError, DISCOVERY_VARIABLE};
 use crate::error_chain::ErrorChain;
--- a/src/bin/ingress/resp.rs
+++ b/src/bin/ingress/resp.rs
@@ -1,11 +1,12 @@
 //! A strict, bounded codec for RESP2, the wire format of commands and replies.
 //!
-//! Parsing is stateless: each call parses the bytes received so far and finds them incomplete, complete or malformed.
-//! Lengths are checked as soon as they are parsed, so that a connection never waits for bytes that would be rejected, and
-//! a body is skipped by its length, so that parsing an incomplete value again is cheap.
+//! Parsing is stateless: each call parses the bytes received so far and finds them incomplete, complete or
+//! malformed. Lengths are checked as soon as they are parsed, so that a connection never waits for bytes that
+//! would be rejected, and a body is skipped by its length, so that parsing an incomplete value again is
+//! cheap.
 //!
-//! The crate `redis-protocol` does not fit: it accepts any two bytes as the end of a bulk string, waits for bodies
-//! of whatever length is announced, and overflows the stack on deep nesting.
+//! The crate `redis-protocol` does not fit: it accepts any two bytes as the end of a bulk string, waits for
+//! bodies of whatever length is announced, and overflows the stack on deep nesting.
 
 mod decode;
 mod encode;
--- a/src/bin/ingress/resp/decode.rs
+++ b/src/bin/ingress/resp/decode.rs
@@ -113,8 +113,8 @@
     }
 }
 
-/// Parses the command at the beginning of `buffer`, an array of bulk strings. Replaces `arguments` by their ranges
-/// and returns the command's length.
+/// Parses the command at the beginning of `buffer`, an array of bulk strings. Replaces `arguments` by their
+/// ranges and returns the command's length.
 pub fn parse_command(buffer: &[u8], arguments: &mut Vec<Range<usize>>) -> Parsed<usize> {
     arguments.clear();
     match buffer.first() {
--- a/src/bin/ingress/resp/encode.rs
+++ b/src/bin/ingress/resp/encode.rs
@@ -19,8 +19,8 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends an error line. Control characters of the message become spaces and it is cut to the longest line, since
-/// either would break the line.
+/// Appends an error line. Control characters of the message become spaces and it is cut to the longest line,
+/// since either would break the line.
 pub fn write_error(out: &mut Vec<u8>, message: &str) {
     let printable = message.bytes().map(|byte| if byte.is_ascii_control() { b' ' } else { byte });
     out.extend_from_slice(b"-ERR ");
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -4,27 +4,43 @@
 //! A frame is a header, records of a fixed size, and a tail that holds what has no fixed size; records point
 //! into it.
 //!
-//! This module is the one place that knows the names and codes of the wire, which its errors use. Where they differ
-//! from the terms in the code:
+//! This module is the one place that knows the names and codes of the wire, which its errors use. Where they
+//! differ from the terms in the code:
 //!
 //! | name on the wire | term in the code |
 //! | --- | --- |
 //! | `Provision`, `PowerOff` | [`RecordContent::Start`], [`RecordContent::Stop`] |
 //! | `conf` | settings |
-//! | `Call` | [`Event::Request`](ingress::Event) |
+//! | `Call` | [`Event::Request`] |
 //! | `op_id`, `cls`, `api_key` | request id, class, customer |
-//! | `not_after_us`, `size_units`, `width`, `from_no` | deadline, units, `gateway_set_size`, `gateway_set_start` |
-//! | `Settled` | [`Event::AttemptEnded`](ingress::Event) |
+//! | `not_after_us`, `size_units` | deadline, units |
+//! | `width`, `from_no` | `gateway_set_size`, `gateway_set_start` |
+//! | `Settled` | [`Event::AttemptEnded`] |
 //! | `round_no`, `wait_time_us`, `complete`, `charged` | attempt, elapsed, answered, `charged_units` |
 //! | `usage`, a load report | `reported_queue_depth` |
-//! | `Withdrawn` | [`Event::ClientDisconnected`](ingress::Event) |
-//! | `RosterChange` with `scope` and `rows` | [`Event::Endpoints`](ingress::Event) with the kind of update and endpoints |
-//! | `DeadlineHit`, `SetAlarm` | [`Event::Timer`](ingress::Event), [`Action::SetTimer`](ingress::Action) |
-//! | `NeighbourSays` with `octets`, `WritePeer` | [`Event::PeerMessage`](ingress::Event), [`Action::SendToPeer`](ingress::Action) |
-//! | `ProbeDone`, `Reckoned` | [`Event::Unused`](ingress::Event) |
-//! | `Deliver`, `Revoke` | [`Action::Send`](ingress::Action), [`Action::Cancel`](ingress::Action) |
-//! | `TurnAway` with `pause_us` | [`Action::Reject`](ingress::Action) with `retry_after` |
-//! | `Listen`, `Record` | [`Action::WatchEndpoints`](ingress::Action), [`Action::Log`](ingress::Action) |
+//! | `Withdrawn` | [`Event::ClientDisconnected`] |
+//! | `RosterChange` with `scope` and `rows` | [`Event::Endpoints`] with its kind and endpoints |
+//! | `DeadlineHit`, `SetAlarm` | [`Event::Timer`], [`Action::SetTimer`] |
+//! | `NeighbourSays` with `octets`, `WritePeer` | [`Event::PeerMessage`], [`Action::SendToPeer`] |
+//! | `ProbeDone`, `Reckoned` | [`Event::Unused`] |
+//! | `Deliver`, `Revoke` | [`Action::Send`], [`Action::Cancel`] |
+//! | `TurnAway` with `pause_us` | [`Action::Reject`] with `retry_after` |
+//! | `Listen`, `Record` | [`Action::WatchEndpoints`], [`Action::Log`] |
+//!
+//! [`Event::Request`]: ingress::Event::Request
+//! [`Event::AttemptEnded`]: ingress::Event::AttemptEnded
+//! [`Event::ClientDisconnected`]: ingress::Event::ClientDisconnected
+//! [`Event::Endpoints`]: ingress::Event::Endpoints
+//! [`Event::Timer`]: ingress::Event::Timer
+//! [`Event::PeerMessage`]: ingress::Event::PeerMessage
+//! [`Event::Unused`]: ingress::Event::Unused
+//! [`Action::SetTimer`]: ingress::Action::SetTimer
+//! [`Action::SendToPeer`]: ingress::Action::SendToPeer
+//! [`Action::Send`]: ingress::Action::Send
+//! [`Action::Cancel`]: ingress::Action::Cancel
+//! [`Action::Reject`]: ingress::Action::Reject
+//! [`Action::WatchEndpoints`]: ingress::Action::WatchEndpoints
+//! [`Action::Log`]: ingress::Action::Log
 
 mod batch;
 mod field_reader;
--- a/src/bin/simulator-adapter/wire/field_reader.rs
+++ b/src/bin/simulator-adapter/wire/field_reader.rs
@@ -5,8 +5,8 @@
 /// Bytes of a backend's identifier on the wire.
 pub const BACKEND_ID_SIZE: usize = 6;
 
-/// The fields of a record that are still to be read. Reading beyond the record's end is an error of the layout and
-/// panics.
+/// The fields of a record that are still to be read. Reading beyond the record's end is an error of the
+/// layout and panics.
 pub struct FieldReader<'a> {
     /// The bytes from the next field on.
     rest: &'a [u8],
--- a/src/bin/simulator-adapter/wire/field_writer.rs
+++ b/src/bin/simulator-adapter/wire/field_writer.rs
@@ -3,8 +3,8 @@
 use super::field_reader::BACKEND_ID_SIZE;
 use ingress::{BackendId, Duration, RequestId};
 
-/// A record of `SIZE` bytes under construction; bytes that are not written are zero. Writing beyond its end is an error
-/// of the layout and panics.
+/// A record of `SIZE` bytes under construction; bytes that are not written are zero. Writing beyond its end
+/// is an error of the layout and panics.
 pub struct FieldWriter<const SIZE: usize> {
     /// The whole record.
     record: [u8; SIZE],
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -12,7 +12,8 @@
 pub const RECORD_SIZE: usize = 48;
 /// Bytes of an endpoint in the tail.
 const ENDPOINT_SIZE: usize = 24;
-/// Bytes of an endpoint update between its kind and its rows, which no decision uses: the version of the list.
+/// Bytes of an endpoint update between its kind and its rows, which no decision uses: the version of the
+/// list.
 const ENDPOINT_UPDATE_SKIPPED: usize = 8;
 /// Bytes before the outcome of a health check: the backend.
 const HEALTH_CHECK_OUTCOME_OFFSET: usize = BACKEND_ID_SIZE;
--- a/src/event.rs
+++ b/src/event.rs
@@ -101,7 +101,7 @@
     },
     /// Something that no decision uses.
     ///
-    /// The simulator's wire has such events: ends of health checks and of calls to a shared counter. Each still tells
-    /// the time, which the gateway acts on, so the host passes them to it like the others.
+    /// The simulator's wire has such events: ends of health checks and of calls to a shared counter. Each
+    /// still tells the time, which the gateway acts on, so the host passes them to it like the others.
     Unused,
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of a gateway: request classes, plans, limits and the figures of the rules. The values come from the
-//! deployment alone; [`SettingsReader`] reads them.
+//! The settings of a gateway: request classes, plans, limits and the figures of the rules. The values come
+//! from the deployment alone; [`SettingsReader`] reads them.
 
 mod error;
 mod reader;
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,8 +1,8 @@
 //! Reads the settings, as pairs of a path and a value, into [`Settings`].
 //!
-//! Both hosts read their settings here: the simulator's adapter from lines of text, the ingress from nested JSON
-//! that it flattens to the same paths. Unknown keys are skipped, missing or bad ones named. This is the one place
-//! that knows the keys. Where they differ from the terms in the code:
+//! Both hosts read their settings here: the simulator's adapter from lines of text, the ingress from nested
+//! JSON that it flattens to the same paths. Unknown keys are skipped, missing or bad ones named. This is the
+//! one place that knows the keys. Where they differ from the terms in the code:
 //!
 //! | key | term in the code |
 //! | --- | --- |
@@ -52,8 +52,8 @@
     Flag,
 }
 
-/// Keys of a plan that no decision uses. A configuration without them, or with a bad value there, is refused all
-/// the same.
+/// Keys of a plan that no decision uses. A configuration without them, or with a bad value there, is refused
+/// all the same.
 const UNUSED_PLAN_KEYS: [(&str, ValueKind); 2] =
     [("ceiling_slack", ValueKind::Number), ("over_worth", ValueKind::Number)];
 /// The same outside the lists.
