--- a/fault-soak/tests/kept_seeds.rs
+++ b/fault-soak/tests/kept_seeds.rs
@@ -128,27 +128,33 @@
     vec!["--ingresses", ingresses, "--backends", backends, "--clients", clients, "--seconds", seconds]
 }
 
+/// Seeds are noted in pages and commits, to be played again. The plans that these seeds give in a fleet of the
+/// usual size are pinned by a digest, since a seed that draws other faults reproduces nothing.
 #[test]
 fn plans_of_a_fleet_of_the_usual_size_are_pinned() {
     assert_eq!(digest(&[]), 531_458_307_204_901_659);
 }
 
+/// The same for a small fleet, in which fewer targets can be drawn.
 #[test]
 fn plans_of_a_small_fleet_are_pinned() {
     assert_eq!(digest(&size(["3", "2", "4", "6"])), 10_839_204_399_581_370_705);
 }
 
+/// The same for a large fleet, whose targets lie beyond those of the usual size.
 #[test]
 fn plans_of_a_large_fleet_are_pinned() {
     assert_eq!(digest(&size(["40", "12", "60", "20"])), 1_919_200_867_977_324_644);
 }
 
+/// The same for one ingress, one backend and one client, where each fault has a single possible target.
 #[test]
 fn plans_of_a_single_ingress_are_pinned() {
     assert_eq!(digest(&size(["1", "1", "1", "3"])), 673_591_064_076_524_205);
 }
 
-/// Kinds are given by the names that they had first.
+/// Somebody plays a seed with some kinds of faults only, by the names that they had first, as noted commands do.
+/// The plan is the same as it was then.
 #[test]
 fn plans_of_chosen_kinds_are_pinned() {
     let chosen = ["rude_clients", "cutting_backend", "silent_discovery", "clock_back", "short_reads"];
@@ -156,7 +162,8 @@
     assert_eq!(digest(&options), 8_849_922_161_013_907_318);
 }
 
-/// The command line accepts the first name of each kind.
+/// Kinds of faults were renamed, and commands noted earlier use their first names. Each of them still has to choose
+/// the kind that it chose then, and no other.
 #[test]
 fn first_names_of_kinds_are_accepted() {
     for (number, names) in KIND_NAMES.iter().enumerate() {
