--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -164,7 +164,10 @@
             };
             actions.push(Action::Log(change.to_string()));
         }
-        self.concurrency_limiter.reduce_under_pressure(self.now, &self.pressure);
+        if self.concurrency_limiter.reduce_under_pressure(self.now, &self.pressure) {
+            let (pressure, limit) = (self.pressure.level(), self.concurrency_limiter.limit(load));
+            tracing::debug!(target: "policy", pressure, limit, "concurrency limit reduced");
+        }
     }
 
     /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -159,6 +159,14 @@
             AttemptCheck::CancelAndRetry => state.cancel_attempts(None, actions),
             AttemptCheck::Hedge | AttemptCheck::KeepWaiting => {}
         }
+        tracing::debug!(
+            target: "policy",
+            request = id.0,
+            backend = backend_id.0,
+            is_silent = silence.is_silent(),
+            decision = ?check,
+            "late attempt checked"
+        );
         if let SilenceVerdict::Silent { ejection: Some(ejection) } = silence {
             self.on_silence_ejection(backend_id, class_index, ejection);
         }
--- a/src/gateway/closing.rs
+++ b/src/gateway/closing.rs
@@ -29,10 +29,12 @@
         retry_after: Duration,
         actions: &mut Vec<Action>,
     ) {
-        tracing::debug!(target: "policy", request = id.0, ?reason, "rejected");
         let limits = &self.settings.limits;
         let max_retry_after = if limits.retry_after { limits.max_retry_after } else { Duration::ZERO };
-        actions.push(Action::Reject { id, retry_after: retry_after.min(max_retry_after) });
+        let retry_after = retry_after.min(max_retry_after);
+        let retry_after_ms = retry_after.as_millis_ceil();
+        tracing::debug!(target: "policy", request = id.0, ?reason, retry_after_ms, "rejected");
+        actions.push(Action::Reject { id, retry_after });
     }
 
     /// Closes a request that has its final answer, or whose client has disconnected. It is forgotten once
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -73,14 +73,17 @@
     }
 
     /// Reduces the limit under high pressure, at most once in the pressure's time constant: answers to
-    /// attempts that were sent before a reduction must not cause the next one.
-    pub(crate) fn reduce_under_pressure(&mut self, now: Instant, pressure: &Pressure) {
+    /// attempts that were sent before a reduction must not cause the next one. Returns whether it was
+    /// reduced.
+    pub(crate) fn reduce_under_pressure(&mut self, now: Instant, pressure: &Pressure) -> bool {
         let has_settled = now.duration_since(self.reduced_at) > PRESSURE_TIME_CONSTANT;
-        if pressure.is_high() && has_settled {
+        let is_reduced = pressure.is_high() && has_settled;
+        if is_reduced {
             let reduced = self.attempts_per_backend * DECREASE_FACTOR;
             self.attempts_per_backend = reduced.max(MIN_ATTEMPTS_PER_BACKEND);
             self.reduced_at = now;
         }
+        is_reduced
     }
 }
 
--- a/src/policy/reasons.rs
+++ b/src/policy/reasons.rs
@@ -11,10 +11,11 @@
     Shed,
     /// Its customer has used its quota or its hard limit.
     OverQuota,
-    /// Its customer is far beyond its quota, and the owners of the quota are not asked for each of its requests.
+    /// Its customer is far beyond its quota, and the owners of the quota are not asked for each of its
+    /// requests.
     GrantRequestSkipped,
-    /// It names a plan with a hard limit that is not the plan of its customer's record, by which the limit might
-    /// be exceeded.
+    /// It names a plan with a hard limit that is not the plan of its customer's record, by which the limit
+    /// might be exceeded.
     HardLimitEvaded,
     /// The gateway has as much in flight and queued as it may.
     Saturated,
