--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -156,6 +156,7 @@
         let bytes = &connection.input[position];
         match Command::parse(bytes, &self.argument_ranges, &self.schema) {
             Some(Ok(_)) if connection.over_limit => {
+                tracing::debug!(target: "client_connection", client = connection.serial, "over the limit");
                 connection.start_closing();
                 self.reply_immediately(key, BUSY_REPLY);
             }
@@ -183,7 +184,9 @@
 
     /// Replies with an error to an invalid command.
     fn reject_command(&mut self, key: usize, error: ClientError) {
-        self.connections[key].record_protocol_error();
+        let connection = &mut self.connections[key];
+        tracing::debug!(target: "client_connection", client = connection.serial, %error, "command rejected");
+        connection.record_protocol_error();
         self.reply_error(key, error);
     }
 
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -98,6 +98,13 @@
             return self.end_attempt(AttemptEnd { request_closed, ..AttemptEnd::not_sent(attempt, backend) });
         }
         if !self.reserve_descriptor(backend) {
+            tracing::debug!(
+                target: "attempt",
+                request = id.0,
+                attempt = number,
+                backend = backend.0,
+                "no descriptor"
+            );
             return self.end_attempt(AttemptEnd::not_sent(attempt, backend));
         }
         self.assign_last_attempt(attempt);
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -1,6 +1,6 @@
 //! Handles what clients do, and replies to their requests.
 
-use super::request_table::RequestEntry;
+use super::request_table::{IdHash, RequestEntry};
 use super::timer_queue::Timer;
 use super::EventLoop;
 use crate::clients::{AcceptOutcome, ClientError, ClientEvent, ReplyHandle, BUSY_REPLY};
@@ -22,6 +22,17 @@
     Failed,
 }
 
+/// Why a request is answered before it is opened: the policy does not see it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum OpenRefusal {
+    /// A request with its id is open, or has ended a moment ago. It gets an error.
+    DuplicateId,
+    /// The reply deadline of the shutdown has passed. It gets `-BUSY`.
+    ShuttingDown,
+    /// As many requests are open, or as much memory is taken by them, as is allowed. It gets `-BUSY`.
+    NoCapacity,
+}
+
 /// The longest timeout of a client that is used: the timers of answered requests would otherwise pile up for
 /// hours.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
@@ -105,14 +116,9 @@
     /// Opens a request and passes it to the policy, or rejects it where a limit is reached. Its timeout
     /// counts from its arrival, which is earlier than now if the process was delayed.
     fn open_request(&mut self, id: RequestId, reply_to: ReplyHandle, arrived_at: Instant, command: Command) {
-        // Backends and clients could not tell two requests with one id apart.
         let id_hash = self.requests.hash_id(&command);
-        if self.requests.is_known(id_hash) {
-            return self.clients.reject(reply_to, ClientError::DuplicateRequestId);
-        }
-        // It was not sent to any backend, so answering that it was not executed is safe.
-        if self.shutdown.is_past_reply_deadline(self.now) || !self.requests.has_capacity_for(&command) {
-            return self.clients.reply(reply_to, BUSY_REPLY);
+        if let Err(refusal) = self.may_open(&command, id_hash) {
+            return self.refuse_to_open(reply_to, &command, refusal);
         }
         let timeout = command.timeout.min(MAX_CLIENT_TIMEOUT);
         let arrived_at = arrived_at.min(self.now);
@@ -141,6 +147,36 @@
         self.pending_events.push_back(Event::Request(request));
     }
 
+    /// Whether a request may be opened.
+    fn may_open(&self, command: &Command, id_hash: IdHash) -> Result<(), OpenRefusal> {
+        // Backends and clients could not tell two requests with one id apart.
+        if self.requests.is_known(id_hash) {
+            Err(OpenRefusal::DuplicateId)
+        } else if self.shutdown.is_past_reply_deadline(self.now) {
+            Err(OpenRefusal::ShuttingDown)
+        } else if !self.requests.has_capacity_for(command) {
+            Err(OpenRefusal::NoCapacity)
+        } else {
+            Ok(())
+        }
+    }
+
+    /// Answers a request that is not opened. It was not sent to any backend, so that `-BUSY`, which says that
+    /// it was not executed, is safe.
+    fn refuse_to_open(&mut self, reply_to: ReplyHandle, command: &Command, refusal: OpenRefusal) {
+        tracing::debug!(
+            target: "request",
+            client_request_id = %String::from_utf8_lossy(command.client_request_id()),
+            client = reply_to.client(),
+            ?refusal,
+            "not opened"
+        );
+        match refusal {
+            OpenRefusal::DuplicateId => self.clients.reject(reply_to, ClientError::DuplicateRequestId),
+            OpenRefusal::ShuttingDown | OpenRefusal::NoCapacity => self.clients.reply(reply_to, BUSY_REPLY),
+        }
+    }
+
     /// Sends a request its final reply, unless it is closed.
     pub(super) fn reply(&mut self, id: RequestId, text: &[u8], answer: Answer) {
         if let Some(reply_to) = self.requests.close(id) {
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -43,6 +43,7 @@
     pub(super) fn apply_endpoints(&mut self, list: EndpointList, update: EndpointUpdate) {
         let removed = self.backends.update_endpoints(&list);
         let endpoints = self.endpoints_in_host_time(&list);
+        log_endpoints(&list, update, removed.len());
         for backend in removed {
             self.auditor.backend_listed(backend, Availability::Gone, self.now);
             self.start_times.forget(backend);
@@ -114,3 +115,14 @@
         self.timers.schedule(reply_deadline, Timer::ReplyDeadline);
     }
 }
+
+/// Logs an endpoint list that is applied, and each entry of a change.
+fn log_endpoints(list: &EndpointList, update: EndpointUpdate, removed: usize) {
+    let (index, entries) = (list.index, list.entries.len());
+    tracing::debug!(target: "discovery", index, ?update, entries, removed, "endpoint list applied");
+    if update == EndpointUpdate::Delta {
+        for Endpoint { backend, availability, .. } in list.entries.iter().map(|entry| entry.endpoint) {
+            tracing::debug!(target: "discovery", index, backend = backend.0, ?availability, "endpoint changed");
+        }
+    }
+}
