--- a/fault-shim/src/decision.rs
+++ b/fault-shim/src/decision.rs
@@ -10,9 +10,9 @@
 const MILLIS_PER_SECOND: u64 = 1000;
 /// Nanoseconds in a millisecond.
 const NANOS_PER_MILLI: u64 = 1_000_000;
-/// The increment of the generator's state (SplitMix64).
+/// The increment of the generator's state (`SplitMix64`).
 const STATE_INCREMENT: u64 = 0x9E37_79B9_7F4A_7C15;
-/// The multipliers that mix the state into a number (SplitMix64).
+/// The multipliers that mix the state into a number (`SplitMix64`).
 const MIXERS: [u64; 2] = [0xBF58_476D_1CE4_E5B9, 0x94D0_49BB_1331_11EB];
 /// Bits of a number that a probability is compared with.
 const PROBABILITY_BITS: u32 = 53;
@@ -54,7 +54,7 @@
         monotonic_ms() - self.started_ms
     }
 
-    /// The next number of the generator (SplitMix64).
+    /// The next number of the generator (`SplitMix64`).
     fn draw(&self) -> u64 {
         let state = self.random.fetch_add(STATE_INCREMENT, Ordering::Relaxed).wrapping_add(STATE_INCREMENT);
         let mixed = (state ^ state >> 30).wrapping_mul(MIXERS[0]);
