--- a/fault-plan/src/lib.rs
+++ b/fault-plan/src/lib.rs
@@ -105,6 +105,10 @@
     }
 
     /// Reads the value of [`PLAN_VARIABLE`].
+    ///
+    /// # Errors
+    ///
+    /// If the text is no JSON, or not a plan.
     pub fn from_json(json: &str) -> serde_json::Result<FaultPlan> {
         serde_json::from_str(json)
     }
--- a/fault-soak/src/ingress.rs
+++ b/fault-soak/src/ingress.rs
@@ -72,6 +72,10 @@
     }
 
     /// Writes its configuration.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be written.
     pub fn write_config(
         &self,
         addresses: &Addresses,
@@ -83,6 +87,10 @@
     }
 
     /// Writes half of a configuration.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be read or written.
     pub fn write_half_a_config(&self) -> anyhow::Result<()> {
         let text = fs::read_to_string(self.config_file())?;
         fs::write(self.config_file(), &text[..text.len() / 2]).context("cannot write a configuration")
@@ -96,6 +104,11 @@
     }
 
     /// Starts the process, and waits until it is ready.
+    ///
+    /// # Errors
+    ///
+    /// If the log file cannot be opened, or the program cannot be started. An ingress that does not become
+    /// ready is recorded, and is no error.
     pub fn start(&mut self) -> anyhow::Result<()> {
         self.child = Some(self.command()?.spawn().context("cannot start the ingress")?);
         self.record(ProcessEvent::Started);
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -20,6 +20,10 @@
 const CLIENT_END_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Runs a plan, and returns what was observed.
+///
+/// # Errors
+///
+/// If the folder of the run cannot be created, or a stand-in or an ingress cannot be started.
 pub fn run(plan: &SoakPlan, programs: &Programs) -> anyhow::Result<Observations> {
     std::fs::create_dir_all(&programs.folder)?;
     remove_logs(plan, programs);
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -58,6 +58,10 @@
 
 impl Backend {
     /// Starts a backend, which runs until the run ends.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub fn start(number: usize, context: &Arc<RunContext>) -> std::io::Result<Backend> {
         let generation = Arc::new(AtomicU64::new(0));
         let shared = Shared { number, context: context.clone(), generation: generation.clone() };
--- a/fault-soak/src/stand_in/discovery.rs
+++ b/fault-soak/src/stand_in/discovery.rs
@@ -97,6 +97,10 @@
     }
 
     /// Starts an agent for an ingress, and returns its address.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub fn start_agent(self: &Arc<Self>, ingress: usize) -> std::io::Result<SocketAddr> {
         let discovery = self.clone();
         serve(listen()?, move |stream| {
--- a/fault-soak/src/testbed.rs
+++ b/fault-soak/src/testbed.rs
@@ -87,6 +87,10 @@
 
 impl Testbed {
     /// Starts the stand-ins; the ingresses do not run yet.
+    ///
+    /// # Errors
+    ///
+    /// If the plan has too many ingresses, or a stand-in cannot bind a port.
     pub fn build(context: &Arc<RunContext>, programs: &Programs) -> anyhow::Result<Testbed> {
         let shape = context.plan.shape;
         if shape.ingresses > MAX_INGRESSES {
@@ -111,6 +115,10 @@
     }
 
     /// Starts all ingresses side by side, and waits until they are ready.
+    ///
+    /// # Errors
+    ///
+    /// If a configuration cannot be written, or a program cannot be started.
     pub fn start_ingresses(&self) -> anyhow::Result<()> {
         let known_endpoints = self.discovery.snapshot_json();
         let mut threads = Vec::new();
--- a/fleet-experiments/src/client.rs
+++ b/fleet-experiments/src/client.rs
@@ -34,6 +34,10 @@
 
 impl Client {
     /// Connects to an ingress or a backend.
+    ///
+    /// # Errors
+    ///
+    /// If the connection cannot be established, or its options cannot be set.
     pub fn connect(address: SocketAddr, customer: u64) -> Result<Client> {
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
@@ -42,6 +46,10 @@
     }
 
     /// Sends a request and reads the answer; true if it is a value.
+    ///
+    /// # Errors
+    ///
+    /// If the connection fails, or ends or times out before the answer is complete.
     pub fn request(&mut self) -> Result<bool> {
         let id = format!("c{}x{}", self.customer, self.requests);
         self.requests += 1;
@@ -70,6 +78,10 @@
 
 impl BackgroundLoad {
     /// Starts clients, spread over the addresses.
+    ///
+    /// # Errors
+    ///
+    /// If a client cannot connect.
     pub fn start(clients: u64, addresses: &[SocketAddr]) -> Result<BackgroundLoad> {
         let mut load = BackgroundLoad { stop: Arc::new(AtomicBool::new(false)), clients: Vec::new() };
         for customer in 0..clients {
--- a/fleet-experiments/src/experiment.rs
+++ b/fleet-experiments/src/experiment.rs
@@ -21,6 +21,10 @@
     fn sizes(&self) -> Vec<Sizes>;
 
     /// Measures at each size and records the points.
+    ///
+    /// # Errors
+    ///
+    /// If a size cannot be measured, or a point cannot be recorded.
     fn run(&self, environment: &Environment, report: &mut Report) -> anyhow::Result<()>;
 }
 
--- a/fleet-experiments/src/experiment_file.rs
+++ b/fleet-experiments/src/experiment_file.rs
@@ -88,11 +88,20 @@
 
 impl ExperimentFile {
     /// Reads a file and checks its experiments.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be read, or for the reasons of [`parse`](Self::parse).
     pub fn read(path: &Path) -> Result<ExperimentFile, ExperimentFileError> {
         Self::parse(&std::fs::read_to_string(path)?)
     }
 
     /// Parses the text of a file and checks its experiments.
+    ///
+    /// # Errors
+    ///
+    /// If the text is not TOML, a key is unknown or has a value of another type, there is no experiment, or a
+    /// list of sizes is empty or has one out of range.
     pub fn parse(text: &str) -> Result<ExperimentFile, ExperimentFileError> {
         let table: toml::Table = text
             .parse()
@@ -135,6 +144,10 @@
     }
 
     /// Runs the experiments. `ingress_program` is the program of a real ingress.
+    ///
+    /// # Errors
+    ///
+    /// If an experiment fails; those after it are not run.
     pub fn run(&self, ingress_program: &Path, report: &mut Report) -> anyhow::Result<()> {
         let environment = Environment { seed: self.seed, ingress_program };
         for experiment in self.experiments() {
--- a/fleet-experiments/src/fit.rs
+++ b/fleet-experiments/src/fit.rs
@@ -142,6 +142,10 @@
 }
 
 /// Fits lines through the points of a file of results, and describes each in a line of text.
+///
+/// # Errors
+///
+/// If a line is not JSON.
 pub fn fit_results(text: &str) -> anyhow::Result<Vec<String>> {
     let mut results = Vec::new();
     for (index, line) in text.lines().enumerate() {
--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -26,6 +26,10 @@
 const PING_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Checks that so many ingresses may be started here: a few hundred, in half of the machine's memory.
+///
+/// # Errors
+///
+/// If there are too many processes, too little memory for them, or `/proc/meminfo` cannot be read.
 pub fn check_capacity(processes: u64) -> anyhow::Result<()> {
     if processes > MAX_PROCESSES {
         bail!("{processes} processes are more than {MAX_PROCESSES}");
@@ -57,6 +61,10 @@
 
 impl IngressProcess {
     /// Starts an ingress at a port of its own.
+    ///
+    /// # Errors
+    ///
+    /// If no port is free, the configuration cannot be written, or the program cannot be started.
     pub fn start(program: &Path, config: &IngressConfig) -> anyhow::Result<IngressProcess> {
         let address = listen()?.local_addr()?;
         let file_name = format!("fleet-experiments-{}-{}.json", std::process::id(), address.port());
@@ -77,6 +85,10 @@
     }
 
     /// Kills it and restarts it, at the same address.
+    ///
+    /// # Errors
+    ///
+    /// If the process cannot be killed, or the program cannot be started.
     pub fn restart(&mut self) -> anyhow::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
@@ -86,6 +98,10 @@
     }
 
     /// Writes another configuration and has the ingress reload it.
+    ///
+    /// # Errors
+    ///
+    /// If the configuration cannot be written, or the process cannot be signalled.
     pub fn reconfigure(&self, config: &IngressConfig) -> anyhow::Result<()> {
         let new_file = self.config_file.with_extension("new");
         std::fs::write(&new_file, config.to_json(self.address))?;
@@ -98,6 +114,10 @@
     }
 
     /// Waits until it answers a ping; the time since its start.
+    ///
+    /// # Errors
+    ///
+    /// If the ingress does not answer before the timeout.
     pub fn wait_until_ready(&self, timeout: Duration) -> anyhow::Result<Duration> {
         while self.started_at.elapsed() < timeout {
             if self.answers_ping() {
--- a/fleet-experiments/src/report.rs
+++ b/fleet-experiments/src/report.rs
@@ -43,6 +43,10 @@
 
 impl Report {
     /// Writes to a file, or to standard output.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be created.
     pub fn create(path: Option<&Path>, seed: u64) -> anyhow::Result<Report> {
         let out: Box<dyn Write> = match path {
             Some(path) => {
@@ -61,6 +65,10 @@
     }
 
     /// Writes a point, and a line of progress.
+    ///
+    /// # Errors
+    ///
+    /// If the point cannot be written as JSON, or the line cannot be written.
     pub fn record(&mut self, experiment: &str, point: &impl Serialize) -> anyhow::Result<()> {
         let point = serde_json::to_value(point).context("cannot write a result")?;
         tracing::info!("report: point measured, experiment={experiment} point={point}");
--- a/fleet-experiments/src/stand_in/backend.rs
+++ b/fleet-experiments/src/stand_in/backend.rs
@@ -15,6 +15,10 @@
 const CHUNK_SIZE: usize = 4096;
 
 /// Starts a backend that serves for as long as the process lives; returns where it listens.
+///
+/// # Errors
+///
+/// If no port can be bound.
 pub fn start() -> anyhow::Result<SocketAddr> {
     let answer_all = |stream| move || _ = answer_commands(stream);
     Ok(serve(listen()?, answer_all)?)
--- a/fleet-experiments/src/stand_in/discovery.rs
+++ b/fleet-experiments/src/stand_in/discovery.rs
@@ -109,6 +109,10 @@
 
 impl Discovery {
     /// Listens at a port of its own, with the version 1 of an empty list.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub fn start() -> anyhow::Result<Discovery> {
         let shared = Arc::new(SharedState::default());
         let state = shared.clone();
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -39,6 +39,11 @@
 }
 
 /// Whether the first byte of an attempt may be written now.
+///
+/// # Errors
+///
+/// The first of these that holds: no answer is owed any more, the attempt has expired, or its connection came
+/// up later than the policy counted on.
 pub fn may_begin_writing(facts: &WriteFacts) -> Result<(), WriteRefusal> {
     if facts.closed {
         Err(WriteRefusal::Closed)
@@ -63,6 +68,10 @@
 }
 
 /// Whether a backend that is listed as this, or not at all, may be sent something new.
+///
+/// # Errors
+///
+/// If the backend is draining, or is not listed.
 pub fn may_send_to(listed: Option<Availability>) -> Result<(), BackendRefusal> {
     match listed {
         Some(Availability::Ready) => Ok(()),
@@ -92,6 +101,10 @@
 }
 
 /// Whether a connection that was idle for so long may carry the next command.
+///
+/// # Errors
+///
+/// If the connection was idle for less than the least idle time, or for the limit or longer.
 pub fn may_reuse_connection(idle_time: Duration, limits: ReuseLimits) -> Result<(), ReuseRefusal> {
     if idle_time < limits.min_idle_time {
         Err(ReuseRefusal::TooFresh)
@@ -128,6 +141,11 @@
 }
 
 /// Whether a client's connection may be closed now without a word, as between two requests.
+///
+/// # Errors
+///
+/// The first of these that holds: replies are owed, input has come or may be waiting, or the connection is
+/// closing already.
 pub fn may_close_client(facts: ClientConnectionFacts) -> Result<(), CloseRefusal> {
     if facts.is_busy {
         Err(CloseRefusal::RepliesOwed)
--- a/src/policy/retry/permission.rs
+++ b/src/policy/retry/permission.rs
@@ -57,6 +57,11 @@
 }
 
 /// Whether a request may have an attempt now.
+///
+/// # Errors
+///
+/// The first of these that holds: no answer is owed any more, the request has had all its attempts, it is not
+/// idempotent and may have been executed, or an attempt is in flight and hedging is not permitted.
 pub fn may_start_attempt(facts: &AttemptFacts) -> Result<AttemptKind, AttemptRefusal> {
     if facts.closed {
         return Err(AttemptRefusal::Closed);
@@ -77,6 +82,10 @@
 
 /// Whether an attempt that begins at `begins_by` at the latest meets backends that know the key of the
 /// attempt that was first sent, at `first_sent_at`.
+///
+/// # Errors
+///
+/// If the window of the key may be over when the attempt begins.
 pub fn may_repeat_key(
     window: Duration,
     first_sent_at: Instant,
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -93,11 +93,20 @@
     }
 
     /// Reads lines of the form `path=value`.
+    ///
+    /// # Errors
+    ///
+    /// If a line has no `=`.
     pub fn from_lines(text: &str) -> Result<Self, SettingsError> {
         Values::from_lines(text).map(SettingsReader)
     }
 
     /// The settings of a gateway.
+    ///
+    /// # Errors
+    ///
+    /// If a setting is missing, has a value of the wrong form or out of range, or if a list has items beyond
+    /// its count. Settings that no decision uses are checked too.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let SettingsReader(values) = self;
         let class_indices = 0..values.count(CLASSES)?;
@@ -122,36 +131,64 @@
     }
 
     /// The names of the request classes, in their order.
+    ///
+    /// # Errors
+    ///
+    /// If the count of the classes is missing or wrong, a class has no name, or there is one beyond the count.
     pub fn class_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.names(CLASSES)
     }
 
     /// The names of the plans, in their order.
+    ///
+    /// # Errors
+    ///
+    /// If the count of the plans is missing or wrong, a plan has no name, or there is one beyond the count.
     pub fn plan_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.names(PLANS)
     }
 
     /// The names of the zones, in the order of their numbers.
+    ///
+    /// # Errors
+    ///
+    /// If the list is missing.
     pub fn zone_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.list("zones")
     }
 
     /// The names of the machine types, in the order of their numbers.
+    ///
+    /// # Errors
+    ///
+    /// If the list is missing.
     pub fn machine_type_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.list("skus")
     }
 
     /// The most units of a request; [`f64::MAX`] where the settings set no limit.
+    ///
+    /// # Errors
+    ///
+    /// If the value is present, and not a number from 0 up.
     pub fn max_request_units(&self) -> Result<f64, SettingsError> {
         self.0.number_or("family_info.most_units", f64::MAX)
     }
 
     /// How long a backend keeps an idle connection open.
+    ///
+    /// # Errors
+    ///
+    /// If the value is missing, or is not a whole number of microseconds.
     pub fn keepalive_timeout(&self) -> Result<Duration, SettingsError> {
         self.0.duration("limits.keepalive_us")
     }
 
     /// The values in a load report, in their order.
+    ///
+    /// # Errors
+    ///
+    /// If `reporting.how` is missing, or `reporting.fields` is missing where there are load reports.
     pub fn load_report_fields(&self) -> Result<Vec<LoadReportField>, SettingsError> {
         if self.0.text("reporting.how")? == "none" {
             return Ok(Vec::new());
--- a/stand-ins/src/http.rs
+++ b/stand-ins/src/http.rs
@@ -27,6 +27,10 @@
 
 impl Poll {
     /// Parses the head of a request.
+    ///
+    /// # Errors
+    ///
+    /// If the request is not a `GET` of the endpoint list, or its query has no `since`.
     pub fn parse(head: &str) -> Result<Poll, NotAPoll> {
         Poll::parse_target(head).ok_or_else(|| NotAPoll(head.to_string()))
     }
--- a/stand-ins/src/resp.rs
+++ b/stand-ins/src/resp.rs
@@ -135,6 +135,10 @@
 }
 
 /// Sends a PING on a connection of its own, and returns whether the reply is the right one.
+///
+/// # Errors
+///
+/// If the connection fails, or ends or times out before the reply is complete.
 pub fn ping(address: SocketAddr, timeout: Duration) -> std::io::Result<bool> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(timeout))?;
--- a/stand-ins/src/server.rs
+++ b/stand-ins/src/server.rs
@@ -5,6 +5,10 @@
 use std::thread;
 
 /// Listens at a port of its own on loopback.
+///
+/// # Errors
+///
+/// If no port can be bound.
 pub fn listen() -> std::io::Result<TcpListener> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
 }
@@ -13,6 +17,10 @@
 ///
 /// `accept` is called for each connection in the order of arrival. What it returns runs in a thread of the
 /// connection's own.
+///
+/// # Errors
+///
+/// If the listener has no local address.
 pub fn serve<A, C>(listener: TcpListener, mut accept: A) -> std::io::Result<SocketAddr>
 where
     A: FnMut(TcpStream) -> C + Send + 'static,
