--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -1,6 +1,6 @@
 //! How a gateway sends attempts: it has the load balancer choose a backend, and records what it sends.
 
-use crate::policy::{attempt_expiry, ChoiceFacts, ExpiryFacts, NoBackend};
+use crate::policy::{attempt_expiry, ChoiceFacts, ExpiryFacts, NoBackend, RetryPolicy};
 use crate::state::RequestState;
 use crate::{Action, BackendId, Gateway, Instant, RequestId};
 
@@ -17,7 +17,7 @@
             }
         };
         let objective = self.class_of(&state.request).latency_objective;
-        let check_at = self.retry_policy.first_check_at(self.now, state.latency_budget(objective));
+        let check_at = RetryPolicy::first_check_at(self.now, state.latency_budget(objective));
         let expires_at = self.attempt_expiry(state);
         if state.attempts.is_empty() {
             self.retry_policy.record_first_attempt();
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -153,7 +153,7 @@
     }
 
     /// When an attempt that is sent now is checked for the first time.
-    pub(crate) fn first_check_at(&self, sent_at: Instant, latency_budget: Duration) -> Instant {
+    pub(crate) fn first_check_at(sent_at: Instant, latency_budget: Duration) -> Instant {
         sent_at + latency_budget.mul_f64(SILENCE_SHARE)
     }
 
