--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -199,12 +199,16 @@
     /// How a request that is not served is answered: rejected where its client may send it again without a
     /// second effect, else failed.
     pub(crate) fn final_answer(idempotency: Idempotency, may_have_executed: bool) -> FinalAnswer {
-        match idempotency {
-            Idempotency::Idempotent => FinalAnswer::Rejected,
-            // Every backend that the client's next request may reach knows the key.
-            Idempotency::Keyed { scope: IdempotencyScope::Fleet, .. } => FinalAnswer::Rejected,
-            _ if may_have_executed => FinalAnswer::Failed,
-            _ => FinalAnswer::Rejected,
+        let is_safe_to_repeat = match idempotency {
+            Idempotency::Idempotent => true,
+            // The next request of the client may reach any backend: each of them has to know the key.
+            Idempotency::Keyed { scope, .. } => scope == IdempotencyScope::Fleet,
+            Idempotency::NonIdempotent => false,
+        };
+        if may_have_executed && !is_safe_to_repeat {
+            FinalAnswer::Failed
+        } else {
+            FinalAnswer::Rejected
         }
     }
 }
