--- a/fault-soak/src/plan.rs
+++ b/fault-soak/src/plan.rs
@@ -199,6 +199,7 @@
     }
 
     /// The plan without one of its faults.
+    #[must_use]
     pub fn without(&self, index: usize) -> SoakPlan {
         let mut plan = self.clone();
         plan.faults.remove(index);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -76,6 +76,10 @@
 
 /// What the deployment permits.
 #[derive(Clone, Debug, Default)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "permissions that the settings give independently of each other"
+)]
 pub struct Limits {
     /// Attempts for a request.
     pub max_attempts: u32,
--- a/src/time.rs
+++ b/src/time.rs
@@ -40,6 +40,7 @@
     }
 
     /// The point a span later, as `+` gives it, also in constants.
+    #[must_use]
     pub const fn saturating_add(self, span: Duration) -> Instant {
         Instant(self.0.saturating_add(span.0))
     }
@@ -148,6 +149,7 @@
     }
 
     /// This span times a factor, cut to whole microseconds; zero for a negative factor.
+    #[must_use]
     pub fn mul_f64(self, factor: f64) -> Duration {
         Duration((self.0 as f64 * factor) as u64)
     }
