--- a/fault-soak/src/report.rs
+++ b/fault-soak/src/report.rs
@@ -64,7 +64,9 @@
     /// The result of a run of a plan.
     pub fn new(plan: SoakPlan, observations: &Observations, violations: Vec<Violation>) -> RunResult {
         let mut counts = BTreeMap::new();
-        violations.iter().for_each(|violation| *counts.entry(violation.rule).or_default() += 1);
+        for violation in &violations {
+            *counts.entry(violation.rule).or_default() += 1;
+        }
         let violations = violations.into_iter().take(MAX_VIOLATIONS_IN_FULL).collect();
         RunResult {
             longest_stall_ms: to_millis(observations.longest_stall),
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -96,7 +96,9 @@
         testbed.check_ingresses();
         thread::sleep(TICK);
     }
-    threads.into_iter().for_each(|thread| _ = thread.join());
+    for thread in threads {
+        _ = thread.join();
+    }
 }
 
 /// Waits until all clients have ended, or for as long as that may take.
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -165,7 +165,9 @@
             return; // Not all of it was taken, or the connection had been closed before.
         }
         let sent_at = self.context.recorder.now();
-        pending.iter_mut().for_each(|request| request.sent_at = sent_at);
+        for request in &mut pending {
+            request.sent_at = sent_at;
+        }
         if self.is_affected_by(FaultScenario::DisconnectingClients) {
             return self.disconnect(ingress, connection, pending);
         }
--- a/fault-soak/src/testbed.rs
+++ b/fault-soak/src/testbed.rs
@@ -261,6 +261,8 @@
             thread::spawn(move || lock(&ingress).terminate())
         };
         let threads: Vec<JoinHandle<()>> = self.ingresses.iter().map(terminate).collect();
-        threads.into_iter().for_each(|thread| _ = thread.join());
+        for thread in threads {
+            _ = thread.join();
+        }
     }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -147,7 +147,9 @@
         let unsent = self.requests.iter().filter(|state| state.attempts.is_empty());
         let overdue = unsent.filter(|state| !self.can_be_queued(state, now));
         let overdue: Vec<RequestId> = overdue.map(|state| state.request.id).collect();
-        overdue.into_iter().for_each(|id| self.reject_or_fail(id, actions));
+        for id in overdue {
+            self.reject_or_fail(id, actions);
+        }
         self.resumed_at = now;
     }
 
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -34,7 +34,9 @@
             }
             Body::QuotaGrants { receiver_incarnation, grants } => {
                 if self.peers.is_for_this_process(receiver_incarnation) {
-                    grants.iter().for_each(|grant| self.on_quota_grant(from.0, grant, actions));
+                    for grant in &grants {
+                        self.on_quota_grant(from.0, grant, actions);
+                    }
                 }
             }
         }
@@ -44,7 +46,9 @@
     fn on_peer_start(&mut self, peer: u16, start: PeerStart) {
         let unreported = self.quota.on_peer_start(self.now, peer, start);
         tracing::debug!(target: "policy", peer, ?start, customers = unreported.len(), "peer started");
-        unreported.into_iter().for_each(|id| self.peers.queue_single_report(peer, id));
+        for id in unreported {
+            self.peers.queue_single_report(peer, id);
+        }
     }
 
     /// Records how a peer's attempts went, where the backend and the class are known here.
@@ -99,7 +103,9 @@
     /// Sends each peer that may be sent a message the usage reports that wait for it.
     pub(crate) fn flush_ready_outboxes(&mut self, actions: &mut Vec<Action>) {
         let ready = self.peers.ready_to_send(self.now);
-        ready.into_iter().for_each(|peer| self.flush_outbox(peer, actions));
+        for peer in ready {
+            self.flush_outbox(peer, actions);
+        }
     }
 
     /// Sends a peer the usage reports that wait for it, as many as a message holds.
--- a/src/policy/load_balancing/tests.rs
+++ b/src/policy/load_balancing/tests.rs
@@ -124,7 +124,9 @@
         (0..5).for_each(|_| backend.begin_attempt(NOW, Duration::ZERO));
     }
     assert!(!fixture.choices().contains_key(&0));
-    [1, 2].into_iter().for_each(|id| fixture.eject(id));
+    for id in [1, 2] {
+        fixture.eject(id);
+    }
     assert!(fixture.choices().contains_key(&0));
 }
 
--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -73,7 +73,9 @@
     /// flight there.
     pub fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
         self.backends.values_mut().for_each(|backend| backend.ready = false);
-        endpoints.into_iter().for_each(|endpoint| self.upsert(endpoint));
+        for endpoint in endpoints {
+            self.upsert(endpoint);
+        }
         self.backends.retain(|_, backend| backend.ready || backend.in_flight > 0);
         self.rebuild_index();
     }
--- a/tests/decision_digest/digest.rs
+++ b/tests/decision_digest/digest.rs
@@ -63,7 +63,9 @@
     }
 
     pub fn fold_numbers(&mut self, numbers: &[u64]) {
-        numbers.iter().for_each(|number| self.fold_bytes(&number.to_le_bytes()));
+        for number in numbers {
+            self.fold_bytes(&number.to_le_bytes());
+        }
     }
 
     /// A span that was computed with `exp`, whose last bit may differ between processors, in milliseconds.
--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -124,7 +124,9 @@
         client.round_trip(&encode_request("quote", &format!("m{number}"), 900));
         other_backend.command_count() > 0
     });
-    idle_clients.iter().for_each(|idle| drop(idle.stream.shutdown(Shutdown::Both)));
+    for idle in &idle_clients {
+        drop(idle.stream.shutdown(Shutdown::Both));
+    }
 }
 
 /// Idle clients hold every descriptor while discovery, which pushes its changes, is down. When it is back the
--- a/tests/gateway/rate_quota.rs
+++ b/tests/gateway/rate_quota.rs
@@ -38,15 +38,17 @@
             let SubmittedRequest { id, actions } =
                 harness.request_from_set(IDEMPOTENT, RATE_QUOTA, 9, 1.0, 1.0);
             let backends = sent_to(&actions);
-            backends.iter().for_each(|backend| drop(harness.end_attempt(id, 0, *backend, Outcome::Ok)));
+            for backend in &backends {
+                drop(harness.end_attempt(id, 0, *backend, Outcome::Ok));
+            }
             backends.len()
         };
         let send_forged = |harness: &mut GatewayHarness| {
             let SubmittedRequest { id, actions } =
                 harness.request_from_set(IDEMPOTENT, UNLIMITED, 9, 1.0, 1.0);
-            sent_to(&actions)
-                .iter()
-                .for_each(|backend| drop(harness.end_attempt(id, 0, *backend, Outcome::Ok)));
+            for backend in &sent_to(&actions) {
+                drop(harness.end_attempt(id, 0, *backend, Outcome::Ok));
+            }
         };
         if forged_first {
             send_forged(&mut harness);
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -360,7 +360,9 @@
 /// The log of all actions.
 fn run(steps: &[Step]) -> Vec<String> {
     let mut run = Run::new();
-    steps.iter().for_each(|step| run.apply(step.clone()));
+    for step in steps {
+        run.apply(step.clone());
+    }
     run.finish();
     run.host.log
 }
--- a/tests/ingress/requests.rs
+++ b/tests/ingress/requests.rs
@@ -30,7 +30,9 @@
         if let Some((reply, _)) = replies.iter().find(|(_, id)| Some(id) == reached.as_ref()) {
             return reply.clone();
         }
-        replies.iter().for_each(|(reply, id)| assert_eq!(*reply, format!("value of {id}")));
+        for (reply, id) in &replies {
+            assert_eq!(*reply, format!("value of {id}"));
+        }
         thread::sleep(Duration::from_millis(5));
     }
     panic!("none of 400 requests reached the backend");
--- a/tests/ingress/resource_limits.rs
+++ b/tests/ingress/resource_limits.rs
@@ -79,7 +79,9 @@
     let ingress = setup.start();
     let incomplete = [&b"*2\r\n$65536\r\n"[..], &[b'x'; 60_000]].concat();
     let mut clients: Vec<Client> = (0..150).map(|_| ingress.client()).collect();
-    clients.iter_mut().for_each(|client| drop(std::io::Write::write_all(&mut client.stream, &incomplete)));
+    for client in &mut clients {
+        drop(std::io::Write::write_all(&mut client.stream, &incomplete));
+    }
     let answer = ingress.client().round_trip(&encode_request("quote", "q1", 2000));
     assert_eq!(answer, "value of q1");
     let status = std::fs::read_to_string(format!("/proc/{}/status", ingress.child.id())).unwrap();
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -27,7 +27,9 @@
     frame.extend_from_slice(&(size as u32).to_le_bytes());
     frame.extend_from_slice(&clock.to_le_bytes());
     frame.extend_from_slice(&number.to_le_bytes());
-    records.iter().for_each(|record| frame.extend_from_slice(record));
+    for record in records {
+        frame.extend_from_slice(record);
+    }
     frame.extend_from_slice(tail);
     frame
 }
