--- a/tests/support/src/address.rs
+++ b/tests/support/src/address.rs
@@ -8,6 +8,10 @@
 
 /// An unused port at a loopback address that no other test has: the process gives two octets, a counter the
 /// last one.
+///
+/// # Panics
+///
+/// If no port can be bound at the address.
 pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let process = std::process::id();
--- a/tests/support/src/backend.rs
+++ b/tests/support/src/backend.rs
@@ -80,11 +80,19 @@
 
 impl Backend {
     /// Starts a backend on a port of its own.
+    ///
+    /// # Panics
+    ///
+    /// If no port can be bound.
     pub fn start(reply: impl Fn(&[String]) -> BackendReply + Send + Sync + 'static) -> Backend {
         Backend::on(listen().unwrap(), reply)
     }
 
     /// Starts a backend on a listener.
+    ///
+    /// # Panics
+    ///
+    /// If the listener has no local address.
     pub fn on(
         listener: TcpListener,
         reply: impl Fn(&[String]) -> BackendReply + Send + Sync + 'static,
@@ -106,6 +114,10 @@
     }
 
     /// The commands that arrived so far, with their arguments.
+    ///
+    /// # Panics
+    ///
+    /// If a connection of the backend panicked while it recorded a command.
     pub fn commands(&self) -> Vec<Vec<String>> {
         self.state.commands.lock().unwrap().clone()
     }
@@ -116,6 +128,10 @@
     }
 
     /// How many commands arrived so far.
+    ///
+    /// # Panics
+    ///
+    /// If a connection of the backend panicked while it recorded a command.
     pub fn command_count(&self) -> usize {
         self.state.commands.lock().unwrap().len()
     }
--- a/tests/support/src/backend/unreachable.rs
+++ b/tests/support/src/backend/unreachable.rs
@@ -25,6 +25,10 @@
 
 impl UnreachableBackend {
     /// Listens, and fills the accept queue.
+    ///
+    /// # Panics
+    ///
+    /// If the sockets cannot be opened, or no port can be bound.
     pub fn new() -> UnreachableBackend {
         let stream = || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let socket = stream();
--- a/tests/support/src/client.rs
+++ b/tests/support/src/client.rs
@@ -18,6 +18,10 @@
 
 impl Client {
     /// Connects to an ingress.
+    ///
+    /// # Panics
+    ///
+    /// If the connection cannot be established, or its options cannot be set.
     pub fn connect(to: SocketAddr) -> Client {
         let stream = TcpStream::connect(to).unwrap();
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
@@ -26,6 +30,10 @@
     }
 
     /// Sends bytes as they are.
+    ///
+    /// # Panics
+    ///
+    /// If the connection is closed.
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
@@ -67,6 +75,10 @@
 }
 
 /// The command of a request of a given customer; the class by its name.
+///
+/// # Panics
+///
+/// If there is no class of this name.
 pub fn encode_request_of(customer: usize, class: &str, id: &str, wait_ms: u32) -> Vec<u8> {
     let customer = Customer::of_one_ingress(customer as u64, PLAN);
     encode(class.parse().unwrap(), id, customer, u64::from(wait_ms))
--- a/tests/support/src/discovery.rs
+++ b/tests/support/src/discovery.rs
@@ -17,6 +17,10 @@
 const FIRST_INDEX: u64 = 1;
 
 /// An entry of the endpoint list, as JSON, with the name of its status.
+///
+/// # Panics
+///
+/// If there is no status of this name.
 pub fn endpoint_json(name: &str, address: SocketAddr, status: &str) -> String {
     let status = status.parse().unwrap();
     let entry = EndpointEntry {
@@ -125,6 +129,10 @@
 
 impl DiscoveryServer {
     /// Starts with an empty endpoint list.
+    ///
+    /// # Panics
+    ///
+    /// If no port can be bound.
     pub fn start() -> DiscoveryServer {
         let state = Arc::new(DiscoveryState::default());
         let shared = state.clone();
@@ -142,6 +150,11 @@
     }
 
     /// Changes an entry, and waits until the ingress polls for what is newer.
+    ///
+    /// # Panics
+    ///
+    /// If the ingress does not poll within [`WAIT_LIMIT`](super::wait::WAIT_LIMIT), or a connection panicked
+    /// while it answered a poll.
     pub fn publish_and_wait(&self, entry: String) {
         let index = self.publish(entry);
         wait_until("the ingress polls for newer changes", || {
@@ -150,6 +163,10 @@
     }
 
     /// Changes an entry and returns its index, whether or not the ingress polls.
+    ///
+    /// # Panics
+    ///
+    /// If a connection panicked while it answered a poll.
     pub fn publish(&self, entry: String) -> u64 {
         let mut published = self.state.published.lock().unwrap();
         published.changes.push(entry);
--- a/tests/support/src/gateway.rs
+++ b/tests/support/src/gateway.rs
@@ -157,6 +157,10 @@
 }
 
 /// The messages to peers, each with its receiver.
+///
+/// # Panics
+///
+/// If a message is for all peers.
 pub fn sent_messages(actions: &[Action]) -> Vec<(GatewayId, Vec<u8>)> {
     let message = |action: &Action| match action {
         Action::SendToPeer { to, bytes } => Some((to.unwrap(), bytes.clone())),
--- a/tests/support/src/ingress.rs
+++ b/tests/support/src/ingress.rs
@@ -9,6 +9,10 @@
 use std::path::PathBuf;
 
 /// The program as it was built for the tests: cargo puts it one folder above the tests themselves.
+///
+/// # Panics
+///
+/// If the program was not built.
 pub fn program_file() -> PathBuf {
     let test = std::env::current_exe().unwrap();
     let program = test.ancestors().nth(2).unwrap().join("ingress");
--- a/tests/support/src/ingress/process.rs
+++ b/tests/support/src/ingress/process.rs
@@ -32,6 +32,10 @@
     }
 
     /// Starts an ingress by a shell command with a log of the test, without waiting for it.
+    ///
+    /// # Panics
+    ///
+    /// If the configuration cannot be written, or the shell cannot be started.
     pub fn spawn_logging_to(config: &str, address: SocketAddr, program: &str, log: Stdio) -> IngressProcess {
         let file = std::env::temp_dir().join(format!("ingress-{}-{address}.json", std::process::id()));
         std::fs::write(&file, config).unwrap();
@@ -48,11 +52,19 @@
     }
 
     /// Waits until the ingress has read all that was sent to it before: it answers a later PING.
+    ///
+    /// # Panics
+    ///
+    /// If the ingress does not answer the PING.
     pub fn wait_until_input_is_processed(&self) {
         assert_eq!(self.client().ping(), "+PONG");
     }
 
     /// Replaces the file of the configuration.
+    ///
+    /// # Panics
+    ///
+    /// If the file cannot be written.
     pub fn write_config(&self, config: &str) {
         let new = self.config_file.with_extension("new");
         std::fs::write(&new, config).unwrap();
@@ -60,6 +72,10 @@
     }
 
     /// Sends the process a signal.
+    ///
+    /// # Panics
+    ///
+    /// If the process has ended, or there is no signal of this name.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("/bin/sh")
@@ -75,6 +91,10 @@
     }
 
     /// Processor time used so far, in hundredths of a second.
+    ///
+    /// # Panics
+    ///
+    /// If the process has ended and was waited for.
     pub fn cpu_centiseconds(&self) -> u64 {
         let fields = self.stat_fields();
         let ticks = |field: usize| fields[field].parse::<u64>().unwrap();
@@ -89,6 +109,10 @@
     }
 
     /// Waits until the process has ended.
+    ///
+    /// # Panics
+    ///
+    /// If the process does not end within [`WAIT_LIMIT`](crate::wait::WAIT_LIMIT).
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_until("the ingress ends", || {
@@ -99,6 +123,10 @@
     }
 
     /// Its log, once it has ended.
+    ///
+    /// # Panics
+    ///
+    /// If the log was read before or is not piped, or is not UTF-8.
     pub fn log(&mut self) -> String {
         let mut text = String::new();
         self.child.stderr.take().unwrap().read_to_string(&mut text).unwrap();
--- a/tests/support/src/ingress/setup.rs
+++ b/tests/support/src/ingress/setup.rs
@@ -8,7 +8,7 @@
 use fault_plan::FaultPlan;
 use stand_ins::endpoint::{list_json, ListKind};
 use stand_ins::resp::ping;
-use std::net::SocketAddr;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::process::Stdio;
 use std::time::Duration;
 
@@ -33,6 +33,8 @@
   "overload_factor":4.0,"fall_us":1000000,"must_ask_in_us":10000000},
  "membership_mode":"push","weights":"nominal","reporting":{"how":"answers","fields":["load_share"]}}"#;
 
+/// Where discovery is where a test has none: nothing listens at this port.
+const UNUSED_DISCOVERY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
 /// How long an ingress that starts may take for one PING, until another one is sent.
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -77,7 +79,11 @@
         }
     }
 
-    /// Replaces a text in the settings, which must be there.
+    /// Replaces a text in the settings.
+    ///
+    /// # Panics
+    ///
+    /// If the text is not there.
     pub fn replace_setting(&mut self, from: &str, to: &str) {
         assert!(self.settings.contains(from), "no {from} in {}", self.settings);
         self.settings = self.settings.replace(from, to);
@@ -85,7 +91,7 @@
 
     /// The configuration of an ingress that listens on this address.
     pub fn config_json(&self, address: SocketAddr) -> String {
-        let discovery = self.discovery.unwrap_or_else(|| "127.0.0.1:1".parse().unwrap());
+        let discovery = self.discovery.unwrap_or(UNUSED_DISCOVERY);
         format!(
             r#"{{"name":"n0","listen":"{address}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
  "limits":{{"cores":1.0,"memory_mb":{},"sockets":{}}},{}
--- a/tests/support/src/wait.rs
+++ b/tests/support/src/wait.rs
@@ -6,7 +6,11 @@
 /// How long a test waits for anything.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Polls a condition until it holds; panics at the limit.
+/// Polls a condition until it holds.
+///
+/// # Panics
+///
+/// If the condition does not hold within [`WAIT_LIMIT`].
 pub fn wait_until(what: &str, mut ready: impl FnMut() -> bool) {
     let start = Instant::now();
     while !ready() {
