--- a/tests/support/src/fleet.rs
+++ b/tests/support/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::gateway::{attempt_ended, GatewayHarness};
 use super::settings::{settings_of, IDEMPOTENT};
-use ingress::*;
+use ingress::{Action, Duration, Event, GatewayId, Outcome};
 
 /// Gateways before six backends.
 pub struct Fleet {
--- a/tests/support/src/gateway.rs
+++ b/tests/support/src/gateway.rs
@@ -1,7 +1,10 @@
 //! A gateway driven by events on a clock of the test's.
 
 use super::settings::{endpoint, SECOND, START};
-use ingress::*;
+use ingress::{
+    Action, AttemptEnded, BackendId, CustomerId, Duration, EndpointUpdate, Event, Gateway, GatewayId,
+    Instant, Outcome, Request, RequestId, Settings,
+};
 
 /// The time from a timer to the next one.
 const TIMER_INTERVAL: Duration = Duration::from_millis(20);
--- a/tests/support/src/settings.rs
+++ b/tests/support/src/settings.rs
@@ -1,6 +1,9 @@
 //! Settings of a small deployment for gateways under test: classes, plans, limits and endpoints.
 
-use ingress::*;
+use ingress::{
+    Availability, BackendId, Class, Duration, Endpoint, GatewayId, Idempotency, IdempotencyScope, Instant,
+    Limits, Plan, Rules, Settings,
+};
 
 /// When gateways under test start.
 pub const START: Instant = Instant::from_micros(1_000_000_000);
