--- a/src/bin/ingress/discovery/endpoint_list.rs
+++ b/src/bin/ingress/discovery/endpoint_list.rs
@@ -158,7 +158,7 @@
             started_at: None,
         };
         let started_at = UnixTime::from_micros(Duration::from_millis(since_ms).as_micros());
-        Ok(EndpointEntry { endpoint, address, started_at })
+        Ok(EndpointEntry { endpoint, started_at, address })
     }
 }
 
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -38,7 +38,7 @@
     let concurrency_quota = Plan { rate: 0.0, burst: 0.0, concurrency_quota: 2, ..plan() };
     let hard_limit = Plan { rate: 1e6, burst: 1e6, hard_limit_rate: 5.0, hard_limit_burst: 40.0, ..plan() };
     let plans = vec![plan(), concurrency_quota, hard_limit];
-    let settings = Settings { gateway_count, limits, plans, ..Settings::default() };
+    let settings = Settings { gateway_count, plans, limits, ..Settings::default() };
     QuotaManager::new(&settings, START)
 }
 
--- a/tests/ingress/peers.rs
+++ b/tests/ingress/peers.rs
@@ -8,6 +8,13 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
+/// The kind of a message with usage reports.
+const USAGE_REPORTS_KIND: u8 = 0;
+/// The kind of a message with quota grants.
+const QUOTA_GRANTS_KIND: u8 = 1;
+/// Selects the kind, in the byte that also holds the count of samples.
+const KIND_MASK: u8 = 3;
+
 /// The UDP socket of a peer, or of a host that is not a peer.
 struct PeerSocket {
     socket: UdpSocket,
@@ -39,10 +46,20 @@
     }
 }
 
+/// The kind of a message.
+fn kind(message: &[u8]) -> u8 {
+    message[1] & KIND_MASK
+}
+
+/// How many usage reports or quota grants a message has.
+fn entry_count(message: &[u8]) -> u8 {
+    message[8]
+}
+
 /// Whether the ingress sends an answer to the peer after a message from a socket.
 fn brings_answer(from: &PeerSocket, message: &[u8], peer: &PeerSocket) -> bool {
     from.send(message);
-    (0..5).filter_map(|_| peer.receive()).any(|answer| answer[1] & 3 == 1)
+    (0..5).filter_map(|_| peer.receive()).any(|answer| kind(&answer) == QUOTA_GRANTS_KIND)
 }
 
 /// A usage report with the flag set that requests an answer.
@@ -74,7 +91,8 @@
     client.send(request.as_bytes());
     let mut report = None;
     wait_until("the peer gets a report", || {
-        report = peer.receive().filter(|message| message[1] & 3 == 0 && message[8] > 0);
+        report =
+            peer.receive().filter(|message| kind(message) == USAGE_REPORTS_KIND && entry_count(message) > 0);
         report.is_some() || start.elapsed() > WAIT_LIMIT
     });
     assert_eq!(client.read_reply(), "value of q1");
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -38,7 +38,7 @@
 fn record(code: u8, fields: &[u8]) -> [u8; RECORD_SIZE] {
     let mut record = [0; RECORD_SIZE];
     record[0] = code;
-    record[1..1 + fields.len()].copy_from_slice(fields);
+    record[1..=fields.len()].copy_from_slice(fields);
     record
 }
 
