--- a/tests/support/src/gateway.rs
+++ b/tests/support/src/gateway.rs
@@ -1,7 +1,10 @@
 //! A gateway driven by events on a clock of the test's.
 
 use super::settings::{endpoint, SECOND, START};
-use ingress::*;
+use ingress::{
+    Action, AttemptEnded, BackendId, CustomerId, Duration, EndpointUpdate, Event, Gateway, GatewayId,
+    Instant, Outcome, Request, RequestId, Settings,
+};
 
 /// The time from a timer to the next one.
 const TIMER_INTERVAL: Duration = Duration::from_millis(20);
@@ -157,6 +160,10 @@
 }
 
 /// The messages to peers, each with its receiver.
+///
+/// # Panics
+///
+/// If a message is for all peers.
 pub fn sent_messages(actions: &[Action]) -> Vec<(GatewayId, Vec<u8>)> {
     let message = |action: &Action| match action {
         Action::SendToPeer { to, bytes } => Some((to.unwrap(), bytes.clone())),
