--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -3,7 +3,7 @@
 use super::pressure::{Pressure, LOW_PRESSURE, PRESSURE_TIME_CONSTANT};
 use crate::Instant;
 
-/// Attempts in flight at one backend, from all gateways, to begin with.
+/// Attempts in flight at one backend, from all gateways, to begin with; answers move it from there.
 const INITIAL_ATTEMPTS_PER_BACKEND: f64 = 10.0;
 /// The fewest attempts in flight at one backend, from all gateways, that the limit is reduced to.
 const MIN_ATTEMPTS_PER_BACKEND: f64 = INITIAL_ATTEMPTS_PER_BACKEND / 6.0;
--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -16,7 +16,8 @@
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// Weight of an attempt of this gateway in the failure rate.
 const OWN_WEIGHT: f64 = 0.15;
-/// Weight of an attempt that a peer reported in the failure rate.
+/// Weight of an attempt that a peer reported in the failure rate. In a large fleet a gateway seldom meets a
+/// given backend, and few reports on it come in: they have to be able to make it suspect.
 const PEER_WEIGHT: f64 = 0.2;
 
 /// An ejection: the backend is chosen last for a while.
--- a/src/policy/outlier_detection/observation.rs
+++ b/src/policy/outlier_detection/observation.rs
@@ -5,7 +5,8 @@
 
 /// Messages that carry the sample of a success.
 const SUCCESS_RETRANSMISSIONS: u8 = 12;
-/// Messages that carry the sample of a failure: each peer has to learn of it soon.
+/// Messages that carry the sample of a failure, which go before those of successes: each peer has to learn
+/// of it soon.
 const FAILURE_RETRANSMISSIONS: u8 = 36;
 
 /// Who saw how an attempt went.
