--- a/stand-ins/src/process.rs
+++ b/stand-ins/src/process.rs
@@ -6,7 +6,7 @@
 /// The environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
 /// The environment variables that override parts of a configuration.
-const OVERRIDE_VARIABLES: [&str; 3] = ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"];
+const OVERRIDE_VARIABLES: [&str; 2] = ["LB_LISTEN", "LB_DISCOVERY"];
 
 /// Has a command start its ingress with a configuration file, whatever the environment of this process says.
 pub fn set_config_file(command: &mut Command, config_file: &Path) {
