--- a/src/audit.rs
+++ b/src/audit.rs
@@ -53,7 +53,8 @@
 }
 
 impl Location {
-    /// Whether backends at both locations know the same idempotency keys.
+    /// Whether backends at both locations know the same idempotency keys. The policy has the same rule in
+    /// `RetryScope::includes`; the audit has its own, so that a fault there shows here.
     fn shares_keys(self, other: Location, scope: IdempotencyScope) -> bool {
         match scope {
             IdempotencyScope::Fleet => true,
