--- a/fault-soak/src/oracle.rs
+++ b/fault-soak/src/oracle.rs
@@ -15,7 +15,8 @@
 
 /// How late the stand-ins may observe something, besides the longest stall that was measured.
 const OBSERVATION_SLACK: Micros = 100_000;
-/// How long an ingress is stopped at most where the plan pauses it.
+/// How late an ingress may be where the plan pauses it: the longest pause that the protocol pages allow for.
+/// The testbed's pauses are a little shorter, since it may continue a process late.
 const MAX_PAUSE: Micros = 150_000;
 
 /// Finds every violation in what was observed.
--- a/fault-soak/src/oracle/backends.rs
+++ b/fault-soak/src/oracle/backends.rs
@@ -8,7 +8,8 @@
 const SLOW_START_CHECKED: Micros = 3_000_000;
 /// The capacity of a backend, in its even part of all requests.
 const CAPACITY_FACTOR: f64 = 1.25;
-/// Up to so many expected requests, chance may add three standard deviations.
+/// Below so many expected requests chance may add three standard deviations, else two, as the overload rule
+/// of the standing test has it.
 const SMALL_EXPECTATION: f64 = 30.0;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -28,7 +29,7 @@
     }
 }
 
-/// The most requests of a window in which so many are expected: chance may add some standard deviations.
+/// The most requests of a window in which so many are expected, by the overload rule of the standing test.
 fn upper_bound(expected: f64) -> f64 {
     if expected < SMALL_EXPECTATION {
         expected + 3.0 * expected.sqrt() + 3.0
--- a/fault-soak/src/oracle/requests.rs
+++ b/fault-soak/src/oracle/requests.rs
@@ -7,7 +7,8 @@
 use crate::settings::{ANSWER_SLACK, KEY_WINDOW, MAX_ATTEMPTS};
 use std::collections::HashMap;
 
-/// How much more time than its client has left an attempt may announce.
+/// How much more time than its client has left an attempt may announce, by the protocol pages. It has the
+/// length of the longest pause, but holds without one, too.
 const TIME_SLACK: Micros = 150_000;
 /// How long after its client has disconnected an attempt may begin.
 const DISCONNECT_SLACK: Micros = 100_000;
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -124,7 +124,7 @@
     Crashed,
     /// It was not ready in time.
     NotReady,
-    /// It was stopped, for up to 0.15 s.
+    /// It was stopped for a short pause, and continued.
     Paused,
 }
 
--- a/fault-soak/src/scenario.rs
+++ b/fault-soak/src/scenario.rs
@@ -38,7 +38,7 @@
     Kill,
     /// An ingress reloads its configuration, which is half written at first.
     Reload,
-    /// An ingress is stopped for up to 0.15 s, repeatedly.
+    /// An ingress is stopped for a short pause and continued, repeatedly.
     Pauses,
     /// A backend responds slowly.
     SlowBackend,
--- a/fault-soak/src/testbed.rs
+++ b/fault-soak/src/testbed.rs
@@ -32,7 +32,8 @@
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(300);
 /// How long a configuration stays half written.
 const HALF_WRITTEN_TIME: Duration = Duration::from_millis(120);
-/// How long an ingress is stopped.
+/// How long an ingress is stopped: less than the 150 ms that the oracle allows for, since it may be continued
+/// late.
 const PAUSE: Duration = Duration::from_millis(140);
 /// How long it runs between two pauses.
 const PAUSE_INTERVAL: Duration = Duration::from_millis(400);
--- a/fleet-experiments/src/experiments/slow_start/overload_rule.rs
+++ b/fleet-experiments/src/experiments/slow_start/overload_rule.rs
@@ -30,6 +30,9 @@
 
 /// The fullest window within the slow start of a backend, as a share of what the rule allows there. `sends`
 /// is sorted.
+///
+/// The rule allows N + 2 sqrt(N) + 2 requests where N are the budget, and N + 3 sqrt(N) + 3 for N under 30.
+/// Here the first bound holds for every N: the experiment is the stricter one.
 pub fn peak_window(ramp: &Ramp, sends: &[Instant]) -> f64 {
     let mut peak = 0.0;
     for (first, window_start) in sends.iter().enumerate() {
