--- a/tests/gateway/outlier_detection.rs
+++ b/tests/gateway/outlier_detection.rs
@@ -27,11 +27,11 @@
     );
 }
 
-/// A backend does not answer one class of requests, for example because the database behind that class is down.
-/// Requests of that class go to other backends, but it still serves the other classes; ejecting it altogether would
-/// take away capacity for no reason.
+/// A backend does not answer one class of requests, for example because the database behind that class is down. That
+/// silence ejects it for the class, whose requests go to other backends; its timeouts by themselves count as no
+/// failure. It still serves the other classes: ejecting it altogether would take away capacity for no reason.
 #[test]
-fn timeouts_of_one_class_eject_a_backend_for_that_class_only() {
+fn silence_to_one_class_ejects_a_backend_for_that_class_only() {
     let mut harness = GatewayHarness::new(settings(), 2);
     for customer in 0..40 {
         let SubmittedRequest { id, actions } =
