--- a/tests/gateway/concurrency_quota.rs
+++ b/tests/gateway/concurrency_quota.rs
@@ -60,9 +60,9 @@
     );
 }
 
-/// The gateway that counts a customer's attempts does not answer, since it is overloaded with questions. If all
-/// requests were admitted, the customer would exceed its quota just when the fleet is overloaded; if none were, it
-/// would be locked out. A random part is admitted, the smaller the more an attempt over the quota costs.
+/// The quota owner of a customer, which counts its attempts, does not answer, since it is overloaded with grant
+/// requests. If all requests were admitted, the customer would exceed its quota just when the fleet is overloaded; if
+/// none were, it would be locked out. A random part is admitted, the smaller the more an attempt over the quota costs.
 #[test]
 fn without_answers_of_the_quota_owner_a_random_share_is_admitted() {
     for (over_cost, share) in [(0.0, 1.0), (1.0, 0.5), (3.0, 0.25)] {
@@ -88,9 +88,9 @@
     }
 }
 
-/// A quota owner answers questions on other customers, but not on this one. It is alive and overloaded, and most
-/// likely by this very customer, so the request is rejected; an owner that answers nothing at all may have died,
-/// and then the request is admitted.
+/// A quota owner answers grant requests on other customers, but not on this one. It is alive and overloaded, and most
+/// likely by this very customer, so the request is rejected; an owner that answers nothing at all may have died, and
+/// then the request is admitted.
 #[test]
 fn a_request_is_rejected_where_the_quota_owner_answers_for_other_customers_only() {
     // Where an error costs nothing, requests are admitted if the quota owner is silent.
@@ -137,9 +137,9 @@
         .any(|action| matches!(action, Action::Reject { id: rejected, .. } if *rejected == id)));
 }
 
-/// One customer sends so many requests that its quota owner cannot receive a question for each. The owner would
-/// lose messages on all its other customers as well, and they would be rejected though they are within their
-/// quotas; so questions on the busy customer are limited, while a good part of its requests is still sent.
+/// One customer sends so many requests that its quota owner cannot receive a grant request for each. The owner would
+/// lose messages on all its other customers as well, and they would be rejected though they are within their quotas; so
+/// grant requests on the busy customer are limited, while a good part of its requests is still sent.
 #[test]
 fn grant_requests_for_a_busy_customer_are_limited() {
     let mut fleet = Fleet::new(100);
