--- a/fleet-experiments/tests/slow_start.rs
+++ b/fleet-experiments/tests/slow_start.rs
@@ -4,9 +4,9 @@
 use fleet_experiments::experiments::slow_start::{simulate, Ramp};
 
 /// Backends start while a fleet gets up to 2.5 times the requests that it can serve, and their latency says nothing
-/// about the load. When the budget of a starting backend grew with what was offered, or all ingresses drew anew at
-/// the same moment, starts passed the bound by up to 1.7 times, and a real backend would have broken down again
-/// right after its start.
+/// about the load. Formerly, when the budget of a starting backend grew with what was offered, or all ingresses drew
+/// anew at the same moment, starts passed the bound by up to 1.7 times, and a real backend would have broken down again
+/// right after its start; now every window stays inside the bound.
 #[test]
 fn backends_in_slow_start_are_not_overloaded_by_an_overloaded_fleet() {
     let ramp = |ingresses, backends, capacity, overload_factor, load| Ramp {
--- a/tests/gateway/concurrency_quota.rs
+++ b/tests/gateway/concurrency_quota.rs
@@ -28,8 +28,8 @@
 }
 
 /// A slow backend holds an attempt of a customer that may have only two in flight. After the latency objective its
-/// answer is worth nothing, but the customer's next requests were rejected for as long as the client waited; so the
-/// attempt expires at the objective and the place is free again.
+/// answer is worth nothing. Formerly the customer's next requests were rejected for as long as the client waited; now
+/// the attempt expires at the objective, and the place is free again.
 #[test]
 fn an_attempt_under_a_concurrency_quota_expires_at_its_latency_objective() {
     let mut harness = GatewayHarness::new(settings_of(0, 100), 200);
--- a/tests/gateway/hard_limit.rs
+++ b/tests/gateway/hard_limit.rs
@@ -50,9 +50,9 @@
     assert!((20..=72).contains(&sent), "{sent}");
 }
 
-/// A customer has used up the burst of its hard limit. Somebody sends many requests in its name with another plan,
-/// so that its record changes to that plan and then back again; each change began with a full burst, and the
-/// customer could exceed its hard limit as often as it liked.
+/// A customer has used up the burst of its hard limit. Somebody sends many requests in its name with another plan, so
+/// that its record changes to that plan and then back again. Formerly each change began with a full burst, and the
+/// customer could exceed its hard limit as often as it liked; now a change refills nothing.
 #[test]
 fn requests_with_a_forged_plan_do_not_refill_a_hard_limit() {
     let mut harness = GatewayHarness::new(settings_of(0, 1), 4);
--- a/tests/gateway/outlier_detection.rs
+++ b/tests/gateway/outlier_detection.rs
@@ -96,9 +96,9 @@
     counts
 }
 
-/// One of 30 backends stops answering. Each of a hundred gateways sends it only a request now and then; when each
-/// had to find out for itself, the backend went on getting a good part of its share, and those clients waited in
-/// vain. Gateways tell each other, and after some seconds hardly any request goes there.
+/// One of 30 backends stops answering. Each of a hundred gateways sends it only a request now and then. Formerly each
+/// had to find out for itself, the backend went on getting a good part of its share, and those clients waited in vain;
+/// now gateways notify each other, and after some seconds hardly any request goes there.
 #[test]
 fn a_hundred_gateways_share_observations_of_a_silent_backend() {
     let mut fleet = Fleet::new(100);
--- a/tests/gateway/rate_quota.rs
+++ b/tests/gateway/rate_quota.rs
@@ -27,9 +27,9 @@
     );
 }
 
-/// Somebody sends requests in a customer's name with another plan, before or between the customer's own. When one
-/// such request decided on the plan in the customer's record, it lifted the quota, or had the customer judged by
-/// the wrong plan for good; the record has to follow what most requests say.
+/// Somebody sends requests in a customer's name with another plan, before or between the customer's own. Formerly one
+/// such request decided on the plan in the customer's record, so that it lifted the quota, or had the customer judged
+/// by the wrong plan for good; now the record follows what most requests say.
 #[test]
 fn requests_with_a_forged_plan_do_not_change_the_customers_record() {
     for forged_first in [false, true] {
@@ -85,9 +85,9 @@
     }
 }
 
-/// A fleet of a hundred gateways starts, and customers send requests well within their quotas. With six messages
-/// for each request a third of them was lost, and customers were rejected by gateways that had not heard of them;
-/// all requests have to be served, with two messages each, or three where attempts in flight are counted.
+/// A fleet of a hundred gateways starts, and customers send requests well within their quotas. Formerly there were six
+/// messages for each request, a third of which was lost, and customers were rejected by gateways that had not heard of
+/// them; now all requests are served, with two messages each, or three where attempts in flight are counted.
 #[test]
 fn a_hundred_starting_gateways_need_two_messages_for_a_request_within_its_quota() {
     for plan in [RATE_QUOTA, CONCURRENCY_QUOTA] {
@@ -151,9 +151,9 @@
     );
 }
 
-/// A customer's requests move to another gateway for half a minute and then come back. The gateways took everything
-/// that it had used meanwhile for new usage, emptied its bucket and rejected it, although it was within its quota
-/// all the time.
+/// A customer's requests move to another gateway for half a minute and then come back. Formerly the gateways took
+/// everything that it had used meanwhile for new usage, emptied its bucket and rejected it; now it is served, since it
+/// was within its quota all the time.
 #[test]
 fn a_customer_that_returns_to_a_gateway_is_not_charged_for_past_usage() {
     let mut fleet = Fleet::new(3);
@@ -183,9 +183,9 @@
     harness.restart(settings_of(2, 3), 9, 6);
 }
 
-/// A machine's wall clock is set back by ten minutes, and its gateway restarts. The others took all its messages
-/// for older than those before the restart and ignored them until the clock had caught up; meanwhile the customer
-/// could use its full quota twice.
+/// A machine's wall clock is set back by ten minutes, and its gateway restarts. Formerly the others took all its
+/// messages for older than those before the restart and ignored them until the clock had caught up, so that the
+/// customer could use its full quota twice; now they are heard.
 #[test]
 fn a_gateway_that_restarts_with_its_clock_set_back_is_heard() {
     let mut fleet = Fleet::new(3);
@@ -206,9 +206,9 @@
     assert!(restarted + other <= 9, "{restarted} and {other} sent of a quota that both know of");
 }
 
-/// A machine's wall clock is set back, and its gateway restarts among gateways that have run for long. It took them
-/// for younger than itself and charged what a customer had used through them long ago as new; a customer well
-/// within its quota was rejected.
+/// A machine's wall clock is set back, and its gateway restarts among gateways that have run for long. Formerly it took
+/// them for younger than itself and charged what a customer had used through them long ago as new, and rejected a
+/// customer well within its quota; now it charges no past usage.
 #[test]
 fn a_gateway_that_restarts_with_its_clock_set_back_charges_no_past_usage() {
     let mut fleet = Fleet::new(3);
@@ -227,9 +227,10 @@
     assert_eq!(after, 3, "one unit a second, of two that the quota has");
 }
 
-/// A customer uses most of its quota, is quiet for a minute, and comes again with a full bucket. Its quota owner
-/// had forgotten how much each gateway had reported, while those gateways went on counting from where they were;
-/// everything ever used was charged again, and 2 of its next 18 requests were served.
+/// A customer uses most of its quota, is quiet for a minute, and comes again with a full bucket. Formerly its quota
+/// owner had forgotten by then how much each gateway had reported, while those gateways went on counting from where
+/// they were: everything ever used was charged again, and 2 of its next 18 requests were served. Now the owner
+/// remembers for longer than they count.
 #[test]
 fn what_a_customer_used_before_a_quiet_time_is_not_charged_again() {
     const BURST: f64 = 20.0;
--- a/tests/gateway/retry.rs
+++ b/tests/gateway/retry.rs
@@ -95,9 +95,9 @@
     assert!(sent_to(&end).is_empty() && is_failed(&end), "no backend left that knows the key");
 }
 
-/// All backends become slow just after a fleet of a hundred gateways has started. Each gateway had a small budget
-/// for hedged requests, harmless by itself, but a hundred of them were spent at once and kept the backends slow;
-/// together the gateways may hedge only a part of the requests.
+/// All backends become slow just after a fleet of a hundred gateways has started. Formerly each gateway had a small
+/// budget for hedged requests, harmless by itself, but a hundred of them were spent at once and kept the backends slow;
+/// now the gateways together hedge only a part of the requests.
 #[test]
 fn hedging_of_a_hundred_gateways_does_not_double_the_load_of_slow_backends() {
     let (mut first_attempts, mut hedges) = (0, 0);
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -44,9 +44,9 @@
     assert_eq!((slow.request_ids(), good.request_ids()), (vec!["r2".into()], vec!["r1".into()]));
 }
 
-/// A request waits for its connection to a backend that is slow to accept, and the backend is drained. Once the
-/// connection was established, the request was sent there all the same; it has to go to another backend at once,
-/// and the draining one gets nothing.
+/// A request waits for its connection to a backend that is slow to accept, and the backend is drained. Formerly the
+/// request was sent there once the connection was established; now it goes to another backend at once, and the draining
+/// one gets nothing.
 #[test]
 fn an_attempt_without_a_connection_ends_when_its_backend_drains() {
     assert_attempt_ends_when_its_backend_becomes("draining");
@@ -60,9 +60,9 @@
     assert_attempt_ends_when_its_backend_becomes("removed");
 }
 
-/// A request waits for its connection to a backend, and its client disconnects. Where the settings do not permit
-/// cancelling, the request was sent once the connection was established, and the backend worked for nobody; with or
-/// without that permission nothing of it may be sent.
+/// A request waits for its connection to a backend, and its client disconnects. Formerly, where the settings do not
+/// permit cancelling, the request was sent once the connection was established, and the backend worked for nobody; now
+/// nothing of it is sent, with or without that permission.
 #[test]
 fn an_attempt_without_a_connection_ends_when_its_client_disconnects() {
     for cancelling in ["true", "false"] {
@@ -109,9 +109,9 @@
     }
 }
 
-/// A client sends 400 requests at once and disconnects while the first ten are in flight. Because the rest of its
-/// input was not read any further, the ingress did not notice, and sent one waiting request after another to
-/// backends for a client that was gone.
+/// A client sends 400 requests at once and disconnects while the first ten are in flight. Formerly the rest of its
+/// input was not read any further, so that the ingress did not notice, and sent one waiting request after another to
+/// backends for a client that was gone; now it sends no more than those that were in flight.
 #[test]
 fn pipelined_requests_are_not_sent_once_their_client_has_disconnected() {
     let gated = GatedBackend::start();
@@ -168,8 +168,8 @@
     assert_eq!(slow.request_ids(), ["r3"]);
 }
 
-/// A connection to a backend takes 400 ms to be established. The command named the time that had been left when the
-/// connection was begun, so the backend could work on the request after its client had given up; it has to name
+/// A connection to a backend takes 400 ms to be established. Formerly the command stated the time that was left when
+/// the connection was begun, so that the backend could work on the request after its client had given up; now it states
 /// what is left when the command is written.
 #[test]
 fn an_attempt_carries_the_time_left_when_its_connection_is_established() {
@@ -200,9 +200,9 @@
     value.unwrap().parse().unwrap()
 }
 
-/// A machine is overloaded and the ingress stands still for 0.8 s, while a request waits in its socket. The ingress
-/// counted the client's time from when it read the request, gave the backend more time than the client had left,
-/// and would have answered too late.
+/// A machine is overloaded and the ingress stands still for 0.8 s, while a request waits in its socket. Formerly the
+/// ingress counted the client's time from when it read the request, gave the backend more time than the client had
+/// left, and would have answered too late; now the time of waiting counts.
 #[test]
 fn the_time_that_a_request_waited_for_a_stalled_ingress_counts() {
     const TIMEOUT_MS: u64 = 6000;
--- a/tests/system_call_faults.rs
+++ b/tests/system_call_faults.rs
@@ -14,9 +14,9 @@
 use support::ingress::{built_program, IngressSetup};
 use support::wait::wait_until;
 
-/// Every read returns fewer bytes than have arrived, as the kernel may do. The ingress took a short read for an
-/// empty socket and waited for more to arrive; with the rest of a request left in the socket nothing more came, and
-/// no client got an answer.
+/// Every read returns fewer bytes than have arrived, as the kernel may do. Formerly the ingress took a short read for
+/// an empty socket and waited for more to arrive; with the rest of a request left in the socket nothing more came, and
+/// no client got an answer. Now it reads until a read finds nothing.
 #[test]
 fn requests_are_answered_though_every_read_is_short() {
     let backend = Backend::start(reply_with_value);
@@ -30,9 +30,9 @@
     }
 }
 
-/// Accepting a connection fails for a moment, for example for want of memory. The ingress then closed clients that
-/// had just connected and whose first command was on its way, and those requests were lost; it has to wait and
-/// accept again.
+/// Accepting a connection fails for a moment, for example for want of memory. Formerly the ingress closed clients that
+/// had just connected and whose first command was on its way, and those requests were lost; now it waits and accepts
+/// again.
 #[test]
 fn new_clients_are_served_though_accepting_fails_for_a_moment() {
     let backend = Backend::start(reply_with_value);
@@ -87,18 +87,18 @@
     restarted.command_count()
 }
 
-/// The wall clock is set back by an hour, and then a backend starts. By a clock reading from before that step it
-/// seems to have run for an hour already, and it got half of all requests before it was warmed up; it may get no
-/// more than a small part of them.
+/// The wall clock is set back by an hour, and then a backend starts. By a clock reading from before that step it seems
+/// to have run for an hour already. Formerly it got half of all requests before it was warmed up; now it gets no more
+/// than a small part of them.
 #[test]
 fn a_backend_is_in_slow_start_though_the_clock_was_set_back() {
     let sent = requests_at_restarted_backend(-3_600_000, 10);
     assert!(sent <= WAVE * 10 / 4, "{sent} of {} went to the backend in slow start", WAVE * 10);
 }
 
-/// A backend sends a reply of 60,000 bytes, and every read returns only a few of them. After eight reads the
-/// ingress gave up on the reply and its client got an error, though the request was executed and the value was on
-/// its way.
+/// A backend sends a reply of 60,000 bytes, and every read returns only a few of them. Formerly the ingress gave up on
+/// the reply after eight reads, and its client got an error, though the request was executed and the value was on its
+/// way; now the reply is read to its end.
 #[test]
 fn a_long_reply_is_taken_though_every_read_is_short() {
     let value = "v".repeat(60_000);
@@ -111,8 +111,8 @@
     assert!(reply == value, "{} bytes, beginning with {:.40}", reply.len(), reply);
 }
 
-/// The log is a pipe that nobody reads, and it is full. The ingress waited for room in it and stood still for good,
-/// with all its clients; it has to go on serving, drop log lines, and stop on SIGTERM.
+/// The log is a pipe that nobody reads, and it is full. Formerly the ingress waited for room in it and stood still for
+/// good, with all its clients; now it goes on serving, drops log lines, and stops on SIGTERM.
 #[test]
 fn requests_are_answered_though_the_log_is_full() {
     let (mut log, _unread) = UnixStream::pair().unwrap();
@@ -155,22 +155,22 @@
     }
 }
 
-/// The kernel has no buffer for a moment, and writing a reply fails. The ingress closed the connection then, and
-/// the client lost the replies that it was owed; it has to write them a moment later.
+/// The kernel has no buffer for a moment, and writing a reply fails. Formerly the ingress closed the connection, and
+/// the client lost the replies that it was owed; now it writes them a moment later.
 #[test]
 fn replies_are_written_though_there_is_no_buffer_for_a_moment() {
     assert_all_are_answered(FaultPlan::single(SystemCallFault::NoBufferForWrite, 0.5));
 }
 
-/// A client is accepted, and registering its socket with the poll fails for a moment. Its connection was closed
-/// without a word, and a command on its way was lost; the registration has to be tried again.
+/// A client is accepted, and registering its socket with the poll fails for a moment. Formerly its connection was
+/// closed without a word, and a command on its way was lost; now the registration is tried again.
 #[test]
 fn clients_are_served_though_registering_fails_for_a_moment() {
     assert_all_are_answered(FaultPlan::single(SystemCallFault::FailedRegistration, 0.5));
 }
 
-/// Writing to a connection takes no byte and reports no error. The ingress tried again without end, so that no
-/// other client was served and SIGTERM had no effect; such a connection is closed instead.
+/// Writing to a connection takes no byte and reports no error. Formerly the ingress tried again without end, so that no
+/// other client was served and SIGTERM had no effect; now such a connection is closed.
 #[test]
 fn a_write_that_takes_nothing_does_not_stop_the_ingress() {
     let mut setup = IngressSetup::with_backends(&[]);
@@ -184,9 +184,8 @@
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
 }
 
-/// No socket can be opened during the first 0.4 s of a start, as on a machine that is short of descriptors or
-/// buffers. The process ended with an error, and an operator had to start it again; it has to try again until it is
-/// ready.
+/// No socket can be opened during the first 0.4 s of a start, as on a machine that is short of descriptors or buffers.
+/// Formerly the process ended with an error, and an operator had to start it again; now it tries until it is ready.
 #[test]
 fn the_ingress_starts_though_no_socket_can_be_made_for_a_moment() {
     let backend = Backend::start(reply_with_value);
@@ -198,9 +197,9 @@
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q1", 900)), "value of q1");
 }
 
-/// The ingress cannot open sockets for a while, so that no request reaches its backend. It counted that as failures
-/// of the backend, ejected it, suspected its whole zone and notified its peers; a healthy backend lost requests
-/// everywhere for a shortage on one machine.
+/// The ingress cannot open sockets for a while, so that no request reaches its backend. Formerly it counted that as
+/// failures of the backend, ejected it, suspected its whole zone and notified its peers: a healthy backend lost
+/// requests everywhere for a shortage on one machine. Now it counts against no backend.
 #[test]
 fn no_backend_is_blamed_for_a_socket_that_cannot_be_made() {
     let backend = Backend::start(reply_with_value);
