--- a/tests/gateway/admission.rs
+++ b/tests/gateway/admission.rs
@@ -22,9 +22,9 @@
     );
 }
 
-/// A request is queued when the whole process stalls, and its deadline passes. The next timer after the stall came
-/// 12 ms too late, so its client got no answer at all; the first event after the stall, whatever it is, has to
-/// answer it.
+/// A request is queued when the whole process stalls, and its deadline passes. Formerly the next timer after the stall
+/// came 12 ms too late, so that its client got no answer at all; now the first event after the stall, whatever it is,
+/// answers it.
 #[test]
 fn requests_that_expired_during_a_stall_are_rejected_by_the_first_event_after_it() {
     let mut harness = GatewayHarness::new(settings(), 1);
--- a/tests/gateway/load_balancing.rs
+++ b/tests/gateway/load_balancing.rs
@@ -49,9 +49,9 @@
     assert!(sent_later > 100, "{sent_later}: slow start ends, and it is used");
 }
 
-/// There are sixty times as many backends as gateways, and each gateway sends only to a subset of them. With
-/// subsets of 32, three in five backends would have had nothing to do while the others bore all the load. Nearly
-/// all backends have to be used, and none far more than its share.
+/// There are sixty times as many backends as gateways, and each gateway sends only to a subset of them. Formerly
+/// subsets had 32 backends, so that three in five backends had nothing to do while the others bore all the load; now
+/// nearly all backends are used, and none far more than its share.
 #[test]
 fn every_backend_of_a_large_fleet_is_in_a_subset() {
     let (gateways, backends) = (40u16, 2_400);
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The module by events and actions: no bench, no simulator.
+//! The decisions of one gateway, or of a few, by events and actions on a clock of the test; a module for each concern.
 
 use test_support as support;
 
--- a/tests/ingress/discovery.rs
+++ b/tests/ingress/discovery.rs
@@ -83,7 +83,7 @@
 }
 
 /// Discovery accepts connections for a while and answers nothing, and a backend is added meanwhile. An ingress that
-/// waited for that answer would never hear of the new backend, so it has to give up the poll and ask again.
+/// waited for that answer would never hear of the new backend, so it has to give up the poll and poll again.
 #[test]
 fn the_ingress_recovers_from_discovery_that_was_silent() {
     assert_recovers_from(DiscoveryServer::set_silent);
--- a/tests/support/src/client.rs
+++ b/tests/support/src/client.rs
@@ -68,7 +68,8 @@
     }
 }
 
-/// The command of a request, of a customer that sends no other; the class by its name.
+/// The command of a request, of a customer that sends no other. The class goes by its name in the settings of the
+/// tests: `quote` is idempotent, `save` keyed and `refer` non-idempotent.
 pub fn encode_request(class: &str, id: &str, wait_ms: u32) -> Vec<u8> {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     encode_request_of(NEXT.fetch_add(1, Ordering::Relaxed), class, id, wait_ms)
--- a/tests/support/src/settings.rs
+++ b/tests/support/src/settings.rs
@@ -11,20 +11,20 @@
 /// A second.
 pub const SECOND: Duration = Duration::from_secs(1);
 
-/// Index of a class of [`settings`], retried at will.
+/// Index of the class of [`settings`] that is idempotent.
 pub const IDEMPOTENT: u8 = 0;
-/// Its idempotency key is known in a cell for 2 s.
+/// Index of the class that is keyed: its idempotency key is known in a cell for 2 s.
 pub const KEYED: u8 = 1;
-/// Retried only if never executed.
+/// Index of the class that is non-idempotent: retried only if never executed.
 pub const NON_IDEMPOTENT: u8 = 2;
 
-/// Index of a plan of [`settings`], with a quota that no test reaches.
+/// Index of the plan of [`settings`] with a quota that no test reaches.
 pub const UNLIMITED: u16 = 0;
-/// 2 units a second, a burst of 6.
+/// Index of the plan with a quota of 2 units a second and a burst of 6.
 pub const RATE_QUOTA: u16 = 1;
-/// 6 units a second, a burst of 12.
+/// Index of the plan with a hard limit of 6 units a second and a burst of 12.
 pub const HARD_LIMIT: u16 = 2;
-/// 2 attempts in flight.
+/// Index of the plan with a quota of 2 attempts in flight.
 pub const CONCURRENCY_QUOTA: u16 = 3;
 
 /// A class with a latency objective of a second.
