--- a/fleet-experiments/src/experiments/slow_start.rs
+++ b/fleet-experiments/src/experiments/slow_start.rs
@@ -8,7 +8,7 @@
 use crate::report::Report;
 use serde::{Deserialize, Serialize};
 
-/// Ramps to simulate.
+/// Fleets in which half of the backends restart, to be simulated.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SlowStartExperiment {
@@ -33,7 +33,7 @@
 
 /// A fleet, its backends, and the load on them.
 #[derive(Clone, Debug)]
-pub struct Ramp {
+pub struct SlowStartScenario {
     /// Ingresses in the fleet.
     pub ingresses: u16,
     /// Backends.
@@ -50,13 +50,13 @@
     pub seed: u64,
 }
 
-/// The outcome of one ramp.
+/// The outcome of one scenario, simulated once.
 #[derive(Clone, Debug, Default)]
-pub struct RampOutcome {
+pub struct SlowStartOutcome {
     /// The fullest window at a restarted backend, as a share of what the rule allows there: the budget N, and
-    /// 2 root N + 2 for chance.
+    /// 2 sqrt(N) + 2 for chance.
     pub peak_window: f64,
-    /// Requests sent to the restarted backends, as a share of their budgets over the ramp.
+    /// Requests sent to the restarted backends, as a share of their budgets over the slow start.
     pub budget_used: f64,
     /// Requests served.
     pub served: u64,
@@ -64,7 +64,7 @@
     pub rejected: u64,
 }
 
-/// The outcome of the ramps of one factor and load: the fullest window, and means of the rest.
+/// The outcome of all runs with one factor and load: the fullest window, and means of the rest.
 #[derive(Debug, Serialize)]
 struct Point {
     /// Ingresses in the fleet.
@@ -85,7 +85,7 @@
     peak_window: f64,
     /// Runs with a window that is fuller than the rule allows.
     runs_over_limit: usize,
-    /// Requests sent to the restarted backends, as a share of their budgets over the ramp.
+    /// Requests sent to the restarted backends, as a share of their budgets over the slow start.
     budget_used: f64,
     /// Requests rejected or failed.
     rejected: f64,
@@ -120,9 +120,9 @@
 }
 
 impl SlowStartExperiment {
-    /// Simulates the ramps of one factor and load.
+    /// Simulates all runs with one factor and load.
     fn measure(&self, overload_factor: f64, load: f64, seed: u64) -> Point {
-        let ramp = |run| Ramp {
+        let scenario = |run| SlowStartScenario {
             ingresses: self.ingresses,
             backends: self.backends,
             capacity: self.capacity,
@@ -131,8 +131,8 @@
             queueing: self.queueing,
             seed: seed + run,
         };
-        let outcomes: Vec<RampOutcome> = (0..self.runs).map(|run| simulate(&ramp(run))).collect();
-        let mean = |value: &dyn Fn(&RampOutcome) -> f64| {
+        let outcomes: Vec<SlowStartOutcome> = (0..self.runs).map(|run| simulate(&scenario(run))).collect();
+        let mean = |value: &dyn Fn(&SlowStartOutcome) -> f64| {
             outcomes.iter().map(value).sum::<f64>() / outcomes.len() as f64
         };
         Point {
@@ -152,8 +152,8 @@
     }
 }
 
-/// Simulates one ramp. Arrivals are Poisson and spread unevenly: the busiest ingress gets ten times what the
+/// Simulates one scenario. Arrivals are Poisson and spread unevenly: the busiest ingress gets ten times what the
 /// idlest gets.
-pub fn simulate(ramp: &Ramp) -> RampOutcome {
-    simulation::Simulation::new(ramp).run()
+pub fn simulate(scenario: &SlowStartScenario) -> SlowStartOutcome {
+    simulation::Simulation::new(scenario).run()
 }
--- a/fleet-experiments/src/experiments/slow_start/simulation.rs
+++ b/fleet-experiments/src/experiments/slow_start/simulation.rs
@@ -3,7 +3,7 @@
 use super::overload_rule::{
     budget_used, peak_window, RESTART, SLOW_START_DURATION, SLOW_START_END, SLOW_START_FLOOR, WINDOW,
 };
-use super::{Ramp, RampOutcome};
+use super::{SlowStartOutcome, SlowStartScenario};
 use crate::simulation::{
     attempt_served, draw_span, endpoint, ingress_settings, poisson_interval, EventQueue, FIRST_TIMER,
     REQUEST_DEADLINE, SECOND, SERVICE_TIME, START,
@@ -16,7 +16,7 @@
 
 /// Customers that requests are of.
 const CUSTOMERS: u64 = 1_000_000;
-/// The seeds of ramps are so far apart that no two ingresses share one.
+/// The seeds of scenarios are so far apart that no two ingresses share one.
 const SEED_STRIDE: u64 = 1000;
 /// The least weight of an ingress, by which requests are spread over the fleet.
 const MIN_WEIGHT: f64 = 0.3;
@@ -76,10 +76,10 @@
     rate: f64,
 }
 
-/// A ramp that is simulated.
+/// A scenario that is simulated.
 pub struct Simulation<'a> {
     /// What is simulated.
-    ramp: &'a Ramp,
+    scenario: &'a SlowStartScenario,
     /// Draws of weights, arrivals, customers and delays.
     random: fastrand::Rng,
     /// The events to come.
@@ -95,25 +95,25 @@
     /// The number of the next attempt of each open request.
     attempts: HashMap<RequestId, u16>,
     /// What was counted so far.
-    outcome: RampOutcome,
+    outcome: SlowStartOutcome,
     /// The actions of one event; the allocation is reused.
     actions: Vec<Action>,
 }
 
 impl<'a> Simulation<'a> {
     /// A fleet whose ingresses have their endpoint lists and wait for their first requests.
-    pub fn new(ramp: &'a Ramp) -> Self {
-        let backends = ramp.backends as usize;
+    pub fn new(scenario: &'a SlowStartScenario) -> Self {
+        let backends = scenario.backends as usize;
         let mut simulation = Simulation {
-            ramp,
-            random: fastrand::Rng::with_seed(ramp.seed),
+            scenario,
+            random: fastrand::Rng::with_seed(scenario.seed),
             queue: EventQueue::default(),
             fleet: Vec::new(),
             backends: vec![Backend::default(); backends],
             indices: (0..backends).map(|index| (endpoint_at(index, START).backend, index)).collect(),
             last_request: 0,
             attempts: HashMap::new(),
-            outcome: RampOutcome::default(),
+            outcome: SlowStartOutcome::default(),
             actions: Vec::new(),
         };
         for (number, rate) in simulation.arrival_rates().into_iter().enumerate() {
@@ -124,17 +124,18 @@
 
     /// Draws how many requests a second arrive at each ingress.
     fn arrival_rates(&mut self) -> Vec<f64> {
-        let ramp = self.ramp;
+        let scenario = self.scenario;
         let weights: Vec<f64> =
-            (0..ramp.ingresses).map(|_| MIN_WEIGHT + WEIGHT_RANGE * self.random.f64().powi(2)).collect();
-        let rate_per_weight = ramp.load * ramp.capacity * ramp.backends as f64 / weights.iter().sum::<f64>();
+            (0..scenario.ingresses).map(|_| MIN_WEIGHT + WEIGHT_RANGE * self.random.f64().powi(2)).collect();
+        let rate_per_weight =
+            scenario.load * scenario.capacity * scenario.backends as f64 / weights.iter().sum::<f64>();
         weights.iter().map(|weight| rate_per_weight * weight).collect()
     }
 
     /// Starts an ingress, with its first timer, its first request and the restart of the backends to come.
     fn start_ingress(&mut self, ingress: usize, rate: f64) {
-        let seed = self.ramp.seed * SEED_STRIDE + ingress as u64;
-        let mut gateway = Gateway::new(settings(self.ramp, ingress as u16), seed, START);
+        let seed = self.scenario.seed * SEED_STRIDE + ingress as u64;
+        let mut gateway = Gateway::new(settings(self.scenario, ingress as u16), seed, START);
         let list = (0..self.backends.len()).map(|index| endpoint_at(index, START)).collect();
         gateway.handle(START, Event::Endpoints(EndpointUpdate::CachedSnapshot, list), &mut self.actions);
         self.actions.clear();
@@ -147,7 +148,7 @@
     }
 
     /// Runs until the slow start is over.
-    pub fn run(mut self) -> RampOutcome {
+    pub fn run(mut self) -> SlowStartOutcome {
         while let Some((now, scheduled)) = self.queue.pop() {
             if now > SLOW_START_END {
                 break;
@@ -213,9 +214,9 @@
         let mut answered_at = now + draw_span(&mut self.random, SERVICE_TIME);
         let backend = &mut self.backends[index];
         let restarted_at = started_at(index, now);
-        if self.ramp.queueing {
+        if self.scenario.queueing {
             let capacity_share = restarted_at.map_or(1.0, |at| capacity_share(now.duration_since(at)));
-            let work = SECOND.as_micros_f64() / self.ramp.capacity / capacity_share;
+            let work = SECOND.as_micros_f64() / self.scenario.capacity / capacity_share;
             backend.idle_at = f64::max(backend.idle_at, now.as_micros() as f64) + work;
             answered_at += Instant::from_micros(backend.idle_at as u64).duration_since(now);
         }
@@ -229,23 +230,23 @@
     }
 
     /// Compares what was sent to the restarted backends with the rule.
-    fn finish(mut self) -> RampOutcome {
+    fn finish(mut self) -> SlowStartOutcome {
         let restarted = self.backends.len().div_ceil(RESTART_STEP) as f64;
         for backend in self.backends.iter().step_by(RESTART_STEP) {
             let sends = &backend.slow_start_sends;
-            self.outcome.budget_used += budget_used(self.ramp, sends) / restarted;
-            self.outcome.peak_window = self.outcome.peak_window.max(peak_window(self.ramp, sends));
+            self.outcome.budget_used += budget_used(self.scenario, sends) / restarted;
+            self.outcome.peak_window = self.outcome.peak_window.max(peak_window(self.scenario, sends));
         }
         self.outcome
     }
 }
 
-/// The settings of an ingress, with the ramp's rule.
-fn settings(ramp: &Ramp, number: u16) -> Settings {
-    let mut settings = ingress_settings(ramp.ingresses, number);
+/// The settings of an ingress, with the scenario's rule.
+fn settings(scenario: &SlowStartScenario, number: u16) -> Settings {
+    let mut settings = ingress_settings(scenario.ingresses, number);
     settings.rules.slow_start_floor = SLOW_START_FLOOR;
     settings.rules.slow_start_duration = SLOW_START_DURATION;
-    settings.rules.overload_factor = ramp.overload_factor;
+    settings.rules.overload_factor = scenario.overload_factor;
     settings.rules.overload_window = WINDOW;
     settings
 }
--- a/fleet-experiments/tests/experiments.rs
+++ b/fleet-experiments/tests/experiments.rs
@@ -95,7 +95,7 @@
 /// Backends start in a modelled fleet and get more and more requests. The experiment has to count them: a counter
 /// that stays at zero would report that the limit was kept whatever happened.
 #[test]
-fn a_ramp_counts_what_backends_in_slow_start_get() {
+fn a_simulation_counts_what_backends_in_slow_start_get() {
     let points = points("slow_start");
     assert!(number(&points[0], "budget_used") > 0.0 && number(&points[0], "peak_window") > 0.0, "{points:?}");
     assert_eq!(number(&points[0], "runs_over_limit"), 0.0, "{points:?}");
--- a/fleet-experiments/tests/slow_start.rs
+++ b/fleet-experiments/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start in a fleet: the requests to backends that have just started, in the window of the overload
 //! rule.
 
-use fleet_experiments::experiments::slow_start::{simulate, Ramp};
+use fleet_experiments::experiments::slow_start::{simulate, SlowStartScenario};
 
 /// Backends start while a fleet gets up to 2.5 times the requests that it can serve, and their latency says nothing
 /// about the load. Formerly, when the budget of a starting backend grew with what was offered, or all ingresses drew
@@ -9,7 +9,7 @@
 /// right after its start; now every window stays inside the bound.
 #[test]
 fn backends_in_slow_start_are_not_overloaded_by_an_overloaded_fleet() {
-    let ramp = |ingresses, backends, capacity, overload_factor, load| Ramp {
+    let scenario = |ingresses, backends, capacity, overload_factor, load| SlowStartScenario {
         ingresses,
         backends,
         capacity,
@@ -18,19 +18,19 @@
         queueing: false,
         seed: 0,
     };
-    let ramps = [
-        ramp(30, 12, 100.0, 4.0, 2.5),
-        ramp(30, 12, 100.0, 1.2, 2.5),
-        ramp(20, 100, 12.0, 2.0, 1.5),
-        ramp(20, 12, 30.0, 1.2, 1.5),
-        ramp(300, 12, 40.0, 2.0, 2.5),
-        ramp(300, 12, 40.0, 1.2, 1.5),
+    let scenarios = [
+        scenario(30, 12, 100.0, 4.0, 2.5),
+        scenario(30, 12, 100.0, 1.2, 2.5),
+        scenario(20, 100, 12.0, 2.0, 1.5),
+        scenario(20, 12, 30.0, 1.2, 1.5),
+        scenario(300, 12, 40.0, 2.0, 2.5),
+        scenario(300, 12, 40.0, 1.2, 1.5),
     ];
-    for (index, ramp) in ramps.into_iter().enumerate() {
-        let ramp = Ramp { seed: index as u64 + 1, ..ramp };
-        let outcome = simulate(&ramp);
-        assert!(outcome.peak_window <= 1.0, "{ramp:?}: {outcome:?}");
-        assert!(outcome.budget_used > 0.1, "they are used: {ramp:?}: {outcome:?}");
+    for (index, scenario) in scenarios.into_iter().enumerate() {
+        let scenario = SlowStartScenario { seed: index as u64 + 1, ..scenario };
+        let outcome = simulate(&scenario);
+        assert!(outcome.peak_window <= 1.0, "{scenario:?}: {outcome:?}");
+        assert!(outcome.budget_used > 0.1, "they are used: {scenario:?}: {outcome:?}");
     }
 }
 
@@ -40,7 +40,7 @@
 #[test]
 fn backends_in_slow_start_serve_their_part_where_answer_times_show_the_load() {
     for (ingresses, seed) in [(30, 1), (30, 2), (300, 3)] {
-        let ramp = Ramp {
+        let scenario = SlowStartScenario {
             ingresses,
             backends: 12,
             capacity: 40.0,
@@ -49,8 +49,8 @@
             queueing: true,
             seed,
         };
-        let outcome = simulate(&ramp);
-        assert!(outcome.peak_window <= 1.0 && outcome.budget_used > 0.03, "{ramp:?}: {outcome:?}");
-        assert!(outcome.rejected * 2 < outcome.served, "{ramp:?}: {outcome:?}");
+        let outcome = simulate(&scenario);
+        assert!(outcome.peak_window <= 1.0 && outcome.budget_used > 0.03, "{scenario:?}: {outcome:?}");
+        assert!(outcome.rejected * 2 < outcome.served, "{scenario:?}: {outcome:?}");
     }
 }
