--- a/fault-soak/src/oracle/requests.rs
+++ b/fault-soak/src/oracle/requests.rs
@@ -7,8 +7,8 @@
 use crate::settings::{ANSWER_SLACK, KEY_WINDOW, MAX_ATTEMPTS};
 use std::collections::HashMap;
 
-/// How much more time than its client has left an attempt may announce, by the protocol pages. It has the
-/// length of the longest pause, but holds without one, too.
+/// How much longer than its client has left the timeout that an attempt states may be, by the protocol pages.
+/// It has the length of the longest pause, but holds without one, too.
 const TIME_SLACK: Micros = 150_000;
 /// How long after its client has disconnected an attempt may begin.
 const DISCONNECT_SLACK: Micros = 100_000;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether an attempt announced no more time than its client had left.
+    /// Whether the timeout that an attempt stated was no longer than its client had left.
     fn judge_time_budget(&mut self, request: &RequestRecord, arrival: &ArrivalRecord) {
         let time_left = (request.sent_at + request.timeout).saturating_sub(arrival.at);
         if arrival.time_budget > time_left + TIME_SLACK + self.slack() {
--- a/fault-soak/src/oracle/rule.rs
+++ b/fault-soak/src/oracle/rule.rs
@@ -22,7 +22,7 @@
     KeyExpired,
     /// A5: a request had more attempts than are allowed.
     TooManyAttempts,
-    /// A6: an attempt announced more time than its client had left.
+    /// A6: an attempt stated a longer timeout than its client had left.
     TimeOverstated,
     /// B1: a draining backend got a new request after the grace period.
     SentToDraining,
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -71,7 +71,7 @@
     pub backend: usize,
     /// When its last byte was read.
     pub at: Micros,
-    /// The time that the ingress announced for it, in microseconds.
+    /// The timeout that the ingress stated for it, in microseconds.
     pub time_budget: Micros,
     /// The backend rejected it, and did not execute it.
     pub rejected: bool,
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -29,7 +29,7 @@
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// How often a hanging backend looks whether it still hangs.
 const HANG_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The option of a command that holds the time that the ingress announces, in milliseconds.
+/// The option of a command that holds the timeout that the ingress states, in milliseconds.
 const TIME_BUDGET_OPTION: &str = "d=";
 /// The bytes that are read at once.
 const CHUNK_SIZE: usize = 4096;
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -48,7 +48,7 @@
 const PIPELINE_LENGTHS: RangeInclusive<usize> = 2..=12;
 /// A command of a negative length, and a request of another protocol.
 const MALFORMED_COMMAND: &[u8] = b"*1\r\n$-5\r\nGET / HTTP/1.1\r\n\r\n";
-/// The announced time of a command that stays incomplete, in milliseconds.
+/// The stated timeout of a command that stays incomplete, in milliseconds.
 const INCOMPLETE_TIMEOUT_MS: u64 = 500;
 /// The bytes of a response to invalid input that are read at once.
 const RESPONSE_CHUNK_SIZE: usize = 256;
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// An attempt that announces 100 ms, and ends after 10 ms.
+/// An attempt that states a timeout of 100 ms, and ends after 10 ms.
 fn arrival(at: Micros) -> ArrivalRecord {
     ArrivalRecord {
         id: "i0-c1-1".into(),
--- a/fleet-experiments/src/client.rs
+++ b/fleet-experiments/src/client.rs
@@ -15,7 +15,7 @@
 const THINK_TIME: Duration = Duration::from_millis(2);
 /// The plan of all customers.
 const PLAN: &str = "starter";
-/// The time that each request announces, in milliseconds.
+/// The timeout that each request states, in milliseconds.
 const TIMEOUT_MS: u64 = 2000;
 /// The longest answer that a client reads.
 const MAX_ANSWER_SIZE: usize = 4096;
--- a/fleet-experiments/src/experiment_file.rs
+++ b/fleet-experiments/src/experiment_file.rs
@@ -63,10 +63,10 @@
 pub struct ExperimentFile {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Updates of the endpoint list in the decision module.
+    /// Updates of the endpoint list in the library.
     #[serde(alias = "list")]
     pub endpoint_list: Option<EndpointListExperiment>,
-    /// Requests through the decision module, by backends, customers and ingresses.
+    /// Requests through the library, by backends, customers and ingresses.
     pub request: Option<RequestCostExperiment>,
     /// Quota messages, by ingresses and rates.
     pub quota: Option<QuotaMessagesExperiment>,
--- a/fleet-experiments/src/experiments.rs
+++ b/fleet-experiments/src/experiments.rs
@@ -1,4 +1,4 @@
-//! The experiments, a module each: those on the decision module under a driven clock, then those on real
+//! The experiments, a module each: those on the library under a simulated clock, then those on real
 //! processes.
 
 pub mod discovery_outage;
--- a/fleet-experiments/src/experiments/endpoint_list.rs
+++ b/fleet-experiments/src/experiments/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the decision module: the costs of a snapshot, of the change of one backend, and of a
+//! The endpoint list in the library: the costs of a snapshot, of the change of one backend, and of a
 //! zone that is lost and returns, at each size of the list.
 
 use crate::experiment::{Environment, Experiment, Sizes};
@@ -11,7 +11,7 @@
 use ingress::{Action, Availability, Duration, Endpoint, EndpointUpdate, Event, Gateway, Instant};
 use serde::{Deserialize, Serialize};
 
-/// Time on the driven clock between two updates.
+/// Time on the simulated clock between two updates.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(4);
 /// Changes go to backends this far apart in the list.
 const CHANGE_STRIDE: u64 = 7919;
@@ -129,9 +129,9 @@
 
 /// A simulated ingress whose work on updates is timed.
 struct TimedIngress {
-    /// The decision module.
+    /// The gateway.
     gateway: Gateway,
-    /// The driven clock.
+    /// The simulated clock.
     now: Instant,
     /// The actions of one event; the allocation is reused.
     actions: Vec<Action>,
--- a/fleet-experiments/src/experiments/quota_messages.rs
+++ b/fleet-experiments/src/experiments/quota_messages.rs
@@ -25,7 +25,7 @@
     /// Customers for each ingress.
     #[serde(alias = "customers")]
     pub customers_per_ingress: u64,
-    /// Seconds on the driven clock; the first is not counted.
+    /// Seconds on the simulated clock; the first is not counted.
     pub seconds: u64,
 }
 
@@ -40,7 +40,7 @@
     pub gateway_set_size: u16,
     /// Customers for each ingress.
     pub customers_per_ingress: u64,
-    /// Seconds on the driven clock; the first is not counted.
+    /// Seconds on the simulated clock; the first is not counted.
     pub seconds: u64,
     /// Seed of all random draws.
     pub seed: u64,
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -1,4 +1,4 @@
-//! Requests through the decision module: the cost of one by the number of backends, customers and ingresses.
+//! Requests through the library: the cost of one by the number of backends, customers and ingresses.
 
 use crate::experiment::{Environment, Experiment, Sizes};
 use crate::procfs;
@@ -126,9 +126,9 @@
 
 /// A simulated ingress under requests that are all answered in time.
 struct LoadedIngress {
-    /// The decision module.
+    /// The gateway.
     gateway: Gateway,
-    /// The driven clock.
+    /// The simulated clock.
     now: Instant,
     /// Draws of customers.
     random: fastrand::Rng,
--- a/fleet-experiments/src/experiments/slow_start/simulation.rs
+++ b/fleet-experiments/src/experiments/slow_start/simulation.rs
@@ -70,7 +70,7 @@
 
 /// An ingress of the simulation.
 struct SimulatedIngress {
-    /// The decision module.
+    /// The gateway.
     gateway: Gateway,
     /// Requests that arrive in a second.
     rate: f64,
--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -18,7 +18,7 @@
 
 /// The most ingresses that may be started.
 const MAX_PROCESSES: u64 = 400;
-/// The memory that is reckoned for each.
+/// The memory that is estimated for each.
 const MEMORY_PER_PROCESS: u64 = 16 << 20;
 /// How long an ingress may take to answer a PING.
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
--- a/fleet-experiments/src/lib.rs
+++ b/fleet-experiments/src/lib.rs
@@ -1,5 +1,5 @@
 //! Experiments on a fleet of ingresses at sizes that no single machine holds: simulated ingresses (the
-//! decision module under a driven clock) against models of backends, network, discovery and clients; and, for
+//! library under a simulated clock) against models of backends, network, discovery and clients; and, for
 //! what only sockets show, real `ingress` processes on loopback.
 //!
 //! [`experiment_file`] reads which experiments to run, [`experiments`] has them, and [`report`] takes their
--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -1,4 +1,4 @@
-//! What the simulations share: the driven clock, settings, endpoint lists and random draws.
+//! What the simulations share: the simulated clock, settings, endpoint lists and random draws.
 
 mod event_queue;
 
@@ -10,7 +10,7 @@
 };
 use std::ops::Range;
 
-/// When the driven clock starts.
+/// When the simulated clock starts.
 pub const START: Instant = Instant::from_micros(1_000_000_000_000);
 /// A second.
 pub const SECOND: Duration = Duration::from_secs(1);
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,4 +1,4 @@
-//! The adapter between the simulator's wire protocol and the decision module. It translates and decides
+//! The adapter between the simulator's wire protocol and the library. It translates and decides
 //! nothing.
 
 mod error;
