--- a/tests/fleet_quota.rs
+++ b/tests/fleet_quota.rs
@@ -135,7 +135,7 @@
     }
 
     /// Whether a request is within the quota by the true state at a time.
-    fn has_room(&self, at: Instant) -> bool {
+    fn is_within_quota(&self, at: Instant) -> bool {
         let is_in_flight = |sent_at: &&Instant| **sent_at <= at && **sent_at + SERVICE_TIME > at;
         let in_flight = self.sent_at.iter().filter(is_in_flight).count();
         let full = BucketLevel { at: START, tokens: self.plan.burst };
@@ -147,10 +147,10 @@
 
     /// Records that a request is sent.
     fn send(&mut self, now: Instant, totals: &mut Totals) {
-        let has_room = self.has_room(now);
+        let is_within_quota = self.is_within_quota(now);
         self.bucket.tokens = self.refilled(self.bucket, now.duration_since(self.bucket.at));
         self.bucket.at = now;
-        if has_room {
+        if is_within_quota {
             self.bucket.tokens -= if self.plan.rate > 0.0 { 1.0 } else { 0.0 };
             totals.value_within_quota += self.plan.price;
         } else {
@@ -166,7 +166,7 @@
     let (mut customers, mut totals) = (CustomerState::all(), Totals::default());
     for arrival in arrivals {
         let customer = &mut customers[arrival.customer as usize];
-        if customer.has_room(arrival.at - delay) {
+        if customer.is_within_quota(arrival.at - delay) {
             customer.send(arrival.at, &mut totals);
         }
     }
