--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -30,6 +30,15 @@
     BeganToFail,
 }
 
+/// When the next poll starts after a failed one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Retry {
+    /// After the delay of the schedule.
+    AfterBackoff,
+    /// At once.
+    Immediate,
+}
+
 /// How a watch polls.
 pub struct WatchOptions {
     /// The timeouts and delays of its polls.
@@ -126,17 +135,25 @@
         self.poll_started_at = None;
     }
 
-    /// Closes the connection after a failure and schedules the next poll.
+    /// Closes the connection after a failure and schedules the next poll with backoff.
     fn fail(&mut self, now: Instant, error: &PollError) -> PollHealth {
+        self.fail_and_retry(now, error, Retry::AfterBackoff)
+    }
+
+    /// Closes the connection after a failure and schedules the next poll.
+    fn fail_and_retry(&mut self, now: Instant, error: &PollError, retry: Retry) -> PollHealth {
         let request_sent = self.connection.as_ref().is_none_or(Connection::is_request_sent);
         let pending = self.poll_started_at.map(|started_at| FailedPoll { started_at, request_sent });
         let NextPoll { at, is_first_failure } = self.schedule.on_failure(now, pending);
         self.disconnect();
-        self.next_timer_at = at;
+        self.next_timer_at = match retry {
+            Retry::AfterBackoff => at,
+            Retry::Immediate => now,
+        };
         if !is_first_failure {
             return PollHealth::Unchanged;
         }
-        let retry_in_ms = at.duration_since(now).as_millis();
+        let retry_in_ms = self.next_timer_at.duration_since(now).as_millis();
         tracing::info!(target: "discovery", retry_in_ms, error = %ErrorChain(error), "poll failed");
         PollHealth::BeganToFail
     }
@@ -156,12 +173,11 @@
     /// backoff, since changes may have been missed. Poll timeouts are random, so ingresses do not all do this
     /// at the same time.
     fn on_response_timeout(&mut self, now: Instant, registry: &Registry) -> PollHealth {
-        let is_first_timeout = !std::mem::replace(&mut self.last_poll_timed_out, true);
-        let health = self.fail(now, &PollError::TimedOut);
-        if is_first_timeout {
-            self.next_timer_at = now;
-            self.start_poll(now, registry);
+        if std::mem::replace(&mut self.last_poll_timed_out, true) {
+            return self.fail(now, &PollError::TimedOut);
         }
+        let health = self.fail_and_retry(now, &PollError::TimedOut, Retry::Immediate);
+        self.start_poll(now, registry);
         health
     }
 
