--- a/src/audit.rs
+++ b/src/audit.rs
@@ -94,11 +94,6 @@
         Auditor { rules, ..Auditor::default() }
     }
 
-    /// The settings that the invariants depend on.
-    pub fn rules(&self) -> &AuditRules {
-        &self.rules
-    }
-
     /// The violations so far by kind; kinds that never occurred are left out.
     pub fn counts(&self) -> impl Iterator<Item = (ViolationKind, u64)> + '_ {
         let counts = ViolationKind::ALL.into_iter().zip(self.counts);
--- a/src/audit/request.rs
+++ b/src/audit/request.rs
@@ -101,11 +101,6 @@
         first.zip(location).is_some_and(|(first, location)| !first.shares_keys(location, scope))
     }
 
-    /// Whether an attempt was or may have been executed.
-    pub fn may_have_executed(&self) -> bool {
-        self.begun.iter().any(|attempt| attempt.may_have_executed)
-    }
-
     /// Records how an attempt has ended, and returns what that violates. An attempt that never began has no
     /// record.
     pub fn attempt_ended(&mut self, number: u16, outcome: Outcome) -> Option<ViolationKind> {
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -36,7 +36,7 @@
 use ingress::audit::Auditor;
 use ingress::{Action, Duration, Event, Gateway, Instant, StartTimes};
 use mio::{Events, Poll};
-use request_table::RequestTable;
+use request_table::{AttemptLimits, RequestTable};
 use shutdown::Shutdown;
 use signal_hook_mio::v1_0::Signals;
 use source::{sort_for_processing, ReadySocket, Source};
@@ -60,6 +60,8 @@
     polls_discovery: bool,
     /// How long establishing a connection to a backend may take.
     connect_timeout: Duration,
+    /// The settings that limit the attempts of a request.
+    attempt_limits: AttemptLimits,
     /// Checks the invariants.
     auditor: Auditor,
     /// Numbers of requests and attempts, for the log.
@@ -202,7 +204,7 @@
                 }
                 // The exact time: the least idle time of a connection may be less than a tick.
                 self.backends.on_ready(key, self.clock.now(), readiness);
-                self.audit_begun_attempts();
+                self.record_begun_attempts();
                 self.run_policy();
             }
             Source::Client(key) => {
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -75,13 +75,15 @@
         let number = u16::try_from(request.attempts.len()).unwrap_or(u16::MAX);
         let attempt = AttemptId { request: id, number };
         let expires_at = expires_at.map_or(request.deadline, |expires_at| expires_at.min(request.deadline));
-        let refusal = request.may_send(self.auditor.rules()).err();
+        let refusal = request.may_send(&self.attempt_limits).err();
         request.attempts.push(Attempt {
             backend,
             started_at: self.now,
             expires_at,
             begins_by: self.now + self.connect_timeout,
             connection: None,
+            has_begun: false,
+            may_have_executed: false,
         });
         // The exact time: the loop may have been delayed since it read its clock, and the client have given
         // up.
@@ -139,7 +141,7 @@
                 self.timers.schedule(attempt.begins_by, timer);
             }
         }
-        self.audit_begun_attempts();
+        self.record_begun_attempts();
     }
 
     /// Whether there is a descriptor for an attempt at a backend, if need be after closing an idle
@@ -214,7 +216,7 @@
             "ended"
         );
         self.counters.record_outcome(end.outcome);
-        self.audit_attempt_end(end.attempt, end.outcome);
+        self.record_attempt_end(end.attempt, end.outcome);
         self.pending_events.push_back(end.into());
     }
 
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -1,5 +1,5 @@
-//! Reports to the audit what was done, and logs what it finds. A violation never ends the process in service;
-//! in a debug build, as in tests, it panics.
+//! Records what was done, reports it to the audit, and logs what that finds. A violation never ends the
+//! process in service; in a debug build, as in tests, it panics.
 
 use super::EventLoop;
 use crate::backends::AttemptId;
@@ -8,11 +8,12 @@
 
 impl EventLoop {
     /// Records the attempts whose first byte was written.
-    pub(super) fn audit_begun_attempts(&mut self) {
+    pub(super) fn record_begun_attempts(&mut self) {
         for begun in self.backends.take_begun() {
             let AttemptId { request: id, number } = begun.attempt;
             self.counters.attempts_begun += 1;
             let Some(request) = self.requests.get_mut(id) else { continue };
+            request.record_begun(number);
             let begun = AttemptBegun {
                 number,
                 backend: begun.backend,
@@ -25,9 +26,10 @@
     }
 
     /// Records the end of an attempt.
-    pub(super) fn audit_attempt_end(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let request = self.requests.get_mut(attempt.request);
-        let violated = request.and_then(|request| request.audit.attempt_ended(attempt.number, outcome));
+    pub(super) fn record_attempt_end(&mut self, attempt: AttemptId, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(attempt.request) else { return };
+        request.record_end(attempt.number, outcome);
+        let violated = request.audit.attempt_ended(attempt.number, outcome);
         violated.into_iter().for_each(|kind| self.report_violation(kind, Some(attempt.request)));
     }
 
--- a/src/bin/ingress/event_loop/request_table.rs
+++ b/src/bin/ingress/event_loop/request_table.rs
@@ -3,9 +3,9 @@
 use crate::backends::ConnectionId;
 use crate::clients::ReplyHandle;
 use crate::command::Command;
-use ingress::audit::{AuditRules, RequestAudit};
+use ingress::audit::RequestAudit;
 use ingress::permissions::{self, AttemptFacts, AttemptKind, AttemptRefusal};
-use ingress::{BackendId, Duration, Idempotency, Instant, RequestId};
+use ingress::{BackendId, Duration, Idempotency, Instant, Outcome, RequestId, Settings};
 use std::collections::hash_map::RandomState;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::BuildHasher;
@@ -13,6 +13,27 @@
 /// How long the id of a request is remembered after its end, to reject a second request with the same id.
 const ENDED_ID_RETENTION: Duration = Duration::from_secs(1);
 
+/// The settings that limit the attempts of a request.
+pub struct AttemptLimits {
+    /// Whether requests of a class may be executed again, by class.
+    idempotency: Vec<Idempotency>,
+    /// Whether two attempts may be in flight together.
+    hedging: bool,
+    /// The most attempts of a request.
+    max_attempts: usize,
+}
+
+impl AttemptLimits {
+    /// The limits that the settings name.
+    pub fn new(settings: &Settings) -> AttemptLimits {
+        AttemptLimits {
+            idempotency: settings.classes.iter().map(|class| class.idempotency).collect(),
+            hedging: settings.limits.hedging,
+            max_attempts: settings.limits.max_attempts as usize,
+        }
+    }
+}
+
 /// An attempt of a request.
 pub struct Attempt {
     /// The backend that it is sent to.
@@ -25,6 +46,10 @@
     pub begins_by: Instant,
     /// Its connection, while it is in flight.
     pub connection: Option<ConnectionId>,
+    /// Its first byte was written.
+    pub has_begun: bool,
+    /// It has begun, and no outcome proves that it was not executed.
+    pub may_have_executed: bool,
 }
 
 /// A request that has no final reply yet, or has attempts in flight.
@@ -47,19 +72,35 @@
 
 impl RequestEntry {
     /// Whether one more attempt may be sent, judged by the attempts that were written.
-    pub fn may_send(&self, rules: &AuditRules) -> Result<AttemptKind, AttemptRefusal> {
+    pub fn may_send(&self, limits: &AttemptLimits) -> Result<AttemptKind, AttemptRefusal> {
         let class = usize::from(self.command.request.class);
         permissions::may_start_attempt(&AttemptFacts {
-            idempotency: rules.idempotency.get(class).copied().unwrap_or(Idempotency::NonIdempotent),
-            hedging: rules.hedging,
-            max_attempts: rules.max_attempts,
+            idempotency: limits.idempotency.get(class).copied().unwrap_or(Idempotency::NonIdempotent),
+            hedging: limits.hedging,
+            max_attempts: limits.max_attempts,
             attempts: self.attempts.len(),
             in_flight: self.attempts.iter().filter(|attempt| attempt.connection.is_some()).count(),
-            may_have_executed: self.audit.may_have_executed(),
+            may_have_executed: self.attempts.iter().any(|attempt| attempt.may_have_executed),
             closed: self.closed,
         })
     }
 
+    /// Records that the first byte of an attempt was written.
+    pub fn record_begun(&mut self, number: u16) {
+        if let Some(attempt) = self.attempts.get_mut(usize::from(number)) {
+            attempt.has_begun = true;
+            attempt.may_have_executed = true;
+        }
+    }
+
+    /// Records how an attempt has ended. One whose first byte was not written was not executed in any case.
+    pub fn record_end(&mut self, number: u16, outcome: Outcome) {
+        let attempt = self.attempts.get_mut(usize::from(number));
+        if let Some(attempt) = attempt.filter(|attempt| attempt.has_begun) {
+            attempt.may_have_executed = !outcome.never_executed();
+        }
+    }
+
     /// Whether any attempt is in flight.
     fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.connection.is_some())
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -4,7 +4,7 @@
 use super::clock::Clock;
 use super::counters::Counters;
 use super::descriptor_budget::DescriptorBudget;
-use super::request_table::RequestTable;
+use super::request_table::{AttemptLimits, RequestTable};
 use super::shutdown::Shutdown;
 use super::source::Source;
 use super::timer_queue::{Timer, TimerQueue};
@@ -81,6 +81,7 @@
             tick: settings.tick,
             polls_discovery: settings.discovery == Discovery::Poll,
             connect_timeout: settings.limits.connect_timeout,
+            attempt_limits: AttemptLimits::new(&settings),
             auditor: Auditor::new(AuditRules::new(&settings)),
             counters: Counters::default(),
             descriptors: DescriptorBudget::new(config.max_descriptors)?,
