--- a/src/bin/ingress/peers.rs
+++ b/src/bin/ingress/peers.rs
@@ -20,6 +20,15 @@
     addresses: PeerAddresses,
 }
 
+/// Why a datagram was dropped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum DropReason {
+    /// It is longer than any message.
+    TooLong,
+    /// The address of its sender is no ingress's.
+    UnknownAddress,
+}
+
 /// The datagrams that are left in the socket after a receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Backlog {
@@ -37,19 +46,19 @@
         Ok(PeerSocket { socket, addresses })
     }
 
-    /// Passes the messages that have arrived to `on_message`. Datagrams that are too long or not from a peer
-    /// are dropped.
+    /// Passes the messages that have arrived to `on_message`. Datagrams that are too long or not from an
+    /// ingress of the fleet are dropped.
     pub fn receive(&mut self, mut on_message: impl FnMut(GatewayId, Vec<u8>)) -> Backlog {
         // One byte more than allowed, to detect datagrams that are too long.
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_RECEIVE {
             match self.socket.recv_from(&mut buffer) {
-                Ok((length, sender)) => {
-                    let gateway = self.gateway_at(sender).filter(|_| length <= MAX_MESSAGE_BYTES);
-                    if let Some(gateway) = gateway {
-                        on_message(gateway, buffer[..length].to_vec());
+                Ok((length, sender)) => match self.identify(sender, length) {
+                    Ok(gateway) => on_message(gateway, buffer[..length].to_vec()),
+                    Err(reason) => {
+                        tracing::debug!(target: "peers", %sender, ?reason, "datagram dropped");
                     }
-                }
+                },
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Backlog::Empty,
                 // The system reports that an earlier message could not be delivered; the next receive
                 // succeeds.
@@ -59,7 +68,15 @@
         Backlog::MayHaveMore
     }
 
-    /// The gateway with an address; none if it is no peer's.
+    /// The gateway that sent a datagram.
+    fn identify(&self, sender: SocketAddr, length: usize) -> Result<GatewayId, DropReason> {
+        if length > MAX_MESSAGE_BYTES {
+            return Err(DropReason::TooLong);
+        }
+        self.gateway_at(sender).ok_or(DropReason::UnknownAddress)
+    }
+
+    /// The gateway with an address; none if it is no ingress's.
     fn gateway_at(&self, address: SocketAddr) -> Option<GatewayId> {
         let index = self.addresses.by_gateway.iter().position(|known| *known == address)?;
         u16::try_from(index).ok().map(GatewayId)
