--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -33,6 +33,15 @@
     NoCapacity,
 }
 
+/// Why the program fails a request that the gateway has not answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum MissedAnswer {
+    /// The client's timeout is over.
+    ClientDeadline,
+    /// The reply deadline of the shutdown has passed.
+    ShutdownDeadline,
+}
+
 /// The longest timeout of a client that is used: the timers of answered requests would otherwise pile up for
 /// hours.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
@@ -198,10 +207,11 @@
         violated.into_iter().for_each(|kind| self.report_violation(kind, Some(id)));
     }
 
-    /// Fails a request that has no final reply at its client's deadline. The policy answers each request
-    /// before that; if it does not, the client still gets a reply.
-    pub(super) fn fail_unanswered(&mut self, id: RequestId) {
+    /// Fails a request that has no final reply at its client's deadline or at that of the shutdown. The
+    /// gateway answers each request before the former; if it does not, the client still gets a reply.
+    pub(super) fn fail_unanswered(&mut self, id: RequestId, reason: MissedAnswer) {
         if self.requests.is_open(id) {
+            tracing::debug!(target: "request", request = id.0, ?reason, "not answered in time");
             self.reply(id, FAILED_REPLY, Answer::Failed);
             self.pending_events.push_back(Event::ClientDisconnected(id));
         }
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -1,5 +1,6 @@
 //! Runs the timers, among them the steps of the graceful shutdown.
 
+use super::client_events::MissedAnswer;
 use super::clock::unix_time;
 use super::shutdown::ACCEPTING_CHECK_INTERVAL;
 use super::timer_queue::Timer;
@@ -27,7 +28,7 @@
         match timer {
             Timer::Policy(token) => self.pending_events.push_back(Event::Timer(token)),
             Timer::AttemptTimeout(attempt) => self.time_out_attempt(attempt),
-            Timer::ClientDeadline(id) => self.fail_unanswered(id),
+            Timer::ClientDeadline(id) => self.fail_unanswered(id, MissedAnswer::ClientDeadline),
             Timer::ConnectTimeout(connection, attempt) => {
                 self.backends.on_connect_timeout(connection, attempt);
             }
@@ -39,7 +40,8 @@
             Timer::RetryReload => self.reload(),
             Timer::StopAccepting => self.stop_accepting(),
             Timer::ReplyDeadline => {
-                self.requests.ids().into_iter().for_each(|id| self.fail_unanswered(id));
+                let ids = self.requests.ids();
+                ids.into_iter().for_each(|id| self.fail_unanswered(id, MissedAnswer::ShutdownDeadline));
             }
         }
     }
