--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -95,7 +95,7 @@
         if let Some(request) = self.requests.get_mut(id) {
             request.audit.client_disconnected();
         }
-        self.pending_events.push_back(Event::ClientDisconnected(id));
+        self.pending_events.push_back(Event::RequestClosed(id));
     }
 
     /// Handles the commands and disconnects of clients, in their order.
@@ -213,7 +213,7 @@
         if self.requests.is_open(id) {
             tracing::debug!(target: "request", request = id.0, ?reason, "not answered in time");
             self.reply(id, FAILED_REPLY, Answer::Failed);
-            self.pending_events.push_back(Event::ClientDisconnected(id));
+            self.pending_events.push_back(Event::RequestClosed(id));
         }
     }
 }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -18,7 +18,7 @@
 //! | `Settled` | [`Event::AttemptEnded`] |
 //! | `round_no`, `wait_time_us`, `complete`, `charged` | attempt, elapsed, answered, `charged_units` |
 //! | `usage`, a load report | `reported_queue_depth` |
-//! | `Withdrawn` | [`Event::ClientDisconnected`] |
+//! | `Withdrawn` | [`Event::RequestClosed`] |
 //! | `RosterChange` with `scope` and `rows` | [`Event::Endpoints`] with its kind and endpoints |
 //! | `DeadlineHit`, `SetAlarm` | [`Event::Timer`], [`Action::SetTimer`] |
 //! | `NeighbourSays` with `octets`, `WritePeer` | [`Event::PeerMessage`], [`Action::SendToPeer`] |
@@ -29,7 +29,7 @@
 //!
 //! [`Event::Request`]: ingress::Event::Request
 //! [`Event::AttemptEnded`]: ingress::Event::AttemptEnded
-//! [`Event::ClientDisconnected`]: ingress::Event::ClientDisconnected
+//! [`Event::RequestClosed`]: ingress::Event::RequestClosed
 //! [`Event::Endpoints`]: ingress::Event::Endpoints
 //! [`Event::Timer`]: ingress::Event::Timer
 //! [`Event::PeerMessage`]: ingress::Event::PeerMessage
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -105,7 +105,7 @@
             code::HEALTH_CHECK_ENDED => self.unused_event(&mut fields, HEALTH_CHECK_OUTCOME_OFFSET)?,
             code::ATTEMPT_ENDED => self.attempt_ended(&mut fields, report_fields)?,
             code::COUNTER_UPDATED => self.unused_event(&mut fields, COUNTER_OUTCOME_OFFSET)?,
-            code::CLIENT_DISCONNECTED => Event::ClientDisconnected(RequestId(fields.u64())),
+            code::CLIENT_DISCONNECTED => Event::RequestClosed(RequestId(fields.u64())),
             code::TIMER => Event::Timer(fields.u32()),
             code::FIRST_BYTE => Event::FirstByte { id: RequestId(fields.u64()), attempt: fields.u16() },
             code::PEER_MESSAGE => self.peer_message(&mut fields)?,
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -138,7 +138,7 @@
 /// no decision uses them.
 #[test]
 fn other_events_are_read_from_their_places() {
-    assert!(matches!(read_event(event_record(90, &[(3, &[6])])), Event::ClientDisconnected(RequestId(6))));
+    assert!(matches!(read_event(event_record(90, &[(3, &[6])])), Event::RequestClosed(RequestId(6))));
     assert!(matches!(read_event(event_record(70, &[(3, &[6])])), Event::Timer(6)));
     let first_byte = read_event(event_record(100, &[(3, &[6]), (11, &[2])]));
     assert!(matches!(first_byte, Event::FirstByte { id: RequestId(6), attempt: 2 }));
--- a/src/event.rs
+++ b/src/event.rs
@@ -88,8 +88,9 @@
         /// The number of the attempt.
         attempt: u16,
     },
-    /// The client disconnected; no answer is owed any more.
-    ClientDisconnected(RequestId),
+    /// The host closed a request without an answer of the gateway, since its client disconnected or was failed
+    /// at a deadline. No answer is owed any more.
+    RequestClosed(RequestId),
     /// A timer with this token is due.
     Timer(u32),
     /// A peer's message.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -116,7 +116,7 @@
         match event {
             Event::Request(request) => self.on_request(request, actions),
             Event::AttemptEnded(ended) => self.on_attempt_ended(&ended, actions),
-            Event::ClientDisconnected(id) => self.close_request(id, actions),
+            Event::RequestClosed(id) => self.close_request(id, actions),
             Event::FirstByte { id, attempt } => self.on_first_byte(id, attempt, actions),
             Event::PeerMessage { from, bytes } => self.on_peer_message(from, &bytes, actions),
             Event::Endpoints(update, endpoints) => self.on_endpoints(update, endpoints, actions),
--- a/tests/decision_digest/fleet.rs
+++ b/tests/decision_digest/fleet.rs
@@ -186,7 +186,7 @@
             HostEvent::ClientDisconnect(id) => {
                 if host.pending.get(&id).is_some_and(|pending| !pending.answered) {
                     self.mark_answered(gateway, id);
-                    self.handle(gateway, Event::ClientDisconnected(id));
+                    self.handle(gateway, Event::RequestClosed(id));
                 }
             }
             HostEvent::GatewayRestart => {
--- a/tests/gateway/admission.rs
+++ b/tests/gateway/admission.rs
@@ -39,7 +39,7 @@
     };
     assert!(!is_rejected(&harness.handle(Event::Request(waiting))));
     harness.now += SECOND + Duration::from_millis(12);
-    assert!(is_rejected(&harness.handle(Event::ClientDisconnected(RequestId(99)))));
+    assert!(is_rejected(&harness.handle(Event::RequestClosed(RequestId(99)))));
 }
 
 /// A client disconnects while its request waits for the concurrency limit, for a quota grant or for a retry.
@@ -70,7 +70,7 @@
         waiting.len()
     );
     for request in &waiting {
-        assert!(sent_to(&harness.handle(Event::ClientDisconnected(request.id))).is_empty());
+        assert!(sent_to(&harness.handle(Event::RequestClosed(request.id))).is_empty());
     }
     for request in &in_flight {
         let after_end = harness.end_attempt(request.id, 0, sent_to(&request.actions)[0], Outcome::Ok);
@@ -90,7 +90,7 @@
         .collect();
     assert!(waiting.len() > 5, "{} of 20 are waiting", waiting.len());
     for request in &waiting {
-        assert!(sent_to(&harness.handle(Event::ClientDisconnected(request.id))).is_empty());
+        assert!(sent_to(&harness.handle(Event::RequestClosed(request.id))).is_empty());
     }
     assert!(sent_to(&harness.advance(SECOND)).is_empty());
 }
@@ -99,7 +99,7 @@
 fn disconnects_before_the_attempt_fails(settings: Settings) {
     let mut harness = GatewayHarness::new(settings, 6);
     let SubmittedRequest { id, actions } = harness.request(IDEMPOTENT, UNLIMITED, 1, 1.0);
-    harness.handle(Event::ClientDisconnected(id));
+    harness.handle(Event::RequestClosed(id));
     let end = harness.end_attempt(id, 0, sent_to(&actions)[0], Outcome::ConnectFailed);
     assert!(sent_to(&end).is_empty() && sent_to(&harness.advance(SECOND)).is_empty());
 }
@@ -110,10 +110,10 @@
 fn an_attempt_that_ends_after_a_disconnect_gets_no_final_answer() {
     let mut harness = GatewayHarness::new(settings(), 4);
     let SubmittedRequest { id, actions } = harness.request(IDEMPOTENT, UNLIMITED, 1, 1.0);
-    harness.handle(Event::ClientDisconnected(id));
+    harness.handle(Event::RequestClosed(id));
     let late = harness.end_attempt(id, 0, sent_to(&actions)[0], Outcome::TimedOut);
     assert!(!is_rejected(&late) && !is_failed(&late) && sent_to(&late).is_empty());
-    assert!(harness.handle(Event::ClientDisconnected(id)).is_empty());
+    assert!(harness.handle(Event::RequestClosed(id)).is_empty());
 }
 
 /// Peers send garbage, requests name classes, plans, units or sets that do not exist, and attempts end that never
--- a/tests/gateway/concurrency_quota.rs
+++ b/tests/gateway/concurrency_quota.rs
@@ -18,7 +18,7 @@
     let SubmittedRequest { id, actions } = harness.request(IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0);
     assert_eq!(sent_to(&harness.request(IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0).actions).len(), 1);
     assert!(is_rejected(&harness.request(IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0).actions));
-    harness.handle(Event::ClientDisconnected(id));
+    harness.handle(Event::RequestClosed(id));
     assert!(
         is_rejected(&harness.request(IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0).actions),
         "cancelled, yet still in flight"
--- a/tests/gateway/outlier_detection.rs
+++ b/tests/gateway/outlier_detection.rs
@@ -14,7 +14,7 @@
     let SubmittedRequest { id, actions } = harness.request(IDEMPOTENT, UNLIMITED, 1, 1.0);
     assert_eq!(sent_to(&actions).len(), 1);
     harness.now += SECOND * 2;
-    let actions_after_stall = harness.handle(Event::ClientDisconnected(RequestId(99)));
+    let actions_after_stall = harness.handle(Event::RequestClosed(RequestId(99)));
     assert!(!actions_after_stall
         .iter()
         .any(|action| matches!(action, Action::Cancel { .. } | Action::Reject { .. } | Action::Send { .. })));
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -257,7 +257,7 @@
                 if id.0 < self.next_request_id {
                     self.host.ended.insert(id);
                 }
-                self.handle(Event::ClientDisconnected(id));
+                self.handle(Event::RequestClosed(id));
             }
             Step::PeerMessage { from, bytes } => {
                 self.handle(Event::PeerMessage { from: GatewayId(from), bytes });
