--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -111,7 +111,7 @@
 
     /// Whether a connection is open and its command not completely written, so that the backend cannot have
     /// begun to execute it.
-    pub fn is_unsent(&self, id: ConnectionId) -> bool {
+    pub fn is_incomplete(&self, id: ConnectionId) -> bool {
         self.connection(id).is_some_and(|connection| connection.command_state() == CommandState::Unsent)
     }
 
@@ -135,7 +135,7 @@
     pub fn on_connect_timeout(&mut self, id: ConnectionId, attempt: AttemptId) {
         let carries_attempt =
             self.connection(id).is_some_and(|connection| connection.attempt == Some(attempt));
-        if carries_attempt && self.is_unsent(id) {
+        if carries_attempt && self.is_incomplete(id) {
             self.complete(id.key, ExchangeResult::without_reply(Outcome::ConnectFailed), None);
             self.remove(id.key, CloseReason::ConnectTimeout);
         }
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -120,7 +120,7 @@
             self.pools.remove(backend);
             closed_to_new_work.insert(*backend);
         }
-        self.cancel_unsent(&closed_to_new_work);
+        self.cancel_unwritten(&closed_to_new_work);
         removed
     }
 
@@ -141,11 +141,11 @@
 
     /// Ends attempts of which nothing is written yet at backends that take no new work: they would begin once
     /// their connections are established, perhaps at another backend with the same address.
-    fn cancel_unsent(&mut self, closed_to_new_work: &HashSet<BackendId>) {
-        let is_unsent = |connection: &Connection| {
+    fn cancel_unwritten(&mut self, closed_to_new_work: &HashSet<BackendId>) {
+        let is_unwritten = |connection: &Connection| {
             connection.is_not_yet_written() && closed_to_new_work.contains(&connection.backend)
         };
-        for key in self.keys_where(is_unsent) {
+        for key in self.keys_where(is_unwritten) {
             self.complete(key, ExchangeResult::without_reply(Outcome::NotSent), None);
             self.remove(key, CloseReason::BackendUnavailable);
         }
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -48,7 +48,7 @@
         let registry = self.poll.registry();
         let assigned =
             self.backends.assign(registry, BACKEND, attempt(request), no_time(now), encode).unwrap();
-        while self.backends.is_unsent(assigned.connection) {
+        while self.backends.is_incomplete(assigned.connection) {
             self.backends.on_ready(assigned.connection.key, now, Readiness::Writable);
         }
         assigned.connection
@@ -117,7 +117,7 @@
     rig.backends.on_ready(connection.key, START, Readiness::Writable);
     assert_eq!(assigned.command, CommandState::Unsent);
     assert!(rig.backends.connections[connection.key].is_connected);
-    assert!(rig.backends.is_unsent(connection));
+    assert!(rig.backends.is_incomplete(connection));
     rig.backends.on_connect_timeout(connection, attempt(1));
     let completion = rig.backends.completions.pop().expect("it has ended");
     assert_eq!((completion.attempt, completion.outcome), (attempt(1), Outcome::ConnectFailed));
@@ -153,9 +153,9 @@
     let second = rig.backends.assign(rig.poll.registry(), BACKEND, attempt(2), no_time(now), long).unwrap();
     assert_eq!((second.connection, second.command), (first, CommandState::Unsent));
     rig.backends.on_connect_timeout(first, attempt(1));
-    assert!(rig.backends.is_unsent(first), "the later attempt goes on");
+    assert!(rig.backends.is_incomplete(first), "the later attempt goes on");
     rig.backends.on_connect_timeout(first, attempt(2));
-    assert!(!rig.backends.is_unsent(first));
+    assert!(!rig.backends.is_incomplete(first));
 }
 
 /// A backend is draining or removed when an attempt is to be sent to it. The command is not sent, whoever asks for
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -220,14 +220,14 @@
         self.pending_events.push_back(end.into());
     }
 
-    /// Ends the attempts of a closed request whose commands are not sent yet. This is done even where the
-    /// settings allow no cancellation: a backend that never received the command has nothing to cancel.
-    pub(super) fn cancel_unsent(&mut self, id: RequestId) {
+    /// Ends the attempts of a closed request whose commands are not completely written. This is done even where the
+    /// settings allow no cancellation: a backend that never received the complete command has nothing to cancel.
+    pub(super) fn cancel_incomplete(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id).filter(|request| request.closed) else { return };
         let mut ended = Vec::new();
         for (number, attempt) in (0u16..).zip(&mut request.attempts) {
-            let unsent = attempt.connection.filter(|connection| self.backends.is_unsent(*connection));
-            let Some(connection) = unsent else { continue };
+            let incomplete = attempt.connection.filter(|connection| self.backends.is_incomplete(*connection));
+            let Some(connection) = incomplete else { continue };
             let attempt_id = AttemptId { request: id, number };
             self.backends.cancel(connection, attempt_id);
             attempt.connection = None;
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -116,7 +116,7 @@
             ClientEvent::Disconnected(id) => {
                 // It may have happened after the last report, while earlier events were handled.
                 self.report_disconnect(id);
-                self.cancel_unsent(id);
+                self.cancel_incomplete(id);
                 self.requests.remove_if_finished(id, self.now);
             }
         }
@@ -192,7 +192,7 @@
             self.clients.reply(reply_to, text);
             self.record_answer(id, answer);
         }
-        self.cancel_unsent(id);
+        self.cancel_incomplete(id);
         self.requests.remove_if_finished(id, self.now);
     }
 
