--- a/src/bin/ingress/backends.rs
+++ b/src/bin/ingress/backends.rs
@@ -13,6 +13,7 @@
 pub use attempt::{
     AssignedConnection, AttemptId, BegunAttempt, CommandState, Completion, ConnectionId, StatedTimeout,
 };
+pub use closing::CloseReason;
 pub use pool::Backends;
 
 #[cfg(test)]
--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -10,8 +10,14 @@
 /// Why a connection to a backend was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its attempt was cancelled or has timed out.
+    /// The gateway cancelled its attempt.
     Cancelled,
+    /// Its attempt has timed out.
+    TimedOut,
+    /// The first byte of its command may not be written any more.
+    WriteRefused,
+    /// The request was closed before its command was completely written.
+    RequestClosed,
     /// It was not established, or its command not completely written, in time.
     ConnectTimeout,
     /// It failed, or the backend has closed it.
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -115,15 +115,20 @@
         self.connection(id).is_some_and(|connection| connection.command_state() == CommandState::Unsent)
     }
 
-    /// Closes a connection if it is still open and carries this attempt, and returns how much of the command
-    /// was written. There is no completion: the caller accounts for the end of the attempt.
-    pub fn cancel(&mut self, id: ConnectionId, attempt: AttemptId) -> Option<CommandState> {
+    /// Closes a connection for `reason` if it is still open and carries this attempt, and returns how much of
+    /// the command was written. There is no completion: the caller accounts for the end of the attempt.
+    pub fn cancel(
+        &mut self,
+        id: ConnectionId,
+        attempt: AttemptId,
+        reason: CloseReason,
+    ) -> Option<CommandState> {
         let connection = self.connection(id)?;
         if connection.attempt != Some(attempt) {
             return None;
         }
         let command = connection.command_state();
-        self.remove(id.key, CloseReason::Cancelled);
+        self.remove(id.key, reason);
         Some(command)
     }
 
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -4,7 +4,7 @@
 use super::request_table::Attempt;
 use super::timer_queue::Timer;
 use super::EventLoop;
-use crate::backends::{AttemptId, CommandState, Completion, StatedTimeout};
+use crate::backends::{AttemptId, CloseReason, CommandState, Completion, StatedTimeout};
 use ingress::permissions::{may_begin_writing, WriteFacts, WriteRefusal};
 use ingress::{AttemptEnded, BackendId, Duration, Event, Instant, Outcome, RequestId};
 
@@ -177,20 +177,21 @@
 
     /// Ends an attempt that has timed out.
     pub(super) fn time_out_attempt(&mut self, attempt: AttemptId) {
-        self.cancel_attempt(attempt, timeout_outcome);
+        self.cancel_attempt(attempt, CloseReason::TimedOut, timeout_outcome);
     }
 
-    /// Ends an attempt that is in flight; its outcome may depend on how much of the command was sent.
+    /// Ends an attempt that is in flight and closes its connection for `reason`; its outcome may depend on how much of the command was sent.
     pub(super) fn cancel_attempt(
         &mut self,
         attempt_id: AttemptId,
+        reason: CloseReason,
         outcome: impl Fn(CommandState) -> Outcome,
     ) {
         let Some(request) = self.requests.get_mut(attempt_id.request) else { return };
         let request_closed = request.closed;
         let Some(attempt) = request.attempts.get_mut(usize::from(attempt_id.number)) else { return };
         let Some(connection) = attempt.connection else { return };
-        let Some(command) = self.backends.cancel(connection, attempt_id) else { return };
+        let Some(command) = self.backends.cancel(connection, attempt_id, reason) else { return };
         attempt.connection = None;
         let end = AttemptEnd {
             attempt: attempt_id,
@@ -229,7 +230,7 @@
             let incomplete = attempt.connection.filter(|connection| self.backends.is_incomplete(*connection));
             let Some(connection) = incomplete else { continue };
             let attempt_id = AttemptId { request: id, number };
-            self.backends.cancel(connection, attempt_id);
+            self.backends.cancel(connection, attempt_id, CloseReason::RequestClosed);
             attempt.connection = None;
             let elapsed = self.clock.now().duration_since(attempt.started_at);
             let not_sent = AttemptEnd::not_sent(attempt_id, attempt.backend);
@@ -269,6 +270,6 @@
             WriteRefusal::Closed => Outcome::NotSent,
             WriteRefusal::Expired | WriteRefusal::ConnectedTooLate => Outcome::ConnectFailed,
         };
-        self.cancel_attempt(attempt, |_| outcome);
+        self.cancel_attempt(attempt, CloseReason::WriteRefused, |_| outcome);
     }
 }
