--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -1,6 +1,6 @@
 //! Closes connections: those that have ended, are idle or too slow, and all of them at a shutdown.
 
-use super::connection::Connection;
+use super::connection::{ClosingCause, Connection};
 use super::error::ClientError;
 use super::{Accepting, ClientEvent, Clients};
 use ingress::Instant;
@@ -133,7 +133,7 @@
                 self.close_if_still_idle(key, now, CloseReason::NoCommand);
                 continue;
             }
-            connection.abort_command(ClientError::CommandTimeout);
+            connection.abort_command(ClientError::CommandTimeout, ClosingCause::CommandTimeout);
             self.queue_for_write(key);
         }
     }
@@ -176,6 +176,7 @@
             target: "client_connection",
             client = connection.serial,
             ?reason,
+            cause = connection.closing_cause.map(tracing::field::debug),
             replies_owed,
             unwritten_bytes,
             "closed"
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -35,6 +35,21 @@
     ShutDown,
 }
 
+/// Why this side began to close a connection, or accepted it only to close it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClosingCause {
+    /// It was accepted over the limit.
+    OverLimit,
+    /// What the client sent is not RESP2.
+    ProtocolError,
+    /// Too many commands in a row were invalid.
+    InvalidCommands,
+    /// The rest of a command did not arrive in time.
+    CommandTimeout,
+    /// The memory limit of all clients was reached, and the rest of a command was missing.
+    OutOfMemory,
+}
+
 /// A client's connection.
 pub struct Connection {
     /// The socket.
@@ -58,6 +73,8 @@
     consecutive_errors: u32,
     /// The state of closing it.
     close_state: CloseState,
+    /// The first cause for closing it, for the log.
+    pub closing_cause: Option<ClosingCause>,
     /// When it is closed even if the client has not closed its end. A connection over the limit has this from
     /// the start.
     pub linger_until: Option<Instant>,
@@ -88,6 +105,7 @@
             command_started_at: now,
             consecutive_errors: 0,
             close_state: CloseState::Open,
+            closing_cause: over_limit.then_some(ClosingCause::OverLimit),
             linger_until: over_limit.then_some(now + LINGER_TIMEOUT),
             over_limit,
             reading_paused: false,
@@ -184,7 +202,7 @@
     pub fn record_protocol_error(&mut self) {
         self.consecutive_errors += 1;
         if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS {
-            self.start_closing();
+            self.start_closing(ClosingCause::InvalidCommands);
         }
     }
 
@@ -207,14 +225,15 @@
     }
 
     /// Closes the connection in the middle of a command, after an error reply.
-    pub fn abort_command(&mut self, error: ClientError) {
+    pub fn abort_command(&mut self, error: ClientError, cause: ClosingCause) {
         self.reply_error(error);
-        self.start_closing();
+        self.start_closing(cause);
         self.input = Vec::new();
     }
 
     /// Begins to close the connection: no further command is accepted, and owed replies are still written.
-    pub fn start_closing(&mut self) {
+    pub fn start_closing(&mut self, cause: ClosingCause) {
+        self.closing_cause.get_or_insert(cause);
         if self.close_state == CloseState::Open {
             self.close_state = CloseState::Closing;
         }
--- a/src/bin/ingress/clients/memory.rs
+++ b/src/bin/ingress/clients/memory.rs
@@ -1,7 +1,7 @@
 //! The memory of all client connections.
 
 use super::closing::CloseReason;
-use super::connection::Connection;
+use super::connection::{ClosingCause, Connection};
 use super::error::ClientError;
 use super::Clients;
 
@@ -54,7 +54,7 @@
                 self.remove(key, CloseReason::OutOfMemory);
                 continue;
             }
-            connection.abort_command(ClientError::OutOfMemory);
+            connection.abort_command(ClientError::OutOfMemory, ClosingCause::OutOfMemory);
             self.memory.account(connection);
             self.queue_for_write(key);
         }
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -1,6 +1,7 @@
 //! Reads from connections and parses their commands.
 
 use super::closing::CloseReason;
+use super::connection::ClosingCause;
 use super::error::ClientError;
 use super::{ClientEvent, Clients, ReplyHandle, BUSY_REPLY};
 use crate::command::Command;
@@ -135,7 +136,7 @@
                     parsed += len;
                 }
                 Err(error) => {
-                    connection.start_closing();
+                    connection.start_closing(ClosingCause::ProtocolError);
                     self.reply_error(key, ClientError::Protocol(error));
                 }
             }
@@ -157,7 +158,7 @@
         match Command::parse(bytes, &self.argument_ranges, &self.schema) {
             Some(Ok(_)) if connection.over_limit => {
                 tracing::debug!(target: "client_connection", client = connection.serial, "over the limit");
-                connection.start_closing();
+                connection.start_closing(ClosingCause::OverLimit);
                 self.reply_immediately(key, BUSY_REPLY);
             }
             Some(Ok(command)) => self.accept_command(key, command),
