--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -53,9 +53,14 @@
         if is_logged {
             let entry = request.and_then(|id| self.requests.get(id));
             let client_request_id = entry.map(|entry| entry.command.client_request_id());
-            let client_request_id = client_request_id.map(String::from_utf8_lossy).unwrap_or_default();
-            let request = request.map_or(0, |id| id.0);
-            tracing::error!(target: "invariant", ?kind, request, %client_request_id, "violated");
+            let client_request_id = client_request_id.map(String::from_utf8_lossy);
+            tracing::error!(
+                target: "invariant",
+                ?kind,
+                request = request.map(|id| id.0),
+                client_request_id = client_request_id.map(tracing::field::display),
+                "violated"
+            );
         }
         debug_assert!(kind.depends_on_speed(), "{kind:?} violated for request {request:?}");
     }
