--- a/src/bin/ingress/discovery/endpoint_list.rs
+++ b/src/bin/ingress/discovery/endpoint_list.rs
@@ -148,8 +148,11 @@
         let since_ms = json.get("since_ms").map_or(Some(0), Value::as_u64);
         let since_ms = since_ms.ok_or_else(|| bad("since_ms"))?;
         let group = json.get("group").and_then(Value::as_u64).unwrap_or(0);
+        let backend = backend_id(name);
+        // Not at `debug`: the lines of a long snapshot would displace all others from the log's buffer.
+        tracing::trace!(target: "discovery", backend = backend.0, name, "backend named");
         let endpoint = Endpoint {
-            backend: backend_id(name),
+            backend,
             zone: location_names.zone(text("zone")),
             cell: u16::try_from(group).map_err(|_| bad("group"))?,
             machine_type: location_names.machine_type(text("type")),
