--- a/src/bin/ingress/event_loop/counters.rs
+++ b/src/bin/ingress/event_loop/counters.rs
@@ -1,6 +1,7 @@
 //! Counters of the event loop, which SIGUSR1 logs.
 
 use super::EventLoop;
+use crate::logging;
 use ingress::Outcome;
 
 /// Counters of requests and attempts since the start.
@@ -76,6 +77,7 @@
             opened = self.backends.opened_count,
             "connections"
         );
+        tracing::info!(target: "counters", dropped_lines = logging::dropped_lines(), "log");
         for (reason, count) in self.clients.close_counts() {
             tracing::info!(target: "counters", ?reason, count, "closed clients");
         }
--- a/src/bin/ingress/logging.rs
+++ b/src/bin/ingress/logging.rs
@@ -1,14 +1,15 @@
 //! The log: events of `tracing`, written to standard error by a thread of its own.
 //!
 //! A standard error that is full or closed must not block the event loop, which would show as late answers.
-//! Events go through a bounded buffer, and lines that do not fit are dropped.
+//! Events go through a bounded buffer, and lines that do not fit are dropped and counted.
 
 use std::fmt::{self, Write};
 use std::io;
+use std::sync::OnceLock;
 use tracing::field::{Field, Visit};
 use tracing::level_filters::LevelFilter;
 use tracing::{Event, Subscriber};
-use tracing_appender::non_blocking::{NonBlocking, NonBlockingBuilder, WorkerGuard};
+use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
@@ -23,9 +24,13 @@
 /// The most lines in the buffer; further ones are dropped.
 const MAX_BUFFERED_LINES: usize = 4096;
 
+/// Counts the dropped lines, once the log is started.
+static DROPPED_LINES: OnceLock<ErrorCounter> = OnceLock::new();
+
 /// Starts the log at the level of this name. Dropping the guard writes the buffered lines.
 pub fn start(level: Option<String>) -> WorkerGuard {
     let (writer, guard) = buffered_writer(io::stderr());
+    let _ = DROPPED_LINES.set(writer.error_counter());
     let parsed = level.as_deref().map_or(Ok(DEFAULT_LEVEL), str::parse);
     let max_level = parsed.as_ref().copied().unwrap_or(DEFAULT_LEVEL);
     let subscriber = tracing_subscriber::fmt().with_max_level(max_level).with_writer(writer);
@@ -37,6 +42,11 @@
     guard
 }
 
+/// How many lines were dropped so far, since the buffer was full.
+pub fn dropped_lines() -> usize {
+    DROPPED_LINES.get().map_or(0, ErrorCounter::dropped_lines)
+}
+
 /// A writer that never blocks: it drops lines when its buffer is full.
 fn buffered_writer(log: impl io::Write + Send + 'static) -> (NonBlocking, WorkerGuard) {
     NonBlockingBuilder::default()
--- a/tests/ingress/logging.rs
+++ b/tests/ingress/logging.rs
@@ -56,6 +56,7 @@
     let log = ingress.log();
     assert!(log.contains("counters: requests, requests=1 answers=1 rejections=0"), "{log}");
     assert!(log.contains("counters: attempts, begun=1 served=1"), "{log}");
+    assert!(log.contains("counters: log, dropped_lines=0"), "{log}");
     assert!(!log.contains("violations"), "{log}");
 }
 
