--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -136,7 +136,7 @@
     /// time.
     ///
     /// A command that is written later might reach the backend after the window of its idempotency key, and
-    /// be executed twice. The policy relies on this timeout when it judges the window.
+    /// be executed twice. The gateway relies on this timeout when it judges the window.
     pub fn on_connect_timeout(&mut self, id: ConnectionId, attempt: AttemptId) {
         let carries_attempt =
             self.connection(id).is_some_and(|connection| connection.attempt == Some(attempt));
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -1,8 +1,8 @@
-//! The event loop: passes input from the sockets to the policy, executes the policy's actions in their order,
-//! and owns the requests and the timers.
+//! The event loop: passes input from the sockets to the gateway, executes the gateway's actions in their
+//! order, and owns the requests and the timers.
 //!
 //! It makes no decisions: it chooses no backend, starts no retry, and rejects a request by itself only where
-//! a limit is reached. The clock is read once per iteration; the policy sees it in steps of its tick.
+//! a limit is reached. The clock is read once per iteration; the gateway sees it in steps of its tick.
 
 mod actions;
 mod arrival_clock;
@@ -44,7 +44,7 @@
 use std::io;
 use timer_queue::TimerQueue;
 
-/// The ingress: its sockets, the policy, the requests and the timers.
+/// The ingress: its sockets, the gateway, the requests and the timers.
 pub struct EventLoop {
     /// Reports which sockets are ready.
     poll: Poll,
@@ -52,11 +52,11 @@
     clock: Clock,
     /// When the input that the poll reported can have arrived.
     arrivals: ArrivalClock,
-    /// The time that the policy sees.
+    /// The time that the gateway sees.
     now: Instant,
     /// The least step of that time.
     tick: Duration,
-    /// Whether failed polls of discovery are reported to the policy.
+    /// Whether failed polls of discovery are reported to the gateway.
     polls_discovery: bool,
     /// How long establishing a connection to a backend may take.
     connect_timeout: Duration,
@@ -68,11 +68,11 @@
     counters: Counters,
     /// Divides the file descriptors between clients and backends.
     descriptors: DescriptorBudget,
-    /// The policy.
+    /// The gateway.
     gateway: Gateway,
-    /// Events that the policy has not handled yet, in order.
+    /// Events that the gateway has not handled yet, in order.
     pending_events: VecDeque<Event>,
-    /// A reused buffer for the policy's actions.
+    /// A reused buffer for the gateway's actions.
     actions: Vec<Action>,
     /// Connections of clients, and the replies owed to them.
     clients: Clients,
@@ -154,12 +154,12 @@
         }
         let next_timer_at =
             self.timers.next_due_at().unwrap_or(Instant::FAR_FUTURE).min(self.watch.next_timer_at);
-        // The policy's time does not advance before a tick has passed, so no timer can be due before.
+        // The gateway's time does not advance before a tick has passed, so no timer can be due before.
         let wake_at = next_timer_at.max(self.now + self.tick);
         wake_at.duration_since(called_at)
     }
 
-    /// Runs one iteration. Discovery is handled first, so that the policy knows a draining backend before it
+    /// Runs one iteration. Discovery is handled first, so that the gateway knows a draining backend before it
     /// sends anything; replies are handled before the timers that would time them out.
     fn process_ready(&mut self, ready: &mut [ReadySocket]) {
         // First of all, so that no other socket or timer begins an attempt for a client that has
@@ -205,7 +205,7 @@
                 // The exact time: the least idle time of a connection may be less than a tick.
                 self.backends.on_ready(key, self.clock.now(), readiness);
                 self.record_begun_attempts();
-                self.run_policy();
+                self.run_gateway();
             }
             Source::Client(key) => {
                 self.clients.on_ready(key, self.now, readiness);
@@ -214,8 +214,8 @@
         }
     }
 
-    /// Passes all pending events to the policy and executes its actions, until no event is left.
-    fn run_policy(&mut self) {
+    /// Passes all pending events to the gateway and executes its actions, until no event is left.
+    fn run_gateway(&mut self) {
         loop {
             for completion in self.backends.take_completions() {
                 self.complete(completion);
--- a/src/bin/ingress/event_loop/actions.rs
+++ b/src/bin/ingress/event_loop/actions.rs
@@ -1,4 +1,4 @@
-//! Executes the policy's actions.
+//! Executes the gateway's actions.
 
 use super::client_events::{Answer, FAILED_REPLY};
 use super::timer_queue::Timer;
@@ -24,7 +24,7 @@
                 self.cancel_attempt(attempt, CloseReason::Cancelled, |_| Outcome::Cancelled);
             }
             Action::SetTimer { delay, token } => {
-                self.timers.schedule(self.now + delay, Timer::Policy(token));
+                self.timers.schedule(self.now + delay, Timer::Gateway(token));
             }
             Action::SendToPeer { to, bytes } => {
                 if let Some(peers) = &self.peers {
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -8,7 +8,7 @@
 use ingress::permissions::{may_begin_writing, WriteFacts, WriteRefusal};
 use ingress::{AttemptEnded, BackendId, Duration, Event, Instant, Outcome, RequestId};
 
-/// The end of an attempt, as it is logged, counted, audited and reported to the policy.
+/// The end of an attempt, as it is logged, counted, audited and reported to the gateway.
 struct AttemptEnd {
     /// The attempt.
     attempt: AttemptId,
@@ -205,7 +205,7 @@
         self.requests.remove_if_finished(attempt_id.request, self.now);
     }
 
-    /// Logs, counts and audits the end of an attempt, and reports it to the policy.
+    /// Logs, counts and audits the end of an attempt, and reports it to the gateway.
     fn end_attempt(&mut self, end: AttemptEnd) {
         tracing::debug!(
             target: "attempt",
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -22,7 +22,7 @@
     Failed,
 }
 
-/// Why a request is answered before it is opened: the policy does not see it.
+/// Why a request is answered before it is opened: the gateway does not see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OpenRefusal {
     /// A request with its id is open, or has ended a moment ago. It gets an error.
@@ -73,8 +73,8 @@
         outcome
     }
 
-    /// Reports all disconnected clients to the policy before any other event: the place that a request leaves
-    /// in the queue must not go to another disconnected client.
+    /// Reports all disconnected clients to the gateway before any other event: the place that a request
+    /// leaves in the queue must not go to another disconnected client.
     pub(super) fn report_disconnects(&mut self) {
         let disconnected = |event: &ClientEvent| match event {
             ClientEvent::Disconnected(id) => Some(*id),
@@ -84,7 +84,7 @@
         ids.into_iter().for_each(|id| self.report_disconnect(id));
     }
 
-    /// Closes a request whose client has disconnected, and reports that to the policy, unless it was closed
+    /// Closes a request whose client has disconnected, and reports that to the gateway, unless it was closed
     /// before.
     fn report_disconnect(&mut self, id: RequestId) {
         if self.requests.close(id).is_none() {
@@ -103,7 +103,7 @@
         self.report_disconnects();
         while let Some(event) = self.clients.next_event() {
             self.process_client_event(event);
-            self.run_policy();
+            self.run_gateway();
         }
     }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Opens a request and passes it to the policy, or rejects it where a limit is reached. Its timeout
+    /// Opens a request and passes it to the gateway, or rejects it where a limit is reached. Its timeout
     /// counts from its arrival, which is earlier than now if the process was delayed.
     fn open_request(&mut self, id: RequestId, reply_to: ReplyHandle, arrived_at: Instant, command: Command) {
         let id_hash = self.requests.hash_id(&command);
@@ -133,7 +133,7 @@
         let arrived_at = arrived_at.min(self.now);
         let client_deadline = arrived_at + timeout;
         self.timers.schedule(client_deadline, Timer::ClientDeadline(id));
-        // The policy's deadline is a little before the client's: the reply takes time to arrive.
+        // The gateway's deadline is a little before the client's: the reply takes time to arrive.
         let reply_time = (self.tick * 2 + REPLY_TRANSIT_TIME).min(timeout / REPLY_TIME_DIVISOR);
         let deadline = client_deadline - reply_time;
         let request = Request { id, deadline, ..command.request };
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -36,10 +36,10 @@
         if health.contains(&PollHealth::BeganToFail) && self.polls_discovery {
             self.pending_events.push_back(Event::Endpoints(EndpointUpdate::PollFailed, Vec::new()));
         }
-        self.run_policy();
+        self.run_gateway();
     }
 
-    /// Applies an endpoint list to the connections, and passes it to the policy.
+    /// Applies an endpoint list to the connections, and passes it to the gateway.
     pub(super) fn apply_endpoints(&mut self, list: EndpointList, update: EndpointUpdate) {
         let removed = self.backends.update_endpoints(&list);
         let endpoints = self.endpoints_in_host_time(&list);
@@ -70,14 +70,14 @@
         endpoints
     }
 
-    /// Passes a batch of peers' messages to the policy.
+    /// Passes a batch of peers' messages to the gateway.
     pub(super) fn receive_peer_messages(&mut self) {
         let events = &mut self.pending_events;
         if let Some(peers) = &mut self.peers {
             let backlog = peers.receive(|from, bytes| events.push_back(Event::PeerMessage { from, bytes }));
             self.peer_messages_pending |= backlog == Backlog::MayHaveMore;
         }
-        self.run_policy();
+        self.run_gateway();
     }
 
     /// Handles the signals that were received.
--- a/src/bin/ingress/event_loop/request_table.rs
+++ b/src/bin/ingress/event_loop/request_table.rs
@@ -42,7 +42,7 @@
     pub started_at: Instant,
     /// When it times out.
     pub expires_at: Instant,
-    /// The latest time for writing its first byte, which the policy relies on.
+    /// The latest time for writing its first byte, which the gateway relies on.
     pub begins_by: Instant,
     /// Its connection, while it is in flight.
     pub connection: Option<ConnectionId>,
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -60,12 +60,12 @@
         let sockets = Sockets { poll, listener, peers, signals };
         let mut event_loop = EventLoop::build(config, sockets, Clock::new(), reload)?;
         event_loop.timers.schedule(event_loop.now + SWEEP_INTERVAL, Timer::Sweep);
-        event_loop.run_policy();
+        event_loop.run_gateway();
         tracing::info!(target: "event_loop", %address, "listening");
         Ok(event_loop)
     }
 
-    /// Builds the event loop, with the cached endpoint list as the first event for the policy.
+    /// Builds the event loop, with the cached endpoint list as the first event for the gateway.
     fn build(config: Config, sockets: Sockets, clock: Clock, reload: Reload) -> Result<Self, EventLoopError> {
         let now = clock.now();
         let options = watch_options(&config, now);
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -119,7 +119,7 @@
     command
 }
 
-/// Whether the settings let the policy cancel attempts.
+/// Whether the settings let the gateway cancel attempts.
 #[derive(Clone, Copy, Debug)]
 enum Cancellation {
     Allowed,
@@ -348,7 +348,7 @@
 }
 
 /// While the commands of an iteration are handled, the ingress closes a client's connection for want of memory. The
-/// policy had been notified of that iteration's disconnects before, so it never heard of this one, and went on
+/// gateway had been notified of that iteration's disconnects before, so it never heard of this one, and went on
 /// retrying the request for a client that was gone.
 #[test]
 fn a_disconnect_between_two_commands_ends_its_request() {
@@ -356,7 +356,7 @@
     let ClientInFlight { client: _client, commands: first } = testbed.client_in_flight();
     let id = testbed.event_loop.requests.ids()[0];
     testbed.event_loop.process_client_event(ClientEvent::Disconnected(id));
-    testbed.event_loop.run_policy();
+    testbed.event_loop.run_gateway();
     assert_eq!(
         (first, testbed.event_loop.requests.len()),
         (1, 0),
@@ -390,7 +390,7 @@
     let entries = vec![EndpointEntry { endpoint, started_at: UnixTime::default(), address: Some(address) }];
     let list = EndpointList { index: 2, is_snapshot: true, entries };
     testbed.event_loop.apply_endpoints(list, EndpointUpdate::Snapshot);
-    testbed.event_loop.run_policy();
+    testbed.event_loop.run_gateway();
     let mut client = testbed.client();
     client.write_all(&request_command(1)).unwrap();
     testbed.iterate_until("the connection is begun", |testbed| testbed.event_loop.backends.len() == 1);
--- a/src/bin/ingress/event_loop/timer_queue.rs
+++ b/src/bin/ingress/event_loop/timer_queue.rs
@@ -8,8 +8,8 @@
 /// What a timer is for. Of timers due at the same time, those of an earlier variant run first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// Wakes the policy with its own token.
-    Policy(u32),
+    /// Wakes the gateway with its own token.
+    Gateway(u32),
     /// An attempt times out.
     AttemptTimeout(AttemptId),
     /// A client's timeout ends.
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -19,14 +19,14 @@
     pub(super) fn run_due_timers(&mut self) {
         for timer in self.timers.take_due(self.now) {
             self.run_timer(timer);
-            self.run_policy();
+            self.run_gateway();
         }
     }
 
     /// Runs one timer.
     fn run_timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Policy(token) => self.pending_events.push_back(Event::Timer(token)),
+            Timer::Gateway(token) => self.pending_events.push_back(Event::Timer(token)),
             Timer::AttemptTimeout(attempt) => self.time_out_attempt(attempt),
             Timer::ClientDeadline(id) => self.fail_unanswered(id, MissedAnswer::ClientDeadline),
             Timer::ConnectTimeout(connection, attempt) => {
--- a/src/bin/ingress/main.rs
+++ b/src/bin/ingress/main.rs
@@ -1,5 +1,4 @@
-//! The ingress: connects the policy of one gateway with the sockets of clients, backends, discovery and
-//! peers.
+//! The ingress: connects one gateway with the sockets of clients, backends, discovery and peers.
 
 mod backends;
 mod clients;
