--- a/src/bin/ingress/backends.rs
+++ b/src/bin/ingress/backends.rs
@@ -11,10 +11,11 @@
 mod reply;
 
 pub use attempt::{
-    AssignedConnection, AttemptId, BegunAttempt, CommandState, Completion, ConnectionId, StatedTimeout,
+    AssignedConnection, AttemptId, CommandState, ConnectionId, ExchangeCompletion, FirstByteWritten,
+    StatedTimeout,
 };
-pub use closing::CloseReason;
-pub use pool::Backends;
+pub use closing::BackendCloseReason;
+pub use pool::BackendConnections;
 
 #[cfg(test)]
 mod tests;
--- a/src/bin/ingress/backends/attempt.rs
+++ b/src/bin/ingress/backends/attempt.rs
@@ -47,7 +47,7 @@
 
 /// An attempt whose first byte was written.
 #[derive(Clone, Copy, Debug)]
-pub struct BegunAttempt {
+pub struct FirstByteWritten {
     /// The attempt.
     pub attempt: AttemptId,
     /// The backend that the connection leads to.
@@ -66,7 +66,7 @@
 }
 
 /// How an attempt ended.
-pub struct Completion {
+pub struct ExchangeCompletion {
     /// The attempt.
     pub attempt: AttemptId,
     /// The backend that it was sent to.
--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -1,7 +1,7 @@
 //! Closes connections to backends, and frees their descriptors.
 
-use super::connection::Connection;
-use super::Backends;
+use super::connection::BackendConnection;
+use super::BackendConnections;
 use ingress::{BackendId, Duration, Instant};
 
 /// How long a reply may take to arrive completely after its first byte.
@@ -9,7 +9,7 @@
 
 /// Why a connection to a backend was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CloseReason {
+pub enum BackendCloseReason {
     /// The gateway cancelled its attempt.
     Cancelled,
     /// Its attempt has timed out.
@@ -34,9 +34,9 @@
     BackendUnavailable,
 }
 
-impl Backends {
+impl BackendConnections {
     /// Closes a connection.
-    pub(super) fn remove(&mut self, key: usize, reason: CloseReason) {
+    pub(super) fn remove(&mut self, key: usize, reason: BackendCloseReason) {
         let connection = self.connections.remove(key); // Dropping it closes and deregisters it.
         tracing::debug!(
             target: "backend_connection",
@@ -55,7 +55,7 @@
     }
 
     /// Closes the idle connections to a backend.
-    pub(super) fn close_idle(&mut self, backend: BackendId, reason: CloseReason) {
+    pub(super) fn close_idle(&mut self, backend: BackendId, reason: BackendCloseReason) {
         let idle = self.pools.get_mut(&backend).map(|pool| std::mem::take(&mut pool.idle));
         for key in idle.into_iter().flatten() {
             self.remove(key, reason);
@@ -73,21 +73,21 @@
     /// Closes connections that have been idle for too long.
     fn close_expired(&mut self, now: Instant) {
         let max_idle_time = self.max_idle_time.min(self.idle_reuse.max_idle_time());
-        let is_expired = |connection: &Connection| {
+        let is_expired = |connection: &BackendConnection| {
             connection.attempt.is_none() && now.duration_since(connection.state_since) > max_idle_time
         };
         for key in self.keys_where(is_expired) {
-            self.remove(key, CloseReason::Expired);
+            self.remove(key, BackendCloseReason::Expired);
         }
     }
 
     /// Closes connections whose reply is not completed in time, such as a line or a length without an end.
     fn close_stalled(&mut self, now: Instant) {
-        let is_stalled = |connection: &Connection| {
+        let is_stalled = |connection: &BackendConnection| {
             !connection.received.is_empty() && now > connection.reply_started_at + MAX_REPLY_DURATION
         };
         for key in self.keys_where(is_stalled) {
-            self.fail(key, now, CloseReason::Stalled);
+            self.fail(key, now, BackendCloseReason::Stalled);
         }
     }
 
@@ -97,7 +97,7 @@
         let idle = self.connections.iter().filter(|(_, connection)| connection.attempt.is_none());
         let longest = idle.min_by_key(|(_, connection)| (connection.state_since, connection.serial));
         let Some(key) = longest.map(|(key, _)| key) else { return false };
-        self.remove(key, CloseReason::DescriptorNeeded);
+        self.remove(key, BackendCloseReason::DescriptorNeeded);
         true
     }
 }
--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 /// A connection to a backend.
-pub struct Connection {
+pub struct BackendConnection {
     /// The socket.
     pub stream: TcpStream,
     /// Distinguishes connections that have the same key one after another.
@@ -50,7 +50,7 @@
     Ended,
 }
 
-impl Connection {
+impl BackendConnection {
     /// A connection that is being established, without an attempt.
     pub fn new(
         stream: TcpStream,
@@ -59,7 +59,7 @@
         address: SocketAddr,
         now: Instant,
     ) -> Self {
-        Connection {
+        BackendConnection {
             stream,
             serial,
             backend,
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -1,10 +1,12 @@
 //! The exchange of a command and its reply on a connection.
 
-use super::closing::CloseReason;
-use super::connection::{Connection, ReadStep};
+use super::closing::BackendCloseReason;
+use super::connection::{BackendConnection, ReadStep};
 use super::idle_reuse::IdleReuse;
 use super::reply::{self, ExchangeResult};
-use super::{AssignedConnection, AttemptId, Backends, BegunAttempt, CommandState, Completion};
+use super::{
+    AssignedConnection, AttemptId, BackendConnections, CommandState, ExchangeCompletion, FirstByteWritten,
+};
 use super::{ConnectionId, StatedTimeout};
 use crate::readiness::Readiness;
 use crate::resp::{self, ParsedReply};
@@ -26,7 +28,7 @@
     Unusable,
 }
 
-impl Backends {
+impl BackendConnections {
     /// Assigns an attempt to a connection, and writes the command that `encode` appends. Returns none if that
     /// has failed; the end of the attempt is among the completions then.
     pub fn assign(
@@ -105,7 +107,7 @@
     }
 
     /// The connection with an id, if it is still open.
-    fn connection(&self, id: ConnectionId) -> Option<&Connection> {
+    fn connection(&self, id: ConnectionId) -> Option<&BackendConnection> {
         self.connections.get(id.key).filter(|connection| connection.serial == id.serial)
     }
 
@@ -121,7 +123,7 @@
         &mut self,
         id: ConnectionId,
         attempt: AttemptId,
-        reason: CloseReason,
+        reason: BackendCloseReason,
     ) -> Option<CommandState> {
         let connection = self.connection(id)?;
         if connection.attempt != Some(attempt) {
@@ -142,7 +144,7 @@
             self.connection(id).is_some_and(|connection| connection.attempt == Some(attempt));
         if carries_attempt && self.is_incomplete(id) {
             self.complete(id.key, ExchangeResult::without_reply(Outcome::ConnectFailed), None);
-            self.remove(id.key, CloseReason::ConnectTimeout);
+            self.remove(id.key, BackendCloseReason::ConnectTimeout);
         }
     }
 
@@ -167,8 +169,9 @@
         let was_unwritten = connection.is_not_yet_written();
         let result = connection.write_command();
         if was_unwritten && connection.written > 0 {
-            let Connection { backend, stated_timeout, .. } = *connection;
-            let begun = connection.attempt.map(|attempt| BegunAttempt { attempt, backend, stated_timeout });
+            let BackendConnection { backend, stated_timeout, .. } = *connection;
+            let begun =
+                connection.attempt.map(|attempt| FirstByteWritten { attempt, backend, stated_timeout });
             self.begun.extend(begun);
         }
         if result.is_ok() {
@@ -181,7 +184,7 @@
         if self.connection(id).is_some() {
             let result = ExchangeResult::without_reply(Outcome::ConnectFailed);
             self.complete(key, result, Some(assigned_at));
-            self.remove(key, CloseReason::Broken);
+            self.remove(key, BackendCloseReason::Broken);
         }
     }
 
@@ -192,16 +195,16 @@
             match step {
                 ReadStep::Interrupted => {}
                 ReadStep::Blocked => return,
-                ReadStep::Ended => return self.fail(key, now, CloseReason::Broken),
+                ReadStep::Ended => return self.fail(key, now, BackendCloseReason::Broken),
                 ReadStep::Received => {
                     if self.process_received(key, now) == Usability::Unusable {
-                        return self.remove(key, CloseReason::Unusable);
+                        return self.remove(key, BackendCloseReason::Unusable);
                     }
                 }
             }
         }
         // No reply is that long: the backend sends without end.
-        self.fail(key, now, CloseReason::Unusable);
+        self.fail(key, now, BackendCloseReason::Unusable);
     }
 
     /// Completes the exchange if the reply is complete or malformed.
@@ -236,7 +239,7 @@
     }
 
     /// Closes a connection that has failed, and ends the attempt on it.
-    pub(super) fn fail(&mut self, key: usize, now: Instant, reason: CloseReason) {
+    pub(super) fn fail(&mut self, key: usize, now: Instant, reason: BackendCloseReason) {
         let outcome = self.connections[key].failure_outcome();
         self.complete(key, ExchangeResult::without_reply(outcome), Some(now));
         self.remove(key, reason);
@@ -264,7 +267,7 @@
         result: ExchangeResult,
     ) {
         let ExchangeResult { outcome, value, reported_queue_depth } = result;
-        self.completions.push(Completion {
+        self.completions.push(ExchangeCompletion {
             attempt,
             backend,
             outcome,
@@ -277,7 +280,11 @@
 
 /// The result of the reuse of a connection whose attempt has ended with this outcome; none if it shows
 /// nothing about the idle time before.
-fn idle_reuse(connection: &Connection, outcome: Outcome, ended_at: Option<Instant>) -> Option<IdleReuse> {
+fn idle_reuse(
+    connection: &BackendConnection,
+    outcome: Outcome,
+    ended_at: Option<Instant>,
+) -> Option<IdleReuse> {
     if !matches!(outcome, Outcome::Reset | Outcome::ConnectFailed) {
         return Some(IdleReuse::Alive);
     }
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -1,11 +1,11 @@
 //! The pools of connections, one for each backend: the backend's address, and the idle connections to it.
 
-use super::closing::CloseReason;
-use super::connection::Connection;
+use super::closing::BackendCloseReason;
+use super::connection::BackendConnection;
 use super::exchange::Usability;
 use super::idle_reuse::IdleReuseTracker;
 use super::reply::ExchangeResult;
-use super::{BegunAttempt, Completion};
+use super::{ExchangeCompletion, FirstByteWritten};
 use crate::discovery::{EndpointEntry, EndpointList};
 use crate::socket_error::is_local_shortage;
 use ingress::permissions::{may_reuse_connection, may_send_to, BackendRefusal, ReuseLimits};
@@ -41,9 +41,9 @@
 }
 
 /// The connections to all backends.
-pub struct Backends {
+pub struct BackendConnections {
     /// Every connection by its key.
-    pub(super) connections: Slab<Connection>,
+    pub(super) connections: Slab<BackendConnection>,
     /// A pool for each backend of the endpoint list.
     pub(super) pools: HashMap<BackendId, Pool>,
     /// The serial number of the latest connection.
@@ -57,18 +57,18 @@
     /// The poll's token of the connection with a key.
     token: fn(usize) -> Token,
     /// The ends of attempts that were not taken yet.
-    pub(super) completions: Vec<Completion>,
+    pub(super) completions: Vec<ExchangeCompletion>,
     /// The begun attempts that were not taken yet.
-    pub(super) begun: Vec<BegunAttempt>,
+    pub(super) begun: Vec<FirstByteWritten>,
     /// The number of connections opened so far.
     pub opened_count: u64,
 }
 
-impl Backends {
+impl BackendConnections {
     /// Without any backend. Backends close connections that have been idle for `keepalive_timeout`; `token`
     /// returns the poll's token of the connection with a key.
     pub fn new(keepalive_timeout: Duration, token: fn(usize) -> Token) -> Self {
-        Backends {
+        BackendConnections {
             connections: Slab::new(),
             pools: HashMap::new(),
             last_serial: 0,
@@ -83,12 +83,12 @@
     }
 
     /// Takes the ends of attempts, in order.
-    pub fn take_completions(&mut self) -> Vec<Completion> {
+    pub fn take_completions(&mut self) -> Vec<ExchangeCompletion> {
         std::mem::take(&mut self.completions)
     }
 
     /// Takes the attempts whose first byte was written, in order.
-    pub fn take_begun(&mut self) -> Vec<BegunAttempt> {
+    pub fn take_begun(&mut self) -> Vec<FirstByteWritten> {
         std::mem::take(&mut self.begun)
     }
 
@@ -109,14 +109,14 @@
                 continue;
             }
             if self.has_moved(entry) || entry.endpoint.availability == Availability::Draining {
-                self.close_idle(backend, CloseReason::BackendUnavailable);
+                self.close_idle(backend, BackendCloseReason::BackendUnavailable);
                 closed_to_new_work.insert(backend);
             }
             let pool = self.pools.entry(backend).or_default();
             (pool.address, pool.availability) = (entry.address, entry.endpoint.availability);
         }
         for backend in &removed {
-            self.close_idle(*backend, CloseReason::BackendUnavailable);
+            self.close_idle(*backend, BackendCloseReason::BackendUnavailable);
             self.pools.remove(backend);
             closed_to_new_work.insert(*backend);
         }
@@ -142,17 +142,17 @@
     /// Ends attempts of which nothing is written yet at backends that take no new work: they would begin once
     /// their connections are established, perhaps at another backend with the same address.
     fn cancel_unwritten(&mut self, closed_to_new_work: &HashSet<BackendId>) {
-        let is_unwritten = |connection: &Connection| {
+        let is_unwritten = |connection: &BackendConnection| {
             connection.is_not_yet_written() && closed_to_new_work.contains(&connection.backend)
         };
         for key in self.keys_where(is_unwritten) {
             self.complete(key, ExchangeResult::without_reply(Outcome::NotSent), None);
-            self.remove(key, CloseReason::BackendUnavailable);
+            self.remove(key, BackendCloseReason::BackendUnavailable);
         }
     }
 
     /// The keys of all connections that fulfil a condition.
-    pub(super) fn keys_where(&self, condition: impl Fn(&Connection) -> bool) -> Vec<usize> {
+    pub(super) fn keys_where(&self, condition: impl Fn(&BackendConnection) -> bool) -> Vec<usize> {
         self.connections.iter().filter(|(_, connection)| condition(connection)).map(|(key, _)| key).collect()
     }
 
@@ -201,7 +201,7 @@
                 return Some(key);
             }
             // Frees its descriptor for the next connection.
-            self.remove(key, CloseReason::Broken);
+            self.remove(key, BackendCloseReason::Broken);
         }
     }
 
@@ -225,7 +225,7 @@
         let _ = stream.set_nodelay(true);
         self.last_serial += 1;
         self.opened_count += 1;
-        slot.insert(Connection::new(stream, self.last_serial, backend, address, now));
+        slot.insert(BackendConnection::new(stream, self.last_serial, backend, address, now));
         Ok(key)
     }
 
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -26,7 +26,7 @@
 
 /// Connections to one backend, which the test plays; its clock is the test's as well.
 struct Rig {
-    backends: Backends,
+    connections: BackendConnections,
     poll: Poll,
     listener: TcpListener,
 }
@@ -34,12 +34,12 @@
 impl Rig {
     fn new(keepalive_timeout: Duration) -> Rig {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let mut backends = Backends::new(keepalive_timeout, Token);
+        let mut connections = BackendConnections::new(keepalive_timeout, Token);
         let endpoint = Endpoint { backend: BACKEND, ..Endpoint::default() };
         let (started_at, address) = (UnixTime::default(), listener.local_addr().ok());
         let entries = vec![EndpointEntry { endpoint, started_at, address }];
-        backends.update_endpoints(&EndpointList { index: 1, is_snapshot: true, entries });
-        Rig { backends, poll: Poll::new().unwrap(), listener }
+        connections.update_endpoints(&EndpointList { index: 1, is_snapshot: true, entries });
+        Rig { connections, poll: Poll::new().unwrap(), listener }
     }
 
     /// Begins an attempt and waits until its command is written.
@@ -47,20 +47,20 @@
         let encode = |command: &mut Vec<u8>| command.extend_from_slice(b"*1\r\n$4\r\nCALL\r\n");
         let registry = self.poll.registry();
         let assigned =
-            self.backends.assign(registry, BACKEND, attempt(request), no_time(now), encode).unwrap();
-        while self.backends.is_incomplete(assigned.connection) {
-            self.backends.on_ready(assigned.connection.key, now, Readiness::Writable);
+            self.connections.assign(registry, BACKEND, attempt(request), no_time(now), encode).unwrap();
+        while self.connections.is_incomplete(assigned.connection) {
+            self.connections.on_ready(assigned.connection.key, now, Readiness::Writable);
         }
         assigned.connection
     }
 
     /// Reads from a connection until an exchange has ended.
-    fn completion(&mut self, connection: ConnectionId, now: Instant) -> Completion {
+    fn completion(&mut self, connection: ConnectionId, now: Instant) -> ExchangeCompletion {
         for _ in 0..1_000_000 {
-            if let Some(completion) = self.backends.completions.pop() {
+            if let Some(completion) = self.connections.completions.pop() {
                 return completion;
             }
-            self.backends.on_ready(connection.key, now, Readiness::Readable);
+            self.connections.on_ready(connection.key, now, Readiness::Readable);
         }
         panic!("nothing has ended");
     }
@@ -111,17 +111,17 @@
     let mut rig = Rig::new(Duration::from_secs(30));
     let encode = |command: &mut Vec<u8>| command.resize(64 << 20, b'x');
     let registry = rig.poll.registry();
-    let assigned = rig.backends.assign(registry, BACKEND, attempt(1), no_time(START), encode).unwrap();
+    let assigned = rig.connections.assign(registry, BACKEND, attempt(1), no_time(START), encode).unwrap();
     let connection = assigned.connection;
     let peer = rig.listener.accept().unwrap().0;
-    rig.backends.on_ready(connection.key, START, Readiness::Writable);
+    rig.connections.on_ready(connection.key, START, Readiness::Writable);
     assert_eq!(assigned.command, CommandState::Unsent);
-    assert!(rig.backends.connections[connection.key].is_connected);
-    assert!(rig.backends.is_incomplete(connection));
-    rig.backends.on_connect_timeout(connection, attempt(1));
-    let completion = rig.backends.completions.pop().expect("it has ended");
+    assert!(rig.connections.connections[connection.key].is_connected);
+    assert!(rig.connections.is_incomplete(connection));
+    rig.connections.on_connect_timeout(connection, attempt(1));
+    let completion = rig.connections.completions.pop().expect("it has ended");
     assert_eq!((completion.attempt, completion.outcome), (attempt(1), Outcome::ConnectFailed));
-    assert_eq!(rig.backends.len(), 0);
+    assert_eq!(rig.connections.len(), 0);
     drop(peer);
 }
 
@@ -150,12 +150,13 @@
     // More than the socket takes at once.
     let long = |command: &mut Vec<u8>| command.resize(64 << 20, b'x');
     let now = START + MIN_IDLE_TIME;
-    let second = rig.backends.assign(rig.poll.registry(), BACKEND, attempt(2), no_time(now), long).unwrap();
+    let second =
+        rig.connections.assign(rig.poll.registry(), BACKEND, attempt(2), no_time(now), long).unwrap();
     assert_eq!((second.connection, second.command), (first, CommandState::Unsent));
-    rig.backends.on_connect_timeout(first, attempt(1));
-    assert!(rig.backends.is_incomplete(first), "the later attempt goes on");
-    rig.backends.on_connect_timeout(first, attempt(2));
-    assert!(!rig.backends.is_incomplete(first));
+    rig.connections.on_connect_timeout(first, attempt(1));
+    assert!(rig.connections.is_incomplete(first), "the later attempt goes on");
+    rig.connections.on_connect_timeout(first, attempt(2));
+    assert!(!rig.connections.is_incomplete(first));
 }
 
 /// A backend is draining or removed when an attempt is to be sent to it. The command is not sent, whoever asks for
@@ -167,11 +168,12 @@
     for availability in [Availability::Draining, Availability::Gone] {
         let endpoint = Endpoint { backend: BACKEND, availability, ..Endpoint::default() };
         let entries = vec![EndpointEntry { endpoint, started_at: UnixTime::default(), address }];
-        rig.backends.update_endpoints(&EndpointList { index: 2, is_snapshot: false, entries });
+        rig.connections.update_endpoints(&EndpointList { index: 2, is_snapshot: false, entries });
         let encode = |command: &mut Vec<u8>| command.extend_from_slice(b"*1\r\n$4\r\nCALL\r\n");
-        let assigned = rig.backends.assign(rig.poll.registry(), BACKEND, attempt(1), no_time(START), encode);
+        let assigned =
+            rig.connections.assign(rig.poll.registry(), BACKEND, attempt(1), no_time(START), encode);
         assert_eq!(assigned, None, "{availability:?}");
-        assert_eq!(rig.backends.completions.pop().unwrap().outcome, Outcome::NotSent, "{availability:?}");
-        assert_eq!(rig.backends.len(), 0, "{availability:?}");
+        assert_eq!(rig.connections.completions.pop().unwrap().outcome, Outcome::NotSent, "{availability:?}");
+        assert_eq!(rig.connections.len(), 0, "{availability:?}");
     }
 }
--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -15,8 +15,8 @@
 mod writing;
 
 use crate::command::{Command, CommandSchema};
-use closing::CloseReason;
-use connection::Connection;
+use closing::ClientCloseReason;
+use connection::ClientConnection;
 pub use error::ClientError;
 use ingress::{Instant, RequestId};
 use memory::MemoryBudget;
@@ -101,7 +101,7 @@
     /// None once it is closed.
     listener: Option<TcpListener>,
     /// By their keys, which tokens are made from.
-    connections: Slab<Connection>,
+    connections: Slab<ClientConnection>,
     /// The serial number of the latest connection.
     last_serial: u64,
     /// The id of the latest request.
@@ -142,7 +142,7 @@
     /// Since when every attempt to accept a connection has failed.
     accept_failing_since: Option<Instant>,
     /// The number of closed connections by reason.
-    close_counts: [u64; CloseReason::ALL.len()],
+    close_counts: [u64; ClientCloseReason::ALL.len()],
     /// Connections that this side has closed with replies owed, each with one request without a reply. Such a
     /// close violates an invariant.
     abandoned: Vec<Option<RequestId>>,
@@ -220,8 +220,8 @@
     }
 
     /// The number of closed connections by reason; reasons that never occurred are left out.
-    pub fn close_counts(&self) -> impl Iterator<Item = (CloseReason, u64)> + '_ {
-        let counts = CloseReason::ALL.into_iter().zip(self.close_counts);
+    pub fn close_counts(&self) -> impl Iterator<Item = (ClientCloseReason, u64)> + '_ {
+        let counts = ClientCloseReason::ALL.into_iter().zip(self.close_counts);
         counts.filter(|(_, count)| *count > 0)
     }
 
--- a/src/bin/ingress/clients/accepting.rs
+++ b/src/bin/ingress/clients/accepting.rs
@@ -1,6 +1,6 @@
 //! Accepts connections.
 
-use super::connection::Connection;
+use super::connection::ClientConnection;
 use super::{AcceptOutcome, Capacity, Clients};
 use ingress::{Duration, Instant};
 use mio::net::TcpStream;
@@ -100,7 +100,7 @@
         let _ = stream.set_nodelay(true);
         self.last_serial += 1;
         self.last_accepted_at = now;
-        let mut connection = Connection::new(stream, self.last_serial, capacity, now);
+        let mut connection = ClientConnection::new(stream, self.last_serial, capacity, now);
         connection.unread_since = self.queued_since;
         self.lingering_count += usize::from(connection.linger_until.is_some());
         self.over_limit_count += usize::from(connection.over_limit);
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -1,13 +1,13 @@
 //! Closes connections: those that have ended, are idle or too slow, and all of them at a shutdown.
 
-use super::connection::{ClosingCause, Connection};
+use super::connection::{ClientConnection, ClosingCause};
 use super::error::ClientError;
 use super::{Accepting, ClientEvent, Clients};
 use ingress::Instant;
 
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CloseReason {
+pub enum ClientCloseReason {
     /// The client has closed its end.
     Disconnected,
     /// A read or a write has failed.
@@ -26,22 +26,25 @@
     OutOfMemory,
 }
 
-impl CloseReason {
+impl ClientCloseReason {
     /// All reasons.
-    pub const ALL: [CloseReason; 8] = [
-        CloseReason::Disconnected,
-        CloseReason::Broken,
-        CloseReason::DescriptorNeeded,
-        CloseReason::Draining,
-        CloseReason::NoCommand,
-        CloseReason::LingerTimeout,
-        CloseReason::WriteTimeout,
-        CloseReason::OutOfMemory,
+    pub const ALL: [ClientCloseReason; 8] = [
+        ClientCloseReason::Disconnected,
+        ClientCloseReason::Broken,
+        ClientCloseReason::DescriptorNeeded,
+        ClientCloseReason::Draining,
+        ClientCloseReason::NoCommand,
+        ClientCloseReason::LingerTimeout,
+        ClientCloseReason::WriteTimeout,
+        ClientCloseReason::OutOfMemory,
     ];
 
     /// Whether replies may be lost with the connection, since the client does not wait for them.
     fn may_drop_replies(self) -> bool {
-        !matches!(self, CloseReason::DescriptorNeeded | CloseReason::Draining | CloseReason::NoCommand)
+        !matches!(
+            self,
+            ClientCloseReason::DescriptorNeeded | ClientCloseReason::Draining | ClientCloseReason::NoCommand
+        )
     }
 }
 
@@ -61,7 +64,7 @@
 
 impl IdleCloseOrder {
     /// The place of a connection in this order.
-    fn of(connection: &Connection, now: Instant) -> IdleCloseOrder {
+    fn of(connection: &ClientConnection, now: Instant) -> IdleCloseOrder {
         IdleCloseOrder {
             has_priority: connection.has_sent_command() || connection.last_active_at >= now,
             last_active_at: connection.last_active_at,
@@ -78,7 +81,7 @@
             let longest = idle.min_by_key(|(_, connection)| IdleCloseOrder::of(connection, now));
             let Some((key, connection)) = longest else { return false };
             let idle_since = connection.last_active_at;
-            self.close_if_still_idle(key, idle_since, CloseReason::DescriptorNeeded);
+            self.close_if_still_idle(key, idle_since, ClientCloseReason::DescriptorNeeded);
             if !self.connections.contains(key) {
                 return true;
             }
@@ -95,7 +98,7 @@
         let closable = self.keys_of(|connection| {
             connection.is_idle() && (connection.has_sent_command() || accepting == Accepting::Stop)
         });
-        closable.into_iter().for_each(|key| self.close_if_still_idle(key, now, CloseReason::Draining));
+        closable.into_iter().for_each(|key| self.close_if_still_idle(key, now, ClientCloseReason::Draining));
     }
 
     /// Closes connections whose clients take too long to send, to read or to close their end.
@@ -111,7 +114,7 @@
             let connection = self.connections.get(key);
             if connection.is_some_and(|connection| connection.is_shut_down() || connection.output.is_empty())
             {
-                self.remove(key, CloseReason::LingerTimeout);
+                self.remove(key, ClientCloseReason::LingerTimeout);
             }
         }
     }
@@ -121,7 +124,7 @@
     fn close_timed_out(&mut self, now: Instant) {
         let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
         let not_reading = self.keys_of(|connection| connection.output.is_timed_out(now));
-        not_reading.into_iter().for_each(|key| self.remove(key, CloseReason::WriteTimeout));
+        not_reading.into_iter().for_each(|key| self.remove(key, ClientCloseReason::WriteTimeout));
         for key in overdue {
             // The rest may have arrived by now.
             self.read(key, now);
@@ -130,7 +133,7 @@
                 continue;
             };
             if connection.input.is_empty() {
-                self.close_if_still_idle(key, now, CloseReason::NoCommand);
+                self.close_if_still_idle(key, now, ClientCloseReason::NoCommand);
                 continue;
             }
             connection.abort_command(ClientError::CommandTimeout, ClosingCause::CommandTimeout);
@@ -151,8 +154,8 @@
 
     /// Closes a connection that has become idle during the shutdown.
     pub(super) fn close_if_drained(&mut self, key: usize, now: Instant) {
-        if self.draining && self.connections.get(key).is_some_and(Connection::is_idle) {
-            self.close_if_still_idle(key, now, CloseReason::Draining);
+        if self.draining && self.connections.get(key).is_some_and(ClientConnection::is_idle) {
+            self.close_if_still_idle(key, now, ClientCloseReason::Draining);
         }
     }
 
@@ -160,15 +163,15 @@
     ///
     /// A request in the socket's buffer would be lost with the connection: its client would see a close in
     /// place of a reply. So the buffer is read to its end right before the close.
-    fn close_if_still_idle(&mut self, key: usize, now: Instant, reason: CloseReason) {
+    fn close_if_still_idle(&mut self, key: usize, now: Instant, reason: ClientCloseReason) {
         self.read(key, now);
-        if self.connections.get(key).is_some_and(Connection::is_idle) {
+        if self.connections.get(key).is_some_and(ClientConnection::is_idle) {
             self.remove(key, reason);
         }
     }
 
     /// Closes and removes a connection, and reports its requests without a reply as disconnected.
-    pub(super) fn remove(&mut self, key: usize, reason: CloseReason) {
+    pub(super) fn remove(&mut self, key: usize, reason: ClientCloseReason) {
         let connection = self.connections.remove(key); // Dropping it closes the socket and ends its polling.
         let replies_owed = connection.replies.len();
         let unwritten_bytes = connection.output.unwritten();
@@ -203,7 +206,7 @@
     }
 
     /// The keys of the connections that fulfil a condition.
-    fn keys_of(&self, selected: impl Fn(&Connection) -> bool) -> Vec<usize> {
+    fn keys_of(&self, selected: impl Fn(&ClientConnection) -> bool) -> Vec<usize> {
         let connections = self.connections.iter().filter(|(_, connection)| selected(connection));
         connections.map(|(key, _)| key).collect()
     }
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -51,7 +51,7 @@
 }
 
 /// A client's connection.
-pub struct Connection {
+pub struct ClientConnection {
     /// The socket.
     pub stream: TcpStream,
     /// The number of the connection, which unlike its key is never reused.
@@ -90,11 +90,11 @@
     pub queued_for_read: bool,
 }
 
-impl Connection {
+impl ClientConnection {
     /// A connection that was just accepted.
     pub fn new(stream: TcpStream, serial: u64, capacity: Capacity, now: Instant) -> Self {
         let over_limit = capacity == Capacity::OverLimit;
-        Connection {
+        ClientConnection {
             stream,
             serial,
             input: Vec::new(),
--- a/src/bin/ingress/clients/memory.rs
+++ b/src/bin/ingress/clients/memory.rs
@@ -1,7 +1,7 @@
 //! The memory of all client connections.
 
-use super::closing::CloseReason;
-use super::connection::{ClosingCause, Connection};
+use super::closing::ClientCloseReason;
+use super::connection::{ClientConnection, ClosingCause};
 use super::error::ClientError;
 use super::Clients;
 
@@ -20,14 +20,14 @@
     }
 
     /// Updates the accounted memory of a connection.
-    pub fn account(&mut self, connection: &mut Connection) {
+    pub fn account(&mut self, connection: &mut ClientConnection) {
         let memory = connection.memory_size();
         self.used = self.used - connection.accounted_memory + memory;
         connection.accounted_memory = memory;
     }
 
     /// Subtracts the memory of a connection that is removed.
-    pub fn release(&mut self, connection: &Connection) {
+    pub fn release(&mut self, connection: &ClientConnection) {
         self.used -= connection.accounted_memory;
     }
 
@@ -51,7 +51,7 @@
             let largest = closable.max_by_key(|(_, connection)| connection.accounted_memory);
             let Some((key, connection)) = largest else { return };
             if connection.input.is_empty() {
-                self.remove(key, CloseReason::OutOfMemory);
+                self.remove(key, ClientCloseReason::OutOfMemory);
                 continue;
             }
             connection.abort_command(ClientError::OutOfMemory, ClosingCause::OutOfMemory);
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -1,6 +1,6 @@
 //! Reads from connections and parses their commands.
 
-use super::closing::CloseReason;
+use super::closing::ClientCloseReason;
 use super::connection::ClosingCause;
 use super::error::ClientError;
 use super::{ClientEvent, Clients, ReplyHandle, BUSY_REPLY};
@@ -42,7 +42,7 @@
     /// Closes a connection that the client has closed or half-closed; its unread input is dropped.
     pub fn on_disconnect(&mut self, key: usize) {
         if self.connections.contains(key) {
-            self.remove(key, CloseReason::Disconnected);
+            self.remove(key, ClientCloseReason::Disconnected);
         }
     }
 
@@ -84,7 +84,7 @@
             }
             let connection = &mut self.connections[key];
             let received = match connection.stream.read(&mut self.read_buffer) {
-                Ok(0) => return self.remove(key, CloseReason::Disconnected),
+                Ok(0) => return self.remove(key, ClientCloseReason::Disconnected),
                 Ok(received) => received,
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
@@ -92,7 +92,7 @@
                     return;
                 }
                 Err(error) if is_out_of_memory(&error) => return self.read_later(key),
-                Err(_) => return self.remove(key, CloseReason::Broken),
+                Err(_) => return self.remove(key, ClientCloseReason::Broken),
             };
             connection.receive(&self.read_buffer[..received], now);
         }
--- a/src/bin/ingress/clients/writing.rs
+++ b/src/bin/ingress/clients/writing.rs
@@ -1,6 +1,6 @@
 //! Replies to requests and writes to connections.
 
-use super::closing::CloseReason;
+use super::closing::ClientCloseReason;
 use super::connection::error_line;
 use super::error::ClientError;
 use super::output::WriteProgress;
@@ -44,7 +44,7 @@
                     continue;
                 }
                 Err(_) => {
-                    self.remove(key, CloseReason::Broken);
+                    self.remove(key, ClientCloseReason::Broken);
                     continue;
                 }
             }
--- a/src/bin/ingress/discovery/connection.rs
+++ b/src/bin/ingress/discovery/connection.rs
@@ -12,7 +12,7 @@
 const READ_CHUNK: usize = 16 * 1024;
 
 /// A connection to discovery, which carries one request at a time.
-pub struct Connection {
+pub struct DiscoveryConnection {
     /// The socket.
     stream: TcpStream,
     /// The bytes of the request that are not written yet.
@@ -21,7 +21,7 @@
     received: Vec<u8>,
 }
 
-/// The result of [`Connection::flush`].
+/// The result of [`DiscoveryConnection::flush`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flush {
     /// The last byte of a request was written.
@@ -30,15 +30,15 @@
     NotCompleted,
 }
 
-impl Connection {
+impl DiscoveryConnection {
     /// Begins to open a connection.
-    pub fn open(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<Connection> {
+    pub fn open(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<DiscoveryConnection> {
         let mut stream = TcpStream::connect(address)?;
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-        Ok(Connection { stream, outgoing: Vec::new(), received: Vec::new() })
+        Ok(DiscoveryConnection { stream, outgoing: Vec::new(), received: Vec::new() })
     }
 
-    /// Sets the request that [`Connection::flush`] writes.
+    /// Sets the request that [`DiscoveryConnection::flush`] writes.
     pub fn set_request(&mut self, request: Vec<u8>) {
         self.outgoing = request;
     }
@@ -48,7 +48,7 @@
         self.outgoing.is_empty()
     }
 
-    /// The bytes received since [`Connection::clear_received`].
+    /// The bytes received since [`DiscoveryConnection::clear_received`].
     pub fn received(&self) -> &[u8] {
         &self.received
     }
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -2,7 +2,7 @@
 //!
 //! While discovery does not respond, the endpoint list stays as it was and polls are retried with backoff.
 
-use super::connection::{Connection, Flush};
+use super::connection::{DiscoveryConnection, Flush};
 use super::http::{Persistence, StreamState};
 use super::poll::{parse_response, PollRequest, PollResponse};
 use super::{EndpointList, LocationNames, PollError};
@@ -68,7 +68,7 @@
     /// The poll's token of the connection.
     token: Token,
     /// The connection, if one is open; it serves several polls if discovery keeps it open.
-    connection: Option<Connection>,
+    connection: Option<DiscoveryConnection>,
     /// The version of the latest list; none makes the next poll request a snapshot.
     index: Option<u64>,
     /// When the pending poll was started; none if no poll is pending.
@@ -142,7 +142,7 @@
 
     /// Closes the connection after a failure and schedules the next poll.
     fn fail_and_retry(&mut self, now: Instant, error: &PollError, retry: Retry) -> PollHealth {
-        let request_sent = self.connection.as_ref().is_none_or(Connection::is_request_sent);
+        let request_sent = self.connection.as_ref().is_none_or(DiscoveryConnection::is_request_sent);
         let pending = self.poll_started_at.map(|started_at| FailedPoll { started_at, request_sent });
         let NextPoll { at, is_first_failure } = self.schedule.on_failure(now, pending);
         self.disconnect();
@@ -184,7 +184,7 @@
     /// Starts the next poll.
     fn start_poll(&mut self, now: Instant, registry: &Registry) -> PollHealth {
         if self.connection.is_none() {
-            match Connection::open(self.address, registry, self.token) {
+            match DiscoveryConnection::open(self.address, registry, self.token) {
                 Ok(connection) => self.connection = Some(connection),
                 Err(error) => return self.fail(now, &PollError::Connect(error)),
             }
@@ -219,7 +219,7 @@
 
     /// Writes as much of the request as possible.
     fn flush(&mut self, now: Instant) -> PollHealth {
-        match self.connection.as_mut().map(Connection::flush) {
+        match self.connection.as_mut().map(DiscoveryConnection::flush) {
             Some(Ok(Flush::Completed)) => self.next_timer_at = self.response_due_at,
             Some(Ok(Flush::NotCompleted)) | None => {}
             Some(Err(error)) => return self.fail(now, &PollError::Send(error)),
@@ -286,7 +286,7 @@
         self.last_poll_timed_out = false;
         // A response may arrive before the request is written. The connection is closed then, since the rest
         // of that request would be read by discovery as the beginning of the next one.
-        let request_sent = self.connection.as_ref().is_some_and(Connection::is_request_sent);
+        let request_sent = self.connection.as_ref().is_some_and(DiscoveryConnection::is_request_sent);
         let has_ended = stream_state == StreamState::Ended || response.persistence == Persistence::Close;
         if has_ended || !request_sent {
             self.connection = None;
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -436,7 +436,7 @@
         for _ in 0..5 {
             // The poll is pending, and nothing of it could be written.
             watch.poll_started_at = Some(started_at);
-            let mut connection = Connection::open(unread, poll.registry(), Token(0)).unwrap();
+            let mut connection = DiscoveryConnection::open(unread, poll.registry(), Token(0)).unwrap();
             connection.set_request(b"GET".to_vec());
             watch.connection = Some(connection);
             watch.response_due_at = started_at + Duration::from_secs(30);
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -14,14 +14,14 @@
 mod counters;
 mod descriptor_budget;
 mod error;
-mod request_table;
+mod request_entries;
 mod shutdown;
 mod source;
 mod start;
 mod timer_queue;
 mod timers;
 
-use crate::backends::Backends;
+use crate::backends::BackendConnections;
 use crate::clients::Clients;
 use crate::discovery::Watch;
 use crate::peers::PeerSocket;
@@ -36,7 +36,7 @@
 use ingress::audit::Auditor;
 use ingress::{Action, Duration, Event, Gateway, Instant, StartTimes};
 use mio::{Events, Poll};
-use request_table::{AttemptLimits, RequestTable};
+use request_entries::{AttemptLimits, RequestEntries};
 use shutdown::Shutdown;
 use signal_hook_mio::v1_0::Signals;
 use source::{sort_for_processing, ReadySocket, Source};
@@ -77,7 +77,7 @@
     /// Connections of clients, and the replies owed to them.
     clients: Clients,
     /// Connections to backends.
-    backends: Backends,
+    backend_connections: BackendConnections,
     /// The watch on the endpoint list.
     watch: Watch,
     /// When the listed backends started.
@@ -89,7 +89,7 @@
     /// The signals to the process.
     signals: Signals,
     /// The requests in work.
-    requests: RequestTable,
+    requests: RequestEntries,
     /// The timers that are set.
     timers: TimerQueue,
     /// More connections may be waiting to be accepted.
@@ -203,7 +203,7 @@
                     self.prepare_to_write(key);
                 }
                 // The exact time: the least idle time of a connection may be less than a tick.
-                self.backends.on_ready(key, self.clock.now(), readiness);
+                self.backend_connections.on_ready(key, self.clock.now(), readiness);
                 self.record_begun_attempts();
                 self.run_gateway();
             }
@@ -217,7 +217,7 @@
     /// Passes all pending events to the gateway and executes its actions, until no event is left.
     fn run_gateway(&mut self) {
         loop {
-            for completion in self.backends.take_completions() {
+            for completion in self.backend_connections.take_completions() {
                 self.complete(completion);
             }
             let Some(event) = self.pending_events.pop_front() else { return };
--- a/src/bin/ingress/event_loop/actions.rs
+++ b/src/bin/ingress/event_loop/actions.rs
@@ -3,7 +3,7 @@
 use super::client_events::{Answer, FAILED_REPLY};
 use super::timer_queue::Timer;
 use super::EventLoop;
-use crate::backends::{AttemptId, CloseReason};
+use crate::backends::{AttemptId, BackendCloseReason};
 use crate::clients::BUSY_REPLY;
 use crate::logging;
 use ingress::{Action, Duration, Outcome, RequestId};
@@ -21,7 +21,7 @@
             Action::Fail(id) => self.reply(id, FAILED_REPLY, Answer::Failed),
             Action::Cancel { id, attempt } => {
                 let attempt = AttemptId { request: id, number: attempt };
-                self.cancel_attempt(attempt, CloseReason::Cancelled, |_| Outcome::Cancelled);
+                self.cancel_attempt(attempt, BackendCloseReason::Cancelled, |_| Outcome::Cancelled);
             }
             Action::SetTimer { delay, token } => {
                 self.timers.schedule(self.now + delay, Timer::Gateway(token));
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -1,15 +1,15 @@
 //! Attempts: how they begin on a connection to a backend, and how they end.
 
 use super::client_events::Answer;
-use super::request_table::Attempt;
+use super::request_entries::AttemptEntry;
 use super::timer_queue::Timer;
 use super::EventLoop;
-use crate::backends::{AttemptId, CloseReason, CommandState, Completion, StatedTimeout};
+use crate::backends::{AttemptId, BackendCloseReason, CommandState, ExchangeCompletion, StatedTimeout};
 use ingress::permissions::{may_begin_writing, WriteFacts, WriteRefusal};
 use ingress::{AttemptEnded, BackendId, Duration, Event, Instant, Outcome, RequestId};
 
 /// The end of an attempt, as it is logged, counted, audited and reported to the gateway.
-struct AttemptEnd {
+struct AttemptEndReport {
     /// The attempt.
     attempt: AttemptId,
     /// The backend that it was sent to.
@@ -24,10 +24,10 @@
     reported_queue_depth: Option<f64>,
 }
 
-impl AttemptEnd {
+impl AttemptEndReport {
     /// An attempt of an open request that was not sent.
-    fn not_sent(attempt: AttemptId, backend: BackendId) -> AttemptEnd {
-        AttemptEnd {
+    fn not_sent(attempt: AttemptId, backend: BackendId) -> AttemptEndReport {
+        AttemptEndReport {
             attempt,
             backend,
             outcome: Outcome::NotSent,
@@ -38,8 +38,8 @@
     }
 }
 
-impl From<AttemptEnd> for Event {
-    fn from(end: AttemptEnd) -> Event {
+impl From<AttemptEndReport> for Event {
+    fn from(end: AttemptEndReport) -> Event {
         Event::AttemptEnded(AttemptEnded {
             id: end.attempt.request,
             attempt: end.attempt.number,
@@ -68,7 +68,8 @@
         let Some(request) = self.requests.get_mut(id) else {
             // The request has ended and been removed: there is no attempt to log, count or audit.
             let attempt = AttemptId { request: id, number: 0 };
-            let end = AttemptEnd { request_closed: true, ..AttemptEnd::not_sent(attempt, backend) };
+            let end =
+                AttemptEndReport { request_closed: true, ..AttemptEndReport::not_sent(attempt, backend) };
             return self.pending_events.push_back(end.into());
         };
         let request_closed = request.closed;
@@ -76,7 +77,7 @@
         let attempt = AttemptId { request: id, number };
         let expires_at = expires_at.map_or(request.deadline, |expires_at| expires_at.min(request.deadline));
         let refusal = request.may_send(&self.attempt_limits).err();
-        request.attempts.push(Attempt {
+        request.attempts.push(AttemptEntry {
             backend,
             started_at: self.now,
             expires_at,
@@ -97,7 +98,10 @@
                 has_expired,
                 "not sent"
             );
-            return self.end_attempt(AttemptEnd { request_closed, ..AttemptEnd::not_sent(attempt, backend) });
+            return self.end_attempt(AttemptEndReport {
+                request_closed,
+                ..AttemptEndReport::not_sent(attempt, backend)
+            });
         }
         if !self.reserve_descriptor(backend) {
             tracing::debug!(
@@ -107,7 +111,7 @@
                 backend = backend.0,
                 "no descriptor"
             );
-            return self.end_attempt(AttemptEnd::not_sent(attempt, backend));
+            return self.end_attempt(AttemptEndReport::not_sent(attempt, backend));
         }
         self.assign_last_attempt(attempt);
     }
@@ -121,8 +125,13 @@
         let timeout = attempt.expires_at.duration_since(attempt.started_at);
         let stated = StatedTimeout { stated_at: attempt.started_at, timeout };
         let encode = |buffer: &mut Vec<u8>| command.encode(timeout, buffer);
-        let assigned =
-            self.backends.assign(self.poll.registry(), attempt.backend, attempt_id, stated, encode);
+        let assigned = self.backend_connections.assign(
+            self.poll.registry(),
+            attempt.backend,
+            attempt_id,
+            stated,
+            encode,
+        );
         tracing::debug!(
             target: "attempt",
             request = attempt_id.request.0,
@@ -147,13 +156,18 @@
     /// Whether there is a descriptor for an attempt at a backend, if need be after closing an idle
     /// connection.
     fn reserve_descriptor(&mut self, backend: BackendId) -> bool {
-        !self.backends.needs_connection(backend, self.clock.now())
-            || self.descriptors.reserve_for_backend(&mut self.clients, &mut self.backends, self.now)
+        !self.backend_connections.needs_connection(backend, self.clock.now())
+            || self.descriptors.reserve_for_backend(
+                &mut self.clients,
+                &mut self.backend_connections,
+                self.now,
+            )
     }
 
     /// Records how an attempt has ended, and replies to the request if the attempt was served.
-    pub(super) fn complete(&mut self, completion: Completion) {
-        let Completion { attempt, backend, outcome, started_at, reported_queue_depth, value } = completion;
+    pub(super) fn complete(&mut self, completion: ExchangeCompletion) {
+        let ExchangeCompletion { attempt, backend, outcome, started_at, reported_queue_depth, value } =
+            completion;
         let elapsed = self.clock.now().duration_since(started_at);
         let id = attempt.request;
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -164,7 +178,7 @@
             self.reply(id, &value, Answer::Served); // Only the first one becomes the final reply.
         }
         let request_closed = !self.requests.is_open(id);
-        self.end_attempt(AttemptEnd {
+        self.end_attempt(AttemptEndReport {
             attempt,
             backend,
             outcome,
@@ -177,23 +191,23 @@
 
     /// Ends an attempt that has timed out.
     pub(super) fn time_out_attempt(&mut self, attempt: AttemptId) {
-        self.cancel_attempt(attempt, CloseReason::TimedOut, timeout_outcome);
+        self.cancel_attempt(attempt, BackendCloseReason::TimedOut, timeout_outcome);
     }
 
     /// Ends an attempt that is in flight and closes its connection for `reason`; its outcome may depend on how much of the command was sent.
     pub(super) fn cancel_attempt(
         &mut self,
         attempt_id: AttemptId,
-        reason: CloseReason,
+        reason: BackendCloseReason,
         outcome: impl Fn(CommandState) -> Outcome,
     ) {
         let Some(request) = self.requests.get_mut(attempt_id.request) else { return };
         let request_closed = request.closed;
         let Some(attempt) = request.attempts.get_mut(usize::from(attempt_id.number)) else { return };
         let Some(connection) = attempt.connection else { return };
-        let Some(command) = self.backends.cancel(connection, attempt_id, reason) else { return };
+        let Some(command) = self.backend_connections.cancel(connection, attempt_id, reason) else { return };
         attempt.connection = None;
-        let end = AttemptEnd {
+        let end = AttemptEndReport {
             attempt: attempt_id,
             backend: attempt.backend,
             outcome: outcome(command),
@@ -206,7 +220,7 @@
     }
 
     /// Logs, counts and audits the end of an attempt, and reports it to the gateway.
-    fn end_attempt(&mut self, end: AttemptEnd) {
+    fn end_attempt(&mut self, end: AttemptEndReport) {
         tracing::debug!(
             target: "attempt",
             request = end.attempt.request.0,
@@ -227,14 +241,15 @@
         let Some(request) = self.requests.get_mut(id).filter(|request| request.closed) else { return };
         let mut ended = Vec::new();
         for (number, attempt) in (0u16..).zip(&mut request.attempts) {
-            let incomplete = attempt.connection.filter(|connection| self.backends.is_incomplete(*connection));
+            let incomplete =
+                attempt.connection.filter(|connection| self.backend_connections.is_incomplete(*connection));
             let Some(connection) = incomplete else { continue };
             let attempt_id = AttemptId { request: id, number };
-            self.backends.cancel(connection, attempt_id, CloseReason::RequestClosed);
+            self.backend_connections.cancel(connection, attempt_id, BackendCloseReason::RequestClosed);
             attempt.connection = None;
             let elapsed = self.clock.now().duration_since(attempt.started_at);
-            let not_sent = AttemptEnd::not_sent(attempt_id, attempt.backend);
-            ended.push(AttemptEnd { elapsed, request_closed: true, ..not_sent });
+            let not_sent = AttemptEndReport::not_sent(attempt_id, attempt.backend);
+            ended.push(AttemptEndReport { elapsed, request_closed: true, ..not_sent });
         }
         ended.into_iter().for_each(|end| self.end_attempt(end));
     }
@@ -247,18 +262,19 @@
     /// it runs the timers that would have ended the attempt. So the exact clock decides here, before the
     /// first byte.
     pub(super) fn prepare_to_write(&mut self, key: usize) {
-        let Some(attempt_id) = self.backends.not_yet_written(key) else { return };
+        let Some(attempt_id) = self.backend_connections.not_yet_written(key) else { return };
         let Some(request) = self.requests.get(attempt_id.request) else { return };
         let Some(attempt) = request.attempts.get(usize::from(attempt_id.number)) else { return };
         let now = self.clock.now().max(self.now);
-        let Attempt { expires_at, begins_by, .. } = *attempt;
+        let AttemptEntry { expires_at, begins_by, .. } = *attempt;
         let facts = WriteFacts { now, expires_at, begins_by, closed: request.closed };
         if let Err(refusal) = may_begin_writing(&facts) {
             return self.refuse_to_write(attempt_id, refusal);
         }
         let timeout = expires_at.duration_since(now);
         let stated = StatedTimeout { stated_at: now, timeout };
-        self.backends.rewrite_command(key, stated, |buffer| request.command.encode(timeout, buffer));
+        self.backend_connections
+            .rewrite_command(key, stated, |buffer| request.command.encode(timeout, buffer));
     }
 
     /// Ends an attempt whose first byte may not be written any more.
@@ -270,6 +286,6 @@
             WriteRefusal::Closed => Outcome::NotSent,
             WriteRefusal::Expired | WriteRefusal::ConnectedTooLate => Outcome::ConnectFailed,
         };
-        self.cancel_attempt(attempt, CloseReason::WriteRefused, |_| outcome);
+        self.cancel_attempt(attempt, BackendCloseReason::WriteRefused, |_| outcome);
     }
 }
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -9,7 +9,7 @@
 impl EventLoop {
     /// Records the attempts whose first byte was written.
     pub(super) fn record_begun_attempts(&mut self) {
-        for begun in self.backends.take_begun() {
+        for begun in self.backend_connections.take_begun() {
             let AttemptId { request: id, number } = begun.attempt;
             self.counters.attempts_begun += 1;
             let Some(request) = self.requests.get_mut(id) else { continue };
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -1,6 +1,6 @@
 //! Handles what clients do, and replies to their requests.
 
-use super::request_table::{IdHash, RequestEntry};
+use super::request_entries::{IdHash, RequestEntry};
 use super::timer_queue::Timer;
 use super::EventLoop;
 use crate::clients::{AcceptOutcome, ClientError, ClientEvent, ReplyHandle, BUSY_REPLY};
@@ -55,9 +55,10 @@
 impl EventLoop {
     /// Accepts a batch of waiting connections.
     pub(super) fn accept(&mut self) -> AcceptOutcome {
-        let (now, descriptors, backends) = (self.now, &self.descriptors, &mut self.backends);
+        let (now, descriptors, backend_connections) =
+            (self.now, &self.descriptors, &mut self.backend_connections);
         let outcome = self.clients.accept(self.poll.registry(), now, |clients| {
-            descriptors.capacity_for_client(clients, backends, now)
+            descriptors.capacity_for_client(clients, backend_connections, now)
         });
         match outcome {
             AcceptOutcome::Drained => {}
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -41,7 +41,7 @@
 
     /// Applies an endpoint list to the connections, and passes it to the gateway.
     pub(super) fn apply_endpoints(&mut self, list: EndpointList, update: EndpointUpdate) {
-        let removed = self.backends.update_endpoints(&list);
+        let removed = self.backend_connections.update_endpoints(&list);
         let endpoints = self.endpoints_in_host_time(&list);
         log_endpoints(&list, update, removed.len());
         for backend in removed {
--- a/src/bin/ingress/event_loop/counters.rs
+++ b/src/bin/ingress/event_loop/counters.rs
@@ -73,8 +73,8 @@
             target: "counters",
             clients = self.clients.len(),
             accepted = self.clients.accepted_count(),
-            backends = self.backends.len(),
-            opened = self.backends.opened_count,
+            backend_connections = self.backend_connections.len(),
+            opened = self.backend_connections.opened_count,
             "connections"
         );
         tracing::info!(target: "counters", dropped_lines = logging::dropped_lines(), "log");
--- a/src/bin/ingress/event_loop/descriptor_budget.rs
+++ b/src/bin/ingress/event_loop/descriptor_budget.rs
@@ -1,7 +1,7 @@
 //! Divides the process's file descriptors between clients and backends.
 
 use super::EventLoopError;
-use crate::backends::Backends;
+use crate::backends::BackendConnections;
 use crate::clients::{Capacity, Clients};
 use ingress::Instant;
 
@@ -50,22 +50,22 @@
     }
 
     /// Whether all connections are in use.
-    fn is_exhausted(&self, clients: &Clients, backends: &Backends) -> bool {
-        clients.len() + backends.len() >= self.max_connections
+    fn is_exhausted(&self, clients: &Clients, backend_connections: &BackendConnections) -> bool {
+        clients.len() + backend_connections.len() >= self.max_connections
     }
 
     /// Whether one more client can be accepted, if need be by closing an idle connection.
     pub fn capacity_for_client(
         &self,
         clients: &mut Clients,
-        backends: &mut Backends,
+        backend_connections: &mut BackendConnections,
         now: Instant,
     ) -> Capacity {
         let max_share = self.max_share();
-        let is_full = clients.len() >= max_share || self.is_exhausted(clients, backends);
+        let is_full = clients.len() >= max_share || self.is_exhausted(clients, backend_connections);
         if !is_full
             || clients.close_longest_idle(now)
-            || (clients.len() < max_share && backends.close_longest_idle())
+            || (clients.len() < max_share && backend_connections.close_longest_idle())
         {
             Capacity::Available
         } else if clients.over_limit_count() < MAX_OVER_LIMIT_CLIENTS {
@@ -76,12 +76,17 @@
     }
 
     /// Whether one more connection to a backend can be opened, if need be after closing an idle connection.
-    pub fn reserve_for_backend(&self, clients: &mut Clients, backends: &mut Backends, now: Instant) -> bool {
-        if backends.len() >= self.max_share() {
-            return backends.close_longest_idle();
+    pub fn reserve_for_backend(
+        &self,
+        clients: &mut Clients,
+        backend_connections: &mut BackendConnections,
+        now: Instant,
+    ) -> bool {
+        if backend_connections.len() >= self.max_share() {
+            return backend_connections.close_longest_idle();
         }
-        !self.is_exhausted(clients, backends)
-            || backends.close_longest_idle()
+        !self.is_exhausted(clients, backend_connections)
+            || backend_connections.close_longest_idle()
             || clients.close_longest_idle(now)
     }
 }
--- a/src/bin/ingress/event_loop/request_table.rs
+++ b/src/bin/ingress/event_loop/request_entries.rs
@@ -35,7 +35,7 @@
 }
 
 /// An attempt of a request.
-pub struct Attempt {
+pub struct AttemptEntry {
     /// The backend that it is sent to.
     pub backend: BackendId,
     /// When it was sent.
@@ -61,7 +61,7 @@
     /// When the final reply has to be known.
     pub deadline: Instant,
     /// All attempts so far; an attempt's number is its place here.
-    pub attempts: Vec<Attempt>,
+    pub attempts: Vec<AttemptEntry>,
     /// No reply is owed any more: it has its final reply, or its client has disconnected.
     pub closed: bool,
     /// The record that the audit checks.
@@ -120,7 +120,7 @@
 }
 
 /// The requests of all clients that are in work.
-pub struct RequestTable {
+pub struct RequestEntries {
     /// By their ids.
     requests: HashMap<RequestId, RequestEntry>,
     /// The ids of these requests, and of those that ended a short while ago.
@@ -137,10 +137,10 @@
     max_requests: usize,
 }
 
-impl RequestTable {
+impl RequestEntries {
     /// An empty table with limits on the requests and on their bytes.
     pub fn new(max_requests: usize, max_memory: usize) -> Self {
-        RequestTable {
+        RequestEntries {
             requests: HashMap::new(),
             known_ids: HashSet::new(),
             ended_ids: VecDeque::new(),
--- a/src/bin/ingress/event_loop/source.rs
+++ b/src/bin/ingress/event_loop/source.rs
@@ -28,7 +28,7 @@
     Peers,
     /// The connection of a client, by its key in `Clients`.
     Client(usize),
-    /// A connection to a backend, by its key in `Backends`.
+    /// A connection to a backend, by its key in `BackendConnections`.
     Backend(usize),
 }
 
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -4,13 +4,13 @@
 use super::clock::Clock;
 use super::counters::Counters;
 use super::descriptor_budget::DescriptorBudget;
-use super::request_table::{AttemptLimits, RequestTable};
+use super::request_entries::{AttemptLimits, RequestEntries};
 use super::shutdown::Shutdown;
 use super::source::Source;
 use super::timer_queue::{Timer, TimerQueue};
 use super::timers::SWEEP_INTERVAL;
 use super::{EventLoop, EventLoopError};
-use crate::backends::Backends;
+use crate::backends::BackendConnections;
 use crate::clients::Clients;
 use crate::config::{Config, PeerAddresses};
 use crate::discovery::{max_body_bytes, Watch, WatchOptions};
@@ -85,13 +85,13 @@
             auditor: Auditor::new(AuditRules::new(&settings)),
             counters: Counters::default(),
             descriptors: DescriptorBudget::new(config.max_descriptors)?,
-            requests: RequestTable::new(settings.limits.max_open_requests as usize, memory_share),
+            requests: RequestEntries::new(settings.limits.max_open_requests as usize, memory_share),
             shutdown: Shutdown::new(longest_deadline(&settings)),
             gateway: Gateway::new(settings, config.seed, now),
             pending_events: VecDeque::new(),
             actions: Vec::new(),
             clients: Clients::new(sockets.listener, config.command_schema, memory_share, client_token),
-            backends: Backends::new(config.keepalive_timeout, backend_token),
+            backend_connections: BackendConnections::new(config.keepalive_timeout, backend_token),
             watch,
             start_times: StartTimes::default(),
             reload,
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -393,7 +393,9 @@
     testbed.event_loop.run_gateway();
     let mut client = testbed.client();
     client.write_all(&request_command(1)).unwrap();
-    testbed.iterate_until("the connection is begun", |testbed| testbed.event_loop.backends.len() == 1);
+    testbed.iterate_until("the connection is begun", |testbed| {
+        testbed.event_loop.backend_connections.len() == 1
+    });
     drop(fillers);
     let listener: TcpListener = backend.into();
     listener.set_nonblocking(true).unwrap();
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -30,7 +30,7 @@
             Timer::AttemptTimeout(attempt) => self.time_out_attempt(attempt),
             Timer::ClientDeadline(id) => self.fail_unanswered(id, MissedAnswer::ClientDeadline),
             Timer::ConnectTimeout(connection, attempt) => {
-                self.backends.on_connect_timeout(connection, attempt);
+                self.backend_connections.on_connect_timeout(connection, attempt);
             }
             Timer::Sweep => self.sweep(),
             Timer::RetryAccept => {
@@ -48,7 +48,7 @@
 
     /// Removes expired connections and ids, and schedules the next sweep.
     fn sweep(&mut self) {
-        self.backends.sweep(self.now);
+        self.backend_connections.sweep(self.now);
         self.clients.close_expired(self.now);
         self.requests.expire_ended_ids(self.now);
         self.start_times.observe_clock(self.clock.now(), unix_time());
