--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -92,7 +92,7 @@
             return;
         }
         tracing::debug!(target: "request", request = id.0, "client disconnected");
-        self.counters.disconnected += 1;
+        self.counters.requests_disconnected += 1;
         if let Some(request) = self.requests.get_mut(id) {
             request.audit.client_disconnected();
         }
@@ -149,7 +149,7 @@
             client = reply_to.client(),
             "opened"
         );
-        self.counters.requests += 1;
+        self.counters.requests_opened += 1;
         let audit = RequestAudit::new(&self.auditor, request.class.into(), client_deadline);
         let attempts = Vec::new();
         let entry = RequestEntry { command, reply_to, deadline, attempts, closed: false, audit, id_hash };
@@ -200,9 +200,9 @@
     /// Logs, counts and audits a request's final reply.
     fn record_answer(&mut self, id: RequestId, answer: Answer) {
         tracing::debug!(target: "request", request = id.0, ?answer, "answered");
-        self.counters.answers += 1;
-        self.counters.rejections += u64::from(answer == Answer::Rejected);
-        self.counters.failures += u64::from(answer == Answer::Failed);
+        self.counters.requests_answered += 1;
+        self.counters.requests_rejected += u64::from(answer == Answer::Rejected);
+        self.counters.requests_failed += u64::from(answer == Answer::Failed);
         let now = self.clock.now();
         let violated = self.requests.get_mut(id).and_then(|request| request.audit.answered(now));
         violated.into_iter().for_each(|kind| self.report_violation(kind, Some(id)));
--- a/src/bin/ingress/event_loop/counters.rs
+++ b/src/bin/ingress/event_loop/counters.rs
@@ -8,38 +8,38 @@
 #[derive(Default)]
 pub struct Counters {
     /// Requests that were opened.
-    pub requests: u64,
-    /// Final answers of any kind.
-    pub answers: u64,
-    /// Of these, rejections.
-    pub rejections: u64,
-    /// Of these, failures.
-    pub failures: u64,
+    pub requests_opened: u64,
+    /// Requests with a final answer of any kind.
+    pub requests_answered: u64,
+    /// Of these, rejected ones.
+    pub requests_rejected: u64,
+    /// Of these, failed ones.
+    pub requests_failed: u64,
     /// Requests whose client disconnected before their answer.
-    pub disconnected: u64,
+    pub requests_disconnected: u64,
     /// Attempts whose first byte was written.
     pub attempts_begun: u64,
     /// Attempts that were served.
-    pub served: u64,
+    pub attempts_served: u64,
     /// Attempts that were rejected by their backend.
-    pub rejected: u64,
+    pub attempts_rejected: u64,
     /// Attempts that ended with an error, a reset or a timeout.
-    pub failed: u64,
+    pub attempts_failed: u64,
     /// Attempts that were never executed since no connection was established.
-    pub connect_failed: u64,
-    /// Attempts that were cancelled, or not sent.
-    pub cancelled: u64,
+    pub attempts_not_connected: u64,
+    /// Attempts that were cancelled, or not sent at all.
+    pub attempts_not_completed: u64,
 }
 
 impl Counters {
     /// Counts the end of an attempt.
     pub fn record_outcome(&mut self, outcome: Outcome) {
         let counter = match outcome {
-            Outcome::Ok => &mut self.served,
-            Outcome::Rejected => &mut self.rejected,
-            Outcome::Error | Outcome::TimedOut | Outcome::Reset => &mut self.failed,
-            Outcome::ConnectFailed => &mut self.connect_failed,
-            Outcome::Cancelled | Outcome::NotSent => &mut self.cancelled,
+            Outcome::Ok => &mut self.attempts_served,
+            Outcome::Rejected => &mut self.attempts_rejected,
+            Outcome::Error | Outcome::TimedOut | Outcome::Reset => &mut self.attempts_failed,
+            Outcome::ConnectFailed => &mut self.attempts_not_connected,
+            Outcome::Cancelled | Outcome::NotSent => &mut self.attempts_not_completed,
         };
         *counter += 1;
     }
@@ -51,22 +51,23 @@
         let counters = &self.counters;
         tracing::info!(
             target: "counters",
-            requests = counters.requests,
-            answers = counters.answers,
-            rejections = counters.rejections,
-            failures = counters.failures,
-            disconnected = counters.disconnected,
+            requests = counters.requests_opened,
+            answers = counters.requests_answered,
+            rejections = counters.requests_rejected,
+            failures = counters.requests_failed,
+            disconnected = counters.requests_disconnected,
+            // With those that are closed and still have an attempt in flight.
             open = self.requests.len(),
             "requests"
         );
         tracing::info!(
             target: "counters",
             begun = counters.attempts_begun,
-            served = counters.served,
-            rejected = counters.rejected,
-            failed = counters.failed,
-            connect_failed = counters.connect_failed,
-            cancelled = counters.cancelled,
+            served = counters.attempts_served,
+            rejected = counters.attempts_rejected,
+            failed = counters.attempts_failed,
+            connect_failed = counters.attempts_not_connected,
+            cancelled = counters.attempts_not_completed,
             "attempts"
         );
         tracing::info!(
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -95,7 +95,7 @@
     pub retry_after: bool,
     /// The longest such time that clients follow.
     pub max_retry_after: Duration,
-    /// Requests open at once.
+    /// Requests in work at once: open ones, and closed ones that still have an attempt in flight.
     pub max_open_requests: u32,
     /// How long establishing a connection may take; an attempt may begin that much after it was sent.
     pub connect_timeout: Duration,
