--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -80,14 +80,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptOutcome {
     /// No further connection is waiting.
-    Drained,
+    QueueEmpty,
     /// Further connections may be waiting.
     MorePending,
     /// A descriptor or memory is lacking for a further connection.
     NoDescriptor,
 }
 
-/// Whether a draining ingress still accepts connections.
+/// Whether an ingress that shuts down still accepts connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accepting {
     /// The listener is open, for clients that have not noticed the shutdown.
@@ -121,7 +121,7 @@
     /// Connections to be read from again without a readiness event.
     read_queue: Vec<usize>,
     /// Connections are closed as soon as they are idle.
-    draining: bool,
+    closes_idle: bool,
     /// The number of connections with a time by which they are closed.
     lingering_count: usize,
     /// The number of connections that were accepted over the limit.
@@ -169,7 +169,7 @@
             write_queue: Vec::new(),
             write_retries: Vec::new(),
             read_queue: Vec::new(),
-            draining: false,
+            closes_idle: false,
             lingering_count: 0,
             over_limit_count: 0,
             memory: MemoryBudget::new(memory_limit),
--- a/src/bin/ingress/clients/accepting.rs
+++ b/src/bin/ingress/clients/accepting.rs
@@ -52,7 +52,7 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     self.accept_failing_since = None;
                     self.queued_since = None;
-                    return AcceptOutcome::Drained;
+                    return AcceptOutcome::QueueEmpty;
                 }
                 Err(error) if concerns_one_connection(&error) => {}
                 Err(_) => {
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -15,7 +15,7 @@
     /// It was idle, and its descriptor was needed.
     DescriptorNeeded,
     /// It was idle during the shutdown.
-    Draining,
+    ShuttingDown,
     /// No command has ever arrived on it.
     NoCommand,
     /// The time for reading the last reply is over.
@@ -32,7 +32,7 @@
         ClientCloseReason::Disconnected,
         ClientCloseReason::Broken,
         ClientCloseReason::DescriptorNeeded,
-        ClientCloseReason::Draining,
+        ClientCloseReason::ShuttingDown,
         ClientCloseReason::NoCommand,
         ClientCloseReason::LingerTimeout,
         ClientCloseReason::WriteTimeout,
@@ -43,7 +43,9 @@
     fn may_drop_replies(self) -> bool {
         !matches!(
             self,
-            ClientCloseReason::DescriptorNeeded | ClientCloseReason::Draining | ClientCloseReason::NoCommand
+            ClientCloseReason::DescriptorNeeded
+                | ClientCloseReason::ShuttingDown
+                | ClientCloseReason::NoCommand
         )
     }
 }
@@ -90,15 +92,17 @@
 
     /// Closes connections as soon as they are idle, from now on. While connections are still accepted, those
     /// that have not sent a command yet stay open.
-    pub fn drain(&mut self, now: Instant, accepting: Accepting) {
-        self.draining = true;
+    pub fn close_when_idle(&mut self, now: Instant, accepting: Accepting) {
+        self.closes_idle = true;
         if accepting == Accepting::Stop {
             self.listener = None;
         }
         let closable = self.keys_of(|connection| {
             connection.is_idle() && (connection.has_sent_command() || accepting == Accepting::Stop)
         });
-        closable.into_iter().for_each(|key| self.close_if_still_idle(key, now, ClientCloseReason::Draining));
+        closable
+            .into_iter()
+            .for_each(|key| self.close_if_still_idle(key, now, ClientCloseReason::ShuttingDown));
     }
 
     /// Closes connections whose clients take too long to send, to read or to close their end.
@@ -148,14 +152,14 @@
             self.lingering_count += usize::from(connection.linger_until.is_none());
             connection.start_lingering_close(now);
         } else {
-            self.close_if_drained(key, now);
+            self.close_if_idle_at_shutdown(key, now);
         }
     }
 
     /// Closes a connection that has become idle during the shutdown.
-    pub(super) fn close_if_drained(&mut self, key: usize, now: Instant) {
-        if self.draining && self.connections.get(key).is_some_and(ClientConnection::is_idle) {
-            self.close_if_still_idle(key, now, ClientCloseReason::Draining);
+    pub(super) fn close_if_idle_at_shutdown(&mut self, key: usize, now: Instant) {
+        if self.closes_idle && self.connections.get(key).is_some_and(ClientConnection::is_idle) {
+            self.close_if_still_idle(key, now, ClientCloseReason::ShuttingDown);
         }
     }
 
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -52,7 +52,7 @@
             if let Some(connection) = self.connections.get_mut(key) {
                 connection.queued_for_read = false;
                 self.read(key, now);
-                self.close_if_drained(key, now);
+                self.close_if_idle_at_shutdown(key, now);
             }
         }
     }
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -61,7 +61,7 @@
             descriptors.capacity_for_client(clients, backend_connections, now)
         });
         match outcome {
-            AcceptOutcome::Drained => {}
+            AcceptOutcome::QueueEmpty => {}
             AcceptOutcome::MorePending => self.accept_pending = true,
             // The poll reports each arrival once: without a timer, these would wait for the next one.
             AcceptOutcome::NoDescriptor => {
--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -97,7 +97,7 @@
     /// Whether to go on accepting connections: more are waiting, or the latest one was opened a short while
     /// ago.
     pub fn keeps_accepting(&self, now: Instant, accepted: AcceptOutcome, last_accepted_at: Instant) -> bool {
-        let arriving = accepted != AcceptOutcome::Drained || now < last_accepted_at + ACCEPTING_QUIET_TIME;
+        let arriving = accepted != AcceptOutcome::QueueEmpty || now < last_accepted_at + ACCEPTING_QUIET_TIME;
         arriving && now + MIN_ACCEPTING_TIME < self.reply_deadline()
     }
 
@@ -106,8 +106,8 @@
         self.phase = Phase::Draining { reply_deadline: self.reply_deadline(), since: now };
     }
 
-    /// Whether draining is complete: no client is left, or none that is waited for any longer.
-    pub fn is_drained(&self, now: Instant, clients: &Clients) -> bool {
+    /// Whether no client is left, or none that is waited for any longer.
+    pub fn can_end(&self, now: Instant, clients: &Clients) -> bool {
         let Phase::Draining { since, .. } = self.phase else { return false };
         let waited = now.duration_since(since);
         // An incomplete command, or replies that are not read, would otherwise delay the process until it is
--- a/src/bin/ingress/event_loop/shutdown/tests.rs
+++ b/src/bin/ingress/event_loop/shutdown/tests.rs
@@ -42,8 +42,8 @@
     shutdown.begin(STARTED);
     let now = STARTED + MIN_ACCEPTING_TIME;
     for (accepted, last_accepted_at, keeps) in [
-        (AcceptOutcome::Drained, now - Duration::from_micros(299_999), true),
-        (AcceptOutcome::Drained, now - Duration::from_micros(300_000), false),
+        (AcceptOutcome::QueueEmpty, now - Duration::from_micros(299_999), true),
+        (AcceptOutcome::QueueEmpty, now - Duration::from_micros(300_000), false),
         (AcceptOutcome::MorePending, Instant::ZERO, true),
         (AcceptOutcome::NoDescriptor, Instant::ZERO, true),
     ] {
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -59,25 +59,26 @@
     fn stop_accepting(&mut self) {
         let mut accepted = self.accept();
         if self.shutdown.keeps_accepting(self.now, accepted, self.clients.last_accepted_at) {
-            self.clients.drain(self.now, Accepting::Continue);
+            self.clients.close_when_idle(self.now, Accepting::Continue);
             self.timers.schedule(self.now + ACCEPTING_CHECK_INTERVAL, Timer::StopAccepting);
         } else {
             // Closing the listener resets the connections in its queue, and their requests are lost: accept
             // them first.
             for _ in 0..MAX_FINAL_ACCEPTS {
-                if accepted == AcceptOutcome::Drained {
+                if accepted == AcceptOutcome::QueueEmpty {
                     break;
                 }
                 accepted = self.accept();
             }
-            self.clients.drain(self.now, Accepting::Stop);
+            self.clients.close_when_idle(self.now, Accepting::Stop);
             self.shutdown.start_draining(self.now);
         }
         self.process_client_events();
     }
 
-    /// Whether all received requests are answered, and no client is left that may send more.
-    pub(super) fn can_exit(&mut self) -> bool {
+    /// Reads and answers what clients have sent by now, once all earlier requests are answered; returns whether
+    /// the process can end: all requests are answered, and no client is left that is waited for.
+    pub(super) fn finish_if_drained(&mut self) -> bool {
         if !self.is_drained() {
             return false;
         }
@@ -89,11 +90,12 @@
         self.is_drained()
     }
 
-    /// Whether all requests are answered that were read so far.
+    /// Whether the listener is closed, all requests are answered that were read so far, and no client is waited
+    /// for.
     fn is_drained(&self) -> bool {
         self.shutdown.is_draining()
             && !self.requests.any_open()
             && !self.clients.has_pending_work()
-            && self.shutdown.is_drained(self.now, &self.clients)
+            && self.shutdown.can_end(self.now, &self.clients)
     }
 }
