--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -69,7 +69,7 @@
     /// When the incomplete command in `input` began to arrive; before the first command, when the connection
     /// was accepted.
     command_started_at: Instant,
-    /// Rejected commands since the last valid one.
+    /// Invalid commands since the last valid one.
     consecutive_errors: u32,
     /// The state of closing it.
     close_state: CloseState,
--- a/src/bin/ingress/clients/error.rs
+++ b/src/bin/ingress/clients/error.rs
@@ -4,7 +4,7 @@
 use crate::resp::ProtocolError;
 use thiserror::Error;
 
-/// Why a command is rejected, or a connection closed; clients are sent the text.
+/// Why a command is refused with an error, or a connection closed; clients are sent the text.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ClientError {
     /// What the client sent is not RESP2.
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -162,12 +162,12 @@
                 self.reply_immediately(key, BUSY_REPLY);
             }
             Some(Ok(command)) => self.accept_command(key, command),
-            Some(Err(error)) => self.reject_command(key, ClientError::InvalidCommand(error)),
+            Some(Err(error)) => self.refuse_command(key, ClientError::InvalidCommand(error)),
             None if bytes[self.argument_ranges[0].clone()].eq_ignore_ascii_case(b"PING") => {
                 connection.record_valid_command();
                 self.reply_immediately(key, PONG_REPLY);
             }
-            None => self.reject_command(key, ClientError::UnknownCommand),
+            None => self.refuse_command(key, ClientError::UnknownCommand),
         }
     }
 
@@ -184,9 +184,9 @@
     }
 
     /// Replies with an error to an invalid command.
-    fn reject_command(&mut self, key: usize, error: ClientError) {
+    fn refuse_command(&mut self, key: usize, error: ClientError) {
         let connection = &mut self.connections[key];
-        tracing::debug!(target: "client_connection", client = connection.serial, %error, "command rejected");
+        tracing::debug!(target: "client_connection", client = connection.serial, %error, "command refused");
         connection.record_protocol_error();
         self.reply_error(key, error);
     }
--- a/src/bin/ingress/clients/writing.rs
+++ b/src/bin/ingress/clients/writing.rs
@@ -9,7 +9,7 @@
 
 impl Clients {
     /// Replies with an error to an invalid request; too many in a row close the connection.
-    pub fn reject(&mut self, reply_to: ReplyHandle, error: ClientError) {
+    pub fn refuse_invalid(&mut self, reply_to: ReplyHandle, error: ClientError) {
         let connection = self.connections.get_mut(reply_to.key);
         if let Some(connection) = connection.filter(|connection| connection.serial == reply_to.serial) {
             connection.record_protocol_error();
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -182,7 +182,9 @@
             "not opened"
         );
         match refusal {
-            OpenRefusal::DuplicateId => self.clients.reject(reply_to, ClientError::DuplicateRequestId),
+            OpenRefusal::DuplicateId => {
+                self.clients.refuse_invalid(reply_to, ClientError::DuplicateRequestId);
+            }
             OpenRefusal::ShuttingDown | OpenRefusal::NoCapacity => self.clients.reply(reply_to, BUSY_REPLY),
         }
     }
