--- a/src/audit.rs
+++ b/src/audit.rs
@@ -104,11 +104,11 @@
     pub fn endpoint_listed(&mut self, endpoint: &Endpoint, now: Instant) {
         let Endpoint { backend, zone, cell, availability, .. } = *endpoint;
         self.locations.insert(backend, Location { zone, cell });
-        self.backend_listed(backend, availability, now);
+        self.availability_changed(backend, availability, now);
     }
 
-    /// Records the availability of a backend in the endpoint list.
-    pub fn backend_listed(&mut self, backend: BackendId, availability: Availability, now: Instant) {
+    /// Records the availability of a backend by the endpoint list; gone if the list no longer has it.
+    pub fn availability_changed(&mut self, backend: BackendId, availability: Availability, now: Instant) {
         if availability == Availability::Ready {
             self.closed_since.remove(&backend);
             return;
@@ -141,7 +141,7 @@
     }
 
     /// Counts a violation, and returns whether to log it.
-    pub fn count(&mut self, violation: Violation, now: Instant) -> bool {
+    pub fn count_and_should_log(&mut self, violation: Violation, now: Instant) -> bool {
         let index = violation.kind as usize;
         self.counts[index] += 1;
         let logged_lately = self.last_logged_at[index].is_some_and(|at| now < at + LOG_INTERVAL);
--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -178,15 +178,15 @@
     let begin = |auditor: &Auditor, at| {
         RequestAudit::new(auditor, IDEMPOTENT, DEADLINE).attempt_begun(auditor, &begun(0, at))
     };
-    auditor.backend_listed(BACKEND, Availability::Draining, at(1000));
-    auditor.backend_listed(BACKEND, Availability::Gone, at(5000));
+    auditor.availability_changed(BACKEND, Availability::Draining, at(1000));
+    auditor.availability_changed(BACKEND, Availability::Gone, at(5000));
     assert_eq!(begin(&auditor, at(1000) + GRACE), []);
     assert_eq!(begin(&auditor, at(1001) + GRACE), [ViolationKind::ClosedBackend]);
-    auditor.backend_listed(BACKEND, Availability::Ready, at(6000));
+    auditor.availability_changed(BACKEND, Availability::Ready, at(6000));
     assert_eq!(begin(&auditor, at(1001) + GRACE), []);
     // Others that close later make it forget those that closed long ago.
-    auditor.backend_listed(BACKEND, Availability::Gone, at(7000));
-    auditor.backend_listed(BackendId(8), Availability::Gone, at(7000) + CLOSED_BACKEND_RETENTION);
+    auditor.availability_changed(BACKEND, Availability::Gone, at(7000));
+    auditor.availability_changed(BackendId(8), Availability::Gone, at(7000) + CLOSED_BACKEND_RETENTION);
     assert_eq!((auditor.closed_since.len(), auditor.closing_order.len()), (1, 1));
 }
 
@@ -198,7 +198,7 @@
     let violation = Violation { kind: ViolationKind::NoAnswer, request: Some(RequestId(1)) };
     let again_at = at(0) + LOG_INTERVAL;
     let times = [at(0), at(10), again_at - Duration::MICROSECOND, again_at];
-    let logged = times.map(|now| auditor.count(violation, now));
+    let logged = times.map(|now| auditor.count_and_should_log(violation, now));
     assert_eq!(logged, [true, false, false, true]);
     assert_eq!(auditor.counts().collect::<Vec<_>>(), [(ViolationKind::NoAnswer, 4)]);
 }
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -49,8 +49,8 @@
 
     /// Counts a violation, and logs it unless one of its kind was logged a moment ago.
     pub(super) fn report_violation(&mut self, kind: ViolationKind, request: Option<RequestId>) {
-        let is_logged = self.auditor.count(Violation { kind, request }, self.now);
-        if is_logged {
+        let should_log = self.auditor.count_and_should_log(Violation { kind, request }, self.now);
+        if should_log {
             let entry = request.and_then(|id| self.requests.get(id));
             let client_request_id = entry.map(|entry| entry.command.client_request_id());
             let client_request_id = client_request_id.map(String::from_utf8_lossy);
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -45,7 +45,7 @@
         let endpoints = self.endpoints_in_host_time(&list);
         log_endpoints(&list, update, removed.len());
         for backend in removed {
-            self.auditor.backend_listed(backend, Availability::Gone, self.now);
+            self.auditor.availability_changed(backend, Availability::Gone, self.now);
             self.start_times.forget(backend);
         }
         // A list that was cached before the restart does not show the backends of now.
