--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -74,7 +74,7 @@
     fn close_expired(&mut self, now: Instant) {
         let max_idle_time = self.max_idle_time.min(self.idle_reuse.max_idle_time());
         let is_expired = |connection: &BackendConnection| {
-            connection.attempt.is_none() && now.duration_since(connection.state_since) > max_idle_time
+            connection.attempt.is_none() && now.duration_since(connection.idle_since) > max_idle_time
         };
         for key in self.keys_where(is_expired) {
             self.remove(key, BackendCloseReason::Expired);
@@ -95,7 +95,7 @@
     /// idle.
     pub fn close_longest_idle(&mut self) -> bool {
         let idle = self.connections.iter().filter(|(_, connection)| connection.attempt.is_none());
-        let longest = idle.min_by_key(|(_, connection)| (connection.state_since, connection.serial));
+        let longest = idle.min_by_key(|(_, connection)| (connection.idle_since, connection.serial));
         let Some(key) = longest.map(|(key, _)| key) else { return false };
         self.remove(key, BackendCloseReason::DescriptorNeeded);
         true
--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -21,8 +21,10 @@
     pub is_connected: bool,
     /// The attempt that it carries; none while it is idle.
     pub attempt: Option<AttemptId>,
-    /// When its attempt was assigned, or when it became idle.
-    pub state_since: Instant,
+    /// When its latest attempt was assigned; before the first one, when it was opened.
+    pub assigned_at: Instant,
+    /// When it became idle after its latest attempt; before the first one has ended, when it was opened.
+    pub idle_since: Instant,
     /// How long it was idle before its attempt; none for the first attempt on it.
     pub idle_before: Option<Duration>,
     /// When the first byte of the reply arrived.
@@ -66,7 +68,8 @@
             address,
             is_connected: false,
             attempt: None,
-            state_since: now,
+            assigned_at: now,
+            idle_since: now,
             idle_before: None,
             reply_started_at: Instant::ZERO,
             command: Vec::new(),
@@ -133,12 +136,13 @@
         }
     }
 
-    /// Whether an idle connection is open and has no unread bytes.
+    /// Reads from an idle connection, and returns whether it is open and had no unread bytes. A byte that was
+    /// read is lost, so a connection that is not quiet has to be closed.
     ///
     /// A duplicate reply would be taken for the reply to the next command, since replies carry no id, and a
     /// command on a connection that the backend has closed would fail. The read detects both right before the
     /// connection is used.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn probe_quiet(&mut self) -> bool {
         let read = self.stream.read(&mut [0]);
         read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -49,7 +49,7 @@
         };
         let connection = &mut self.connections[key];
         connection.attempt = Some(attempt);
-        connection.state_since = now;
+        connection.assigned_at = now;
         connection.written = 0;
         connection.stated_timeout = stated_timeout;
         connection.command.clear();
@@ -179,7 +179,7 @@
         }
         // The backend may have sent a rejection before it closed the connection, as at its connection limit.
         let id = ConnectionId { key, serial: connection.serial };
-        let assigned_at = connection.state_since;
+        let assigned_at = connection.assigned_at;
         self.read(key, assigned_at);
         if self.connection(id).is_some() {
             let result = ExchangeResult::without_reply(Outcome::ConnectFailed);
@@ -250,7 +250,7 @@
     pub(super) fn complete(&mut self, key: usize, result: ExchangeResult, ended_at: Option<Instant>) {
         let connection = &self.connections[key];
         let Some(attempt) = connection.attempt else { return };
-        let (backend, started_at) = (connection.backend, connection.state_since);
+        let (backend, started_at) = (connection.backend, connection.assigned_at);
         if let Some(idle_time) = connection.idle_before {
             let reuse = idle_reuse(connection, result.outcome, ended_at);
             reuse.into_iter().for_each(|reuse| self.idle_reuse.record(idle_time, reuse));
@@ -288,6 +288,6 @@
     if !matches!(outcome, Outcome::Reset | Outcome::ConnectFailed) {
         return Some(IdleReuse::Alive);
     }
-    let was_immediate = ended_at.is_some_and(|at| at <= connection.state_since + IMMEDIATE_FAILURE);
+    let was_immediate = ended_at.is_some_and(|at| at <= connection.assigned_at + IMMEDIATE_FAILURE);
     (connection.received.is_empty() && was_immediate).then_some(IdleReuse::Stale)
 }
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -171,7 +171,7 @@
     fn newest_reusable(&self, pool: &Pool, now: Instant) -> Option<usize> {
         let max_idle_time = self.idle_reuse.max_idle_time().min(self.max_idle_time);
         let limits = ReuseLimits { min_idle_time: MIN_IDLE_TIME, max_idle_time };
-        let idle_time = |key: usize| now.duration_since(self.connections[key].state_since);
+        let idle_time = |key: usize| now.duration_since(self.connections[key].idle_since);
         pool.idle.iter().rposition(|key| may_reuse_connection(idle_time(*key), limits).is_ok())
     }
 
@@ -196,8 +196,8 @@
             let position = self.newest_reusable(self.pools.get(&backend)?, now)?;
             let key = self.pools.get_mut(&backend)?.idle.remove(position);
             let connection = &mut self.connections[key];
-            if connection.is_quiet() {
-                connection.idle_before = Some(now.duration_since(connection.state_since));
+            if connection.probe_quiet() {
+                connection.idle_before = Some(now.duration_since(connection.idle_since));
                 return Some(key);
             }
             // Frees its descriptor for the next connection.
@@ -238,7 +238,7 @@
             return Usability::Unusable;
         }
         connection.attempt = None;
-        connection.state_since = now;
+        connection.idle_since = now;
         connection.received.clear();
         connection.received.shrink_to(BUFFER_SIZE);
         connection.command.shrink_to(BUFFER_SIZE);
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -120,7 +120,8 @@
         let facts = ClientConnectionFacts {
             is_busy: self.is_busy(),
             has_input: !self.input.is_empty() || self.queued_for_read,
-            is_closing: self.is_closing() || self.over_limit,
+            is_closing: self.is_closing(),
+            is_over_limit: self.over_limit,
         };
         may_close_client(facts).is_ok()
     }
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -127,6 +127,9 @@
     /// Its end has begun already.
     #[error("it is closing")]
     Closing,
+    /// It was accepted only to reject its first request.
+    #[error("it is over the limit")]
+    OverLimit,
 }
 
 /// What is known of a client's connection.
@@ -138,6 +141,8 @@
     pub has_input: bool,
     /// Its end has begun.
     pub is_closing: bool,
+    /// It was accepted over the limit on connections.
+    pub is_over_limit: bool,
 }
 
 /// Whether a client's connection may be closed now without a word, as between two requests.
@@ -153,6 +158,8 @@
         Err(CloseRefusal::InputPending)
     } else if facts.is_closing {
         Err(CloseRefusal::Closing)
+    } else if facts.is_over_limit {
+        Err(CloseRefusal::OverLimit)
     } else {
         Ok(())
     }
--- a/src/policy/permissions/tests.rs
+++ b/src/policy/permissions/tests.rs
@@ -91,10 +91,12 @@
 /// has begun to arrive, must stay connected: it would lose a request that the ingress has accepted.
 #[test]
 fn a_client_is_closed_only_between_two_requests() {
-    let idle = ClientConnectionFacts { is_busy: false, has_input: false, is_closing: false };
+    let idle =
+        ClientConnectionFacts { is_busy: false, has_input: false, is_closing: false, is_over_limit: false };
     let close = may_close_client;
     assert_eq!(close(idle), Ok(()));
     assert_eq!(close(ClientConnectionFacts { is_busy: true, ..idle }), Err(CloseRefusal::RepliesOwed));
     assert_eq!(close(ClientConnectionFacts { has_input: true, ..idle }), Err(CloseRefusal::InputPending));
     assert_eq!(close(ClientConnectionFacts { is_closing: true, ..idle }), Err(CloseRefusal::Closing));
+    assert_eq!(close(ClientConnectionFacts { is_over_limit: true, ..idle }), Err(CloseRefusal::OverLimit));
 }
