--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -75,7 +75,7 @@
                 attempt = attempt.number,
                 backend = backend.0,
                 ?refusal,
-                "not sent"
+                "backend unavailable"
             );
             return Err(Outcome::NotSent);
         }
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -94,9 +94,10 @@
                 target: "attempt",
                 request = id.0,
                 attempt = number,
-                ?refusal,
+                backend = backend.0,
+                refusal = refusal.map(tracing::field::debug),
                 has_expired,
-                "not sent"
+                "not permitted"
             );
             return self.end_attempt(AttemptEndReport {
                 request_closed,
@@ -132,17 +133,17 @@
             stated,
             encode,
         );
-        tracing::debug!(
-            target: "attempt",
-            request = attempt_id.request.0,
-            attempt = attempt_id.number,
-            backend = attempt.backend.0,
-            connection = assigned.map(|assigned| assigned.connection.serial()),
-            command = ?assigned.map(|assigned| assigned.command),
-            time_left_ms = timeout.as_millis(),
-            "started"
-        );
         if let Some(assigned) = assigned {
+            tracing::debug!(
+                target: "attempt",
+                request = attempt_id.request.0,
+                attempt = attempt_id.number,
+                backend = attempt.backend.0,
+                connection = assigned.connection.serial(),
+                command = ?assigned.command,
+                time_left_ms = timeout.as_millis(),
+                "started"
+            );
             attempt.connection = Some(assigned.connection);
             self.timers.schedule(attempt.expires_at, Timer::AttemptTimeout(attempt_id));
             if assigned.command == CommandState::Unsent {
