--- a/src/bin/ingress/discovery/endpoint_list.rs
+++ b/src/bin/ingress/discovery/endpoint_list.rs
@@ -147,6 +147,7 @@
         };
         let since_ms = json.get("since_ms").map_or(Some(0), Value::as_u64);
         let since_ms = since_ms.ok_or_else(|| bad("since_ms"))?;
+        // Backends without a group are in cell 0, with those that name it.
         let group = json.get("group").and_then(Value::as_u64).unwrap_or(0);
         let backend = backend_id(name);
         // Not at `debug`: the lines of a long snapshot would displace all others from the log's buffer.
