--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -72,7 +72,7 @@
 
     /// Closes connections that have been idle for too long.
     fn close_expired(&mut self, now: Instant) {
-        let max_idle_time = self.max_idle_time.min(self.idle_reuse.max_idle_time());
+        let max_idle_time = self.max_idle_time();
         let is_expired = |connection: &BackendConnection| {
             connection.attempt.is_none() && now.duration_since(connection.idle_since) > max_idle_time
         };
--- a/src/bin/ingress/backends/idle_reuse.rs
+++ b/src/bin/ingress/backends/idle_reuse.rs
@@ -6,9 +6,10 @@
 const MAX_STALE_FRACTION: f64 = 0.2;
 /// The fewest reuses from which the fraction is computed.
 const MIN_USES: f64 = 3.0;
-/// The factor on all counts at each sweep, which halves them in some ten seconds.
+/// The factor on all counts at each sweep. It halves them in 23 sweeps, which with the interval of
+/// `SWEEP_INTERVAL` in `event_loop/timers.rs` take 11.5 s.
 const RETAINED_PER_SWEEP: f64 = 0.97;
-/// The number of classes of idle times. Each is twice as long as the one before; the first one ends at 2 ms.
+/// The number of buckets by idle time. Each is twice as long as the one before; the first one ends at 2 ms.
 const BUCKET_COUNT: usize = 16;
 
 /// The result of the reuse of an idle connection.
@@ -20,7 +21,7 @@
     Stale,
 }
 
-/// The reuses after one class of idle times, with decay.
+/// The reuses after the idle times of one bucket, with decay.
 #[derive(Clone, Copy, Default)]
 struct Bucket {
     /// All reuses.
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -23,11 +23,10 @@
 /// A duplicate reply would be taken for the reply to the next command, since replies carry no id. It arrives
 /// some milliseconds after the first one, so it is found before the connection is reused.
 pub const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
-/// Idle connections are closed after four fifths of the backends' keep-alive timeout. If both ends closed
-/// them at the same time, a command could be written to a connection that the backend is closing.
-const IDLE_TIME_FACTOR: u64 = 4;
-/// See [`IDLE_TIME_FACTOR`].
-const IDLE_TIME_DIVISOR: u64 = 5;
+/// The parts that the backends' keep-alive timeout is divided into; idle connections are closed one part before
+/// its end. If both ends closed them at the same time, a command could be written to a connection that the
+/// backend is closing.
+const KEEPALIVE_PARTS: u64 = 5;
 
 /// The connections to one backend that are idle.
 #[derive(Default)]
@@ -51,7 +50,7 @@
     /// The buffer for reads.
     pub(super) read_buffer: Vec<u8>,
     /// Idle connections are closed after this time, before the backend closes them.
-    pub(super) max_idle_time: Duration,
+    configured_max_idle_time: Duration,
     /// Shortens that time if reused connections turn out to be dead.
     pub(super) idle_reuse: IdleReuseTracker,
     /// The poll's token of the connection with a key.
@@ -73,7 +72,7 @@
             pools: HashMap::new(),
             last_serial: 0,
             read_buffer: vec![0; BUFFER_SIZE],
-            max_idle_time: keepalive_timeout / IDLE_TIME_DIVISOR * IDLE_TIME_FACTOR,
+            configured_max_idle_time: keepalive_timeout / KEEPALIVE_PARTS * (KEEPALIVE_PARTS - 1),
             idle_reuse: IdleReuseTracker::default(),
             token,
             completions: Vec::new(),
@@ -167,10 +166,14 @@
         self.pools.get(&backend).is_some_and(|pool| self.newest_reusable(pool, now).is_none())
     }
 
+    /// For how long a connection may be idle.
+    pub(super) fn max_idle_time(&self) -> Duration {
+        self.configured_max_idle_time.min(self.idle_reuse.max_idle_time())
+    }
+
     /// The index in a pool of the newest idle connection that may be reused.
     fn newest_reusable(&self, pool: &Pool, now: Instant) -> Option<usize> {
-        let max_idle_time = self.idle_reuse.max_idle_time().min(self.max_idle_time);
-        let limits = ReuseLimits { min_idle_time: MIN_IDLE_TIME, max_idle_time };
+        let limits = ReuseLimits { min_idle_time: MIN_IDLE_TIME, max_idle_time: self.max_idle_time() };
         let idle_time = |key: usize| now.duration_since(self.connections[key].idle_since);
         pool.idle.iter().rposition(|key| may_reuse_connection(idle_time(*key), limits).is_ok())
     }
