--- a/src/bin/ingress/backends/idle_reuse/tests.rs
+++ b/src/bin/ingress/backends/idle_reuse/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// How long the connections were idle: in the class from 256 to 512 ms.
+/// How long the connections were idle: in the bucket from 256 to 512 ms.
 const IDLE_TIME: Duration = Duration::from_millis(260);
-/// The idle times of that class begin here.
-const CLASS_BEGINS_AT: Duration = Duration::from_millis(256);
+/// The idle times of that bucket begin here.
+const BUCKET_BEGINS_AT: Duration = Duration::from_millis(256);
 
 /// A tracker that has seen so many connections dead after the idle time.
 fn tracker_after(stale_uses: usize) -> IdleReuseTracker {
@@ -29,7 +29,7 @@
 #[test]
 fn an_idle_time_after_which_connections_are_dead_is_avoided_from_the_third_one_on() {
     assert_eq!(tracker_after(2).max_idle_time(), Duration::MAX);
-    assert_eq!(tracker_after(3).max_idle_time(), CLASS_BEGINS_AT);
+    assert_eq!(tracker_after(3).max_idle_time(), BUCKET_BEGINS_AT);
 }
 
 /// The firewall is gone after a while. The ingress has to find that out, or it would open a new connection for each request
@@ -40,7 +40,7 @@
     assert!(sweeps_until_reuse(tracker_after(4)) > 8);
     let mut tracker = tracker_after(4);
     (0..9).for_each(|_| tracker.decay());
-    assert_eq!(tracker.max_idle_time(), CLASS_BEGINS_AT, "avoided for four and a half seconds");
+    assert_eq!(tracker.max_idle_time(), BUCKET_BEGINS_AT, "avoided for four and a half seconds");
     tracker.decay();
     assert_eq!(tracker.max_idle_time(), Duration::MAX);
 }
