--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -228,7 +228,7 @@
             attempt = end.attempt.number,
             backend = end.backend.0,
             outcome = ?end.outcome,
-            elapsed_us = end.elapsed.as_micros(),
+            elapsed_ms = end.elapsed.as_millis_f64(),
             "ended"
         );
         self.counters.record_outcome(end.outcome);
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -145,7 +145,7 @@
             customer = request.customer.0,
             class = request.class,
             timeout_ms = timeout.as_millis(),
-            waited_us = self.now.duration_since(arrived_at).as_micros(),
+            waited_ms = self.now.duration_since(arrived_at).as_millis_f64(),
             client = reply_to.client(),
             "opened"
         );
--- a/src/time.rs
+++ b/src/time.rs
@@ -5,6 +5,7 @@
 //! are exact in microseconds. Arithmetic saturates: what would lie before zero is zero, and what would lie
 //! beyond the greatest value is that value.
 
+use std::fmt;
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
 /// Microseconds in a millisecond.
@@ -81,9 +82,16 @@
 }
 
 /// A span of time.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+#[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Duration(u64);
 
+impl fmt::Debug for Duration {
+    /// The number with its unit, as of the type of the standard library: `250ms`.
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        std::time::Duration::from_micros(self.0).fmt(formatter)
+    }
+}
+
 impl Duration {
     /// No time.
     pub const ZERO: Duration = Duration(0);
@@ -128,6 +136,11 @@
         self.0 / MICROS_PER_MILLI
     }
 
+    /// In milliseconds with fractions.
+    pub const fn as_millis_f64(self) -> f64 {
+        self.0 as f64 / MICROS_PER_MILLI as f64
+    }
+
     /// In whole milliseconds, rounded up.
     pub const fn as_millis_ceil(self) -> u64 {
         self.0.div_ceil(MICROS_PER_MILLI)
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -37,3 +37,11 @@
     assert_eq!(Duration::from_micros(10).mul_f64(0.39), Duration::from_micros(3));
     assert_eq!(Duration::from_micros(1999).as_millis(), 1);
 }
+
+/// A span in the log or in a failed assertion is read by a person, who would otherwise have to divide.
+#[test]
+fn a_span_is_shown_with_its_unit() {
+    let spans = [Duration::from_millis(250), Duration::from_micros(1500), Duration::from_secs(3)];
+    assert_eq!(format!("{spans:?}"), "[250ms, 1.5ms, 3s]");
+    assert_eq!(Duration::from_micros(1234).as_millis_f64(), 1.234);
+}
