--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -23,9 +23,9 @@
 /// A duplicate reply would be taken for the reply to the next command, since replies carry no id. It arrives
 /// some milliseconds after the first one, so it is found before the connection is reused.
 pub const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
-/// The parts that the backends' keep-alive timeout is divided into; idle connections are closed one part before
-/// its end. If both ends closed them at the same time, a command could be written to a connection that the
-/// backend is closing.
+/// The parts that the backends' keep-alive timeout is divided into; idle connections are closed one part
+/// before its end. If both ends closed them at the same time, a command could be written to a connection that
+/// the backend is closing.
 const KEEPALIVE_PARTS: u64 = 5;
 
 /// The connections to one backend that are idle.
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Leaves unread input for the next iteration. The timeouts of its commands count from the earliest time at
-    /// which it can have arrived.
+    /// Leaves unread input for the next iteration. The timeouts of its commands count from the earliest time
+    /// at which it can have arrived.
     fn read_later(&mut self, key: usize) {
         let connection = &mut self.connections[key];
         connection.reading_paused = false;
@@ -111,8 +111,8 @@
         self.queue_for_read(key);
     }
 
-    /// Pauses reading until replies are written. The timeouts of unread commands count from the earliest time at
-    /// which they can have arrived.
+    /// Pauses reading until replies are written. The timeouts of unread commands count from the earliest time
+    /// at which they can have arrived.
     fn pause_reading(&mut self, key: usize) {
         let connection = &mut self.connections[key];
         connection.reading_paused = true;
--- a/src/bin/ingress/discovery/location_names.rs
+++ b/src/bin/ingress/discovery/location_names.rs
@@ -11,8 +11,8 @@
 impl LocationNames {
     /// The number of a zone; `u8::MAX` if the settings do not name it, or the entry has none.
     ///
-    /// So all zones that are not known count as one: where backends of a zone share idempotency keys, those of
-    /// unknown zones are taken to share them too.
+    /// So all zones that are not known count as one: where backends of a zone share idempotency keys, those
+    /// of unknown zones are taken to share them too.
     pub fn zone(&self, name: Option<&str>) -> u8 {
         position(&self.zones, name).and_then(|index| u8::try_from(index).ok()).unwrap_or(u8::MAX)
     }
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -195,7 +195,8 @@
         self.cancel_attempt(attempt, BackendCloseReason::TimedOut, timeout_outcome);
     }
 
-    /// Ends an attempt that is in flight and closes its connection for `reason`; its outcome may depend on how much of the command was sent.
+    /// Ends an attempt that is in flight and closes its connection for `reason`; its outcome may depend on
+    /// how much of the command was sent.
     pub(super) fn cancel_attempt(
         &mut self,
         attempt_id: AttemptId,
@@ -236,8 +237,9 @@
         self.pending_events.push_back(end.into());
     }
 
-    /// Ends the attempts of a closed request whose commands are not completely written. This is done even where the
-    /// settings allow no cancellation: a backend that never received the complete command has nothing to cancel.
+    /// Ends the attempts of a closed request whose commands are not completely written. This is done even
+    /// where the settings allow no cancellation: a backend that never received the complete command has
+    /// nothing to cancel.
     pub(super) fn cancel_incomplete(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id).filter(|request| request.closed) else { return };
         let mut ended = Vec::new();
--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -6,10 +6,11 @@
 /// By the protocol (planned restarts), clients open new connections for at most this long after SIGTERM, in
 /// milliseconds.
 const CONNECTING_MILLIS: u64 = 400;
-/// By the protocol, SIGKILL comes no sooner than this after the longest deadline of a request has passed since
-/// SIGTERM, in milliseconds.
+/// By the protocol, SIGKILL comes no sooner than this after the longest deadline of a request has passed
+/// since SIGTERM, in milliseconds.
 const KILL_DELAY_MILLIS: u64 = 700;
-/// The part of [`KILL_DELAY_MILLIS`] for which requests are served after the longest deadline, in milliseconds.
+/// The part of [`KILL_DELAY_MILLIS`] for which requests are served after the longest deadline, in
+/// milliseconds.
 const REPLY_MARGIN_MILLIS: u64 = 400;
 
 /// How long connections are accepted at least after the signal: 100 ms longer than clients open them, since
@@ -23,13 +24,13 @@
 const DRAINING_IDLE_CLIENT_TIME: Duration = Duration::from_secs(1);
 /// How long, while draining, clients may take to read their replies.
 pub const MAX_DRAINING_TIME: Duration = Duration::from_secs(2);
-/// The longest deadline of a request that the shutdown waits for. By the protocol, SIGKILL does not wait for a
-/// longer one.
+/// The longest deadline of a request that the shutdown waits for. By the protocol, SIGKILL does not wait for
+/// a longer one.
 const MAX_REPLY_DEADLINE: Duration = Duration::from_secs(3);
 /// How long after that deadline the last requests are failed.
 const REPLY_MARGIN: Duration = Duration::from_millis(REPLY_MARGIN_MILLIS);
-/// How long after the reply deadline the process ends, even if clients still send: half of the time that is left
-/// until SIGKILL.
+/// How long after the reply deadline the process ends, even if clients still send: half of the time that is
+/// left until SIGKILL.
 const EXIT_MARGIN: Duration = Duration::from_millis((KILL_DELAY_MILLIS - REPLY_MARGIN_MILLIS) / 2);
 
 /// The phase of the shutdown.
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -76,8 +76,8 @@
         self.process_client_events();
     }
 
-    /// Reads and answers what clients have sent by now, once all earlier requests are answered; returns whether
-    /// the process can end: all requests are answered, and no client is left that is waited for.
+    /// Reads and answers what clients have sent by now, once all earlier requests are answered; returns
+    /// whether the process can end: all requests are answered, and no client is left that is waited for.
     pub(super) fn finish_if_drained(&mut self) -> bool {
         if !self.is_drained() {
             return false;
@@ -90,8 +90,8 @@
         self.is_drained()
     }
 
-    /// Whether the listener is closed, all requests are answered that were read so far, and no client is waited
-    /// for.
+    /// Whether the listener is closed, all requests are answered that were read so far, and no client is
+    /// waited for.
     fn is_drained(&self) -> bool {
         self.shutdown.is_draining()
             && !self.requests.any_open()
--- a/src/event.rs
+++ b/src/event.rs
@@ -88,8 +88,8 @@
         /// The number of the attempt.
         attempt: u16,
     },
-    /// The host closed a request without an answer of the gateway, since its client disconnected or was failed
-    /// at a deadline. No answer is owed any more.
+    /// The host closed a request without an answer of the gateway, since its client disconnected or was
+    /// failed at a deadline. No answer is owed any more.
     RequestClosed(RequestId),
     /// A timer with this token is due.
     Timer(u32),
