--- a/fault-soak/src/report/page.rs
+++ b/fault-soak/src/report/page.rs
@@ -63,7 +63,7 @@
     let mut page = String::from("<!doctype html><meta charset=\"utf-8\"><title>Fault soak</title>\n");
     page += "<style>body{font:14px sans-serif;margin:2em}td,th{padding:2px 10px;text-align:left}</style>\n";
     page += "<h1>Fault soak</h1>";
-    page += &format!("<p>{runs} runs, {requests} requests, {broken} runs with a violation.</p>\n");
+    let _ = writeln!(page, "<p>{runs} runs, {requests} requests, {broken} runs with a violation.</p>");
     page += &rule_table(results);
     page += &scenario_table(results);
     page += "<h2>Pairs of faults that overlapped in time</h2>\n";
@@ -143,7 +143,7 @@
     if count > 0 {
         let start = left + TEXT_INDENT;
         let baseline = top + CELL - TEXT_RISE;
-        cell += &format!("<text x=\"{start}\" y=\"{baseline}\">{count}</text>\n");
+        let _ = writeln!(cell, "<text x=\"{start}\" y=\"{baseline}\">{count}</text>");
     }
     cell
 }
--- a/stand-ins/src/resp.rs
+++ b/stand-ins/src/resp.rs
@@ -1,5 +1,6 @@
 //! RESP2 as clients and backends of an ingress write and read it.
 
+use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -15,7 +16,7 @@
 pub fn encode_command(words: &[&str]) -> Vec<u8> {
     let mut command = format!("*{}\r\n", words.len());
     for word in words {
-        command += &format!("${}\r\n{word}\r\n", word.len());
+        let _ = write!(command, "${}\r\n{word}\r\n", word.len());
     }
     command.into_bytes()
 }
