--- a/fleet-experiments/src/experiment_file.rs
+++ b/fleet-experiments/src/experiment_file.rs
@@ -117,14 +117,14 @@
     /// The experiments of the file, in the order in which they run.
     pub fn experiments(&self) -> Vec<&dyn Experiment> {
         let tables = [
-            as_experiment(&self.endpoint_list),
-            as_experiment(&self.request),
-            as_experiment(&self.quota),
-            as_experiment(&self.discovery),
-            as_experiment(&self.slow_start),
-            as_experiment(&self.ingress_endpoint_list),
-            as_experiment(&self.ingress_restart),
-            as_experiment(&self.ingress_latency),
+            as_experiment(self.endpoint_list.as_ref()),
+            as_experiment(self.request.as_ref()),
+            as_experiment(self.quota.as_ref()),
+            as_experiment(self.discovery.as_ref()),
+            as_experiment(self.slow_start.as_ref()),
+            as_experiment(self.ingress_endpoint_list.as_ref()),
+            as_experiment(self.ingress_restart.as_ref()),
+            as_experiment(self.ingress_latency.as_ref()),
         ];
         tables.into_iter().flatten().collect()
     }
@@ -158,8 +158,8 @@
 }
 
 /// The experiment of a table, if the file has it.
-fn as_experiment<E: Experiment>(table: &Option<E>) -> Option<&dyn Experiment> {
-    table.as_ref().map(|experiment| experiment as &dyn Experiment)
+fn as_experiment<E: Experiment>(table: Option<&E>) -> Option<&dyn Experiment> {
+    table.map(|experiment| experiment as &dyn Experiment)
 }
 
 /// Checks that there are sizes, each from 1 to [`MAX_SIZE`].
