--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -68,6 +68,7 @@
 }
 
 /// How a pending request ended.
+#[derive(Clone, Copy)]
 struct Ending {
     /// The ingress that it was sent to.
     ingress: usize,
--- a/tests/decision_digest/digest.rs
+++ b/tests/decision_digest/digest.rs
@@ -39,7 +39,7 @@
 }
 
 /// What is pinned for a fleet.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pinned {
     pub digest: u64,
     pub counts: Counts,
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -98,6 +98,7 @@
 }
 
 /// An attempt in flight.
+#[derive(Clone, Copy)]
 struct Attempt {
     id: RequestId,
     number: u16,
@@ -105,6 +106,7 @@
 }
 
 /// What the host knows of a request.
+#[derive(Clone, Copy)]
 struct RequestRecord {
     class: u8,
     plan: u16,
