--- a/src/policy/outlier_detection/tests.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -158,7 +158,7 @@
     let (mut detector, mut health) = (detector(), backend());
     end_attempts(&mut detector, &mut health, 10, Evidence::Failure, START);
     assert_eq!(detector.record_outcome(&mut health, &ended(Evidence::Success, START)), None);
-    let successes = (1..).find(|_| {
+    let successes = (1..12).find(|_| {
         let change = detector.record_outcome(&mut health, &ended(Evidence::Success, START));
         matches!(change, Some(HealthChange::Returned { .. }))
     });
--- a/src/policy/quota/grant_request/tests.rs
+++ b/src/policy/quota/grant_request/tests.rs
@@ -37,8 +37,8 @@
     };
     assert!(!skipped(25.0, 1.0));
     assert!(skipped(100.0, 0.26) && !skipped(100.0, 0.24), "three of four");
-    let owned = customer_owned(&mut large, CONCURRENCY_QUOTA, true);
-    assert!(!large.skips_grant_request(START, owned, 1.0));
+    let own_customer = customer_owned(&mut large, CONCURRENCY_QUOTA, true);
+    assert!(!large.skips_grant_request(START, own_customer, 1.0));
 
     let mut small = manager(SMALL_FLEET);
     let base = request(customer, CONCURRENCY_QUOTA, 1.0);
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -18,6 +18,8 @@
 /// Index of a plan with a hard limit of 5 units a second and a burst of 40, and a quota that is never
 /// reached.
 pub(super) const HARD_LIMIT: u16 = 2;
+/// Customers among which one is looked for that a gateway owns, or does not.
+const MAX_CUSTOMERS: u64 = 10_000;
 
 /// A plan with 10 units a second and a burst of 20.
 pub(super) fn plan() -> Plan {
@@ -53,7 +55,7 @@
     let owns = |id: &CustomerId| {
         manager.observe_request(START, &request(*id, plan, 1.0)).grant.is_quota_owner == owned
     };
-    (0..).map(CustomerId).find(owns).expect("some customer of so many")
+    (0..MAX_CUSTOMERS).map(CustomerId).find(owns).expect("some customer of so many")
 }
 
 /// The shortage of tokens for a request, at a gateway that has never heard of a peer.
--- a/tests/gateway/rate_quota.rs
+++ b/tests/gateway/rate_quota.rs
@@ -248,7 +248,7 @@
         };
         assert_eq!(send(&mut fleet, at, 18), 18, "gateway {at}: the bucket is full at first");
         fleet.advance(SECOND * quiet_seconds, 0);
-        let sent = send(&mut fleet, (at + 1) % 3, 12) + send(&mut fleet, at, 40);
-        assert!((18..=21).contains(&sent), "gateway {at}, {quiet_seconds} s: {sent} sent of a full bucket");
+        let total = send(&mut fleet, (at + 1) % 3, 12) + send(&mut fleet, at, 40);
+        assert!((18..=21).contains(&total), "gateway {at}, {quiet_seconds} s: {total} sent of a full bucket");
     }
 }
--- a/tests/ingress/protocol_errors.rs
+++ b/tests/ingress/protocol_errors.rs
@@ -101,7 +101,7 @@
     let mut client = ingress.client();
     client.send(b"*1\r\n$60000000\r\n");
     for _ in 0..60 {
-        client.send(&[b'x'; 1_000_000]);
+        client.send(&vec![b'x'; 1_000_000]);
     }
     assert!(client.read_reply().starts_with("-ERR protocol error"));
     assert_eq!(ingress.client().ping(), "+PONG");
@@ -120,7 +120,7 @@
         let (mut client, id) = (ingress.client(), new_request_id());
         client.send(&encode_request("quote", &id, 900));
         // More bytes follow than a close may leave unread without a reset.
-        client.send(&[malformed.as_bytes(), &[b'x'; 40_000]].concat());
+        client.send(&[malformed.as_bytes(), &vec![b'x'; 40_000]].concat());
         assert_eq!(client.read_reply(), format!("value of {id}"), "{malformed:?}");
         assert!(client.read_reply().starts_with("-ERR protocol error"), "{malformed:?}");
         assert!(client.is_disconnected(), "{malformed:?}");
--- a/tests/ingress/resource_limits.rs
+++ b/tests/ingress/resource_limits.rs
@@ -77,7 +77,7 @@
     let mut setup = IngressSetup::with_backends(&[&backend]);
     setup.memory_limit_mb = 16;
     let ingress = setup.start();
-    let incomplete = [&b"*2\r\n$65536\r\n"[..], &[b'x'; 60_000]].concat();
+    let incomplete = [&b"*2\r\n$65536\r\n"[..], &vec![b'x'; 60_000]].concat();
     let mut clients: Vec<Client> = (0..150).map(|_| ingress.client()).collect();
     for client in &mut clients {
         drop(std::io::Write::write_all(&mut client.stream, &incomplete));
