--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -245,7 +245,9 @@
         let (backend, started_at) = (connection.backend, connection.state_since);
         if let Some(idle_time) = connection.idle_before {
             let reuse = idle_reuse(connection, result.outcome, ended_at);
-            reuse.into_iter().for_each(|reuse| self.idle_reuse.record(idle_time, reuse));
+            if let Some(reuse) = reuse {
+                self.idle_reuse.record(idle_time, reuse);
+            }
         }
         self.push_completion(attempt, backend, started_at, result);
     }
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -95,7 +95,9 @@
         let closable = self.keys_of(|connection| {
             connection.is_idle() && (connection.has_sent_command() || accepting == Accepting::Stop)
         });
-        closable.into_iter().for_each(|key| self.close_if_still_idle(key, now, CloseReason::Draining));
+        for key in closable {
+            self.close_if_still_idle(key, now, CloseReason::Draining);
+        }
     }
 
     /// Closes connections whose clients take too long to send, to read or to close their end.
@@ -121,7 +123,9 @@
     fn close_timed_out(&mut self, now: Instant) {
         let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
         let not_reading = self.keys_of(|connection| connection.output.is_timed_out(now));
-        not_reading.into_iter().for_each(|key| self.remove(key, CloseReason::WriteTimeout));
+        for key in not_reading {
+            self.remove(key, CloseReason::WriteTimeout);
+        }
         for key in overdue {
             // The rest may have arrived by now.
             self.read(key, now);
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -59,7 +59,9 @@
     /// Reads from all connections, without regard to readiness events.
     pub fn read_all(&mut self, now: Instant) {
         let keys: Vec<usize> = self.connections.iter().map(|(key, _)| key).collect();
-        keys.into_iter().for_each(|key| self.read(key, now));
+        for key in keys {
+            self.read(key, now);
+        }
     }
 
     /// Reads from a connection and enforces the memory limit.
--- a/src/bin/ingress/command/template.rs
+++ b/src/bin/ingress/command/template.rs
@@ -35,7 +35,9 @@
         let body_size = bodies.first().map_or(0, |body| body.len() + EXPECTED_BODY_OVERHEAD);
         let mut bytes = Vec::with_capacity(EXPECTED_OVERHEAD + options.len() + body_size);
         resp::write_array_header(&mut bytes, arguments.len());
-        before_options.iter().for_each(|argument| resp::write_bulk_string(&mut bytes, &[argument]));
+        for argument in before_options {
+            resp::write_bulk_string(&mut bytes, &[argument]);
+        }
         let options_start = bytes.len();
         let id_end = options_start - b"\r\n".len();
         let id_len = before_options.last().map_or(0, |id| id.len());
@@ -43,7 +45,9 @@
         let timeout_position = bytes.len();
         bytes.extend_from_slice(&options[timeout.end..]);
         let options_end = bytes.len();
-        bodies.iter().for_each(|body| resp::write_bulk_string(&mut bytes, &[body]));
+        for body in bodies {
+            resp::write_bulk_string(&mut bytes, &[body]);
+        }
         let request_id = id_end - id_len..id_end;
         CommandTemplate { request_id, bytes, options_start, timeout_position, options_end }
     }
--- a/src/bin/ingress/command/tests.rs
+++ b/src/bin/ingress/command/tests.rs
@@ -18,7 +18,9 @@
 fn parse(parts: &[&str]) -> Result<Command, CommandError> {
     let (mut buffer, mut arguments) = (Vec::new(), Vec::new());
     resp::write_array_header(&mut buffer, parts.len());
-    parts.iter().for_each(|part| resp::write_bulk_string(&mut buffer, &[part.as_bytes()]));
+    for part in parts {
+        resp::write_bulk_string(&mut buffer, &[part.as_bytes()]);
+    }
     resp::parse_command(&buffer, &mut arguments).unwrap().unwrap();
     Command::parse(&buffer, &arguments, &schema()).unwrap()
 }
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -233,7 +233,9 @@
             let not_sent = AttemptEnd::not_sent(attempt_id, attempt.backend);
             ended.push(AttemptEnd { elapsed, request_closed: true, ..not_sent });
         }
-        ended.into_iter().for_each(|end| self.end_attempt(end));
+        for end in ended {
+            self.end_attempt(end);
+        }
     }
 
     /// Encodes the command on a connection anew if nothing of it is written yet, or ends its attempt if it
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -20,7 +20,9 @@
                 stated_timeout: begun.stated_timeout.timeout,
             };
             let violated = request.audit.attempt_begun(&self.auditor, &begun);
-            violated.into_iter().for_each(|kind| self.report_violation(kind, Some(id)));
+            for kind in violated {
+                self.report_violation(kind, Some(id));
+            }
         }
     }
 
@@ -28,7 +30,9 @@
     pub(super) fn audit_attempt_end(&mut self, attempt: AttemptId, outcome: Outcome) {
         let request = self.requests.get_mut(attempt.request);
         let violated = request.and_then(|request| request.audit.attempt_ended(attempt.number, outcome));
-        violated.into_iter().for_each(|kind| self.report_violation(kind, Some(attempt.request)));
+        if let Some(kind) = violated {
+            self.report_violation(kind, Some(attempt.request));
+        }
     }
 
     /// Reports the connections of clients that this side closed with replies owed.
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -72,7 +72,9 @@
             ClientEvent::Command { .. } => None,
         };
         let ids: Vec<RequestId> = self.clients.pending_events().filter_map(disconnected).collect();
-        ids.into_iter().for_each(|id| self.report_disconnect(id));
+        for id in ids {
+            self.report_disconnect(id);
+        }
     }
 
     /// Closes a request whose client has disconnected, and reports that to the policy, unless it was closed
@@ -195,7 +197,9 @@
         self.counters.failures += u64::from(answer == Answer::Failed);
         let now = self.clock.now();
         let violated = self.requests.get_mut(id).and_then(|request| request.audit.answered(now));
-        violated.into_iter().for_each(|kind| self.report_violation(kind, Some(id)));
+        if let Some(kind) = violated {
+            self.report_violation(kind, Some(id));
+        }
     }
 
     /// Fails a request that has no final reply at its client's deadline. The policy answers each request
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -73,7 +73,9 @@
     let (mut event_loop, first) = start("line", CONFIG);
     let address = first.peer_addr().unwrap();
     let mut clients: Vec<_> = (0..100).map(|_| TcpStream::connect(address).unwrap()).collect();
-    clients.iter_mut().for_each(|client| client.write_all(PING).unwrap());
+    for client in &mut clients {
+        client.write_all(PING).unwrap();
+    }
     // The shutdown has begun; the time for accepting is over by the next iteration.
     event_loop.shutdown.phase = Phase::Accepting { reply_deadline: event_loop.now + MIN_ACCEPTING_TIME };
     event_loop.timers.schedule(event_loop.now, Timer::StopAccepting);
@@ -256,7 +258,9 @@
         match disconnect {
             Disconnect::Full => drop(clients),
             Disconnect::Half => {
-                clients.iter().for_each(|client| client.shutdown(Direction::Write).unwrap());
+                for client in &clients {
+                    client.shutdown(Direction::Write).unwrap();
+                }
                 clients.into_iter().for_each(std::mem::forget); // half open to the end of the test
             }
         }
@@ -432,7 +436,9 @@
     // Clients in the middle of a command are not closed to make room for others.
     let mut clients = vec![first];
     clients.extend((0..20).map(|_| TcpStream::connect(address).unwrap()));
-    clients.iter_mut().for_each(|client| client.write_all(&PING[..6]).unwrap());
+    for client in &mut clients {
+        client.write_all(&PING[..6]).unwrap();
+    }
     while event_loop.accept() != AcceptOutcome::NoDescriptor {
         event_loop.clients.read_all(event_loop.now);
     }
--- a/src/bin/ingress/resp/encode.rs
+++ b/src/bin/ingress/resp/encode.rs
@@ -15,7 +15,9 @@
 pub fn write_bulk_string(out: &mut Vec<u8>, parts: &[&[u8]]) {
     let length: usize = parts.iter().map(|part| part.len()).sum();
     let _ = write!(out, "${length}\r\n"); // Writing to a Vec cannot fail.
-    parts.iter().for_each(|part| out.extend_from_slice(part));
+    for part in parts {
+        out.extend_from_slice(part);
+    }
     out.extend_from_slice(b"\r\n");
 }
 
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -54,7 +54,9 @@
 fn event_record(code: u8, parts: &[(usize, &[u8])]) -> [u8; RECORD_SIZE] {
     let mut record = [0; RECORD_SIZE];
     (record[0], record[1]) = (code, 1);
-    parts.iter().for_each(|(at, bytes)| record[*at..*at + bytes.len()].copy_from_slice(bytes));
+    for (at, bytes) in parts {
+        record[*at..*at + bytes.len()].copy_from_slice(bytes);
+    }
     record
 }
 
