--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -31,6 +31,7 @@
 }
 
 /// How a watch polls.
+#[derive(Clone, Copy)]
 pub struct WatchOptions {
     /// The timeouts and delays of its polls.
     pub backoff: Backoff,
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -31,7 +31,7 @@
         health[1] = self.watch.on_timer(now, registry);
         for list in lists {
             let update = if list.is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
-            self.apply_endpoints(list, update);
+            self.apply_endpoints(&list, update);
         }
         if health.contains(&PollHealth::BeganToFail) && self.polls_discovery {
             self.pending_events.push_back(Event::Endpoints(EndpointUpdate::PollFailed, Vec::new()));
@@ -40,10 +40,10 @@
     }
 
     /// Applies an endpoint list to the connections, and passes it to the policy.
-    pub(super) fn apply_endpoints(&mut self, list: EndpointList, update: EndpointUpdate) {
-        let removed = self.backends.update_endpoints(&list);
-        let endpoints = self.endpoints_in_host_time(&list);
-        log_endpoints(&list, update, removed.len());
+    pub(super) fn apply_endpoints(&mut self, list: &EndpointList, update: EndpointUpdate) {
+        let removed = self.backends.update_endpoints(list);
+        let endpoints = self.endpoints_in_host_time(list);
+        log_endpoints(list, update, removed.len());
         for backend in removed {
             self.auditor.backend_listed(backend, Availability::Gone, self.now);
             self.start_times.forget(backend);
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -102,7 +102,7 @@
             peer_messages_pending: false,
         };
         event_loop.clients.set_arrival_time(now);
-        event_loop.apply_endpoints(endpoints, EndpointUpdate::CachedSnapshot);
+        event_loop.apply_endpoints(&endpoints, EndpointUpdate::CachedSnapshot);
         Ok(event_loop)
     }
 }
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -393,7 +393,7 @@
     let endpoint = Endpoint { backend: backend_id, ..Endpoint::default() };
     let entries = vec![EndpointEntry { endpoint, started_at: UnixTime::default(), address: Some(address) }];
     let list = EndpointList { index: 2, is_snapshot: true, entries };
-    testbed.event_loop.apply_endpoints(list, EndpointUpdate::Snapshot);
+    testbed.event_loop.apply_endpoints(&list, EndpointUpdate::Snapshot);
     testbed.event_loop.run_policy();
     let mut client = testbed.client();
     client.write_all(&request_command(1)).unwrap();
