--- a/src/bin/ingress/clients/accepting.rs
+++ b/src/bin/ingress/clients/accepting.rs
@@ -103,7 +103,7 @@
         let mut connection = Connection::new(stream, self.last_serial, capacity, now);
         connection.unread_since = self.queued_since;
         self.lingering_count += usize::from(connection.linger_until.is_some());
-        self.over_limit_count += usize::from(connection.over_limit);
+        self.over_limit_count += usize::from(connection.is_over_limit());
         entry.insert(connection);
         Ok(())
     }
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -189,7 +189,7 @@
             self.abandoned.push(connection.replies.pending_latest_first().next());
         }
         self.lingering_count -= usize::from(connection.linger_until.is_some());
-        self.over_limit_count -= usize::from(connection.over_limit);
+        self.over_limit_count -= usize::from(connection.is_over_limit());
         self.memory.release(&connection);
         // The latest first: otherwise the end of an earlier request would start a later one of this client,
         // only for it to be cancelled.
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -61,8 +61,8 @@
     /// When it is closed even if the client has not closed its end. A connection over the limit has this from
     /// the start.
     pub linger_until: Option<Instant>,
-    /// It was accepted over the limit: its first request is rejected.
-    pub over_limit: bool,
+    /// Whether it can be served, as of its acceptance.
+    capacity: Capacity,
     /// Reading is paused since too many replies are owed or unread.
     pub reading_paused: bool,
     /// Since when input may be unread; none if the socket was read to its end.
@@ -76,7 +76,7 @@
 impl Connection {
     /// A connection that was just accepted.
     pub fn new(stream: TcpStream, serial: u64, capacity: Capacity, now: Instant) -> Self {
-        let over_limit = capacity == Capacity::OverLimit;
+        let linger_until = (capacity == Capacity::OverLimit).then_some(now + LINGER_TIMEOUT);
         Connection {
             stream,
             serial,
@@ -88,8 +88,8 @@
             command_started_at: now,
             consecutive_errors: 0,
             close_state: CloseState::Open,
-            linger_until: over_limit.then_some(now + LINGER_TIMEOUT),
-            over_limit,
+            linger_until,
+            capacity,
             reading_paused: false,
             unread_since: None,
             queued_for_write: false,
@@ -102,7 +102,7 @@
         let facts = ClientConnectionFacts {
             is_busy: self.is_busy(),
             has_input: !self.input.is_empty() || self.queued_for_read,
-            is_closing: self.is_closing() || self.over_limit,
+            is_closing: self.is_closing() || self.is_over_limit(),
         };
         may_close_client(facts).is_ok()
     }
@@ -118,6 +118,11 @@
         self.replies.len() >= MAX_PENDING_REPLIES || unread_bytes >= MAX_UNREAD_BYTES
     }
 
+    /// Whether it was accepted over the limit: its first request is rejected.
+    pub fn is_over_limit(&self) -> bool {
+        self.capacity == Capacity::OverLimit
+    }
+
     /// Whether it is being closed: further input is discarded.
     pub fn is_closing(&self) -> bool {
         self.close_state != CloseState::Open
@@ -140,7 +145,7 @@
 
     /// Whether its first command, or the rest of an incomplete one, has not arrived in time.
     pub fn is_command_overdue(&self, now: Instant) -> bool {
-        let is_exempt = self.is_closing() || self.over_limit || self.reading_paused;
+        let is_exempt = self.is_closing() || self.is_over_limit() || self.reading_paused;
         let awaits_command =
             if self.input.is_empty() { !self.has_sent_command() } else { !self.is_backlogged() };
         now > self.command_started_at + COMMAND_TIMEOUT && !is_exempt && awaits_command
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -157,7 +157,7 @@
         connection.record_command(now);
         let bytes = &connection.input[position];
         match Command::parse(bytes, &self.argument_ranges, &self.schema) {
-            Some(Ok(_)) if connection.over_limit => {
+            Some(Ok(_)) if connection.is_over_limit() => {
                 tracing::debug!(target: "client_connection", client = connection.serial, "over the limit");
                 connection.start_closing();
                 self.reply_immediately(key, BUSY_REPLY);
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -34,7 +34,7 @@
 use descriptor_budget::DescriptorBudget;
 pub use error::EventLoopError;
 use ingress::audit::Auditor;
-use ingress::{Action, Duration, Event, Gateway, Instant, StartTimes};
+use ingress::{Action, Discovery, Duration, Event, Gateway, Instant, StartTimes};
 use mio::{Events, Poll};
 use request_table::RequestTable;
 use shutdown::Shutdown;
@@ -56,8 +56,8 @@
     now: Instant,
     /// The least step of that time.
     tick: Duration,
-    /// Whether failed polls of discovery are reported to the policy.
-    polls_discovery: bool,
+    /// How the endpoint list is delivered: failed polls are reported to the policy where it has to be polled.
+    discovery: Discovery,
     /// How long establishing a connection to a backend may take.
     connect_timeout: Duration,
     /// Checks the invariants.
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -9,7 +9,7 @@
 use crate::peers::Backlog;
 use crate::reload::ReloadOutcome;
 use crate::start_retry::StartRetry;
-use ingress::{Availability, Endpoint, EndpointUpdate, Event};
+use ingress::{Availability, Discovery, Endpoint, EndpointUpdate, Event};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook_mio::v1_0::Signals;
 
@@ -33,7 +33,7 @@
             let update = if list.is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
             self.apply_endpoints(&list, update);
         }
-        if health.contains(&PollHealth::BeganToFail) && self.polls_discovery {
+        if health.contains(&PollHealth::BeganToFail) && self.discovery == Discovery::Poll {
             self.pending_events.push_back(Event::Endpoints(EndpointUpdate::PollFailed, Vec::new()));
         }
         self.run_policy();
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -79,7 +79,7 @@
             arrivals: ArrivalClock::new(now),
             now,
             tick: settings.tick,
-            polls_discovery: settings.discovery == Discovery::Poll,
+            discovery: settings.discovery,
             connect_timeout: settings.limits.connect_timeout,
             auditor: Auditor::new(AuditRules::new(&settings)),
             counters: Counters::default(),
