--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -103,7 +103,7 @@
     let mut fixture = Fixture::new(10_000);
     let mut client = fixture.client(Capacity::Available);
     let reply_to = fixture.request(&mut client);
-    let reply = [b"$60000\r\n", &[b'x'; 60_000][..], b"\r\n"].concat();
+    let reply = [&b"$60000\r\n"[..], &vec![b'x'; 60_000], b"\r\n"].concat();
     fixture.clients.reply(reply_to, &reply);
     fixture.clients.read_all(NOW);
     fixture.clients.flush(NOW);
--- a/src/bin/ingress/resp/tests.rs
+++ b/src/bin/ingress/resp/tests.rs
@@ -44,7 +44,7 @@
         b"*2\r\n$65536\r\n",
     ] {
         let text = String::from_utf8_lossy(malformed).into_owned();
-        let padded = [malformed, &[b'x'; 70_000][..]].concat();
+        let padded = [malformed, &vec![b'x'; 70_000]].concat();
         // The last one is within the limit by itself: the total exceeds it only with the next argument.
         let input = if text.contains("65536") {
             [malformed, &vec![b'x'; 65_536], b"\r\n$4097\r\n"].concat()
