--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -7,7 +7,7 @@
 
 use crate::procfs::{self, ProcessMemory};
 use anyhow::{bail, Context};
-use stand_ins::process::set_config_file;
+use stand_ins::process::{set_config_file, ConfigFile};
 use stand_ins::resp::ping;
 use stand_ins::server::listen;
 use std::io::Read;
@@ -53,8 +53,8 @@
     pub started_at: Instant,
     /// The process.
     child: Child,
-    /// Its configuration file.
-    config_file: PathBuf,
+    /// Its configuration.
+    config_file: ConfigFile,
     /// The program that it runs.
     program: PathBuf,
 }
@@ -68,10 +68,10 @@
     pub fn start(program: &Path, config: &IngressConfig) -> anyhow::Result<IngressProcess> {
         let address = listen()?.local_addr()?;
         let file_name = format!("fleet-experiments-{}-{}.json", std::process::id(), address.port());
-        let config_file = std::env::temp_dir().join(file_name);
-        std::fs::write(&config_file, config.to_json(address))
-            .with_context(|| format!("cannot write {}", config_file.display()))?;
-        let child = Self::spawn(program, &config_file)?;
+        let file = std::env::temp_dir().join(file_name);
+        let config_file = ConfigFile::create(&file, &config.to_json(address))
+            .with_context(|| format!("cannot write {}", file.display()))?;
+        let child = Self::spawn(program, config_file.path())?;
         let program = program.to_path_buf();
         Ok(IngressProcess { address, started_at: Instant::now(), child, config_file, program })
     }
@@ -92,7 +92,7 @@
     pub fn restart(&mut self) -> anyhow::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
-        self.child = Self::spawn(&self.program, &self.config_file)?;
+        self.child = Self::spawn(&self.program, self.config_file.path())?;
         self.started_at = Instant::now();
         Ok(())
     }
@@ -103,9 +103,7 @@
     ///
     /// If the configuration cannot be written, or the process cannot be signalled.
     pub fn reconfigure(&self, config: &IngressConfig) -> anyhow::Result<()> {
-        let new_file = self.config_file.with_extension("new");
-        std::fs::write(&new_file, config.to_json(self.address))?;
-        std::fs::rename(&new_file, &self.config_file)?;
+        self.config_file.replace(&config.to_json(self.address))?;
         let process = self.child.id();
         if !Command::new("kill").args(["-HUP", &process.to_string()]).status()?.success() {
             bail!("cannot signal process {process}");
@@ -163,6 +161,5 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.config_file);
     }
 }
--- a/tests/support/src/ingress/process.rs
+++ b/tests/support/src/ingress/process.rs
@@ -2,10 +2,9 @@
 
 use crate::client::Client;
 use crate::wait::wait_until;
-use stand_ins::process::set_config_file;
+use stand_ins::process::{set_config_file, ConfigFile};
 use std::io::Read;
 use std::net::SocketAddr;
-use std::path::PathBuf;
 use std::process::{Child, Command, ExitStatus, Stdio};
 
 /// The field of `/proc/PID/stat` after the name in parentheses that has the state.
@@ -21,8 +20,8 @@
     pub address: SocketAddr,
     /// The process.
     pub child: Child,
-    /// The file of its configuration.
-    config_file: PathBuf,
+    /// Its configuration.
+    config_file: ConfigFile,
 }
 
 impl IngressProcess {
@@ -38,12 +37,12 @@
     /// If the configuration cannot be written, or the shell cannot be started.
     pub fn spawn_logging_to(config: &str, address: SocketAddr, program: &str, log: Stdio) -> IngressProcess {
         let file = std::env::temp_dir().join(format!("ingress-{}-{address}.json", std::process::id()));
-        std::fs::write(&file, config).unwrap();
+        let config_file = ConfigFile::create(&file, config).unwrap();
         let mut command = Command::new("/bin/sh");
         command.args(["-c", program]);
-        set_config_file(&mut command, &file);
+        set_config_file(&mut command, config_file.path());
         let child = command.stdin(Stdio::null()).stderr(log).spawn().unwrap();
-        IngressProcess { address, child, config_file: file }
+        IngressProcess { address, child, config_file }
     }
 
     /// Connects a client.
@@ -66,9 +65,7 @@
     ///
     /// If the file cannot be written.
     pub fn write_config(&self, config: &str) {
-        let new = self.config_file.with_extension("new");
-        std::fs::write(&new, config).unwrap();
-        std::fs::rename(&new, &self.config_file).unwrap();
+        self.config_file.replace(config).unwrap();
     }
 
     /// Sends the process a signal.
@@ -138,6 +135,5 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.config_file);
     }
 }
