--- a/tests/ingress/logging.rs
+++ b/tests/ingress/logging.rs
@@ -19,8 +19,7 @@
     let ingress = IngressSetup::with_backends(&[&bad]);
     let mut ingress = ingress.start_with(&format!("export LB_LOG=debug; {}", built_program()));
     assert!(ingress.client().round_trip(&encode_request("refer", "r77", 2000)).starts_with("-BUSY"));
-    ingress.signal("TERM");
-    assert_eq!(ingress.wait_for_exit().code(), Some(0));
+    ingress.stop();
     let log = ingress.log();
     let opened = log.lines().find(|line| line.contains("request: opened") && line.contains("=r77 "));
     let request = format!("request={}", field(opened.unwrap(), "request"));
@@ -51,8 +50,7 @@
     ingress.signal("USR1");
     // The signal is handled before or with a later command, and before the one to stop.
     assert_eq!(client.round_trip(&encode_command(&["PING"])), "+PONG");
-    ingress.signal("TERM");
-    assert_eq!(ingress.wait_for_exit().code(), Some(0));
+    ingress.stop();
     let log = ingress.log();
     assert!(log.contains("counters: requests, requests=1 answers=1 rejections=0"), "{log}");
     assert!(log.contains("counters: attempts, begun=1 served=1"), "{log}");
@@ -65,8 +63,7 @@
 fn an_invalid_log_level_is_reported_and_the_default_used() {
     let ingress = IngressSetup::with_backends(&[]);
     let mut ingress = ingress.start_with(&format!("export LB_LOG=loud; {}", built_program()));
-    ingress.signal("TERM");
-    assert_eq!(ingress.wait_for_exit().code(), Some(0));
+    ingress.stop();
     let log = ingress.log();
     assert!(log.contains("log: LB_LOG is no level, given=loud used=info"), "{log}");
     assert!(log.contains("event_loop: listening"), "{log}");
--- a/tests/ingress/reload.rs
+++ b/tests/ingress/reload.rs
@@ -43,8 +43,7 @@
     new.publish_and_wait(three.endpoint_json("s-8", "up"));
     assert_eq!(ingress.client().round_trip(&encode_request("refer", "r3", 2000)), "value of r3");
     assert_eq!((two.command_count(), three.command_count()), (1, 1));
-    ingress.signal("TERM");
-    assert_eq!(ingress.wait_for_exit().code(), Some(0));
+    ingress.stop();
     let log = ingress.log();
     assert_eq!(
         log.matches("reload: ").count(),
--- a/tests/ingress/shutdown.rs
+++ b/tests/ingress/shutdown.rs
@@ -93,8 +93,7 @@
     let mut client = ingress.client();
     client.send(b"*4\r\n$8\r\nCALL");
     assert_eq!(ingress.client().ping(), "+PONG");
-    ingress.signal("TERM");
-    assert_eq!(ingress.wait_for_exit().code(), Some(0));
+    ingress.stop();
 }
 
 /// A client sends commands and never reads its replies, until nothing more fits into the connection, and the
--- a/tests/ingress/startup.rs
+++ b/tests/ingress/startup.rs
@@ -14,8 +14,7 @@
     let backend = Backend::start(reply_with_value);
     let mut ingress = IngressSetup::with_backends(&[&backend]).start_with(&command);
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q1", 900)), "value of q1");
-    ingress.signal("TERM");
-    assert_eq!(ingress.wait_for_exit().code(), Some(0));
+    ingress.stop();
 }
 
 /// An operator starts an ingress with a configuration in which one value is wrong or missing. The process exits at
--- a/tests/support/src/ingress/process.rs
+++ b/tests/support/src/ingress/process.rs
@@ -119,6 +119,17 @@
         status.unwrap()
     }
 
+    /// Stops the process by SIGTERM, and waits until it has ended.
+    ///
+    /// # Panics
+    ///
+    /// If it exits with an error, or not within [`WAIT_LIMIT`](crate::wait::WAIT_LIMIT).
+    #[track_caller]
+    pub fn stop(&mut self) {
+        self.signal("TERM");
+        assert_eq!(self.wait_for_exit().code(), Some(0));
+    }
+
     /// Its log, once it has ended.
     ///
     /// # Panics
--- a/tests/system_call_faults.rs
+++ b/tests/system_call_faults.rs
@@ -124,8 +124,7 @@
     let mut ingress = setup.start_logging_to(&built_program(), OwnedFd::from(log).into());
     ingress.signal("HUP");
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q1", 900)), "value of q1");
-    ingress.signal("TERM");
-    assert_eq!(ingress.wait_for_exit().code(), Some(0));
+    ingress.stop();
 }
 
 /// Every write to the log fails, for example because the disk is full. Clients are served all the same, and the
@@ -138,8 +137,7 @@
     let mut ingress = setup.start();
     ingress.signal("HUP");
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q1", 900)), "value of q1");
-    ingress.signal("TERM");
-    assert_eq!(ingress.wait_for_exit().code(), Some(0));
+    ingress.stop();
     assert_eq!(ingress.log(), "", "the log fails");
 }
 
@@ -180,8 +178,7 @@
     let mut ingress = setup.start();
     // Until the fault begins a PING is answered; from then on the connection is closed.
     wait_until("the fault has begun", || ingress.client().ping().is_empty());
-    ingress.signal("TERM");
-    assert_eq!(ingress.wait_for_exit().code(), Some(0));
+    ingress.stop();
 }
 
 /// No socket can be opened during the first 0.4 s of a start, as on a machine that is short of descriptors or
@@ -220,8 +217,7 @@
     });
     ingress.signal("USR1");
     ingress.wait_until_input_is_processed();
-    ingress.signal("TERM");
-    assert_eq!(ingress.wait_for_exit().code(), Some(0));
+    ingress.stop();
     let log = ingress.log();
     assert!(log.contains("connect_failed=0"), "{log}");
 }
