--- a/tests/gateway/retry.rs
+++ b/tests/gateway/retry.rs
@@ -33,6 +33,19 @@
     assert!(is_failed(&end) && !is_rejected(&end), "the second attempt may have been executed");
 }
 
+/// The actions at the end of a keyed request's only attempt, whose connection is reset this long after it was sent.
+/// Its latency objective lets it be retried for longer than the window of its key lasts.
+fn reset_keyed_request_after(delay: Duration) -> Vec<Action> {
+    let mut settings = settings();
+    settings.classes[usize::from(KEYED)].latency_objective = SECOND * 4;
+    settings.limits.hedging = false;
+    settings.limits.cancellation = false;
+    let mut harness = GatewayHarness::new(settings, 6);
+    let SubmittedRequest { id, actions } = harness.request(KEYED, UNLIMITED, 1, 1.0);
+    harness.advance(delay);
+    harness.end_attempt(id, 0, sent_to(&actions)[0], Outcome::Reset)
+}
+
 /// A keyed request fails at a backend that may have executed it. Only the backends of its cell know its idempotency
 /// key, and only for some time, so a retry goes to one of those or to none; any other backend would execute the
 /// request a second time.
@@ -45,14 +58,7 @@
     assert_eq!(sent_to(&retry).len(), 1);
     assert_eq!(sent_to(&retry)[0].0 % 2, first.0 % 2, "same cell");
 
-    let mut settings = settings();
-    settings.classes[usize::from(KEYED)].latency_objective = SECOND * 4;
-    settings.limits.hedging = false;
-    settings.limits.cancellation = false;
-    let mut harness = GatewayHarness::new(settings, 6);
-    let SubmittedRequest { id, actions } = harness.request(KEYED, UNLIMITED, 1, 1.0);
-    harness.advance(SECOND * 2);
-    let end = harness.end_attempt(id, 0, sent_to(&actions)[0], Outcome::Reset);
+    let end = reset_keyed_request_after(SECOND * 2);
     assert!(sent_to(&end).is_empty() && is_failed(&end) && !is_rejected(&end), "outside the window");
 }
 
@@ -62,14 +68,7 @@
 #[test]
 fn a_keyed_retry_needs_time_to_connect_within_its_window() {
     for (delay, expected_retries) in [(Duration::from_millis(1600), 1), (Duration::from_millis(1800), 0)] {
-        let mut settings = settings();
-        settings.classes[usize::from(KEYED)].latency_objective = SECOND * 4;
-        settings.limits.hedging = false;
-        settings.limits.cancellation = false;
-        let mut harness = GatewayHarness::new(settings, 6);
-        let SubmittedRequest { id, actions } = harness.request(KEYED, UNLIMITED, 1, 1.0);
-        harness.advance(delay);
-        let end = harness.end_attempt(id, 0, sent_to(&actions)[0], Outcome::Reset);
+        let end = reset_keyed_request_after(delay);
         assert_eq!(
             sent_to(&end).len(),
             expected_retries,
