--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -297,25 +297,18 @@
     }
 
     fn end_attempt(&mut self, attempt: Attempt, outcome: Outcome) {
-        let Attempt { id, number, backend } = attempt;
         if outcome.never_executed() {
-            self.host.maybe_executed.entry(id).and_modify(|count| *count -= 1);
+            self.host.maybe_executed.entry(attempt.id).and_modify(|count| *count -= 1);
         }
         if outcome == Outcome::Ok {
-            self.host.ended.insert(id);
+            self.host.ended.insert(attempt.id);
         }
-        self.handle_attempt_ended(Duration::from_millis(50), id, number, backend, outcome);
+        self.handle_attempt_ended(Duration::from_millis(50), attempt, outcome);
     }
 
-    fn handle_attempt_ended(
-        &mut self,
-        elapsed: Duration,
-        id: RequestId,
-        attempt: u16,
-        backend: BackendId,
-        outcome: Outcome,
-    ) {
-        let mut event = attempt_ended(elapsed, id, attempt, backend, outcome);
+    fn handle_attempt_ended(&mut self, elapsed: Duration, attempt: Attempt, outcome: Outcome) {
+        let Attempt { id, number, backend } = attempt;
+        let mut event = attempt_ended(elapsed, id, number, backend, outcome);
         if let Event::AttemptEnded(ended) = &mut event {
             ended.answered = outcome == Outcome::Ok || self.host.ended.contains(&id);
         }
@@ -349,8 +342,8 @@
     fn finish(&mut self) {
         for _ in 0..150 {
             self.tick();
-            for Attempt { id, number, backend } in std::mem::take(&mut self.host.in_flight) {
-                self.handle_attempt_ended(Duration::MICROSECOND, id, number, backend, Outcome::TimedOut);
+            for attempt in std::mem::take(&mut self.host.in_flight) {
+                self.handle_attempt_ended(Duration::MICROSECOND, attempt, Outcome::TimedOut);
             }
         }
         for id in self.host.requests.keys() {
