--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -79,7 +79,7 @@
             arrivals: ArrivalClock::new(now),
             now,
             tick: settings.tick,
-            polls_discovery: settings.discovery == Discovery::Poll,
+            discovery: settings.discovery,
             connect_timeout: settings.limits.connect_timeout,
             auditor: Auditor::new(AuditRules::new(&settings)),
             counters: Counters::default(),
@@ -102,7 +102,7 @@
             peer_messages_pending: false,
         };
         event_loop.clients.set_arrival_time(now);
-        event_loop.apply_endpoints(endpoints, EndpointUpdate::CachedSnapshot);
+        event_loop.apply_endpoints(&endpoints, EndpointUpdate::CachedSnapshot);
         Ok(event_loop)
     }
 }
