--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -4,7 +4,7 @@
 use crate::policy::{
     AnswerFacts, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, Source, REJECTION_LATENCY_RATIO,
 };
-use crate::{AttemptEnded, BackendId, Gateway};
+use crate::{AttemptEnded, BackendId, Gateway, Instant};
 
 impl Gateway {
     /// Records how an attempt of a class ended.
@@ -15,7 +15,7 @@
         let facts = OutcomeFacts { now, class, zone: backend.endpoint.zone, evidence };
         let change = self.outlier_detector.record_outcome(&mut backend.health, &facts);
         if let Some(change) = change {
-            log_health_change(ended.backend, class, change);
+            log_health_change(now, ended.backend, class, change);
         }
         if evidence == Evidence::Rejection {
             backend.reported_queue.record_rejection(self.fleet_size);
@@ -29,7 +29,7 @@
 
     /// A backend was ejected for its silence to an attempt of a class.
     pub(crate) fn on_silence_ejection(&mut self, backend: BackendId, class: usize, ejection: Ejection) {
-        log_health_change(backend, class, HealthChange::Ejected(ejection));
+        log_health_change(self.now, backend, class, HealthChange::Ejected(ejection));
         self.queue_sample(&Observation { backend, class, latency_micros: None, source: Source::Own });
     }
 
@@ -63,12 +63,12 @@
 }
 
 /// Logs that a backend was ejected or is back in service.
-fn log_health_change(backend: BackendId, class: usize, change: HealthChange) {
+fn log_health_change(now: Instant, backend: BackendId, class: usize, change: HealthChange) {
     let backend = backend.0;
     match change {
         HealthChange::Ejected(Ejection { reason, failure_rate, until }) => {
-            let until_micros = until.as_micros();
-            tracing::debug!(target: "policy", backend, class, ?reason, failure_rate, until_micros, "ejected");
+            let for_ms = until.duration_since(now).as_millis();
+            tracing::debug!(target: "policy", backend, class, ?reason, failure_rate, for_ms, "ejected");
         }
         HealthChange::Returned { failure_rate } => {
             tracing::debug!(target: "policy", backend, class, failure_rate, "returned to service");
