--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -26,7 +26,9 @@
     let shortage = Some(Shortage { limit, seconds: 0.5 });
     match limit {
         QuotaLimit::HardLimit => TokenWait { hard_limit: shortage, ..TokenWait::default() },
-        QuotaLimit::Rate | QuotaLimit::Concurrency => TokenWait { quota: shortage, ..TokenWait::default() },
+        QuotaLimit::Rate | QuotaLimit::Concurrency | QuotaLimit::OwnersOverloaded => {
+            TokenWait { quota: shortage, ..TokenWait::default() }
+        }
     }
 }
 
--- a/src/policy/quota/token_wait.rs
+++ b/src/policy/quota/token_wait.rs
@@ -20,6 +20,8 @@
     Rate,
     /// The quota on attempts in flight.
     Concurrency,
+    /// The same quota, where the owners granted nothing and are presumed to be overloaded by the customer.
+    OwnersOverloaded,
     /// The hard limit on the rate of units.
     HardLimit,
 }
@@ -81,17 +83,18 @@
         let unreported_units =
             customer.remote.rate() * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND;
         let rate_wait = customer.wait_for_rate(plan, unreported_units, units).filter(|_| usage_known);
-        let at_concurrency_quota = plan.concurrency_quota > 0
-            && if usage_known {
-                customer.estimated_in_flight(unreported_units, units) >= plan.concurrency_quota
-            } else {
-                customer.presumes_owners_overloaded(plan, facts, started_at, last_heard_at)
-            };
+        let reached_quota = if plan.concurrency_quota == 0 {
+            None
+        } else if usage_known {
+            let in_flight = customer.estimated_in_flight(unreported_units, units);
+            (in_flight >= plan.concurrency_quota).then_some(QuotaLimit::Concurrency)
+        } else {
+            let is_presumed = customer.presumes_owners_overloaded(plan, facts, started_at, last_heard_at);
+            is_presumed.then_some(QuotaLimit::OwnersOverloaded)
+        };
         let rate = rate_wait.map(|seconds| Shortage { limit: QuotaLimit::Rate, seconds });
-        let concurrency = at_concurrency_quota.then(|| Shortage {
-            limit: QuotaLimit::Concurrency,
-            seconds: rate_wait.unwrap_or(0.0).max(facts.answer_seconds),
-        });
+        let concurrency = reached_quota
+            .map(|limit| Shortage { limit, seconds: rate_wait.unwrap_or(0.0).max(facts.answer_seconds) });
         let hard_limit = customer.hard_limit.wait_for(plan, units);
         TokenWait {
             quota: concurrency.or(rate),
