--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -159,8 +159,10 @@
         };
         let decision = facts.decide();
         tracing::debug!(
-            target: "policy", request = id.0, customer = request.customer.0, ?point, ?shortage, ?answers,
-            in_flight = facts.in_flight, queue_length = facts.queue_length,
+            target: "policy", request = id.0, customer = request.customer.0, plan = request.plan, ?point,
+            ?shortage, ?answers, units = request.units, tokens = self.quota.tokens(request.customer),
+            customer_in_flight = self.quota.in_flight_of_customer(&request),
+            gateway_in_flight = facts.in_flight, queue_length = facts.queue_length,
             concurrency_limit = facts.concurrency_limit, ?decision, "admission decided"
         );
         match decision {
--- a/src/policy/quota/token_wait.rs
+++ b/src/policy/quota/token_wait.rs
@@ -1,8 +1,8 @@
 //! How long a request has to wait until its customer's quota and hard limit allow it.
 
-use super::{time_to_refill, Customer, QuotaManager};
+use super::{time_to_refill, Customer, QuotaManager, QuotaOwnership};
 use crate::state::{hash, Salt, MICROS_PER_SECOND};
-use crate::{Duration, Instant, Plan, Request};
+use crate::{CustomerId, Duration, Instant, Plan, Request};
 
 /// How long a grant holds where no newer one comes. After that a customer is admitted: most are inside their
 /// quota, and a large fleet whose messages are lost would otherwise reject them all.
@@ -79,9 +79,7 @@
         let usage_known = ownership.knows_usage_without_grant()
             || customer.role.is_owner()
             || customer.granted_at.is_some_and(|granted_at| is_recent(facts.now, granted_at));
-        // Peers have used some units since their last reports.
-        let unreported_units =
-            customer.remote.rate() * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND;
+        let unreported_units = customer.unreported_units(ownership);
         let rate_wait = customer.wait_for_rate(plan, unreported_units, units).filter(|_| usage_known);
         let reached_quota = if plan.concurrency_quota == 0 {
             None
@@ -101,9 +99,27 @@
             hard_limit: hard_limit.map(|seconds| Shortage { limit: QuotaLimit::HardLimit, seconds }),
         }
     }
+
+    /// Units in the bucket of a customer's quota, as of its last refill; none for an unknown customer.
+    pub(crate) fn tokens(&self, id: CustomerId) -> Option<f64> {
+        self.customers.get(&id).map(|customer| customer.bucket.tokens())
+    }
+
+    /// Attempts of a request's customer in flight from all gateways, as its concurrency quota counts them;
+    /// none for an unknown customer.
+    pub(crate) fn in_flight_of_customer(&self, request: &Request) -> Option<u32> {
+        let customer = self.customers.get(&request.customer)?;
+        let unreported_units = customer.unreported_units(self.settings.ownership);
+        Some(customer.estimated_in_flight(unreported_units, request.units))
+    }
 }
 
 impl Customer {
+    /// Units that peers have likely used since their last reports.
+    fn unreported_units(&self, ownership: QuotaOwnership) -> f64 {
+        self.remote.rate() * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND
+    }
+
     /// Seconds until the quota's bucket may have a request's units, where peers used some unreported; none if
     /// it has them now, or if there is no quota on the rate.
     fn wait_for_rate(&self, plan: &Plan, unreported_units: f64, units: f64) -> Option<f64> {
