--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -3,7 +3,7 @@
 
 use crate::policy::admission::{evades_hard_limit, min_queue_time, AdmissionDecision, AdmissionFacts};
 use crate::policy::admission::{ArrivalDecision, ArrivalFacts, QueueFacts, ScreeningFacts};
-use crate::policy::quota::{grant_wait, ReportPurpose, TokenFacts, TokenWait};
+use crate::policy::quota::{grant_wait, ReportPurpose, ShortageFacts, Shortages};
 use crate::policy::quota::{
     DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
 };
@@ -81,26 +81,26 @@
 
     /// Whether a new request is decided now or waits for a grant.
     fn decide_arrival(&mut self, request: &Request, grant: GrantStatus) -> ArrivalDecision {
-        let wait = self.token_wait(request);
+        let shortages = self.find_shortages(request);
         let facts = ArrivalFacts {
             now: self.now,
             deadline: request.deadline,
             min_queue_time: min_queue_time(self.settings.tick),
             plan: self.plan_of(request),
-            wait,
+            shortages,
             grant,
             ownership: self.quota.ownership(),
         };
         facts.decide()
     }
 
-    /// The limits that a request has to wait for.
-    fn token_wait(&mut self, request: &Request) -> TokenWait {
+    /// The limits of its customer's plan that do not allow a request now.
+    fn find_shortages(&mut self, request: &Request) -> Shortages {
         let unloaded_micros = self.outlier_detector.unloaded_micros(request.class.into());
         let answer_seconds = unloaded_micros / MICROS_PER_SECOND;
-        let facts = TokenFacts { now: self.now, request, answer_seconds };
+        let facts = ShortageFacts { now: self.now, request, answer_seconds };
         let peers = &self.peers;
-        self.quota.token_wait(&facts, |peer| peers.last_heard_at(peer))
+        self.quota.refill_and_find_shortages(&facts, |peer| peers.last_heard_at(peer))
     }
 
     /// A number from 0 to 1, by the seed.
@@ -147,11 +147,11 @@
         let Some(state) = self.requests.get(id) else { return };
         let request = state.request;
         let point = if state.awaiting_grant { DecisionPoint::GrantWait } else { DecisionPoint::Arrival };
-        let shortage = self.token_wait(&request).longest();
+        let shortages = self.find_shortages(&request);
         let facts = AdmissionFacts {
             now: self.now,
             customer: request.customer,
-            shortage,
+            shortage: shortages.longest(),
             answers,
             in_flight: self.requests.in_flight,
             queue_length: self.requests.queue.len(),
@@ -160,7 +160,8 @@
         let decision = facts.decide();
         tracing::debug!(
             target: "policy", request = id.0, customer = request.customer.0, plan = request.plan, ?point,
-            ?shortage, ?answers, units = request.units, tokens = self.quota.tokens(request.customer),
+            quota_shortage = ?shortages.quota, hard_limit_shortage = ?shortages.hard_limit, ?answers,
+            units = request.units, tokens = self.quota.tokens(request.customer),
             customer_in_flight = self.quota.in_flight_of_customer(&request),
             gateway_in_flight = facts.in_flight, queue_length = facts.queue_length,
             concurrency_limit = facts.concurrency_limit, ?decision, "admission decided"
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -5,7 +5,7 @@
 //! queue.
 
 use super::load_shedding::epoch_draw;
-use super::quota::{GrantAnswers, GrantScope, GrantStatus, GrantTiming, QuotaOwnership, Shortage, TokenWait};
+use super::quota::{GrantAnswers, GrantScope, GrantStatus, GrantTiming, QuotaOwnership, Shortage, Shortages};
 use super::wake_up::wake_up_interval;
 use super::RejectReason;
 use crate::{CustomerId, Duration, Instant, Plan, Request};
@@ -76,7 +76,7 @@
     /// The customer's plan.
     pub plan: &'a Plan,
     /// The limits that the request would have to wait for, as far as known here.
-    pub wait: TokenWait,
+    pub shortages: Shortages,
     /// What is known of the grants for the customer.
     pub grant: GrantStatus,
     /// Which gateways own the quota.
@@ -100,8 +100,8 @@
 impl ArrivalFacts<'_> {
     /// Decides whether the request has to wait for a grant.
     pub(crate) fn decide(&self) -> ArrivalDecision {
-        let needs_hard_limit = self.wait.hard_limit.is_some();
-        let lacks_hard_limit_alone = needs_hard_limit && self.wait.quota.is_none();
+        let needs_hard_limit = self.shortages.hard_limit.is_some();
+        let lacks_hard_limit_alone = needs_hard_limit && self.shortages.quota.is_none();
         let needs_grant_request = lacks_hard_limit_alone && self.grant.hard_limit_is_elsewhere;
         let can_wait = self.now + self.min_queue_time <= self.deadline;
         if !can_wait || (self.is_quota_known() && !needs_grant_request) {
@@ -115,7 +115,7 @@
 
     /// Whether the quota is counted here, or a grant is recent enough to decide by.
     fn is_quota_known(&self) -> bool {
-        let is_over_rate_quota = self.wait.quota.is_some() && self.plan.concurrency_quota == 0;
+        let is_over_rate_quota = self.shortages.quota.is_some() && self.plan.concurrency_quota == 0;
         let freshness =
             if is_over_rate_quota { REJECTION_FRESHNESS } else { self.ownership.grant_freshness() };
         self.grant.is_quota_owner || self.grant.grant_age.is_some_and(|age| age < freshness)
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`].
 
 use super::*;
-use crate::policy::quota::token_wait::QuotaLimit;
+use crate::policy::quota::shortages::QuotaLimit;
 
 /// The time of the requests under test.
 const NOW: Instant = Instant::from_micros(100_000_000);
@@ -22,12 +22,12 @@
 }
 
 /// A request that lacks tokens of its hard limit, or of its quota.
-fn lacks(limit: QuotaLimit) -> TokenWait {
+fn lacks(limit: QuotaLimit) -> Shortages {
     let shortage = Some(Shortage { limit, seconds: 0.5 });
     match limit {
-        QuotaLimit::HardLimit => TokenWait { hard_limit: shortage, ..TokenWait::default() },
+        QuotaLimit::HardLimit => Shortages { hard_limit: shortage, ..Shortages::default() },
         QuotaLimit::Rate | QuotaLimit::Concurrency | QuotaLimit::OwnersOverloaded => {
-            TokenWait { quota: shortage, ..TokenWait::default() }
+            Shortages { quota: shortage, ..Shortages::default() }
         }
     }
 }
@@ -39,7 +39,7 @@
         deadline: NOW + Duration::from_secs(1),
         min_queue_time: MIN_QUEUE_TIME,
         plan,
-        wait: TokenWait::default(),
+        shortages: Shortages::default(),
         grant: GrantStatus {
             is_quota_owner: false,
             grant_age: Some(grant_age),
@@ -119,7 +119,7 @@
 fn retries_of_a_customer_over_its_rate_ask_for_no_new_grant() {
     let (rate, concurrency) = (plan(0), plan(2));
     let decide = |plan: &Plan, limit, grant_age| {
-        ArrivalFacts { wait: lacks(limit), ..arrival(plan, grant_age) }.decide()
+        ArrivalFacts { shortages: lacks(limit), ..arrival(plan, grant_age) }.decide()
     };
     let (recent, old) = (Duration::from_millis(499), Duration::from_millis(500));
     assert_eq!(decide(&rate, QuotaLimit::Rate, recent), ArrivalDecision::DecideNow);
@@ -134,8 +134,11 @@
 fn units_of_a_hard_limit_are_requested_from_the_gateways_that_hold_them() {
     let plan = plan(0);
     let owner = GrantStatus { is_quota_owner: true, ..arrival(&plan, Duration::ZERO).grant };
-    let facts =
-        ArrivalFacts { wait: lacks(QuotaLimit::HardLimit), grant: owner, ..arrival(&plan, Duration::ZERO) };
+    let facts = ArrivalFacts {
+        shortages: lacks(QuotaLimit::HardLimit),
+        grant: owner,
+        ..arrival(&plan, Duration::ZERO)
+    };
     let ask =
         ArrivalDecision::AwaitGrant { scope: GrantScope::QuotaAndHardLimit, timing: GrantTiming::AtOnce };
     assert_eq!(facts.decide(), ask);
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -7,7 +7,7 @@
 //!
 //! | question | file |
 //! | --- | --- |
-//! | may this request be served, and if not, which limit says so? | `token_wait.rs` |
+//! | may this request be served, and if not, which limit says so? | `shortages.rs` |
 //! | who counts a customer's usage? | `ownership.rs`, `owner_assignment.rs` |
 //! | which plan does a customer have? | `identity.rs` |
 //! | when are owners asked for a grant, and what does their answer mean? | `grant_request.rs` |
@@ -26,15 +26,15 @@
 mod remote_usage;
 mod reporting;
 mod settings;
+pub(crate) mod shortages;
 mod token_bucket;
-pub(crate) mod token_wait;
 mod usage_report;
 
 pub(crate) use grant_request::{grant_wait, GrantAnswers, GrantRequestStep, GrantScope, GrantTiming};
 pub(crate) use identity::GrantStatus;
 pub(crate) use ownership::QuotaOwnership;
 pub(crate) use reporting::{DecisionPoint, ReportPurpose};
-pub(crate) use token_wait::{Shortage, TokenFacts, TokenWait};
+pub(crate) use shortages::{Shortage, ShortageFacts, Shortages};
 
 use crate::{CustomerId, Duration, Instant, Plan, Settings};
 use customer::{record_lifetime, Customer, Role};
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -1,6 +1,6 @@
 //! Requests for grants: who waits for one, when it is asked for, and what a grant means to those that wait.
 
-use super::token_wait::is_recent;
+use super::shortages::is_recent;
 use super::{Customer, QuotaManager};
 use crate::gossip::{wrap_total, wrapping_delta, QuotaGrant};
 use crate::{CustomerId, Duration, Instant, Plan, Request, RequestId};
--- a/src/policy/quota/token_wait.rs
+++ b/src/policy/quota/shortages.rs
@@ -1,4 +1,4 @@
-//! How long a request has to wait until its customer's quota and hard limit allow it.
+//! Shortages: which limits of its customer's plan do not allow a request now, and for how long.
 
 use super::{time_to_refill, Customer, QuotaManager, QuotaOwnership};
 use crate::state::{hash, Salt, MICROS_PER_SECOND};
@@ -35,16 +35,16 @@
     pub seconds: f64,
 }
 
-/// The limits that a request has to wait for; none that allow it now.
+/// The limits of a plan that do not allow a request now; none of them where the limit allows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct TokenWait {
+pub(crate) struct Shortages {
     /// The quota, on the rate or on attempts in flight.
     pub quota: Option<Shortage>,
     /// The hard limit.
     pub hard_limit: Option<Shortage>,
 }
 
-impl TokenWait {
+impl Shortages {
     /// The limit that takes longest.
     pub(crate) fn longest(self) -> Option<Shortage> {
         let longer = |one: Shortage, other: Shortage| if other.seconds > one.seconds { other } else { one };
@@ -52,9 +52,9 @@
     }
 }
 
-/// What a request's wait depends on, besides its customer's record.
+/// What the shortages of a request depend on, besides its customer's record.
 #[derive(Clone, Copy)]
-pub(crate) struct TokenFacts<'a> {
+pub(crate) struct ShortageFacts<'a> {
     /// The time.
     pub now: Instant,
     /// The request, under its customer's plan.
@@ -64,16 +64,16 @@
 }
 
 impl QuotaManager {
-    /// How long a request has to wait for the tokens that it needs. `last_heard_at` tells when a message of a
-    /// peer last came, if ever.
-    pub(crate) fn token_wait(
+    /// Refills the token buckets of a request's customer, and returns the limits that do not allow the
+    /// request. `last_heard_at` tells when a message of a peer last came, if ever.
+    pub(crate) fn refill_and_find_shortages(
         &mut self,
-        facts: &TokenFacts<'_>,
+        facts: &ShortageFacts<'_>,
         last_heard_at: impl Fn(u16) -> Option<Instant>,
-    ) -> TokenWait {
+    ) -> Shortages {
         let (ownership, started_at) = (self.settings.ownership, self.settings.started_at);
         let Some((customer, plan)) = self.refill(facts.request.customer, facts.now) else {
-            return TokenWait::default();
+            return Shortages::default();
         };
         let units = facts.request.units;
         let usage_known = ownership.knows_usage_without_grant()
@@ -94,7 +94,7 @@
         let concurrency = reached_quota
             .map(|limit| Shortage { limit, seconds: rate_wait.unwrap_or(0.0).max(facts.answer_seconds) });
         let hard_limit = customer.hard_limit.wait_for(plan, units);
-        TokenWait {
+        Shortages {
             quota: concurrency.or(rate),
             hard_limit: hard_limit.map(|seconds| Shortage { limit: QuotaLimit::HardLimit, seconds }),
         }
@@ -146,7 +146,7 @@
     fn presumes_owners_overloaded(
         &self,
         plan: &Plan,
-        facts: &TokenFacts<'_>,
+        facts: &ShortageFacts<'_>,
         started_at: Instant,
         last_heard_at: impl Fn(u16) -> Option<Instant>,
     ) -> bool {
--- a/src/policy/quota/token_wait/tests.rs
+++ b/src/policy/quota/shortages/tests.rs
@@ -14,10 +14,10 @@
 fn the_longest_wait_counts() {
     let quota = Shortage { limit: QuotaLimit::Rate, seconds: 1.0 };
     let hard_limit = Shortage { limit: QuotaLimit::HardLimit, seconds: 2.0 };
-    let wait = TokenWait { quota: Some(quota), hard_limit: Some(hard_limit) };
-    assert_eq!(wait.longest(), Some(hard_limit));
-    assert_eq!(TokenWait { hard_limit: None, ..wait }.longest(), Some(quota));
-    assert_eq!(TokenWait::default().longest(), None);
+    let shortages = Shortages { quota: Some(quota), hard_limit: Some(hard_limit) };
+    assert_eq!(shortages.longest(), Some(hard_limit));
+    assert_eq!(Shortages { hard_limit: None, ..shortages }.longest(), Some(quota));
+    assert_eq!(Shortages::default().longest(), None);
 }
 
 /// Peers have likely used units that they have not reported yet. These are taken off the tokens, but never
@@ -52,7 +52,7 @@
         let ids = (0..1000).map(RequestId);
         let presumes = |id: &RequestId| {
             let request = Request { id: *id, ..Request::default() };
-            let facts = TokenFacts { now: NOW, request: &request, answer_seconds: 0.0 };
+            let facts = ShortageFacts { now: NOW, request: &request, answer_seconds: 0.0 };
             customer.presumes_owners_overloaded(&costly, &facts, Instant::ZERO, |_| heard)
         };
         ids.filter(presumes).count()
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of [`super`], and what the tests of its files share.
 
-use super::token_wait::QuotaLimit;
+use super::shortages::QuotaLimit;
 use super::*;
 use crate::gossip::{QuotaGrant, TokenLevel, UsageReport};
 use crate::{Limits, Request, RequestId};
@@ -58,8 +58,8 @@
 
 /// The shortage of tokens for a request, at a gateway that has never heard of a peer.
 pub(super) fn shortage(manager: &mut QuotaManager, now: Instant, request: &Request) -> Option<Shortage> {
-    let facts = TokenFacts { now, request, answer_seconds: 0.25 };
-    manager.token_wait(&facts, |_| None).longest()
+    let facts = ShortageFacts { now, request, answer_seconds: 0.25 };
+    manager.refill_and_find_shortages(&facts, |_| None).longest()
 }
 
 /// A report of a peer that requests a grant.
--- a/src/policy/quota/usage_report/tests.rs
+++ b/src/policy/quota/usage_report/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of [`super`].
 
 use super::*;
+use crate::policy::quota::shortages::{QuotaLimit, Shortage};
 use crate::policy::quota::tests::*;
-use crate::policy::quota::token_wait::{QuotaLimit, Shortage};
 use crate::Duration;
 
 /// Two gateways request 15 of a customer's 20 units at the same time. The owner charges the first grant at
