--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -1,6 +1,7 @@
 //! Follows attempts from their begin to their end: has the retry policy decide on those that are late or have
 //! failed, and carries out what it decides.
 
+use crate::policy::permissions::KeyExpired;
 use crate::policy::quota::ReportPurpose;
 use crate::policy::{
     AttemptCheck, AttemptCheckFacts, ExecutedAttempt, RetryFacts, RetryScope, SilenceVerdict,
@@ -175,11 +176,11 @@
         }
     }
 
-    /// Where the next attempt of a request may go; none if an idempotency key may be forgotten by then.
-    pub(crate) fn retry_scope(&self, state: &RequestState) -> Option<RetryScope> {
+    /// Where the next attempt of a request may go.
+    pub(crate) fn retry_scope(&self, state: &RequestState) -> Result<RetryScope, KeyExpired> {
         let executed = state
             .first_possibly_executed()
             .map(|attempt| ExecutedAttempt { sent_at: attempt.sent_at, endpoint: attempt.endpoint });
-        self.retry_policy.scope(self.now, self.class_of(&state.request).idempotency, executed).ok()
+        self.retry_policy.scope(self.now, self.class_of(&state.request).idempotency, executed)
     }
 }
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -1,5 +1,6 @@
 //! How a gateway sends attempts: it has the load balancer choose a backend, and records what it sends.
 
+use crate::policy::permissions::KeyExpired;
 use crate::policy::{attempt_expiry, ChoiceFacts, ExpiryFacts, NoBackend, RetryPolicy};
 use crate::state::RequestState;
 use crate::{Action, BackendId, Gateway, Instant, RequestId};
@@ -31,7 +32,7 @@
 
     /// Chooses a backend for a request's next attempt.
     fn choose_backend(&self, state: &RequestState) -> Result<BackendId, NoBackend> {
-        let scope = self.retry_scope(state).ok_or(NoBackend::KeyExpired)?;
+        let scope = self.retry_scope(state).map_err(|KeyExpired| NoBackend::KeyExpired)?;
         self.load_balancer.choose(&ChoiceFacts {
             now: self.now,
             seed: self.random_state,
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -6,7 +6,7 @@
 //! The rules on attempts stand with the retry policy, in `policy/retry/permission.rs`.
 
 pub use super::retry::permission::{
-    may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal,
+    may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal, KeyExpired,
 };
 use crate::{Availability, Duration, Instant};
 use thiserror::Error;
--- a/src/policy/permissions/tests.rs
+++ b/src/policy/permissions/tests.rs
@@ -50,7 +50,7 @@
     }
     assert_eq!(may_start_attempt(&AttemptFacts { idempotency: keyed, ..executed }), Ok(AttemptKind::Retry));
     assert_eq!(may_repeat_key(window, at(50), at(1049)), Ok(()));
-    assert_eq!(may_repeat_key(window, at(50), at(1050)), Err(AttemptRefusal::KeyExpired));
+    assert_eq!(may_repeat_key(window, at(50), at(1050)), Err(KeyExpired));
 }
 
 /// A connection to a backend is established late: the client has its answer, the attempt's time is over, or the
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -12,7 +12,7 @@
 
 use crate::{Duration, Endpoint, Idempotency, IdempotencyScope, Instant, Limits, Settings};
 use budget::RetryBudget;
-use permission::{may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal};
+use permission::{may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal, KeyExpired};
 use thiserror::Error;
 
 /// Share of a request's latency budget after which an attempt at a silent backend is given up on.
@@ -181,12 +181,16 @@
 
     /// Where a request's next attempt may go, if it is sent now; `executed` is its first attempt that was or
     /// may have been executed.
+    ///
+    /// # Errors
+    ///
+    /// If the backends may have forgotten the idempotency key before the attempt could begin.
     pub(crate) fn scope(
         &self,
         now: Instant,
         idempotency: Idempotency,
         executed: Option<ExecutedAttempt>,
-    ) -> Result<RetryScope, AttemptRefusal> {
+    ) -> Result<RetryScope, KeyExpired> {
         let (Idempotency::Keyed { scope, window }, Some(executed)) = (idempotency, executed) else {
             return Ok(RetryScope::Anywhere);
         };
--- a/src/policy/retry/permission.rs
+++ b/src/policy/retry/permission.rs
@@ -32,11 +32,13 @@
     /// An earlier attempt is in flight, and the settings allow no second one beside it.
     #[error("an attempt is in flight")]
     InFlight,
-    /// The backends may have forgotten the idempotency key by the time the attempt begins.
-    #[error("the idempotency key may be forgotten")]
-    KeyExpired,
 }
 
+/// The backends may have forgotten the idempotency key by the time the attempt begins.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the idempotency key may be forgotten")]
+pub struct KeyExpired;
+
 /// What is known of a request that wants an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFacts {
@@ -90,10 +92,10 @@
     window: Duration,
     first_sent_at: Instant,
     begins_by: Instant,
-) -> Result<(), AttemptRefusal> {
+) -> Result<(), KeyExpired> {
     if begins_by < first_sent_at + window {
         Ok(())
     } else {
-        Err(AttemptRefusal::KeyExpired)
+        Err(KeyExpired)
     }
 }
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -128,7 +128,7 @@
     let scope = policy.scope(last_moment, KEYED, executed).expect("inside the window");
     assert!(scope.includes(&endpoint) && !scope.includes(&Endpoint::default()));
     let refused = policy.scope(last_moment + Duration::MICROSECOND, KEYED, executed).err();
-    assert_eq!(refused, Some(AttemptRefusal::KeyExpired));
+    assert_eq!(refused, Some(KeyExpired));
     let anywhere = policy.scope(last_moment + Duration::from_secs(9), KEYED, None);
     assert!(matches!(anywhere, Ok(RetryScope::Anywhere)), "it was never executed");
 }
