--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -97,6 +97,8 @@
         } else {
             tracing::debug!(
                 target: "policy", customer = id.0, from_plan = customer.plan, to_plan = claim.plan,
+                from_set_start = customer.gateway_set.start, from_set_size = customer.gateway_set.size,
+                to_set_start = claim.gateway_set.start, to_set_size = claim.gateway_set.size,
                 "identity replaced"
             );
             // The bucket must not begin full again each time that somebody makes the record change.
