--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -29,7 +29,10 @@
     pub needs_hard_limit_grant: bool,
 }
 
-/// What an owner of a customer's quota knows of it: the answer to a [`UsageReport`] that requests a grant.
+/// An owner's answer to a [`UsageReport`] that requests a grant: what it knows of the customer's usage.
+///
+/// It grants or refuses, and does not say which: the receiver tells by whether the tokens and the attempts in
+/// flight leave room for its request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaGrant {
     /// The customer.
@@ -62,11 +65,11 @@
 pub enum Body {
     /// The sender's usage, for owners of the customers' quotas.
     UsageReports(Vec<UsageReport>),
-    /// An owner's answer to usage reports that requested grants.
+    /// An owner's answers to usage reports that requested grants.
     QuotaGrants {
         /// The incarnation of the receiver that sent the requests; a later one must not use the grants.
         receiver_incarnation: u32,
-        /// A grant for each request.
+        /// One for each request.
         grants: Vec<QuotaGrant>,
     },
 }
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -141,8 +141,7 @@
             && draw * customer.remote.rate() > max_request_rate
     }
 
-    /// Handles the answer of an owner, a grant or that there is none; none if nothing was asked of the
-    /// sender.
+    /// Handles an owner's answer, which grants or refuses; none if the sender is no owner of the quota.
     pub(crate) fn on_grant(
         &mut self,
         now: Instant,
@@ -168,8 +167,9 @@
         } else {
             GrantAnswers::Outstanding
         };
+        let granted = (!customer.role.is_owner()).then_some(customer.grant_request.charged_by_owner);
         tracing::debug!(
-            target: "policy", customer = grant.customer.0, from, tokens = grant.tokens,
+            target: "policy", customer = grant.customer.0, from, granted, tokens = grant.tokens,
             remote_in_flight = grant.remote_in_flight, hard_limit_units = grant.hard_limit_grant, ?answers,
             "grant received"
         );
