--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,4 +1,5 @@
-//! The concurrency limit: how many attempts a gateway may have in flight, found by the latency of answers.
+//! The concurrency limit: how many attempts a gateway may have in flight for it to send a queued request,
+//! found by the latency of answers.
 
 use super::pressure::{Pressure, LOW_PRESSURE, PRESSURE_TIME_CONSTANT};
 use crate::Instant;
@@ -33,6 +34,9 @@
 
 /// Limits the attempts in flight: additive increase while answers are fast, multiplicative decrease under
 /// pressure.
+///
+/// Only the first attempts of queued requests wait for the limit. Retries and hedged requests are sent beyond
+/// it, bounded by the retry budget, and count towards it like others.
 pub(crate) struct ConcurrencyLimiter {
     /// Attempts that may be in flight at one backend, from all gateways, if all send alike.
     attempts_per_backend: f64,
@@ -54,12 +58,13 @@
         share.max(MIN_LIMIT)
     }
 
-    /// Whether no further attempt may be sent now.
+    /// Whether no queued request may be sent now.
     pub(crate) fn is_reached(&self, load: GatewayLoad) -> bool {
         f64::from(load.in_flight) >= self.limit(load)
     }
 
-    /// Raises the limit at an answer, where it is in use and the pressure leaves room for more.
+    /// Raises the limit at an answer, where it is in use and the pressure leaves room for more. All that
+    /// [`Pressure`] records is an answer here, also the sample of a peer.
     pub(crate) fn on_answer(&mut self, pressure: &Pressure, load: GatewayLoad) {
         // A reduced limit returns to its initial value at any pressure that raises no alert: with the
         // stricter bound one that was once reduced would stay so.
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -1,4 +1,13 @@
 //! Pressure: how far recent latencies are from the highest that pass for normal.
+//!
+//! What counts as an answer here:
+//!
+//! - a successful answer to an attempt of this gateway, by its latency;
+//! - the sample of a successful answer that a peer sent, in a large fleet;
+//! - a rejection by a backend, with a constant ratio.
+//!
+//! Errors, broken connections, timeouts and cancellations do not count, nor do latencies that were found with
+//! the first event after the host stood still.
 
 use crate::state::decay;
 use crate::{Duration, Instant};
