--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -19,14 +19,15 @@
 /// Weight of an attempt that a peer reported in the failure rate.
 const PEER_WEIGHT: f64 = 0.2;
 
-/// An ejection: the backend is chosen last for a while.
+/// An ejection: the backend costs more in a choice for a while, and is chosen only where the others cost more
+/// still.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ejection {
     /// Why.
     pub reason: EjectionReason,
     /// The failure rate with what led to the ejection, from 0 to 1.
     pub failure_rate: f64,
-    /// When the backend may be tried again, by one attempt at a time.
+    /// When the backend may be tried again, while none of this gateway's attempts is in flight there.
     pub until: Instant,
 }
 
@@ -68,7 +69,7 @@
     failure_rate: FailureRate,
     /// When it last answered, with whatever outcome.
     last_answer_at: Instant,
-    /// Until then no attempt tries it while others will do.
+    /// Until then it costs more, whatever is in flight there.
     ejected_until: Instant,
     /// Ejections since it was last in service; 0 while it is.
     consecutive_ejections: u32,
@@ -135,8 +136,9 @@
         self.relative_latency.get()
     }
 
-    /// Whether it is to be chosen last for a class. Once the ejection time is over it may be tried, by one
-    /// attempt at a time: `in_flight` counts those of this gateway there.
+    /// Whether it costs more in a choice for a class. Once the ejection time is over it may be tried while
+    /// `in_flight`, this gateway's attempts of all classes there, is 0: a backend that is busy with other
+    /// classes stays ejected for this one until it has none.
     pub(crate) fn is_ejected(&self, class: usize, in_flight: u32, now: Instant) -> bool {
         let health = &self.classes[class];
         health.consecutive_ejections > 0 && (now < health.ejected_until || in_flight > 0)
