--- a/src/action.rs
+++ b/src/action.rs
@@ -7,7 +7,10 @@
 /// Several actions are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a backend.
+    /// Send the request to a backend, as its next attempt.
+    ///
+    /// Attempts are numbered from 0 for each request. Host and gateway both count the `Send`s of a request;
+    /// [`Action::Cancel`] and [`AttemptEnded`](crate::AttemptEnded) name an attempt by its number.
     Send {
         /// The request.
         id: RequestId,
@@ -49,5 +52,8 @@
     /// Subscribe to discovery, or no longer.
     WatchEndpoints(bool),
     /// A line for the log.
+    ///
+    /// Changes of the shedding stage alone are logged by an action, so that the simulator, which shows the
+    /// log of its actions, shows them. All other lines are `tracing` events.
     Log(String),
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -41,7 +41,8 @@
     pub plan: u16,
     /// The customer that sent it.
     pub customer: CustomerId,
-    /// The client's deadline.
+    /// By when the gateway has to have answered: the client's deadline, less what the host reserves for the
+    /// reply to arrive.
     pub deadline: Instant,
     /// The units that it takes from the customer's quota.
     pub units: f64,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -69,7 +69,7 @@
 pub(crate) struct ArrivalFacts<'a> {
     /// The time.
     pub now: Instant,
-    /// When the client gives up.
+    /// By when the request has to be answered.
     pub deadline: Instant,
     /// See [`min_queue_time`].
     pub min_queue_time: Duration,
@@ -187,7 +187,7 @@
     pub now: Instant,
     /// When the request came.
     pub arrived_at: Instant,
-    /// When the client gives up.
+    /// By when the request has to be answered.
     pub deadline: Instant,
     /// The time from the arrival within which an answer earns its full weight.
     pub latency_budget: Duration,
--- a/src/time.rs
+++ b/src/time.rs
@@ -14,7 +14,9 @@
 
 /// A point in time on the host's monotonic clock.
 ///
-/// Where the clock begins is the host's choice: only comparisons and differences mean something.
+/// The clock has to begin with the Unix time at the host's start, roughly: the numbers of periods
+/// ([`Instant::period_index`]) have to agree between gateways, and the start of a process tells it from
+/// earlier ones. Otherwise only comparisons and differences mean something.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(u64);
 
