--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -41,7 +41,8 @@
     pub receiver_total: u16,
     /// Units in the quota's token bucket; negative while usage beyond the quota counts against it.
     pub tokens: f64,
-    /// Units a second of all gateways but the receiver.
+    /// Units a second of all gateways but the receiver. For a plan with a concurrency quota a designated
+    /// owner gives requests for grants a second, the receiver's included, plus its own units a second.
     pub remote_rate: f64,
     /// Attempts in flight from all gateways but the receiver, 127 at most.
     pub remote_in_flight: u8,
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -119,7 +119,8 @@
         self.total_units = old.total_units;
     }
 
-    /// This gateway's share of the customer's usage, from 0 to 1.
+    /// This gateway's share of the customer's usage, from 0 to 1. Where the remote rate is one of requests
+    /// for grants, it is taken for units.
     ///
     /// A gateway that sees little of the customer counts with a floor, so that its share of the tokens is
     /// never nothing.
--- a/src/policy/quota/remote_usage.rs
+++ b/src/policy/quota/remote_usage.rs
@@ -34,7 +34,9 @@
 /// told to the other gateways with each grant.
 #[derive(Default)]
 pub(super) struct RemoteUsage {
-    /// Units a second; decays with [`USAGE_RATE_TIME_CONSTANT`] at an owner.
+    /// Units a second, or requests for grants a second where
+    /// [`counts_grant_requests`](super::QuotaOwnership::counts_grant_requests) says so; decays with
+    /// [`USAGE_RATE_TIME_CONSTANT`] at an owner.
     rate: f64,
     /// Attempts in flight.
     in_flight: u32,
@@ -43,12 +45,12 @@
 }
 
 impl RemoteUsage {
-    /// Usage at a rate in units a second, with no attempt in flight.
+    /// Usage at a rate, with no attempt in flight.
     pub(super) fn with_rate(rate: f64) -> RemoteUsage {
         RemoteUsage { rate, ..RemoteUsage::default() }
     }
 
-    /// Units a second.
+    /// Units a second, or requests for grants a second: see the field.
     pub(super) fn rate(&self) -> f64 {
         self.rate
     }
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -60,7 +60,8 @@
         let lowest_tokens = ownership.lowest_tokens(plan, customer.bucket.tokens());
         customer.bucket.settle(plan, usage.granted_units, units, lowest_tokens);
         if ownership.counts_grant_requests(plan) {
-            // This rate is one of the whole customer, the sender's own requests included.
+            // The rate counts requests for grants of the whole customer, the sender's included. It goes out
+            // as `remote_rate`, and the gateways ration their requests by it.
             usage.record(now, report.total_units, 0.0);
             customer.remote.raise_rate(f64::from(u8::from(report.requests_grant)));
         } else {
