--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -11,7 +11,9 @@
 use crate::{CustomerId, Duration, Instant, Plan, Request};
 
 /// Share of the latency budget that a request may be queued for; queued longer it would fail late.
-const MAX_QUEUE_SHARE: f64 = 0.3;
+const MAX_QUEUE_TIME_SHARE: f64 = 0.3;
+/// Length of the queue, as a share of the concurrency limit, at which no customer may join it any more.
+const MAX_QUEUE_LENGTH_SHARE: f64 = 0.3;
 /// Age up to which a grant by which there were no tokens stands for further requests. A no may rest on an
 /// older grant than a yes: otherwise the retries of a customer over its quota would request grants without
 /// end.
@@ -175,7 +177,7 @@
     /// Whether the queue has no place for the customer. The fuller it is, the fewer customers may join it;
     /// the same ones for a shedding epoch, since their retries would come too late to be of use.
     fn is_crowded_out(&self) -> bool {
-        let queue_fill = self.queue_length as f64 / (self.concurrency_limit * MAX_QUEUE_SHARE);
+        let queue_fill = self.queue_length as f64 / (self.concurrency_limit * MAX_QUEUE_LENGTH_SHARE);
         let is_saturated = f64::from(self.in_flight) >= self.concurrency_limit;
         is_saturated && epoch_draw(self.now, self.customer) >= 1.0 - queue_fill
     }
@@ -198,7 +200,7 @@
 impl QueueFacts {
     /// Whether the request has been queued for as long as it may be, or has no time left to wait.
     pub(crate) fn is_overdue(&self) -> bool {
-        let queued_until = self.arrived_at + self.latency_budget.mul_f64(MAX_QUEUE_SHARE);
+        let queued_until = self.arrived_at + self.latency_budget.mul_f64(MAX_QUEUE_TIME_SHARE);
         self.now > queued_until || self.now + self.min_queue_time > self.deadline
     }
 }
