--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -108,7 +108,7 @@
         attempt,
         backend,
         outcome: Outcome::Ok,
-        answered: true,
+        request_closed: true,
         elapsed,
         charged_units: None,
         reported_queue_depth: None,
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -45,7 +45,7 @@
             attempt: end.attempt.number,
             backend: end.backend,
             outcome: end.outcome,
-            answered: end.request_closed,
+            request_closed: end.request_closed,
             elapsed: end.elapsed,
             charged_units: None,
             reported_queue_depth: end.reported_queue_depth,
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -16,7 +16,7 @@
 //! | `not_after_us`, `size_units` | deadline, units |
 //! | `width`, `from_no` | `gateway_set_size`, `gateway_set_start` |
 //! | `Settled` | [`Event::AttemptEnded`] |
-//! | `round_no`, `wait_time_us`, `complete`, `charged` | attempt, elapsed, answered, `charged_units` |
+//! | `round_no`, `wait_time_us`, `complete`, `charged` | attempt, elapsed, `request_closed`, `charged_units` |
 //! | `usage`, a load report | `reported_queue_depth` |
 //! | `Withdrawn` | [`Event::ClientDisconnected`] |
 //! | `RosterChange` with `scope` and `rows` | [`Event::Endpoints`] with its kind and endpoints |
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -179,7 +179,7 @@
         let id = RequestId(fields.u64());
         let elapsed = fields.span();
         let outcome = self.outcome(fields)?;
-        let answered = fields.u8() != 0;
+        let request_closed = fields.u8() != 0;
         let attempt = fields.u16();
         fields.skip(METERED_USE_SIZE);
         let backend = fields.backend();
@@ -190,7 +190,7 @@
             attempt,
             backend,
             outcome,
-            answered,
+            request_closed,
             elapsed,
             charged_units,
             reported_queue_depth,
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -120,7 +120,7 @@
         attempt,
         backend,
         outcome,
-        answered,
+        request_closed,
         elapsed,
         charged_units,
         reported_queue_depth,
@@ -129,7 +129,7 @@
         panic!("not the end of an attempt")
     };
     assert_eq!((id, attempt, backend), (RequestId(9), 2, BackendId(8)));
-    assert_eq!((outcome, answered, elapsed), (Outcome::Ok, true, Duration::from_micros(7)));
+    assert_eq!((outcome, request_closed, elapsed), (Outcome::Ok, true, Duration::from_micros(7)));
     assert_eq!((charged_units, reported_queue_depth), (Some(3.0), Some(6.0)));
 }
 
--- a/src/event.rs
+++ b/src/event.rs
@@ -63,8 +63,8 @@
     pub backend: BackendId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The request has its final answer.
-    pub answered: bool,
+    /// No answer is owed to the request any more: it has its final answer, or its client has disconnected.
+    pub request_closed: bool,
     /// How long it was in flight.
     pub elapsed: Duration,
     /// The units that the request really took, where its own number is an estimate.
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -73,7 +73,7 @@
     fn settle_attempt(&mut self, ended: &AttemptEnded) -> Option<SettledAttempt> {
         let state = self.requests.get_mut(ended.id)?;
         let endpoint = state.end_attempt(ended.attempt, ended.outcome)?;
-        state.closed |= ended.answered || ended.outcome == Outcome::Ok;
+        state.closed |= ended.request_closed || ended.outcome == Outcome::Ok;
         let (request, request_closed) = (state.request, state.closed);
         let was_last_in_flight = state.attempts_in_flight() == 0;
         self.requests.in_flight = self.requests.in_flight.saturating_sub(1);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -38,7 +38,7 @@
 //!
 //! actions.clear();
 //! let answer = Event::AttemptEnded(AttemptEnded {
-//!     id, attempt: 0, backend, outcome: Outcome::Ok, answered: true, elapsed: Duration::from_millis(12),
+//!     id, attempt: 0, backend, outcome: Outcome::Ok, request_closed: true, elapsed: Duration::from_millis(12),
 //!     charged_units: None, reported_queue_depth: None,
 //! });
 //! gateway.handle(start + Duration::from_millis(16), answer, &mut actions);
--- a/tests/decision_digest/fleet.rs
+++ b/tests/decision_digest/fleet.rs
@@ -330,7 +330,7 @@
                 attempt,
                 backend,
                 outcome,
-                answered: complete,
+                request_closed: complete,
                 elapsed,
                 charged_units: charged,
                 reported_queue_depth,
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -315,7 +315,7 @@
     ) {
         let mut event = attempt_ended(elapsed, id, attempt, backend, outcome);
         if let Event::AttemptEnded(ended) = &mut event {
-            ended.answered = outcome == Outcome::Ok || self.host.ended.contains(&id);
+            ended.request_closed = outcome == Outcome::Ok || self.host.ended.contains(&id);
         }
         self.handle(event);
     }
--- a/tests/support/src/gateway.rs
+++ b/tests/support/src/gateway.rs
@@ -135,7 +135,7 @@
         attempt,
         backend,
         outcome,
-        answered: outcome == Outcome::Ok,
+        request_closed: outcome == Outcome::Ok,
         elapsed,
         charged_units: None,
         reported_queue_depth: None,
