--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -37,7 +37,7 @@
         match self.decide_arrival(&request, observed.grant) {
             ArrivalDecision::DecideNow => {
                 self.requests.insert(state);
-                self.admit(request.id, GrantAnswers::Complete, actions);
+                self.decide_admission(request.id, GrantAnswers::Complete, actions);
             }
             ArrivalDecision::AwaitGrant { scope, timing } => {
                 let draw = self.draw();
@@ -136,14 +136,20 @@
         let customer = state.request.customer;
         let wait_ends_at = state.arrived_at + self.grant_wait(&state.request, state.arrived_at);
         if self.now >= wait_ends_at {
-            return self.admit(id, GrantAnswers::Complete, actions);
+            return self.decide_admission(id, GrantAnswers::Complete, actions);
         }
         self.requests.check_at(wait_ends_at, id);
         self.queue_usage_report(customer, ReportPurpose::GrantRequest, actions);
     }
 
-    /// Admits a request if there are tokens and capacity; without tokens it may wait for a further answer.
-    pub(crate) fn admit(&mut self, id: RequestId, answers: GrantAnswers, actions: &mut Vec<Action>) {
+    /// Decides on a request by tokens and capacity: admits it, rejects it, or has it wait for a further
+    /// answer of its quota owners.
+    pub(crate) fn decide_admission(
+        &mut self,
+        id: RequestId,
+        answers: GrantAnswers,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(state) = self.requests.get(id) else { return };
         let request = state.request;
         let point = if state.awaiting_grant { DecisionPoint::GrantWait } else { DecisionPoint::Arrival };
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -146,7 +146,7 @@
         let Some(attempt) = state.latest_attempt_in_flight() else { return };
         let (backend_id, sent_at) = (attempt.endpoint.backend, attempt.sent_at);
         let Some(backend) = self.backends.get_mut(backend_id) else { return };
-        let silence = backend.health.check_silence(class_index, sent_at, now);
+        let silence = backend.health.eject_if_silent(class_index, sent_at, now);
         let check = self.retry_policy.check_attempt(&AttemptCheckFacts {
             now,
             sent_at,
--- a/src/policy/outlier_detection/evidence.rs
+++ b/src/policy/outlier_detection/evidence.rs
@@ -17,8 +17,8 @@
 
 impl Evidence {
     /// What an outcome says; none where the backend did not determine it. A timeout is among these: it may be
-    /// the client's deadline, and [`check_silence`](super::BackendHealth::check_silence) finds backends that
-    /// do not answer.
+    /// the client's deadline, and [`eject_if_silent`](super::BackendHealth::eject_if_silent) finds backends
+    /// that do not answer.
     pub(crate) fn of(outcome: Outcome) -> Option<Evidence> {
         match outcome {
             Outcome::Ok => Some(Evidence::Success),
--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -93,7 +93,7 @@
     }
 
     /// Whether an attempt sent at a time is silent, which ejects the backend.
-    fn check_silence(&mut self, sent_at: Instant, now: Instant) -> SilenceVerdict {
+    fn eject_if_silent(&mut self, sent_at: Instant, now: Instant) -> SilenceVerdict {
         if self.last_answer_at >= sent_at {
             return SilenceVerdict::Answering;
         }
@@ -146,8 +146,8 @@
 
     /// Whether an attempt of a class that was sent at a time and has not ended is silent, which ejects the
     /// backend.
-    pub(crate) fn check_silence(&mut self, class: usize, sent_at: Instant, now: Instant) -> SilenceVerdict {
-        self.classes[class].check_silence(sent_at, now)
+    pub(crate) fn eject_if_silent(&mut self, class: usize, sent_at: Instant, now: Instant) -> SilenceVerdict {
+        self.classes[class].eject_if_silent(sent_at, now)
     }
 
     /// Counts an attempt that a peer reported. It counts for all classes, since reports on a class with few
--- a/src/policy/outlier_detection/tests.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -87,7 +87,7 @@
     for _ in 0..20 {
         assert_eq!(detector.record_outcome(&mut health, &ended(Evidence::Rejection, START)), None);
     }
-    assert_eq!(health.check_silence(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
+    assert_eq!(health.eject_if_silent(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
     assert_eq!(detector.failure_rate(&health, CLASS, ZONE, START), 0.0);
 }
 
@@ -97,10 +97,10 @@
 #[test]
 fn silence_ejects_a_backend_once_for_all_its_attempts() {
     let mut health = backend();
-    let silence = health.check_silence(CLASS, START, after_millis(100));
+    let silence = health.eject_if_silent(CLASS, START, after_millis(100));
     let SilenceVerdict::Silent { ejection: Some(ejection) } = silence else { panic!("{silence:?}") };
     assert_eq!((ejection.reason, ejection.until), (EjectionReason::Silence, after_millis(600)));
-    let next = health.check_silence(CLASS, START, after_millis(110));
+    let next = health.eject_if_silent(CLASS, START, after_millis(110));
     assert_eq!(next, SilenceVerdict::Silent { ejection: None });
 }
 
@@ -110,8 +110,8 @@
 fn an_answer_after_the_send_is_proof_against_silence() {
     let (mut detector, mut health) = (detector(), backend());
     detector.record_outcome(&mut health, &ended(Evidence::Success, after_millis(50)));
-    assert_eq!(health.check_silence(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
-    assert!(health.check_silence(CLASS, after_millis(60), after_millis(100)).is_silent());
+    assert_eq!(health.eject_if_silent(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
+    assert!(health.eject_if_silent(CLASS, after_millis(60), after_millis(100)).is_silent());
 }
 
 /// A backend fails whenever it is tried again after its ejection. Each ejection lasts twice as long as the
@@ -146,7 +146,7 @@
         "{change:?}"
     );
     assert!(!health.is_ejected(CLASS, 1, later));
-    let silence = health.check_silence(CLASS, after_millis(3000), after_millis(3100));
+    let silence = health.eject_if_silent(CLASS, after_millis(3000), after_millis(3100));
     let SilenceVerdict::Silent { ejection: Some(ejection) } = silence else { panic!("{silence:?}") };
     assert_eq!(ejection.until, after_millis(3600));
 }
