--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -2,7 +2,7 @@
 
 use super::identity::CUSTOMER_IDLE_TIME;
 use super::{refill_time, GatewaySet, GrantRequest, HardLimitShare, IdentityClaim};
-use super::{OwnerAssignment, QuotaBucket, RemoteUsage, USAGE_RATE_TIME_CONSTANT};
+use super::{OwnerAssignment, QuotaBucket, RemoteUsage, GRANTER_COUNT, USAGE_RATE_TIME_CONSTANT};
 use crate::gossip::{wrap_total, TokenLevel, UsageReport, MAX_PLAN};
 use crate::state::decay;
 use crate::{CustomerId, Duration, Instant, Plan};
@@ -71,6 +71,9 @@
     pub last_seen_at: Option<Instant>,
     /// The gateways that add up the customer's usage.
     pub quota_owners: Vec<u16>,
+    /// The two gateways that are asked for grants, whether of the quota or of the hard limit; the same one
+    /// twice where it is alone.
+    pub granters: [u16; GRANTER_COUNT],
     /// Whether this gateway is one of the owners.
     pub role: Role,
     /// The usage through all other gateways.
@@ -96,11 +99,11 @@
             remote: RemoteUsage::with_rate(claim.remote_rate),
             refilled_at: now,
             hard_limit: HardLimitShare {
-                owners: assignment.hard_limit_owners,
                 fraction: assignment.hard_limit_fraction,
                 ..HardLimitShare::default()
             },
             quota_owners: assignment.quota_owners,
+            granters: assignment.granters,
             role: assignment.role,
             ..Customer::default()
         }
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -162,7 +162,7 @@
         if requested_at.is_some_and(|at| now.duration_since(at) < HARD_LIMIT_GRANT_LIFETIME) {
             customer.hard_limit.granted += grant.hard_limit_grant;
         }
-        let answers = if customer.hard_limit_owners_answered(own_id) {
+        let answers = if customer.granters_answered(own_id) {
             GrantAnswers::Complete
         } else {
             GrantAnswers::Outstanding
@@ -191,11 +191,11 @@
         self.grant_request.charged_by_owner = had_tokens && had_concurrency;
     }
 
-    /// Whether each owner of the hard limit that this gateway can ask has answered its request.
-    fn hard_limit_owners_answered(&self, own_id: u16) -> bool {
-        let has_answered = |owner: &u16| self.grant_request.answered_by.contains(owner);
-        let can_be_asked = |owner: &u16| *owner != own_id && self.quota_owners.contains(owner);
-        self.hard_limit.owners.iter().all(|owner| !can_be_asked(owner) || has_answered(owner))
+    /// Whether each granter that this gateway can ask has answered its request.
+    fn granters_answered(&self, own_id: u16) -> bool {
+        let has_answered = |granter: &u16| self.grant_request.answered_by.contains(granter);
+        let can_be_asked = |granter: &u16| *granter != own_id && self.quota_owners.contains(granter);
+        self.granters.iter().all(|granter| !can_be_asked(granter) || has_answered(granter))
     }
 }
 
--- a/src/policy/quota/grant_request/tests.rs
+++ b/src/policy/quota/grant_request/tests.rs
@@ -55,7 +55,7 @@
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, HARD_LIMIT, false);
     let waiting = request(customer, HARD_LIMIT, 1.0);
-    let owner = manager.customers[&customer].hard_limit.owners[0];
+    let owner = manager.customers[&customer].granters[0];
     let answer = QuotaGrant { hard_limit_grant: 3.0, ..grant(customer, 9.0, 0) };
     let mut granted_after = |age| {
         manager.await_grant(START, &waiting, GrantScope::QuotaAndHardLimit, GrantTiming::AtOnce);
--- a/src/policy/quota/hard_limit.rs
+++ b/src/policy/quota/hard_limit.rs
@@ -7,15 +7,10 @@
 /// The smallest share of a hard limit by which a wait is computed: without any it would be endless.
 const MIN_FRACTION: f64 = 0.01;
 
-/// Gateways that hold most of a customer's hard limit: two, so that it can be granted while one is down.
-pub(super) const HARD_LIMIT_OWNERS: usize = 2;
-
 /// A token bucket for this gateway's fraction of the hard limit, and what other gateways have granted in
 /// addition.
 #[derive(Default)]
 pub(super) struct HardLimitShare {
-    /// The two gateways that hold most of the hard limit, and grant it.
-    pub owners: [u16; HARD_LIMIT_OWNERS],
     /// The fraction of the hard limit that is this gateway's own.
     pub fraction: f64,
     /// Units in the bucket.
--- a/src/policy/quota/hard_limit/tests.rs
+++ b/src/policy/quota/hard_limit/tests.rs
@@ -29,7 +29,7 @@
 /// those of the bucket. What a request gives back goes to the bucket.
 #[test]
 fn granted_units_are_used_before_the_bucket() {
-    let mut share = HardLimitShare { fraction: 0.5, tokens: 4.0, granted: 1.0, ..HardLimitShare::default() };
+    let mut share = HardLimitShare { fraction: 0.5, tokens: 4.0, granted: 1.0 };
     assert_eq!(share.time_until(5.0, 2.0), None);
     assert_eq!(share.time_until(6.0, 2.0), Some(0.5));
     share.charge(&plan(), 1.5);
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -1,6 +1,6 @@
 //! What requests and reports say of a customer's plan and gateways, and which of it is believed.
 
-use super::{Customer, GatewaySet, QuotaManager, HARD_LIMIT_OWNERS};
+use super::{Customer, GatewaySet, QuotaManager, GRANTER_COUNT};
 use crate::policy::load_shedding::Familiarity;
 use crate::{CustomerId, Duration, Instant, Request};
 use std::collections::btree_map::Entry;
@@ -68,7 +68,7 @@
         let grant = GrantStatus {
             is_quota_owner: customer.role.is_owner(),
             grant_age: customer.granted_at.map(|granted_at| now.duration_since(granted_at)),
-            hard_limit_is_elsewhere: customer.hard_limit.owners != [own_id; HARD_LIMIT_OWNERS],
+            hard_limit_is_elsewhere: customer.granters != [own_id; GRANTER_COUNT],
         };
         ObservedCustomer { plan: customer.plan as u16, familiarity, grant }
     }
--- a/src/policy/quota/owner_assignment.rs
+++ b/src/policy/quota/owner_assignment.rs
@@ -1,6 +1,6 @@
 //! The assignment of a customer's quota, and of its hard limit, to gateways.
 
-use super::{GatewaySet, QuotaSettings, Role, HARD_LIMIT_OWNERS};
+use super::{GatewaySet, QuotaSettings, Role};
 use crate::state::hash;
 use crate::{CustomerId, Plan};
 
@@ -8,6 +8,9 @@
 /// gateways of the customer, for when no owner answers.
 const POOLED_HARD_LIMIT: f64 = 0.5;
 
+/// Gateways that grant a customer's quota and hold most of its hard limit: two, so that one may be down.
+pub(super) const GRANTER_COUNT: usize = 2;
+
 /// Who owns the quota of a customer. All gateways come to the same result, each by itself.
 pub(super) struct OwnerAssignment {
     /// The gateways that the customer's requests come to.
@@ -16,8 +19,9 @@
     pub quota_owners: Vec<u16>,
     /// Whether this gateway is one of them.
     pub role: Role,
-    /// The two gateways that hold most of its hard limit; the same one twice where it is alone.
-    pub hard_limit_owners: [u16; HARD_LIMIT_OWNERS],
+    /// The two gateways that are asked for grants, whether of its quota or of its hard limit; the same one
+    /// twice where it is alone.
+    pub granters: [u16; GRANTER_COUNT],
     /// The share of the hard limit that is this gateway's own.
     pub hard_limit_fraction: f64,
 }
@@ -31,21 +35,20 @@
         plan: &Plan,
     ) -> OwnerAssignment {
         let (own_id, gateway_count) = (settings.own_id, settings.gateway_count);
-        let hard_limit_owners =
-            owner_positions(id, set.size).map(|position| set.member(position, gateway_count));
-        let mut quota_owners = settings.ownership.owners(set, gateway_count, hard_limit_owners, plan);
+        let granters = granter_positions(id, set.size).map(|position| set.member(position, gateway_count));
+        let mut quota_owners = settings.ownership.owners(set, gateway_count, granters, plan);
         quota_owners.dedup();
         let role = Role::of(own_id, &quota_owners);
-        let owned = hard_limit_owners.iter().filter(|owner| **owner == own_id).count() as f64;
+        let owned = granters.iter().filter(|granter| **granter == own_id).count() as f64;
         let hard_limit_fraction =
-            (1.0 - POOLED_HARD_LIMIT) / set.size + owned * POOLED_HARD_LIMIT / HARD_LIMIT_OWNERS as f64;
-        OwnerAssignment { gateway_set: set, quota_owners, role, hard_limit_owners, hard_limit_fraction }
+            (1.0 - POOLED_HARD_LIMIT) / set.size + owned * POOLED_HARD_LIMIT / GRANTER_COUNT as f64;
+        OwnerAssignment { gateway_set: set, quota_owners, role, granters, hard_limit_fraction }
     }
 }
 
 /// The positions of two different members of a set of so many gateways, drawn by the customer's identifier.
 /// They are the same where the set has but one.
-fn owner_positions(id: CustomerId, set_size: f64) -> [u64; HARD_LIMIT_OWNERS] {
+fn granter_positions(id: CustomerId, set_size: f64) -> [u64; GRANTER_COUNT] {
     let first = (hash(id.0) * set_size) as u64;
     let distance = 1 + (hash(!id.0) * (set_size - 1.0)) as u64;
     [first, first + distance]
--- a/src/policy/quota/owner_assignment/tests.rs
+++ b/src/policy/quota/owner_assignment/tests.rs
@@ -40,7 +40,7 @@
     let fraction = |gateway: &u16| assignments[usize::from(*gateway)].hard_limit_fraction;
     let total: f64 = SET.members(LARGE_FLEET).iter().map(fraction).sum();
     assert!((total - 1.0).abs() < 1e-9, "{total}");
-    let owner = assignments[0].hard_limit_owners[0];
+    let owner = assignments[0].granters[0];
     assert_eq!(fraction(&owner), 0.5 / 20.0 + 0.25);
 }
 
@@ -52,6 +52,6 @@
     let plan = Plan { hard_limit_rate: 5.0, ..plan() };
     let assignment =
         OwnerAssignment::new(&settings, CustomerId(7), GatewaySet { start: 0, size: 1.0 }, &plan);
-    assert_eq!((assignment.quota_owners, assignment.hard_limit_owners), (vec![0], [0, 0]));
+    assert_eq!((assignment.quota_owners, assignment.granters), (vec![0], [0, 0]));
     assert_eq!(assignment.hard_limit_fraction, 1.0);
 }
--- a/src/policy/quota/ownership.rs
+++ b/src/policy/quota/ownership.rs
@@ -1,6 +1,6 @@
 //! Which gateways own the quota of a customer, and all that follows from it.
 
-use super::{GatewaySet, HARD_LIMIT_OWNERS};
+use super::{GatewaySet, GRANTER_COUNT};
 use crate::{Duration, Limits, Plan};
 
 /// Report interval up to which all gateways of a customer own its quota.
@@ -70,20 +70,20 @@
         }
     }
 
-    /// The owners of a customer's quota, of which `hard_limit_owners` hold its hard limit.
+    /// The owners of a customer's quota, of which `granters` are asked for grants.
     pub(super) fn owners(
         self,
         set: GatewaySet,
         gateway_count: u16,
-        hard_limit_owners: [u16; HARD_LIMIT_OWNERS],
+        granters: [u16; GRANTER_COUNT],
         plan: &Plan,
     ) -> Vec<u16> {
         match self {
             Self::AllGateways { .. } => set.members(gateway_count),
             // Two owners of a quota would each have to be told of all usage: it is worth it for a hard limit
             // alone.
-            Self::Designated if plan.hard_limit_rate > 0.0 => hard_limit_owners.to_vec(),
-            Self::Designated => vec![hard_limit_owners[0]],
+            Self::Designated if plan.hard_limit_rate > 0.0 => granters.to_vec(),
+            Self::Designated => vec![granters[0]],
         }
     }
 
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -9,8 +9,8 @@
 const LEVEL_FRESHNESS: Duration = Duration::from_secs(1);
 /// A customer seen within this time is reported to an owner that starts.
 const ACTIVE_CUSTOMER_TIME: Duration = Duration::from_secs(2);
-/// The draw up to which the second of two owners is asked for units of the hard limit.
-const SECOND_OWNER_SHARE: f64 = 0.5;
+/// The draw up to which the second of two granters is asked for units of the hard limit.
+const SECOND_GRANTER_SHARE: f64 = 0.5;
 
 /// Why a customer's usage is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,14 +40,13 @@
 }
 
 impl QuotaManager {
-    /// The owners that are to be told of a customer's usage. A grant is requested of those that hold its hard
-    /// limit.
+    /// The owners that are to be told of a customer's usage. A grant is requested of its granters.
     pub(crate) fn report_recipients(&self, id: CustomerId, purpose: ReportPurpose) -> Vec<ReportRecipient> {
         let Some(customer) = self.customers.get(&id) else { return Vec::new() };
         let retransmissions = self.settings.ownership.report_copies();
         let others = customer.quota_owners.iter().copied().filter(|owner| *owner != self.settings.own_id);
         let recipient = |gateway| {
-            let can_grant = customer.hard_limit.owners.contains(&gateway);
+            let can_grant = customer.granters.contains(&gateway);
             let requests_grant = purpose == ReportPurpose::GrantRequest && can_grant;
             ReportRecipient { gateway, entry: OutboxEntry { retransmissions, requests_grant } }
         };
@@ -71,8 +70,8 @@
         let is_level_known = customer.role.is_owner() || was_granted_lately;
         // One of the two is drawn to grant units of the hard limit: two grants would waste one.
         let draw = hash(now.as_micros() ^ id.0);
-        let drawn_owner = customer.hard_limit.owners[usize::from(draw < SECOND_OWNER_SHARE)];
-        let is_granter = drawn_owner == to || customer.hard_limit.owners.contains(&own_id);
+        let drawn_granter = customer.granters[usize::from(draw < SECOND_GRANTER_SHARE)];
+        let is_granter = drawn_granter == to || customer.granters.contains(&own_id);
         let needs_hard_limit = entry.requests_grant && customer.grant_request.needs_hard_limit;
         Some(UsageReport {
             requests_grant: entry.requests_grant,
--- a/src/policy/quota/reporting/tests.rs
+++ b/src/policy/quota/reporting/tests.rs
@@ -63,7 +63,7 @@
 fn reports_go_to_all_other_owners_and_requests_for_grants_to_two() {
     let mut small = manager(SMALL_FLEET);
     let customer = customer_owned(&mut small, RATE_QUOTA, true);
-    let holders = small.customers[&customer].hard_limit.owners;
+    let holders = small.customers[&customer].granters;
     let recipients = small.report_recipients(customer, ReportPurpose::GrantRequest);
     assert!(recipients.iter().map(|recipient| recipient.gateway).eq([1, 2]));
     for recipient in recipients {
@@ -99,7 +99,7 @@
     let customer = customer_owned(&mut manager, HARD_LIMIT, false);
     let waiting = request(customer, HARD_LIMIT, 1.0);
     manager.await_grant(START, &waiting, GrantScope::QuotaAndHardLimit, GrantTiming::AtOnce);
-    let owners = manager.customers[&customer].hard_limit.owners;
+    let owners = manager.customers[&customer].granters;
     let entry = OutboxEntry { retransmissions: 1, requests_grant: true };
     let mut drawn_first = 0;
     for millis in 0..100 {
