--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -2,7 +2,7 @@
 //! changes, and tells its peers.
 
 use crate::policy::{
-    AnswerFacts, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, Source, REJECTION_LATENCY_RATIO,
+    AnswerFacts, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, Source, REJECTION_NORMAL_RATIO,
 };
 use crate::{AttemptEnded, BackendId, Gateway, Instant};
 
@@ -19,7 +19,7 @@
         }
         if evidence == Evidence::Rejection {
             backend.reported_queue.record_rejection(self.fleet_size);
-            return self.record_pressure(REJECTION_LATENCY_RATIO);
+            return self.record_pressure(REJECTION_NORMAL_RATIO);
         }
         let latency_micros = (evidence == Evidence::Success).then_some(ended.elapsed.as_micros_f64());
         let observation = Observation { backend: ended.backend, class, latency_micros, source: Source::Own };
@@ -46,8 +46,8 @@
         let Some(latency_micros) = latency_micros.filter(|_| self.now != self.resumed_at) else { return };
         let Some(backend) = self.backends.get_mut(backend) else { return };
         let facts = AnswerFacts { now: self.now, class, latency_micros, source };
-        let latency_ratio = self.outlier_detector.record_answer(&mut backend.health, &facts);
-        self.record_pressure(latency_ratio);
+        let normal_ratio = self.outlier_detector.record_answer(&mut backend.health, &facts);
+        self.record_pressure(normal_ratio);
     }
 
     /// Queues a sample of an observation for the peers, where gateways tell each other of them.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -58,7 +58,7 @@
             let Some(backend) = self.backends.by_tag(sample.backend_tag) else { continue };
             let Some(settings) = self.settings.classes.get(class) else { continue };
             let objective_micros = settings.latency_objective.as_micros_f64();
-            let latency_micros = sample.relative_latency.map(|relative| relative * objective_micros);
+            let latency_micros = sample.objective_ratio.map(|ratio| ratio * objective_micros);
             let source = Source::Peer;
             self.record_peer_observation(&Observation { backend, class, latency_micros, source });
         }
--- a/src/gossip/encoding.rs
+++ b/src/gossip/encoding.rs
@@ -136,7 +136,7 @@
     fn encode(&self, writer: &mut ByteWriter) {
         writer.u24(self.backend_tag);
         let class = self.class.min(MAX_CLASS as u8);
-        writer.u8(class << LATENCY_STEP_BITS | latency_step(self.relative_latency));
+        writer.u8(class << LATENCY_STEP_BITS | latency_step(self.objective_ratio));
     }
 
     /// Reads what [`Self::encode`] wrote; none if it is cut off.
@@ -144,8 +144,8 @@
         let backend_tag = reader.u24()?;
         let class_and_step = reader.u8()?;
         let class = class_and_step >> LATENCY_STEP_BITS;
-        let relative_latency = latency_of_step(class_and_step & LATENCY_STEP_MASK);
-        Some(LatencySample { backend_tag, class, relative_latency })
+        let objective_ratio = latency_of_step(class_and_step & LATENCY_STEP_MASK);
+        Some(LatencySample { backend_tag, class, objective_ratio })
     }
 }
 
--- a/src/gossip/encoding/tests.rs
+++ b/src/gossip/encoding/tests.rs
@@ -41,8 +41,8 @@
     ] {
         for count in 0..=MAX_SAMPLES {
             let success =
-                LatencySample { backend_tag: backend_tag(77), class: 6, relative_latency: Some(0.5) };
-            let failure = LatencySample { relative_latency: None, ..success };
+                LatencySample { backend_tag: backend_tag(77), class: 6, objective_ratio: Some(0.5) };
+            let failure = LatencySample { objective_ratio: None, ..success };
             let samples = [success, failure, success].into_iter().cycle().take(count).collect();
             let message = Message { incarnation: 77, sequence: 3, samples, body: body.clone() };
             let bytes = message.encode();
@@ -74,8 +74,8 @@
     };
     let plain =
         UsageReport { requests_grant: false, needs_hard_limit_grant: false, in_flight: 200, ..report };
-    let success = LatencySample { backend_tag: 0x00AB_CDEF, class: 6, relative_latency: Some(0.5) };
-    let failure = LatencySample { relative_latency: None, class: 9, ..success };
+    let success = LatencySample { backend_tag: 0x00AB_CDEF, class: 6, objective_ratio: Some(0.5) };
+    let failure = LatencySample { objective_ratio: None, class: 9, ..success };
     let message = Message {
         incarnation: 0x1122_3344,
         sequence: 0x5566,
@@ -143,9 +143,9 @@
 /// fails.
 #[test]
 fn relative_latencies_have_these_bytes() {
-    let byte = |relative_latency| {
+    let byte = |objective_ratio| {
         let mut writer = ByteWriter::default();
-        LatencySample { backend_tag: 0, class: 0, relative_latency }.encode(&mut writer);
+        LatencySample { backend_tag: 0, class: 0, objective_ratio }.encode(&mut writer);
         writer.finish()[3]
     };
     let latencies = [0.0, 0.01, 0.03125, 0.04, 0.1, 0.3, 0.9, 1.0, 1.1, 2.0, 3.0, 100.0];
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -162,9 +162,9 @@
 
     /// Puts a sample before older ones, failures before others; the last ones go where there are too many.
     pub fn queue_sample(&mut self, sample: LatencySample, retransmissions: u8) {
-        let is_failure = |queued: &&QueuedSample| queued.sample.relative_latency.is_none();
+        let is_failure = |queued: &&QueuedSample| queued.sample.objective_ratio.is_none();
         let failures = self.latency_samples.iter().filter(is_failure).count();
-        let position = if sample.relative_latency.is_none() { 0 } else { failures };
+        let position = if sample.objective_ratio.is_none() { 0 } else { failures };
         self.latency_samples.insert(position, QueuedSample { retransmissions, sample });
         self.latency_samples.truncate(MAX_SAMPLES);
     }
--- a/src/gossip/exchange/tests.rs
+++ b/src/gossip/exchange/tests.rs
@@ -18,8 +18,8 @@
     Body::UsageReports(Vec::new())
 }
 
-fn sample(relative_latency: Option<f64>) -> LatencySample {
-    LatencySample { backend_tag: 1, class: 0, relative_latency }
+fn sample(objective_ratio: Option<f64>) -> LatencySample {
+    LatencySample { backend_tag: 1, class: 0, objective_ratio }
 }
 
 /// A peer's messages are handled once each, in their order. A repeat, what is not a message, and what comes
@@ -103,7 +103,7 @@
     here.queue_sample(sample(None), 1);
     let mut latencies_sent = || {
         let message = Message::decode(&here.next_message(START, 1, empty())).expect("a message");
-        message.samples.iter().map(|sample| sample.relative_latency).collect::<Vec<_>>()
+        message.samples.iter().map(|sample| sample.objective_ratio).collect::<Vec<_>>()
     };
     assert_eq!(latencies_sent(), [None, Some(1.0)]);
     assert_eq!(latencies_sent(), [Some(1.0)]);
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -58,7 +58,7 @@
     /// The request's class.
     pub class: u8,
     /// Latency as a share of the class's latency objective; none if no answer or an error came.
-    pub relative_latency: Option<f64>,
+    pub objective_ratio: Option<f64>,
 }
 
 /// What a message is about, besides latency samples.
--- a/src/gossip/units.rs
+++ b/src/gossip/units.rs
@@ -70,8 +70,8 @@
 }
 
 /// The step, in five bits, for a latency as a share of the objective; none is a failure.
-pub(super) fn latency_step(relative_latency: Option<f64>) -> u8 {
-    let Some(latency) = relative_latency else { return FAILURE_STEP };
+pub(super) fn latency_step(objective_ratio: Option<f64>) -> u8 {
+    let Some(latency) = objective_ratio else { return FAILURE_STEP };
     let octaves = latency.max(SMALLEST).log2() + OCTAVES_BELOW_OBJECTIVE;
     (octaves * LATENCY_STEPS_PER_OCTAVE).round().clamp(0.0, LAST_LATENCY_STEP) as u8
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -24,7 +24,7 @@
 };
 pub(crate) use outlier_detection::{
     AnswerFacts, BackendHealth, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, OutlierDetector,
-    SilenceVerdict, Source, REJECTION_LATENCY_RATIO,
+    SilenceVerdict, Source, REJECTION_NORMAL_RATIO,
 };
 pub(crate) use pressure::Pressure;
 pub(crate) use reasons::{EjectionReason, RejectReason};
--- a/src/policy/outlier_detection/observation.rs
+++ b/src/policy/outlier_detection/observation.rs
@@ -46,7 +46,7 @@
         Some(LatencySample {
             backend_tag: backend_tag(self.backend.0),
             class: self.class as u8,
-            relative_latency: self.latency_micros.map(|latency| latency / objective_micros),
+            objective_ratio: self.latency_micros.map(|latency| latency / objective_micros),
         })
     }
 
--- a/src/policy/outlier_detection/observation/tests.rs
+++ b/src/policy/outlier_detection/observation/tests.rs
@@ -15,7 +15,7 @@
 #[test]
 fn peers_get_the_latency_as_a_share_of_the_objective() {
     let sample = observation(3, Some(200_000.0)).to_sample(OBJECTIVE).expect("the class can be named");
-    let expected = LatencySample { backend_tag: backend_tag(7), class: 3, relative_latency: Some(0.5) };
+    let expected = LatencySample { backend_tag: backend_tag(7), class: 3, objective_ratio: Some(0.5) };
     assert_eq!(sample, expected);
 }
 
@@ -24,7 +24,7 @@
 #[test]
 fn failures_are_sent_more_often() {
     let (success, failure) = (observation(0, Some(1.0)), observation(0, None));
-    assert_eq!(failure.to_sample(OBJECTIVE).map(|sample| sample.relative_latency), Some(None));
+    assert_eq!(failure.to_sample(OBJECTIVE).map(|sample| sample.objective_ratio), Some(None));
     assert!(failure.retransmissions() > success.retransmissions());
 }
 
