--- a/src/action.rs
+++ b/src/action.rs
@@ -49,8 +49,10 @@
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Subscribe to discovery, or no longer.
-    WatchEndpoints(bool),
+    /// Poll discovery once, now.
+    ///
+    /// The ingress follows a schedule of its own and ignores this.
+    PollDiscovery,
     /// A line for the log.
     ///
     /// Changes of the shedding stage alone are logged by an action, so that the simulator, which shows the
--- a/src/bin/ingress/event_loop/actions.rs
+++ b/src/bin/ingress/event_loop/actions.rs
@@ -32,7 +32,7 @@
                 }
             }
             // The watch is always on.
-            Action::WatchEndpoints(_) => {}
+            Action::PollDiscovery => {}
             Action::Log(line) => tracing::info!(target: logging::UNTITLED, "{line}"),
         }
     }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -25,7 +25,7 @@
 //! | `ProbeDone`, `Reckoned` | [`Event::Unused`] |
 //! | `Deliver`, `Revoke` | [`Action::Send`], [`Action::Cancel`] |
 //! | `TurnAway` with `pause_us` | [`Action::Reject`] with `retry_after` |
-//! | `Listen`, `Record` | [`Action::WatchEndpoints`], [`Action::Log`] |
+//! | `Listen`, `Record` | [`Action::PollDiscovery`], [`Action::Log`] |
 //!
 //! [`Event::Request`]: ingress::Event::Request
 //! [`Event::AttemptEnded`]: ingress::Event::AttemptEnded
@@ -39,7 +39,7 @@
 //! [`Action::Send`]: ingress::Action::Send
 //! [`Action::Cancel`]: ingress::Action::Cancel
 //! [`Action::Reject`]: ingress::Action::Reject
-//! [`Action::WatchEndpoints`]: ingress::Action::WatchEndpoints
+//! [`Action::PollDiscovery`]: ingress::Action::PollDiscovery
 //! [`Action::Log`]: ingress::Action::Log
 
 mod batch;
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -10,6 +10,8 @@
 pub const ACTION_SIZE: usize = 32;
 /// The receiver of a message to all peers.
 const ALL_PEERS: GatewayId = GatewayId(u16::MAX);
+/// The value of the byte that the simulator's record has for a poll of discovery.
+const POLL_NOW: u8 = 1;
 
 /// The codes of actions, with their names on the wire.
 mod code {
@@ -28,7 +30,7 @@
     /// `Record`.
     pub const LOG: u8 = 90;
     /// `Listen`.
-    pub const WATCH_ENDPOINTS: u8 = 110;
+    pub const POLL_DISCOVERY: u8 = 110;
 }
 
 /// A reply under construction.
@@ -82,8 +84,8 @@
                 self.write_tail(record, bytes);
             }
             Action::Log(text) => self.write_tail(record, text.as_bytes()),
-            Action::WatchEndpoints(on) => {
-                record.u8(u8::from(*on));
+            Action::PollDiscovery => {
+                record.u8(POLL_NOW);
             }
         }
     }
@@ -117,6 +119,6 @@
         Action::SetTimer { .. } => code::SET_TIMER,
         Action::SendToPeer { .. } => code::SEND_TO_PEER,
         Action::Log(_) => code::LOG,
-        Action::WatchEndpoints(_) => code::WATCH_ENDPOINTS,
+        Action::PollDiscovery => code::POLL_DISCOVERY,
     }
 }
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -31,7 +31,7 @@
         (80, Action::SendToPeer { to: Some(GatewayId(2)), bytes: vec![8, 9] }, vec![(3, 2), (5, 0), (9, 2)]),
         (80, Action::SendToPeer { to: None, bytes: vec![7] }, vec![(3, 255), (4, 255), (5, 2), (9, 1)]),
         (90, Action::Log("abc".into()), vec![(3, 3), (7, 3)]),
-        (110, Action::WatchEndpoints(true), vec![(3, 1)]),
+        (110, Action::PollDiscovery, vec![(3, 1)]),
     ];
     let mut reply = Reply::new(5);
     let list: Vec<Action> = actions.iter().map(|(_, action, _)| action.clone()).collect();
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -23,7 +23,7 @@
         let max_interval = self.settings.rules.max_poll_interval;
         let is_polled = self.settings.discovery == Discovery::Poll;
         if is_polled && self.periodic_poll.take_due(self.now, max_interval) {
-            actions.push(Action::WatchEndpoints(true));
+            actions.push(Action::PollDiscovery);
         }
     }
 
--- a/tests/decision_digest/digest.rs
+++ b/tests/decision_digest/digest.rs
@@ -32,7 +32,7 @@
                 1 => self.quota_grants += 1,
                 body => panic!("a message with the unknown body {body}"),
             },
-            Action::WatchEndpoints(_) => self.watches += 1,
+            Action::PollDiscovery => self.watches += 1,
             Action::Log(_) => self.logs += 1,
         }
     }
@@ -91,7 +91,7 @@
                 self.fold_numbers(&[5, delay.as_micros(), u64::from(*token)]);
             }
             Action::SendToPeer { to, bytes } => self.fold_message(to.map(|peer| peer.0), bytes),
-            Action::WatchEndpoints(on) => self.fold_numbers(&[7, u64::from(*on)]),
+            Action::PollDiscovery => self.fold_numbers(&[7, 1]),
             Action::Log(_) => self.fold_numbers(&[8]),
         }
     }
--- a/tests/decision_digest/fleet.rs
+++ b/tests/decision_digest/fleet.rs
@@ -226,7 +226,7 @@
                 self.schedule(delay, gateway, HostEvent::Timer { restarts, token });
             }
             Action::SendToPeer { to, bytes } => self.deliver_message(gateway, to, bytes),
-            Action::WatchEndpoints(true) => {
+            Action::PollDiscovery => {
                 let kind = if self.random.percent(25) {
                     EndpointUpdate::PollFailed
                 } else {
@@ -235,7 +235,7 @@
                 let event = endpoint_event(kind, self.elapsed(), self.size);
                 self.schedule(MILLISECOND * 30, gateway, HostEvent::GatewayEvent(event));
             }
-            _ => {}
+            Action::Log(_) => {}
         }
     }
 
