--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -79,7 +79,7 @@
             arrivals: ArrivalClock::new(now),
             now,
             tick: settings.tick,
-            polls_discovery: settings.discovery == Discovery::Poll,
+            polls_discovery: settings.discovery == Discovery::SharedService,
             connect_timeout: settings.limits.connect_timeout,
             auditor: Auditor::new(AuditRules::new(&settings)),
             counters: Counters::default(),
@@ -178,9 +178,9 @@
 /// How polls of discovery are retried: it is shared by all gateways, or an agent on this machine.
 fn discovery_backoff(settings: &Settings) -> Backoff {
     match settings.discovery {
-        Discovery::Poll => {
+        Discovery::SharedService => {
             Backoff::shared_service(settings.rules.max_poll_interval, u64::from(settings.gateway_count))
         }
-        Discovery::Push => Backoff::LOCAL_AGENT,
+        Discovery::LocalAgent => Backoff::LOCAL_AGENT,
     }
 }
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -21,7 +21,7 @@
     /// Asks the host to poll discovery when that is due, where the list does not come by itself.
     pub(crate) fn poll_discovery(&mut self, actions: &mut Vec<Action>) {
         let max_interval = self.settings.rules.max_poll_interval;
-        let is_polled = self.settings.discovery == Discovery::Poll;
+        let is_polled = self.settings.discovery == Discovery::SharedService;
         if is_polled && self.periodic_poll.take_due(self.now, max_interval) {
             actions.push(Action::PollDiscovery);
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -118,14 +118,15 @@
     pub max_poll_interval: Duration,
 }
 
-/// How the endpoint list is delivered.
+/// Where the endpoint list comes from. The ingress makes long polls in both cases, by different
+/// [`PollTimings`](crate::discovery_schedule::PollTimings).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Discovery {
-    /// It is pushed: a watch delivers each change.
+    /// An agent on the same host, which has each change at once. The simulator delivers its changes unasked.
     #[default]
-    Push,
-    /// It has to be polled.
-    Poll,
+    LocalAgent,
+    /// A service that all gateways share. The simulator polls it when a gateway asks it to.
+    SharedService,
 }
 
 /// What the `size` of an endpoint means.
@@ -159,7 +160,7 @@
     pub limits: Limits,
     /// The figures of the rules.
     pub rules: Rules,
-    /// How the endpoint list is delivered.
+    /// Where the endpoint list comes from.
     pub discovery: Discovery,
     /// What the sizes of endpoints mean.
     pub size_meaning: SizeMeaning,
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -21,7 +21,7 @@
 //! | `limits.max_open` | `max_open_requests` |
 //! | `rules.cold_from`, `cold_us` | `slow_start_floor`, `slow_start_duration` |
 //! | `rules.fall_us`, `must_ask_in_us` | `overload_window`, `max_poll_interval` |
-//! | `membership_mode`: `push`, `ask` | [`Discovery`]: push, poll |
+//! | `membership_mode`: `push`, `ask` | [`Discovery`]: local agent, shared service |
 //! | `weights`: `none`, `nominal` or `rough`, `live` | [`SizeMeaning`]: none, capacity, live |
 //! | `n_instances`, `slot_no` | `gateway_count`, `own_id` |
 //! | `skus` | machine types |
@@ -134,7 +134,8 @@
     ///
     /// # Errors
     ///
-    /// If the count of the classes is missing or wrong, a class has no name, or there is one beyond the count.
+    /// If the count of the classes is missing or wrong, a class has no name, or there is one beyond the
+    /// count.
     pub fn class_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.names(CLASSES)
     }
@@ -283,12 +284,12 @@
         })
     }
 
-    /// How the endpoint list is delivered.
+    /// Where the endpoint list comes from.
     fn discovery(&self) -> Result<Discovery, SettingsError> {
         let key = "membership_mode";
         match self.0.text(key)? {
-            "ask" => Ok(Discovery::Poll),
-            "push" => Ok(Discovery::Push),
+            "ask" => Ok(Discovery::SharedService),
+            "push" => Ok(Discovery::LocalAgent),
             other => Err(SettingsError::unknown_value(key, other)),
         }
     }
--- a/tests/decision_digest/deployment.rs
+++ b/tests/decision_digest/deployment.rs
@@ -86,7 +86,7 @@
             ..limits()
         },
         rules: rules(),
-        discovery: if single { Discovery::Poll } else { Discovery::Push },
+        discovery: if single { Discovery::SharedService } else { Discovery::LocalAgent },
         size_meaning: if single { SizeMeaning::Capacity } else { SizeMeaning::None },
         postpaid: single,
     }
