--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -4,7 +4,7 @@
 use crate::report::Report;
 use crate::simulation::{EventQueue, SECOND, START};
 use crate::statistics::quantile;
-use ingress::discovery_schedule::{Backoff, FailedPoll, PollSchedule};
+use ingress::discovery_schedule::{FailedPoll, PollSchedule, PollTimings};
 use ingress::{Duration, Instant};
 use serde::{Deserialize, Serialize};
 
@@ -184,8 +184,8 @@
             recovery: Recovery::default(),
         };
         for number in 0..outage.ingresses {
-            let backoff = Backoff::shared_service(MAX_POLL_INTERVAL, outage.ingresses);
-            let mut schedule = PollSchedule::new(backoff, outage.seed << 32 | number);
+            let timings = PollTimings::shared_service(MAX_POLL_INTERVAL, outage.ingresses);
+            let mut schedule = PollSchedule::new(timings, outage.seed << 32 | number);
             let first_poll = if number % 10 < outage.killed_of_ten {
                 schedule.first_poll_at(restarted_at)
             } else {
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -7,7 +7,7 @@
 use super::poll::{parse_response, PollRequest, PollResponse};
 use super::{EndpointList, LocationNames, PollError};
 use crate::error_chain::ErrorChain;
-use ingress::discovery_schedule::{Backoff, FailedPoll, NextPoll, PollSchedule};
+use ingress::discovery_schedule::{FailedPoll, NextPoll, PollSchedule, PollTimings};
 use ingress::{Duration, Instant};
 use mio::{Registry, Token};
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
 /// How a watch polls.
 pub struct WatchOptions {
     /// The timeouts and delays of its polls.
-    pub backoff: Backoff,
+    pub timings: PollTimings,
     /// The most bytes of a response's body.
     pub max_body_bytes: usize,
     /// The seed of the jitter.
@@ -86,7 +86,7 @@
         token: Token,
         options: WatchOptions,
     ) -> Self {
-        let mut schedule = PollSchedule::new(options.backoff, options.seed);
+        let mut schedule = PollSchedule::new(options.timings, options.seed);
         let next_timer_at = schedule.first_poll_at(options.now);
         Watch {
             address,
@@ -181,14 +181,14 @@
         self.response_due_at = now + response_timeout;
         // The long timeout of a watch counts once the request is written. A connection that is not
         // established by the short one is closed, since the system would retry it ever more seldom.
-        let request_due_at = now + self.schedule.backoff.response_timeout;
+        let request_due_at = now + self.schedule.timings.response_timeout;
         self.next_timer_at = self.response_due_at.min(request_due_at);
         self.flush(now)
     }
 
     /// The request of the next poll, and how long its response is waited for.
     fn next_request(&mut self) -> NextRequest {
-        let response_timeout = self.schedule.backoff.response_timeout;
+        let response_timeout = self.schedule.timings.response_timeout;
         let Some(since) = self.index else {
             return NextRequest { request: PollRequest::Snapshot, response_timeout };
         };
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -27,7 +27,7 @@
     let watch = |seed| {
         let options = WatchOptions {
             max_body_bytes: MAX_BODY_BYTES,
-            backoff: Backoff::shared_service(MAX_POLL_INTERVAL, 100),
+            timings: PollTimings::shared_service(MAX_POLL_INTERVAL, 100),
             seed,
             now,
         };
@@ -50,7 +50,7 @@
     }
     assert!(most_at_once(&watches) <= Some(25), "second polls in a tenth of a second");
     let options =
-        WatchOptions { max_body_bytes: MAX_BODY_BYTES, backoff: Backoff::LOCAL_AGENT, seed: 7, now };
+        WatchOptions { max_body_bytes: MAX_BODY_BYTES, timings: PollTimings::LOCAL_AGENT, seed: 7, now };
     let agent = Watch::new(([127, 0, 0, 1], 1).into(), location_names(), 0, Token(0), options);
     assert_eq!(agent.next_timer_at, now, "an agent on the same host is polled at once");
 }
@@ -65,9 +65,9 @@
 }
 
 impl WatchRig {
-    fn new(backoff: Backoff) -> WatchRig {
+    fn new(timings: PollTimings) -> WatchRig {
         let (listener, now) = (std::net::TcpListener::bind("127.0.0.1:0").unwrap(), START);
-        let options = WatchOptions { max_body_bytes: MAX_BODY_BYTES, backoff, seed: 7, now };
+        let options = WatchOptions { max_body_bytes: MAX_BODY_BYTES, timings, seed: 7, now };
         let watch = Watch::new(listener.local_addr().unwrap(), location_names(), 41, Token(0), options);
         let mut rig = WatchRig { watch, poll: mio::Poll::new().unwrap(), listener, now, lists: Vec::new() };
         rig.run_timer();
@@ -130,12 +130,12 @@
 /// new poll has to be open before that time.
 #[test]
 fn a_watch_that_falls_silent_is_open_again_before_what_it_missed_counts_as_delivered() {
-    for backoff in [
-        Backoff::LOCAL_AGENT,
-        Backoff::shared_service(MAX_POLL_INTERVAL, 6),
-        Backoff::shared_service(Duration::from_millis(500), 300),
+    for timings in [
+        PollTimings::LOCAL_AGENT,
+        PollTimings::shared_service(MAX_POLL_INTERVAL, 6),
+        PollTimings::shared_service(Duration::from_millis(500), 300),
     ] {
-        let mut rig = WatchRig::new(backoff);
+        let mut rig = WatchRig::new(timings);
         let mut silent = rig.accept();
         let timeout = rig.read_poll(&mut silent);
         let delivered_at = rig.now + (timeout + Duration::from_secs(2)).max(Duration::from_secs(6));
@@ -155,7 +155,7 @@
 /// the first.
 #[test]
 fn a_second_silence_in_a_row_is_detected_within_the_time_of_the_first() {
-    let mut rig = WatchRig::new(Backoff::LOCAL_AGENT);
+    let mut rig = WatchRig::new(PollTimings::LOCAL_AGENT);
     let started_at = rig.now;
     for _ in 0..2 {
         let mut silent = rig.accept();
@@ -176,7 +176,7 @@
 /// would get requests for longer than it may.
 #[test]
 fn an_agent_that_stays_away_is_retried_within_a_grace_period() {
-    let mut rig = WatchRig::new(Backoff::LOCAL_AGENT);
+    let mut rig = WatchRig::new(PollTimings::LOCAL_AGENT);
     for _ in 0..20 {
         drop(rig.accept());
         let failed_at = rig.now;
@@ -194,7 +194,7 @@
 /// dropped with their connection.
 #[test]
 fn what_comes_between_two_polls_is_no_part_of_the_next_response() {
-    let mut rig = WatchRig::new(Backoff::LOCAL_AGENT);
+    let mut rig = WatchRig::new(PollTimings::LOCAL_AGENT);
     let mut first = rig.accept();
     rig.read_poll(&mut first);
     rig.respond(&mut first, 41);
@@ -329,7 +329,7 @@
     fn watch(&self, number: u64, now: Instant) -> Watch {
         let options = WatchOptions {
             max_body_bytes: MAX_BODY_BYTES,
-            backoff: Backoff::shared_service(MAX_POLL_INTERVAL, self.ingress_count),
+            timings: PollTimings::shared_service(MAX_POLL_INTERVAL, self.ingress_count),
             seed: self.seed * 100_000 + number,
             now,
         };
@@ -427,7 +427,7 @@
     for seed in 0..20 {
         let options = WatchOptions {
             max_body_bytes: MAX_BODY_BYTES,
-            backoff: Backoff::shared_service(MAX_POLL_INTERVAL, 300),
+            timings: PollTimings::shared_service(MAX_POLL_INTERVAL, 300),
             seed,
             now: START,
         };
@@ -441,7 +441,7 @@
             watch.connection = Some(connection);
             watch.response_due_at = started_at + Duration::from_secs(30);
             watch.next_timer_at =
-                watch.response_due_at.min(started_at + watch.schedule.backoff.response_timeout);
+                watch.response_due_at.min(started_at + watch.schedule.timings.response_timeout);
             assert!(watch.next_timer_at <= started_at + Duration::from_secs(3));
             watch.fail(watch.next_timer_at, &PollError::TimedOut);
             let gap = watch.next_timer_at.duration_since(started_at);
@@ -490,7 +490,7 @@
 fn however_polls_fail_the_next_one_comes_within_five_seconds() {
     for failure in PollFailure::ALL {
         let response = failure.response();
-        let mut rig = WatchRig::new(Backoff::shared_service(MAX_POLL_INTERVAL, 2900));
+        let mut rig = WatchRig::new(PollTimings::shared_service(MAX_POLL_INTERVAL, 2900));
         if failure == PollFailure::Refused {
             rig.listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             // the first one refuses from now on
@@ -534,7 +534,7 @@
 /// next poll needs a connection of its own.
 #[test]
 fn a_connection_with_a_request_half_written_is_not_used_again() {
-    let mut rig = WatchRig::new(Backoff::LOCAL_AGENT);
+    let mut rig = WatchRig::new(PollTimings::LOCAL_AGENT);
     let mut stream = rig.accept();
     rig.read_poll(&mut stream);
     // More than the socket takes while nobody reads.
@@ -551,7 +551,7 @@
 /// went on; a request for the whole list has to stay pending.
 #[test]
 fn a_configuration_with_the_same_address_keeps_the_snapshot_that_is_pending() {
-    let mut rig = WatchRig::new(Backoff::LOCAL_AGENT);
+    let mut rig = WatchRig::new(PollTimings::LOCAL_AGENT);
     let mut watched = rig.accept();
     rig.read_poll(&mut watched);
     let address = rig.listener.local_addr().unwrap();
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -18,7 +18,7 @@
 use crate::reload::Reload;
 use crate::start_retry::StartRetry;
 use ingress::audit::{AuditRules, Auditor};
-use ingress::discovery_schedule::Backoff;
+use ingress::discovery_schedule::PollTimings;
 use ingress::{Discovery, Duration, EndpointUpdate, Gateway, Instant, Settings, StartTimes};
 use mio::net::TcpListener;
 use mio::{Interest, Poll, Registry, Token};
@@ -125,7 +125,7 @@
 /// How the watch on the endpoint list behaves.
 fn watch_options(config: &Config, now: Instant) -> WatchOptions {
     WatchOptions {
-        backoff: discovery_backoff(&config.settings),
+        timings: poll_timings(&config.settings),
         max_body_bytes: max_body_bytes(config.max_memory),
         seed: config.seed,
         now,
@@ -176,11 +176,11 @@
 }
 
 /// How polls of discovery are retried: it is shared by all gateways, or an agent on this machine.
-fn discovery_backoff(settings: &Settings) -> Backoff {
+fn poll_timings(settings: &Settings) -> PollTimings {
     match settings.discovery {
         Discovery::SharedService => {
-            Backoff::shared_service(settings.rules.max_poll_interval, u64::from(settings.gateway_count))
+            PollTimings::shared_service(settings.rules.max_poll_interval, u64::from(settings.gateway_count))
         }
-        Discovery::LocalAgent => Backoff::LOCAL_AGENT,
+        Discovery::LocalAgent => PollTimings::LOCAL_AGENT,
     }
 }
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -34,9 +34,9 @@
     max: Duration,
 }
 
-/// How polls are made, and when those that failed are retried.
+/// How long polls wait, when those that failed are retried, and over how long first polls are spread.
 #[derive(Clone, Copy, Debug)]
-pub struct Backoff {
+pub struct PollTimings {
     /// How long one poll waits for a change.
     pub poll_timeout: Duration,
     /// How long a connection may take to be established, and the response to a poll that does not wait, until
@@ -49,12 +49,12 @@
     spread: Duration,
 }
 
-impl Backoff {
+impl PollTimings {
     /// Polls of an agent on the same host, which knows every change already. They wait for a short time,
     /// since a silent connection can only be detected once this is over. What the agent has counts as
     /// delivered whether or not a poll is pending, so no delay may last as long as the grace period of a
     /// change.
-    pub const LOCAL_AGENT: Backoff = Backoff {
+    pub const LOCAL_AGENT: PollTimings = PollTimings {
         poll_timeout: Duration::from_secs(2),
         response_timeout: Duration::from_secs(1),
         retry_delays: RetryDelays { initial: Duration::from_millis(50), max: Duration::from_millis(100) },
@@ -65,8 +65,8 @@
     /// have been given up, so a queue that is full after a mass restart empties only if rejected ingresses
     /// stay away as long as the rule lets them. `max_poll_interval` is the time of the settings within which
     /// discovery must be polled.
-    pub fn shared_service(max_poll_interval: Duration, ingress_count: u64) -> Backoff {
-        Backoff {
+    pub fn shared_service(max_poll_interval: Duration, ingress_count: u64) -> PollTimings {
+        PollTimings {
             poll_timeout: (max_poll_interval * 2).clamp(Self::LOCAL_AGENT.poll_timeout, MAX_POLL_TIMEOUT),
             response_timeout: Duration::from_secs(3),
             retry_delays: RetryDelays { initial: Duration::from_secs(1), max: Duration::from_secs(8) },
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug)]
 pub struct PollSchedule {
     /// How polls are made.
-    pub backoff: Backoff,
+    pub timings: PollTimings,
     /// The middle of the delay after the next failure.
     next_delay: Duration,
     /// Draws the jitter.
@@ -108,10 +108,10 @@
 
 impl PollSchedule {
     /// The schedule of a process that starts.
-    pub fn new(backoff: Backoff, seed: u64) -> PollSchedule {
+    pub fn new(timings: PollTimings, seed: u64) -> PollSchedule {
         PollSchedule {
-            backoff,
-            next_delay: backoff.retry_delays.initial,
+            timings,
+            next_delay: timings.retry_delays.initial,
             random: fastrand::Rng::with_seed(seed),
             is_failing: false,
         }
@@ -124,7 +124,7 @@
 
     /// How long the next poll waits for a change.
     pub fn next_poll_timeout(&mut self) -> Duration {
-        self.jittered(self.backoff.poll_timeout).min(MAX_POLL_TIMEOUT)
+        self.jittered(self.timings.poll_timeout).min(MAX_POLL_TIMEOUT)
     }
 
     /// Records a failure now, of the poll that was pending, if one was, and schedules the next poll.
@@ -134,7 +134,7 @@
         let is_first_failure = !std::mem::replace(&mut self.is_failing, true);
         let spread = if is_first_failure { self.spread() } else { Duration::ZERO };
         let at = (now + self.jittered(self.next_delay) + spread).min(latest).max(now);
-        self.next_delay = (self.next_delay * 2).min(self.backoff.retry_delays.max);
+        self.next_delay = (self.next_delay * 2).min(self.timings.retry_delays.max);
         NextPoll { at, is_first_failure }
     }
 
@@ -142,7 +142,7 @@
     /// that failed before it was one may have missed them from its start.
     fn unobserved_since(&self, now: Instant, pending: Option<FailedPoll>) -> Instant {
         let Some(poll) = pending else { return now };
-        let failed_early = now <= poll.started_at + self.backoff.response_timeout;
+        let failed_early = now <= poll.started_at + self.timings.response_timeout;
         if self.is_failing || !poll.request_sent || failed_early {
             poll.started_at
         } else {
@@ -152,13 +152,13 @@
 
     /// Records a successful poll. Returns whether polls had failed before.
     pub fn on_success(&mut self) -> bool {
-        self.next_delay = self.backoff.retry_delays.initial;
+        self.next_delay = self.timings.retry_delays.initial;
         std::mem::take(&mut self.is_failing)
     }
 
     /// Starts the delays from the first one again.
     pub fn reset(&mut self) {
-        self.next_delay = self.backoff.retry_delays.initial;
+        self.next_delay = self.timings.retry_delays.initial;
     }
 
     /// A time drawn between half of `middle` and half as much again: many ingresses start, fail and reach the
@@ -171,7 +171,7 @@
 
     /// The part of one ingress in the time over which polls at one moment are spread.
     fn spread(&mut self) -> Duration {
-        Duration::from_micros(self.random.u64(0..=self.backoff.spread.as_micros()))
+        Duration::from_micros(self.random.u64(0..=self.timings.spread.as_micros()))
     }
 }
 
--- a/src/policy/discovery_schedule/tests.rs
+++ b/src/policy/discovery_schedule/tests.rs
@@ -25,7 +25,7 @@
 /// after the failed poll began.
 #[test]
 fn failed_polls_are_repeated_within_the_rule() {
-    let mut schedule = PollSchedule::new(Backoff::shared_service(MAX_INTERVAL, 300), 7);
+    let mut schedule = PollSchedule::new(PollTimings::shared_service(MAX_INTERVAL, 300), 7);
     let mut now = NOW;
     for attempt in 0..20 {
         let pending = FailedPoll { started_at: now, request_sent: false };
