--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -29,7 +29,10 @@
     pub needs_hard_limit_grant: bool,
 }
 
-/// What an owner of a customer's quota knows of it: the answer to a [`UsageReport`] that requests a grant.
+/// An owner's answer to a [`UsageReport`] that requests a grant: what it knows of the customer's usage.
+///
+/// It grants or refuses, and does not say which: the receiver tells by whether the tokens and the attempts in
+/// flight leave room for its request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaGrant {
     /// The customer.
@@ -38,7 +41,8 @@
     pub receiver_total: u16,
     /// Units in the quota's token bucket; negative while usage beyond the quota counts against it.
     pub tokens: f64,
-    /// Units a second of all gateways but the receiver.
+    /// Units a second of all gateways but the receiver. For a plan with a concurrency quota a designated
+    /// owner gives requests for grants a second, the receiver's included, plus its own units a second.
     pub remote_rate: f64,
     /// Attempts in flight from all gateways but the receiver, 127 at most.
     pub remote_in_flight: u8,
@@ -54,7 +58,7 @@
     /// The request's class.
     pub class: u8,
     /// Latency as a share of the class's latency objective; none if no answer or an error came.
-    pub relative_latency: Option<f64>,
+    pub objective_ratio: Option<f64>,
 }
 
 /// What a message is about, besides latency samples.
@@ -62,11 +66,11 @@
 pub enum Body {
     /// The sender's usage, for owners of the customers' quotas.
     UsageReports(Vec<UsageReport>),
-    /// An owner's answer to usage reports that requested grants.
+    /// An owner's answers to usage reports that requested grants.
     QuotaGrants {
         /// The incarnation of the receiver that sent the requests; a later one must not use the grants.
         receiver_incarnation: u32,
-        /// A grant for each request.
+        /// One for each request.
         grants: Vec<QuotaGrant>,
     },
 }
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -310,7 +310,7 @@
         let Attempt { id, number, backend } = attempt;
         let mut event = attempt_ended(elapsed, id, number, backend, outcome);
         if let Event::AttemptEnded(ended) = &mut event {
-            ended.answered = outcome == Outcome::Ok || self.host.ended.contains(&id);
+            ended.request_closed = outcome == Outcome::Ok || self.host.ended.contains(&id);
         }
         self.handle(event);
     }
