--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -253,7 +253,9 @@
         let (backend, started_at) = (connection.backend, connection.assigned_at);
         if let Some(idle_time) = connection.idle_before {
             let reuse = idle_reuse(connection, result.outcome, ended_at);
-            reuse.into_iter().for_each(|reuse| self.idle_reuse.record(idle_time, reuse));
+            if let Some(reuse) = reuse {
+                self.idle_reuse.record(idle_time, reuse);
+            }
         }
         self.push_completion(attempt, backend, started_at, result);
     }
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -100,9 +100,9 @@
         let closable = self.keys_of(|connection| {
             connection.is_idle() && (connection.has_sent_command() || accepting == Accepting::Stop)
         });
-        closable
-            .into_iter()
-            .for_each(|key| self.close_if_still_idle(key, now, ClientCloseReason::ShuttingDown));
+        for key in closable {
+            self.close_if_still_idle(key, now, ClientCloseReason::ShuttingDown);
+        }
     }
 
     /// Closes connections whose clients take too long to send, to read or to close their end.
@@ -128,7 +128,9 @@
     fn close_timed_out(&mut self, now: Instant) {
         let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
         let not_reading = self.keys_of(|connection| connection.output.is_timed_out(now));
-        not_reading.into_iter().for_each(|key| self.remove(key, ClientCloseReason::WriteTimeout));
+        for key in not_reading {
+            self.remove(key, ClientCloseReason::WriteTimeout);
+        }
         for key in overdue {
             // The rest may have arrived by now.
             self.read(key, now);
@@ -193,7 +195,7 @@
             self.abandoned.push(connection.replies.pending_latest_first().next());
         }
         self.lingering_count -= usize::from(connection.linger_until.is_some());
-        self.over_limit_count -= usize::from(connection.over_limit);
+        self.over_limit_count -= usize::from(connection.is_over_limit());
         self.memory.release(&connection);
         // The latest first: otherwise the end of an earlier request would start a later one of this client,
         // only for it to be cancelled.
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -5,7 +5,7 @@
 use super::reply_queue::ReplyQueue;
 use super::Capacity;
 use crate::resp;
-use ingress::permissions::{may_close_client, ClientConnectionFacts};
+use ingress::permissions::{may_close_client, ClientClosing, ClientConnectionFacts};
 use ingress::{Duration, Instant};
 use mio::net::TcpStream;
 use std::net::Shutdown;
@@ -78,8 +78,8 @@
     /// When it is closed even if the client has not closed its end. A connection over the limit has this from
     /// the start.
     pub linger_until: Option<Instant>,
-    /// It was accepted over the limit: its first request is rejected.
-    pub over_limit: bool,
+    /// Whether it can be served, as of its acceptance.
+    capacity: Capacity,
     /// Reading is paused since too many replies are owed or unread.
     pub reading_paused: bool,
     /// Since when input may be unread; none if the socket was read to its end.
@@ -93,7 +93,7 @@
 impl ClientConnection {
     /// A connection that was just accepted.
     pub fn new(stream: TcpStream, serial: u64, capacity: Capacity, now: Instant) -> Self {
-        let over_limit = capacity == Capacity::OverLimit;
+        let is_over_limit = capacity == Capacity::OverLimit;
         ClientConnection {
             stream,
             serial,
@@ -105,9 +105,9 @@
             command_started_at: now,
             consecutive_errors: 0,
             close_state: CloseState::Open,
-            closing_cause: over_limit.then_some(ClosingCause::OverLimit),
-            linger_until: over_limit.then_some(now + LINGER_TIMEOUT),
-            over_limit,
+            closing_cause: is_over_limit.then_some(ClosingCause::OverLimit),
+            linger_until: is_over_limit.then_some(now + LINGER_TIMEOUT),
+            capacity,
             reading_paused: false,
             unread_since: None,
             queued_for_write: false,
@@ -120,12 +120,22 @@
         let facts = ClientConnectionFacts {
             is_busy: self.is_busy(),
             has_input: !self.input.is_empty() || self.queued_for_read,
-            is_closing: self.is_closing(),
-            is_over_limit: self.over_limit,
+            closing: self.closing(),
         };
         may_close_client(facts).is_ok()
     }
 
+    /// Whether this side ends it already.
+    fn closing(&self) -> ClientClosing {
+        if self.is_closing() {
+            ClientClosing::Closing
+        } else if self.is_over_limit() {
+            ClientClosing::OverLimit
+        } else {
+            ClientClosing::Open
+        }
+    }
+
     /// Whether a reply is owed or not completely written.
     pub fn is_busy(&self) -> bool {
         !self.replies.is_empty() || !self.output.is_empty()
@@ -137,6 +147,11 @@
         self.replies.len() >= MAX_PENDING_REPLIES || unread_bytes >= MAX_UNREAD_BYTES
     }
 
+    /// Whether it was accepted over the limit: its first request is rejected.
+    pub fn is_over_limit(&self) -> bool {
+        self.capacity == Capacity::OverLimit
+    }
+
     /// Whether it is being closed: further input is discarded.
     pub fn is_closing(&self) -> bool {
         self.close_state != CloseState::Open
@@ -159,7 +174,7 @@
 
     /// Whether its first command, or the rest of an incomplete one, has not arrived in time.
     pub fn is_command_overdue(&self, now: Instant) -> bool {
-        let is_exempt = self.is_closing() || self.over_limit || self.reading_paused;
+        let is_exempt = self.is_closing() || self.is_over_limit() || self.reading_paused;
         let awaits_command =
             if self.input.is_empty() { !self.has_sent_command() } else { !self.is_backlogged() };
         now > self.command_started_at + COMMAND_TIMEOUT && !is_exempt && awaits_command
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -34,7 +34,7 @@
 use descriptor_budget::DescriptorBudget;
 pub use error::EventLoopError;
 use ingress::audit::Auditor;
-use ingress::{Action, Duration, Event, Gateway, Instant, StartTimes};
+use ingress::{Action, Discovery, Duration, Event, Gateway, Instant, StartTimes};
 use mio::{Events, Poll};
 use request_entries::{AttemptLimits, RequestEntries};
 use shutdown::Shutdown;
@@ -56,8 +56,9 @@
     now: Instant,
     /// The least step of that time.
     tick: Duration,
-    /// Whether failed polls of discovery are reported to the gateway.
-    polls_discovery: bool,
+    /// How the endpoint list is delivered: failed polls are reported to the gateway where a shared service
+    /// has it.
+    discovery: Discovery,
     /// How long establishing a connection to a backend may take.
     connect_timeout: Duration,
     /// The settings that limit the attempts of a request.
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -45,7 +45,7 @@
             attempt: end.attempt.number,
             backend: end.backend,
             outcome: end.outcome,
-            answered: end.request_closed,
+            request_closed: end.request_closed,
             elapsed: end.elapsed,
             charged_units: None,
             reported_queue_depth: end.reported_queue_depth,
@@ -254,7 +254,9 @@
             let not_sent = AttemptEndReport::not_sent(attempt_id, attempt.backend);
             ended.push(AttemptEndReport { elapsed, request_closed: true, ..not_sent });
         }
-        ended.into_iter().for_each(|end| self.end_attempt(end));
+        for end in ended {
+            self.end_attempt(end);
+        }
     }
 
     /// Encodes the command on a connection anew if nothing of it is written yet, or ends its attempt if it
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -21,7 +21,9 @@
                 stated_timeout: begun.stated_timeout.timeout,
             };
             let violated = request.audit.attempt_begun(&self.auditor, &begun);
-            violated.into_iter().for_each(|kind| self.report_violation(kind, Some(id)));
+            for kind in violated {
+                self.report_violation(kind, Some(id));
+            }
         }
     }
 
@@ -29,8 +31,9 @@
     pub(super) fn record_attempt_end(&mut self, attempt: AttemptId, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(attempt.request) else { return };
         request.record_end(attempt.number, outcome);
-        let violated = request.audit.attempt_ended(attempt.number, outcome);
-        violated.into_iter().for_each(|kind| self.report_violation(kind, Some(attempt.request)));
+        if let Some(kind) = request.audit.attempt_ended(attempt.number, outcome) {
+            self.report_violation(kind, Some(attempt.request));
+        }
     }
 
     /// Reports the connections of clients that this side closed with replies owed.
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -9,7 +9,7 @@
 use crate::peers::Backlog;
 use crate::reload::ReloadOutcome;
 use crate::start_retry::StartRetry;
-use ingress::{Availability, Endpoint, EndpointUpdate, Event};
+use ingress::{Availability, Discovery, Endpoint, EndpointUpdate, Event};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook_mio::v1_0::Signals;
 
@@ -31,19 +31,19 @@
         health[1] = self.watch.on_timer(now, registry);
         for list in lists {
             let update = if list.is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
-            self.apply_endpoints(list, update);
+            self.apply_endpoints(&list, update);
         }
-        if health.contains(&PollHealth::BeganToFail) && self.polls_discovery {
+        if health.contains(&PollHealth::BeganToFail) && self.discovery == Discovery::SharedService {
             self.pending_events.push_back(Event::Endpoints(EndpointUpdate::PollFailed, Vec::new()));
         }
         self.run_gateway();
     }
 
     /// Applies an endpoint list to the connections, and passes it to the gateway.
-    pub(super) fn apply_endpoints(&mut self, list: EndpointList, update: EndpointUpdate) {
-        let removed = self.backend_connections.update_endpoints(&list);
-        let endpoints = self.endpoints_in_host_time(&list);
-        log_endpoints(&list, update, removed.len());
+    pub(super) fn apply_endpoints(&mut self, list: &EndpointList, update: EndpointUpdate) {
+        let removed = self.backend_connections.update_endpoints(list);
+        let endpoints = self.endpoints_in_host_time(list);
+        log_endpoints(list, update, removed.len());
         for backend in removed {
             self.auditor.availability_changed(backend, Availability::Gone, self.now);
             self.start_times.forget(backend);
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -40,8 +40,9 @@
             Timer::RetryReload => self.reload(),
             Timer::StopAccepting => self.stop_accepting(),
             Timer::ReplyDeadline => {
-                let ids = self.requests.ids();
-                ids.into_iter().for_each(|id| self.fail_unanswered(id, MissedAnswer::ShutdownDeadline));
+                for id in self.requests.ids() {
+                    self.fail_unanswered(id, MissedAnswer::ShutdownDeadline);
+                }
             }
         }
     }
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -31,7 +31,7 @@
         (80, Action::SendToPeer { to: Some(GatewayId(2)), bytes: vec![8, 9] }, vec![(3, 2), (5, 0), (9, 2)]),
         (80, Action::SendToPeer { to: None, bytes: vec![7] }, vec![(3, 255), (4, 255), (5, 2), (9, 1)]),
         (90, Action::Log("abc".into()), vec![(3, 3), (7, 3)]),
-        (110, Action::WatchEndpoints(true), vec![(3, 1)]),
+        (110, Action::PollDiscovery, vec![(3, 1)]),
     ];
     let mut reply = Reply::new(5);
     let list: Vec<Action> = actions.iter().map(|(_, action, _)| action.clone()).collect();
@@ -54,7 +54,9 @@
 fn event_record(code: u8, parts: &[(usize, &[u8])]) -> [u8; RECORD_SIZE] {
     let mut record = [0; RECORD_SIZE];
     (record[0], record[1]) = (code, 1);
-    parts.iter().for_each(|(at, bytes)| record[*at..*at + bytes.len()].copy_from_slice(bytes));
+    for (at, bytes) in parts {
+        record[*at..*at + bytes.len()].copy_from_slice(bytes);
+    }
     record
 }
 
@@ -120,7 +122,7 @@
         attempt,
         backend,
         outcome,
-        answered,
+        request_closed,
         elapsed,
         charged_units,
         reported_queue_depth,
@@ -129,7 +131,7 @@
         panic!("not the end of an attempt")
     };
     assert_eq!((id, attempt, backend), (RequestId(9), 2, BackendId(8)));
-    assert_eq!((outcome, answered, elapsed), (Outcome::Ok, true, Duration::from_micros(7)));
+    assert_eq!((outcome, request_closed, elapsed), (Outcome::Ok, true, Duration::from_micros(7)));
     assert_eq!((charged_units, reported_queue_depth), (Some(3.0), Some(6.0)));
 }
 
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -3,7 +3,7 @@
 
 use crate::policy::admission::{evades_hard_limit, min_queue_time, AdmissionDecision, AdmissionFacts};
 use crate::policy::admission::{ArrivalDecision, ArrivalFacts, QueueFacts, ScreeningFacts};
-use crate::policy::quota::{grant_wait, ReportPurpose, TokenFacts, TokenWait};
+use crate::policy::quota::{grant_wait, ReportPurpose, ShortageFacts, Shortages};
 use crate::policy::quota::{
     DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
 };
@@ -37,7 +37,7 @@
         match self.decide_arrival(&request, observed.grant) {
             ArrivalDecision::DecideNow => {
                 self.requests.insert(state);
-                self.admit(request.id, GrantAnswers::Complete, actions);
+                self.decide_admission(request.id, GrantAnswers::Complete, actions);
             }
             ArrivalDecision::AwaitGrant { scope, timing } => {
                 let draw = self.draw();
@@ -81,26 +81,26 @@
 
     /// Whether a new request is decided now or waits for a grant.
     fn decide_arrival(&mut self, request: &Request, grant: GrantStatus) -> ArrivalDecision {
-        let wait = self.token_wait(request);
+        let shortages = self.find_shortages(request);
         let facts = ArrivalFacts {
             now: self.now,
             deadline: request.deadline,
             min_queue_time: min_queue_time(self.settings.tick),
             plan: self.plan_of(request),
-            wait,
+            shortages,
             grant,
             ownership: self.quota.ownership(),
         };
         facts.decide()
     }
 
-    /// The limits that a request has to wait for.
-    fn token_wait(&mut self, request: &Request) -> TokenWait {
+    /// The limits of its customer's plan that do not allow a request now.
+    fn find_shortages(&mut self, request: &Request) -> Shortages {
         let unloaded_micros = self.outlier_detector.unloaded_micros(request.class.into());
         let answer_seconds = unloaded_micros / MICROS_PER_SECOND;
-        let facts = TokenFacts { now: self.now, request, answer_seconds };
+        let facts = ShortageFacts { now: self.now, request, answer_seconds };
         let peers = &self.peers;
-        self.quota.token_wait(&facts, |peer| peers.last_heard_at(peer))
+        self.quota.refill_and_find_shortages(&facts, |peer| peers.last_heard_at(peer))
     }
 
     /// A number from 0 to 1, by the seed.
@@ -136,22 +136,28 @@
         let customer = state.request.customer;
         let wait_ends_at = state.arrived_at + self.grant_wait(&state.request, state.arrived_at);
         if self.now >= wait_ends_at {
-            return self.admit(id, GrantAnswers::Complete, actions);
+            return self.decide_admission(id, GrantAnswers::Complete, actions);
         }
         self.requests.check_at(wait_ends_at, id);
         self.queue_usage_report(customer, ReportPurpose::GrantRequest, actions);
     }
 
-    /// Admits a request if there are tokens and capacity; without tokens it may wait for a further answer.
-    pub(crate) fn admit(&mut self, id: RequestId, answers: GrantAnswers, actions: &mut Vec<Action>) {
+    /// Decides on a request by tokens and capacity: admits it, rejects it, or has it wait for a further
+    /// answer of its quota owners.
+    pub(crate) fn decide_admission(
+        &mut self,
+        id: RequestId,
+        answers: GrantAnswers,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(state) = self.requests.get(id) else { return };
         let request = state.request;
         let point = if state.awaiting_grant { DecisionPoint::GrantWait } else { DecisionPoint::Arrival };
-        let shortage = self.token_wait(&request).longest();
+        let shortages = self.find_shortages(&request);
         let facts = AdmissionFacts {
             now: self.now,
             customer: request.customer,
-            shortage,
+            shortage: shortages.longest(),
             answers,
             in_flight: self.requests.in_flight,
             queue_length: self.requests.queue.len(),
@@ -159,8 +165,11 @@
         };
         let decision = facts.decide();
         tracing::debug!(
-            target: "policy", request = id.0, customer = request.customer.0, ?point, ?shortage, ?answers,
-            in_flight = facts.in_flight, queue_length = facts.queue_length,
+            target: "policy", request = id.0, customer = request.customer.0, plan = request.plan, ?point,
+            quota_shortage = ?shortages.quota, hard_limit_shortage = ?shortages.hard_limit, ?answers,
+            units = request.units, tokens = self.quota.tokens(request.customer),
+            customer_in_flight = self.quota.in_flight_of_customer(&request),
+            gateway_in_flight = facts.in_flight, queue_length = facts.queue_length,
             concurrency_limit = facts.concurrency_limit, ?decision, "admission decided"
         );
         match decision {
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -1,6 +1,7 @@
 //! Follows attempts from their begin to their end: has the retry policy decide on those that are late or have
 //! failed, and carries out what it decides.
 
+use crate::policy::permissions::KeyExpired;
 use crate::policy::quota::ReportPurpose;
 use crate::policy::{
     AttemptCheck, AttemptCheckFacts, ExecutedAttempt, RetryFacts, RetryScope, SilenceVerdict,
@@ -72,7 +73,7 @@
     fn settle_attempt(&mut self, ended: &AttemptEnded) -> Option<SettledAttempt> {
         let state = self.requests.get_mut(ended.id)?;
         let endpoint = state.end_attempt(ended.attempt, ended.outcome)?;
-        state.closed |= ended.answered || ended.outcome == Outcome::Ok;
+        state.closed |= ended.request_closed || ended.outcome == Outcome::Ok;
         let (request, request_closed) = (state.request, state.closed);
         let was_last_in_flight = state.attempts_in_flight() == 0;
         self.requests.in_flight = self.requests.in_flight.saturating_sub(1);
@@ -145,7 +146,7 @@
         let Some(attempt) = state.latest_attempt_in_flight() else { return };
         let (backend_id, sent_at) = (attempt.endpoint.backend, attempt.sent_at);
         let Some(backend) = self.backends.get_mut(backend_id) else { return };
-        let silence = backend.health.check_silence(class_index, sent_at, now);
+        let silence = backend.health.eject_if_silent(class_index, sent_at, now);
         let check = self.retry_policy.check_attempt(&AttemptCheckFacts {
             now,
             sent_at,
@@ -175,11 +176,11 @@
         }
     }
 
-    /// Where the next attempt of a request may go; none if an idempotency key may be forgotten by then.
-    pub(crate) fn retry_scope(&self, state: &RequestState) -> Option<RetryScope> {
+    /// Where the next attempt of a request may go.
+    pub(crate) fn retry_scope(&self, state: &RequestState) -> Result<RetryScope, KeyExpired> {
         let executed = state
             .first_possibly_executed()
             .map(|attempt| ExecutedAttempt { sent_at: attempt.sent_at, endpoint: attempt.endpoint });
-        self.retry_policy.scope(self.now, self.class_of(&state.request).idempotency, executed).ok()
+        self.retry_policy.scope(self.now, self.class_of(&state.request).idempotency, executed)
     }
 }
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -6,7 +6,7 @@
 //! The rules on attempts stand with the retry policy, in `policy/retry/permission.rs`.
 
 pub use super::retry::permission::{
-    may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal,
+    may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal, KeyExpired,
 };
 use crate::{Availability, Duration, Instant};
 use thiserror::Error;
@@ -132,6 +132,17 @@
     OverLimit,
 }
 
+/// Whether this side ends the connection of a client already.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClientClosing {
+    /// It serves commands.
+    Open,
+    /// It was accepted over the limit on connections, only to reject its first request.
+    OverLimit,
+    /// Its end has begun.
+    Closing,
+}
+
 /// What is known of a client's connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientConnectionFacts {
@@ -139,10 +150,8 @@
     pub is_busy: bool,
     /// Something was received and not parsed, or is to be read yet.
     pub has_input: bool,
-    /// Its end has begun.
-    pub is_closing: bool,
-    /// It was accepted over the limit on connections.
-    pub is_over_limit: bool,
+    /// Whether this side ends it already.
+    pub closing: ClientClosing,
 }
 
 /// Whether a client's connection may be closed now without a word, as between two requests.
@@ -153,15 +162,15 @@
 /// closing already.
 pub fn may_close_client(facts: ClientConnectionFacts) -> Result<(), CloseRefusal> {
     if facts.is_busy {
-        Err(CloseRefusal::RepliesOwed)
-    } else if facts.has_input {
-        Err(CloseRefusal::InputPending)
-    } else if facts.is_closing {
-        Err(CloseRefusal::Closing)
-    } else if facts.is_over_limit {
-        Err(CloseRefusal::OverLimit)
-    } else {
-        Ok(())
+        return Err(CloseRefusal::RepliesOwed);
+    }
+    if facts.has_input {
+        return Err(CloseRefusal::InputPending);
+    }
+    match facts.closing {
+        ClientClosing::Open => Ok(()),
+        ClientClosing::OverLimit => Err(CloseRefusal::OverLimit),
+        ClientClosing::Closing => Err(CloseRefusal::Closing),
     }
 }
 
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -1,6 +1,6 @@
 //! Requests for grants: who waits for one, when it is asked for, and what a grant means to those that wait.
 
-use super::token_wait::is_recent;
+use super::shortages::is_recent;
 use super::{Customer, QuotaManager};
 use crate::gossip::{wrap_total, wrapping_delta, QuotaGrant};
 use crate::{CustomerId, Duration, Instant, Plan, Request, RequestId};
@@ -141,8 +141,7 @@
             && draw * customer.remote.rate() > max_request_rate
     }
 
-    /// Handles the answer of an owner, a grant or that there is none; none if nothing was asked of the
-    /// sender.
+    /// Handles an owner's answer, which grants or refuses; none if the sender is no owner of the quota.
     pub(crate) fn on_grant(
         &mut self,
         now: Instant,
@@ -163,13 +162,14 @@
         if requested_at.is_some_and(|at| now.duration_since(at) < HARD_LIMIT_GRANT_LIFETIME) {
             customer.hard_limit.granted += grant.hard_limit_grant;
         }
-        let answers = if customer.hard_limit_owners_answered(own_id) {
+        let answers = if customer.granters_answered(own_id) {
             GrantAnswers::Complete
         } else {
             GrantAnswers::Outstanding
         };
+        let granted = (!customer.role.is_owner()).then_some(customer.grant_request.charged_by_owner);
         tracing::debug!(
-            target: "policy", customer = grant.customer.0, from, tokens = grant.tokens,
+            target: "policy", customer = grant.customer.0, from, granted, tokens = grant.tokens,
             remote_in_flight = grant.remote_in_flight, hard_limit_units = grant.hard_limit_grant, ?answers,
             "grant received"
         );
@@ -191,11 +191,11 @@
         self.grant_request.charged_by_owner = had_tokens && had_concurrency;
     }
 
-    /// Whether each owner of the hard limit that this gateway can ask has answered its request.
-    fn hard_limit_owners_answered(&self, own_id: u16) -> bool {
-        let has_answered = |owner: &u16| self.grant_request.answered_by.contains(owner);
-        let can_be_asked = |owner: &u16| *owner != own_id && self.quota_owners.contains(owner);
-        self.hard_limit.owners.iter().all(|owner| !can_be_asked(owner) || has_answered(owner))
+    /// Whether each granter that this gateway can ask has answered its request.
+    fn granters_answered(&self, own_id: u16) -> bool {
+        let has_answered = |granter: &u16| self.grant_request.answered_by.contains(granter);
+        let can_be_asked = |granter: &u16| *granter != own_id && self.quota_owners.contains(granter);
+        self.granters.iter().all(|granter| !can_be_asked(granter) || has_answered(granter))
     }
 }
 
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of [`super`], and what the tests of its files share.
 
-use super::token_wait::QuotaLimit;
+use super::shortages::QuotaLimit;
 use super::*;
 use crate::gossip::{QuotaGrant, TokenLevel, UsageReport};
 use crate::{Limits, Request, RequestId};
@@ -18,6 +18,8 @@
 /// Index of a plan with a hard limit of 5 units a second and a burst of 40, and a quota that is never
 /// reached.
 pub(super) const HARD_LIMIT: u16 = 2;
+/// Customers among which one is looked for that a gateway owns, or does not.
+const MAX_CUSTOMERS: u64 = 10_000;
 
 /// A plan with 10 units a second and a burst of 20.
 pub(super) fn plan() -> Plan {
@@ -53,13 +55,13 @@
     let owns = |id: &CustomerId| {
         manager.observe_request(START, &request(*id, plan, 1.0)).grant.is_quota_owner == owned
     };
-    (0..).map(CustomerId).find(owns).expect("some customer of so many")
+    (0..MAX_CUSTOMERS).map(CustomerId).find(owns).expect("some customer of so many")
 }
 
 /// The shortage of tokens for a request, at a gateway that has never heard of a peer.
 pub(super) fn shortage(manager: &mut QuotaManager, now: Instant, request: &Request) -> Option<Shortage> {
-    let facts = TokenFacts { now, request, answer_seconds: 0.25 };
-    manager.token_wait(&facts, |_| None).longest()
+    let facts = ShortageFacts { now, request, answer_seconds: 0.25 };
+    manager.refill_and_find_shortages(&facts, |_| None).longest()
 }
 
 /// A report of a peer that requests a grant.
