--- a/tests/ingress/logging.rs
+++ b/tests/ingress/logging.rs
@@ -39,6 +39,27 @@
     }
 }
 
+/// A client reports that its connections break. It sends what is not RESP2, gets an error line, and closes its end;
+/// the log has to name the first cause of the close, and not only that the client was the one who closed it. The
+/// names of the backends stand beside the numbers that all other lines have.
+#[test]
+fn the_log_names_the_first_cause_of_a_close_and_the_backends() {
+    let backend = Backend::start(reply_with_value);
+    let ingress = IngressSetup::with_backends(&[&backend]);
+    let mut ingress = ingress.start_with(&format!("export LB_LOG=trace; {}", built_program()));
+    let mut client = ingress.client();
+    assert!(client.round_trip(b"*x\r\n").starts_with("-ERR protocol error"));
+    client.disconnect();
+    ingress.signal("TERM");
+    assert_eq!(ingress.wait_for_exit().code(), Some(0));
+    let log = ingress.log();
+    let closed =
+        |line: &&str| line.contains("client_connection: closed") && line.contains("cause=ProtocolError");
+    assert_eq!(log.lines().filter(closed).count(), 1, "{log}");
+    let named = log.lines().find(|line| line.contains("discovery: backend named"));
+    assert!(named.is_some_and(|line| line.contains("backend=") && line.contains("name=")), "{log}");
+}
+
 /// An operator sends SIGUSR1 to a running ingress and reads in the log how many requests, answers and attempts
 /// there were. Traffic goes on, and no violation is reported where there was none.
 #[test]
