--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -1,13 +1,13 @@
 //! Closes connections: those that have ended, are idle or too slow, and all of them at a shutdown.
 
-use super::connection::Connection;
+use super::connection::{ClientConnection, ClosingCause};
 use super::error::ClientError;
 use super::{Accepting, ClientEvent, Clients};
 use ingress::Instant;
 
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CloseReason {
+pub enum ClientCloseReason {
     /// The client has closed its end.
     Disconnected,
     /// A read or a write has failed.
@@ -15,7 +15,7 @@
     /// It was idle, and its descriptor was needed.
     DescriptorNeeded,
     /// It was idle during the shutdown.
-    Draining,
+    ShuttingDown,
     /// No command has ever arrived on it.
     NoCommand,
     /// The time for reading the last reply is over.
@@ -26,22 +26,27 @@
     OutOfMemory,
 }
 
-impl CloseReason {
+impl ClientCloseReason {
     /// All reasons.
-    pub const ALL: [CloseReason; 8] = [
-        CloseReason::Disconnected,
-        CloseReason::Broken,
-        CloseReason::DescriptorNeeded,
-        CloseReason::Draining,
-        CloseReason::NoCommand,
-        CloseReason::LingerTimeout,
-        CloseReason::WriteTimeout,
-        CloseReason::OutOfMemory,
+    pub const ALL: [ClientCloseReason; 8] = [
+        ClientCloseReason::Disconnected,
+        ClientCloseReason::Broken,
+        ClientCloseReason::DescriptorNeeded,
+        ClientCloseReason::ShuttingDown,
+        ClientCloseReason::NoCommand,
+        ClientCloseReason::LingerTimeout,
+        ClientCloseReason::WriteTimeout,
+        ClientCloseReason::OutOfMemory,
     ];
 
     /// Whether replies may be lost with the connection, since the client does not wait for them.
     fn may_drop_replies(self) -> bool {
-        !matches!(self, CloseReason::DescriptorNeeded | CloseReason::Draining | CloseReason::NoCommand)
+        !matches!(
+            self,
+            ClientCloseReason::DescriptorNeeded
+                | ClientCloseReason::ShuttingDown
+                | ClientCloseReason::NoCommand
+        )
     }
 }
 
@@ -61,7 +66,7 @@
 
 impl IdleCloseOrder {
     /// The place of a connection in this order.
-    fn of(connection: &Connection, now: Instant) -> IdleCloseOrder {
+    fn of(connection: &ClientConnection, now: Instant) -> IdleCloseOrder {
         IdleCloseOrder {
             has_priority: connection.has_sent_command() || connection.last_active_at >= now,
             last_active_at: connection.last_active_at,
@@ -78,7 +83,7 @@
             let longest = idle.min_by_key(|(_, connection)| IdleCloseOrder::of(connection, now));
             let Some((key, connection)) = longest else { return false };
             let idle_since = connection.last_active_at;
-            self.close_if_still_idle(key, idle_since, CloseReason::DescriptorNeeded);
+            self.close_if_still_idle(key, idle_since, ClientCloseReason::DescriptorNeeded);
             if !self.connections.contains(key) {
                 return true;
             }
@@ -87,8 +92,8 @@
 
     /// Closes connections as soon as they are idle, from now on. While connections are still accepted, those
     /// that have not sent a command yet stay open.
-    pub fn drain(&mut self, now: Instant, accepting: Accepting) {
-        self.draining = true;
+    pub fn close_when_idle(&mut self, now: Instant, accepting: Accepting) {
+        self.closes_idle = true;
         if accepting == Accepting::Stop {
             self.listener = None;
         }
@@ -96,7 +101,7 @@
             connection.is_idle() && (connection.has_sent_command() || accepting == Accepting::Stop)
         });
         for key in closable {
-            self.close_if_still_idle(key, now, CloseReason::Draining);
+            self.close_if_still_idle(key, now, ClientCloseReason::ShuttingDown);
         }
     }
 
@@ -113,7 +118,7 @@
             let connection = self.connections.get(key);
             if connection.is_some_and(|connection| connection.is_shut_down() || connection.output.is_empty())
             {
-                self.remove(key, CloseReason::LingerTimeout);
+                self.remove(key, ClientCloseReason::LingerTimeout);
             }
         }
     }
@@ -124,7 +129,7 @@
         let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
         let not_reading = self.keys_of(|connection| connection.output.is_timed_out(now));
         for key in not_reading {
-            self.remove(key, CloseReason::WriteTimeout);
+            self.remove(key, ClientCloseReason::WriteTimeout);
         }
         for key in overdue {
             // The rest may have arrived by now.
@@ -134,10 +139,10 @@
                 continue;
             };
             if connection.input.is_empty() {
-                self.close_if_still_idle(key, now, CloseReason::NoCommand);
+                self.close_if_still_idle(key, now, ClientCloseReason::NoCommand);
                 continue;
             }
-            connection.abort_command(ClientError::CommandTimeout);
+            connection.abort_command(ClientError::CommandTimeout, ClosingCause::CommandTimeout);
             self.queue_for_write(key);
         }
     }
@@ -149,14 +154,14 @@
             self.lingering_count += usize::from(connection.linger_until.is_none());
             connection.start_lingering_close(now);
         } else {
-            self.close_if_drained(key, now);
+            self.close_if_idle_at_shutdown(key, now);
         }
     }
 
     /// Closes a connection that has become idle during the shutdown.
-    pub(super) fn close_if_drained(&mut self, key: usize, now: Instant) {
-        if self.draining && self.connections.get(key).is_some_and(Connection::is_idle) {
-            self.close_if_still_idle(key, now, CloseReason::Draining);
+    pub(super) fn close_if_idle_at_shutdown(&mut self, key: usize, now: Instant) {
+        if self.closes_idle && self.connections.get(key).is_some_and(ClientConnection::is_idle) {
+            self.close_if_still_idle(key, now, ClientCloseReason::ShuttingDown);
         }
     }
 
@@ -164,15 +169,15 @@
     ///
     /// A request in the socket's buffer would be lost with the connection: its client would see a close in
     /// place of a reply. So the buffer is read to its end right before the close.
-    fn close_if_still_idle(&mut self, key: usize, now: Instant, reason: CloseReason) {
+    fn close_if_still_idle(&mut self, key: usize, now: Instant, reason: ClientCloseReason) {
         self.read(key, now);
-        if self.connections.get(key).is_some_and(Connection::is_idle) {
+        if self.connections.get(key).is_some_and(ClientConnection::is_idle) {
             self.remove(key, reason);
         }
     }
 
     /// Closes and removes a connection, and reports its requests without a reply as disconnected.
-    pub(super) fn remove(&mut self, key: usize, reason: CloseReason) {
+    pub(super) fn remove(&mut self, key: usize, reason: ClientCloseReason) {
         let connection = self.connections.remove(key); // Dropping it closes the socket and ends its polling.
         let replies_owed = connection.replies.len();
         let unwritten_bytes = connection.output.unwritten();
@@ -180,6 +185,7 @@
             target: "client_connection",
             client = connection.serial,
             ?reason,
+            cause = connection.closing_cause.map(tracing::field::debug),
             replies_owed,
             unwritten_bytes,
             "closed"
@@ -206,7 +212,7 @@
     }
 
     /// The keys of the connections that fulfil a condition.
-    fn keys_of(&self, selected: impl Fn(&Connection) -> bool) -> Vec<usize> {
+    fn keys_of(&self, selected: impl Fn(&ClientConnection) -> bool) -> Vec<usize> {
         let connections = self.connections.iter().filter(|(_, connection)| selected(connection));
         connections.map(|(key, _)| key).collect()
     }
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -1,6 +1,7 @@
 //! Reads from connections and parses their commands.
 
-use super::closing::CloseReason;
+use super::closing::ClientCloseReason;
+use super::connection::ClosingCause;
 use super::error::ClientError;
 use super::{ClientEvent, Clients, ReplyHandle, BUSY_REPLY};
 use crate::command::Command;
@@ -41,7 +42,7 @@
     /// Closes a connection that the client has closed or half-closed; its unread input is dropped.
     pub fn on_disconnect(&mut self, key: usize) {
         if self.connections.contains(key) {
-            self.remove(key, CloseReason::Disconnected);
+            self.remove(key, ClientCloseReason::Disconnected);
         }
     }
 
@@ -51,7 +52,7 @@
             if let Some(connection) = self.connections.get_mut(key) {
                 connection.queued_for_read = false;
                 self.read(key, now);
-                self.close_if_drained(key, now);
+                self.close_if_idle_at_shutdown(key, now);
             }
         }
     }
@@ -85,7 +86,7 @@
             }
             let connection = &mut self.connections[key];
             let received = match connection.stream.read(&mut self.read_buffer) {
-                Ok(0) => return self.remove(key, CloseReason::Disconnected),
+                Ok(0) => return self.remove(key, ClientCloseReason::Disconnected),
                 Ok(received) => received,
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
@@ -93,7 +94,7 @@
                     return;
                 }
                 Err(error) if is_out_of_memory(&error) => return self.read_later(key),
-                Err(_) => return self.remove(key, CloseReason::Broken),
+                Err(_) => return self.remove(key, ClientCloseReason::Broken),
             };
             connection.receive(&self.read_buffer[..received], now);
         }
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Leaves unread input for the next iteration. The timeouts of its commands count from now.
+    /// Leaves unread input for the next iteration. The timeouts of its commands count from the earliest time
+    /// at which it can have arrived.
     fn read_later(&mut self, key: usize) {
         let connection = &mut self.connections[key];
         connection.reading_paused = false;
@@ -111,7 +113,8 @@
         self.queue_for_read(key);
     }
 
-    /// Pauses reading until replies are written. The timeouts of unread commands count from now.
+    /// Pauses reading until replies are written. The timeouts of unread commands count from the earliest time
+    /// at which they can have arrived.
     fn pause_reading(&mut self, key: usize) {
         let connection = &mut self.connections[key];
         connection.reading_paused = true;
@@ -137,7 +140,7 @@
                     parsed += len;
                 }
                 Err(error) => {
-                    connection.start_closing();
+                    connection.start_closing(ClosingCause::ProtocolError);
                     self.reply_error(key, ClientError::Protocol(error));
                 }
             }
@@ -159,16 +162,16 @@
         match Command::parse(bytes, &self.argument_ranges, &self.schema) {
             Some(Ok(_)) if connection.is_over_limit() => {
                 tracing::debug!(target: "client_connection", client = connection.serial, "over the limit");
-                connection.start_closing();
+                connection.start_closing(ClosingCause::OverLimit);
                 self.reply_immediately(key, BUSY_REPLY);
             }
             Some(Ok(command)) => self.accept_command(key, command),
-            Some(Err(error)) => self.reject_command(key, ClientError::InvalidCommand(error)),
+            Some(Err(error)) => self.refuse_command(key, ClientError::InvalidCommand(error)),
             None if bytes[self.argument_ranges[0].clone()].eq_ignore_ascii_case(b"PING") => {
                 connection.record_valid_command();
                 self.reply_immediately(key, PONG_REPLY);
             }
-            None => self.reject_command(key, ClientError::UnknownCommand),
+            None => self.refuse_command(key, ClientError::UnknownCommand),
         }
     }
 
@@ -185,9 +188,9 @@
     }
 
     /// Replies with an error to an invalid command.
-    fn reject_command(&mut self, key: usize, error: ClientError) {
+    fn refuse_command(&mut self, key: usize, error: ClientError) {
         let connection = &mut self.connections[key];
-        tracing::debug!(target: "client_connection", client = connection.serial, %error, "command rejected");
+        tracing::debug!(target: "client_connection", client = connection.serial, %error, "command refused");
         connection.record_protocol_error();
         self.reply_error(key, error);
     }
--- a/src/bin/ingress/clients/writing.rs
+++ b/src/bin/ingress/clients/writing.rs
@@ -1,6 +1,6 @@
 //! Replies to requests and writes to connections.
 
-use super::closing::CloseReason;
+use super::closing::ClientCloseReason;
 use super::connection::error_line;
 use super::error::ClientError;
 use super::output::WriteProgress;
@@ -9,7 +9,7 @@
 
 impl Clients {
     /// Replies with an error to an invalid request; too many in a row close the connection.
-    pub fn reject(&mut self, reply_to: ReplyHandle, error: ClientError) {
+    pub fn refuse_invalid(&mut self, reply_to: ReplyHandle, error: ClientError) {
         let connection = self.connections.get_mut(reply_to.key);
         if let Some(connection) = connection.filter(|connection| connection.serial == reply_to.serial) {
             connection.record_protocol_error();
@@ -44,7 +44,7 @@
                     continue;
                 }
                 Err(_) => {
-                    self.remove(key, CloseReason::Broken);
+                    self.remove(key, ClientCloseReason::Broken);
                     continue;
                 }
             }
