--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -57,7 +57,7 @@
         }
         let objective = self.settings.classes[observation.class].latency_objective;
         if let Some(sample) = observation.to_sample(objective) {
-            self.peers.queue_sample(sample, observation.retransmissions());
+            self.peers.queue_sample(sample, observation.copies());
         }
     }
 }
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -34,8 +34,8 @@
 
 /// A latency sample on its way to the peers.
 struct QueuedSample {
-    /// How many more messages carry it.
-    retransmissions: u8,
+    /// How many messages carry it from now on, the next one included.
+    copies_left: u8,
     /// The sample.
     sample: LatencySample,
 }
@@ -127,14 +127,14 @@
     /// Puts a customer into a peer's outbox. A request for a grant that waits there already still goes.
     pub fn queue(&mut self, peer: u16, customer: CustomerId, entry: OutboxEntry) {
         let queued = self.peer_mut(peer).outbox.entry(customer).or_default();
-        queued.retransmissions = entry.retransmissions;
+        queued.copies_left = entry.copies_left;
         queued.requests_grant |= entry.requests_grant;
         self.with_outbox.insert(peer);
     }
 
     /// Puts a customer into a peer's outbox for one message, in place of what waits there.
     pub fn queue_single_report(&mut self, peer: u16, customer: CustomerId) {
-        let entry = OutboxEntry { retransmissions: 1, requests_grant: false };
+        let entry = OutboxEntry { copies_left: 1, requests_grant: false };
         self.peer_mut(peer).outbox.insert(customer, entry);
         self.with_outbox.insert(peer);
     }
@@ -161,19 +161,19 @@
     }
 
     /// Puts a sample before older ones, failures before others; the last ones go where there are too many.
-    pub fn queue_sample(&mut self, sample: LatencySample, retransmissions: u8) {
+    pub fn queue_sample(&mut self, sample: LatencySample, copies_left: u8) {
         let is_failure = |queued: &&QueuedSample| queued.sample.objective_ratio.is_none();
         let failures = self.latency_samples.iter().filter(is_failure).count();
         let position = if sample.objective_ratio.is_none() { 0 } else { failures };
-        self.latency_samples.insert(position, QueuedSample { retransmissions, sample });
+        self.latency_samples.insert(position, QueuedSample { copies_left, sample });
         self.latency_samples.truncate(MAX_SAMPLES);
     }
 
     /// The latency samples that the next message carries. Each goes with several messages.
     fn take_samples(&mut self) -> Vec<LatencySample> {
         let samples = self.latency_samples.iter().map(|queued| queued.sample).collect();
-        self.latency_samples.iter_mut().for_each(|queued| queued.retransmissions -= 1);
-        self.latency_samples.retain(|queued| queued.retransmissions > 0);
+        self.latency_samples.iter_mut().for_each(|queued| queued.copies_left -= 1);
+        self.latency_samples.retain(|queued| queued.copies_left > 0);
         samples
     }
 
--- a/src/gossip/exchange/tests.rs
+++ b/src/gossip/exchange/tests.rs
@@ -79,8 +79,8 @@
 fn an_outbox_holds_one_entry_for_each_customer() {
     let mut here = exchange(0, START);
     here.next_message(START, 1, empty());
-    let usage = OutboxEntry { retransmissions: 1, requests_grant: false };
-    let grant_request = OutboxEntry { retransmissions: 1, requests_grant: true };
+    let usage = OutboxEntry { copies_left: 1, requests_grant: false };
+    let grant_request = OutboxEntry { copies_left: 1, requests_grant: true };
     for entry in [usage, grant_request, usage] {
         here.queue(1, CustomerId(7), entry);
     }
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -6,8 +6,8 @@
 /// A customer whose usage waits to be reported to a peer.
 #[derive(Clone, Copy, Default)]
 pub struct OutboxEntry {
-    /// How many more messages carry it.
-    pub retransmissions: u8,
+    /// How many messages carry it from now on, the next one included.
+    pub copies_left: u8,
     /// Whether the next message requests a grant.
     pub requests_grant: bool,
 }
@@ -132,10 +132,10 @@
         let batch: Vec<_> = rotated.take(most).map(|(id, entry)| (*id, *entry)).collect();
         self.last_sent = batch.last().map_or(self.last_sent, |(id, _)| CustomerId(id.0 + 1));
         for (id, entry) in &batch {
-            let retransmissions = entry.retransmissions - 1;
-            self.outbox.insert(*id, OutboxEntry { retransmissions, requests_grant: false });
+            let copies_left = entry.copies_left - 1;
+            self.outbox.insert(*id, OutboxEntry { copies_left, requests_grant: false });
         }
-        self.outbox.retain(|_, entry| entry.retransmissions > 0);
+        self.outbox.retain(|_, entry| entry.copies_left > 0);
         batch
     }
 }
--- a/src/gossip/peer/tests.rs
+++ b/src/gossip/peer/tests.rs
@@ -35,7 +35,7 @@
 #[test]
 fn batches_go_round_an_outbox_with_more_than_a_message_holds() {
     let count = MAX_USAGE_REPORTS as u64 + 1;
-    let entry = OutboxEntry { retransmissions: 2, requests_grant: true };
+    let entry = OutboxEntry { copies_left: 2, requests_grant: true };
     let outbox = (0..count).map(|id| (CustomerId(id), entry)).collect();
     let mut peer = Peer { outbox, ..Peer::default() };
     let first = peer.next_batch(MAX_USAGE_REPORTS);
--- a/src/policy/outlier_detection/observation.rs
+++ b/src/policy/outlier_detection/observation.rs
@@ -4,9 +4,9 @@
 use crate::{BackendId, Duration};
 
 /// Messages that carry the sample of a success.
-const SUCCESS_RETRANSMISSIONS: u8 = 12;
+const SUCCESS_COPIES: u8 = 12;
 /// Messages that carry the sample of a failure: each peer has to learn of it soon.
-const FAILURE_RETRANSMISSIONS: u8 = 36;
+const FAILURE_COPIES: u8 = 36;
 
 /// Who saw how an attempt went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,11 +51,11 @@
     }
 
     /// How many messages carry its sample.
-    pub(crate) fn retransmissions(&self) -> u8 {
+    pub(crate) fn copies(&self) -> u8 {
         if self.is_failure() {
-            FAILURE_RETRANSMISSIONS
+            FAILURE_COPIES
         } else {
-            SUCCESS_RETRANSMISSIONS
+            SUCCESS_COPIES
         }
     }
 }
--- a/src/policy/outlier_detection/observation/tests.rs
+++ b/src/policy/outlier_detection/observation/tests.rs
@@ -25,7 +25,7 @@
 fn failures_are_sent_more_often() {
     let (success, failure) = (observation(0, Some(1.0)), observation(0, None));
     assert_eq!(failure.to_sample(OBJECTIVE).map(|sample| sample.objective_ratio), Some(None));
-    assert!(failure.retransmissions() > success.retransmissions());
+    assert!(failure.copies() > success.copies());
 }
 
 /// Messages have few bits for the class of a request. Attempts of the classes beyond them are not reported; their
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -43,12 +43,12 @@
     /// The owners that are to be told of a customer's usage. A grant is requested of its granters.
     pub(crate) fn report_recipients(&self, id: CustomerId, purpose: ReportPurpose) -> Vec<ReportRecipient> {
         let Some(customer) = self.customers.get(&id) else { return Vec::new() };
-        let retransmissions = self.settings.ownership.report_copies();
+        let copies_left = self.settings.ownership.report_copies();
         let others = customer.quota_owners.iter().copied().filter(|owner| *owner != self.settings.own_id);
         let recipient = |gateway| {
             let can_grant = customer.granters.contains(&gateway);
             let requests_grant = purpose == ReportPurpose::GrantRequest && can_grant;
-            ReportRecipient { gateway, entry: OutboxEntry { retransmissions, requests_grant } }
+            ReportRecipient { gateway, entry: OutboxEntry { copies_left, requests_grant } }
         };
         let mut recipients = Vec::with_capacity(customer.quota_owners.len());
         recipients.extend(others.map(recipient));
--- a/src/policy/quota/reporting/tests.rs
+++ b/src/policy/quota/reporting/tests.rs
@@ -67,7 +67,7 @@
     let recipients = small.report_recipients(customer, ReportPurpose::GrantRequest);
     assert!(recipients.iter().map(|recipient| recipient.gateway).eq([1, 2]));
     for recipient in recipients {
-        assert_eq!(recipient.entry.retransmissions, 2);
+        assert_eq!(recipient.entry.copies_left, 2);
         assert_eq!(recipient.entry.requests_grant, holders.contains(&recipient.gateway));
     }
     let usage = small.report_recipients(customer, ReportPurpose::Usage);
@@ -82,7 +82,7 @@
     let customer = customer_owned(&mut manager, RATE_QUOTA, false);
     let owner = manager.customers[&customer].quota_owners[0];
     manager.on_grant(START, owner, &grant(customer, 20.0, 0));
-    let entry = OutboxEntry { retransmissions: 1, requests_grant: false };
+    let entry = OutboxEntry { copies_left: 1, requests_grant: false };
     let mut level_after = |millis| {
         let report = manager.usage_report(START + Duration::from_millis(millis), owner, customer, entry);
         report.expect("a known customer").tokens_level
@@ -100,7 +100,7 @@
     let waiting = request(customer, HARD_LIMIT, 1.0);
     manager.await_grant(START, &waiting, GrantScope::QuotaAndHardLimit, GrantTiming::AtOnce);
     let owners = manager.customers[&customer].granters;
-    let entry = OutboxEntry { retransmissions: 1, requests_grant: true };
+    let entry = OutboxEntry { copies_left: 1, requests_grant: true };
     let mut drawn_first = 0;
     for millis in 0..100 {
         let now = START + Duration::from_millis(millis);
