--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -8,7 +8,7 @@
     DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
 };
 use crate::policy::{Familiarity, RejectReason, SheddingFacts};
-use crate::state::{hash, RequestState, MICROS_PER_SECOND};
+use crate::state::{unit_draw, RequestState, MICROS_PER_SECOND};
 use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
 
 impl Gateway {
@@ -106,7 +106,7 @@
     /// A number from 0 to 1, by the seed.
     fn draw(&mut self) -> f64 {
         self.random_state = self.random_state.wrapping_add(1);
-        hash(self.random_state)
+        unit_draw(self.random_state)
     }
 
     /// Has a request wait until the quota owners have answered, or for as long as that may take.
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,6 +1,7 @@
 //! The messages between gateways, with typed fields. [`super::encoding`] turns them into bytes and back.
 
 use super::TokenLevel;
+use crate::state::GOLDEN_RATIO_MULTIPLIER;
 use crate::{CustomerId, Instant};
 
 /// A customer's usage, as one gateway counts it since its start. It goes to the owners of the customer's
@@ -96,5 +97,5 @@
 
 /// A short name for a backend, 24 bits of a hash of its id.
 pub fn backend_tag(id: u64) -> u32 {
-    (id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as u32
+    (id.wrapping_mul(GOLDEN_RATIO_MULTIPLIER) >> 40) as u32
 }
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -10,7 +10,7 @@
 mod subset;
 
 use super::{OutlierDetector, RetryScope};
-use crate::state::{hash, Attempt, Backend, BackendTable, Salt};
+use crate::state::{unit_draw, Attempt, Backend, BackendTable, Salt};
 use crate::{BackendId, Instant, Settings};
 use candidate::CandidateFacts;
 pub(crate) use reported_queue::ReportedQueue;
@@ -120,7 +120,7 @@
     /// Chooses the backend for a request's next attempt.
     pub(crate) fn choose(&self, facts: &ChoiceFacts<'_>) -> Result<BackendId, NoBackend> {
         let subset = Subset::new(facts.backends.ready_count(), self.fleet_size, facts.scope);
-        let draw = hash(facts.seed);
+        let draw = unit_draw(facts.seed);
         let start = subset.start(draw);
         let mut search = Search::new();
         for step in 0..subset.steps() {
@@ -153,7 +153,7 @@
         }
         let weight = self.weight(backend, facts, subset);
         let is_sampled = subset.is_sampled();
-        if is_sampled && hash(facts.seed ^ STEP_SALT.of(step as u64)) > weight {
+        if is_sampled && unit_draw(facts.seed ^ STEP_SALT.of(step as u64)) > weight {
             return Err(NoBackend::NotDrawn);
         }
         if !self.slow_start.allows(backend, facts.backends.ready_capacity(), now) {
--- a/src/policy/load_balancing/slow_start.rs
+++ b/src/policy/load_balancing/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: a backend that came up a short time ago bears a part of its capacity only, and falls over when
 //! sent more.
 
-use crate::state::{hash, Backend, DecayingRate, Salt, MICROS_PER_SECOND};
+use crate::state::{unit_draw, Backend, DecayingRate, Salt, MICROS_PER_SECOND};
 use crate::{Duration, Instant, Settings};
 use std::collections::VecDeque;
 
@@ -95,10 +95,10 @@
     /// backend. Each gateway draws at times of its own.
     fn draw(&self, backend: &Backend, now: Instant) -> f64 {
         let period = self.window() * DRAW_WINDOWS;
-        let offset = period.mul_f64(hash(self.own_id));
+        let offset = period.mul_f64(unit_draw(self.own_id));
         let number = (now + offset).period_index(period);
         let seed = backend.endpoint.backend.0;
-        hash(seed ^ DRAW_NUMBER_SALT.of(number) ^ GATEWAY_SALT.of(self.own_id))
+        unit_draw(seed ^ DRAW_NUMBER_SALT.of(number) ^ GATEWAY_SALT.of(self.own_id))
     }
 
     /// The overload window, never zero.
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding: which customers are rejected under overload, in stages of rising severity.
 
 use super::pressure::{Pressure, LOW_PRESSURE};
-use crate::state::{hash, Salt};
+use crate::state::{unit_draw, Salt};
 use crate::{CustomerId, Duration, Instant, Plan};
 use std::fmt;
 
@@ -165,7 +165,7 @@
 /// A number from 0 to 1, the same for a customer at all gateways for an epoch.
 pub(crate) fn epoch_draw(now: Instant, customer: CustomerId) -> f64 {
     let epoch = now.period_index(SHEDDING_EPOCH);
-    hash(customer.0 ^ EPOCH_SALT.of(epoch))
+    unit_draw(customer.0 ^ EPOCH_SALT.of(epoch))
 }
 
 #[cfg(test)]
--- a/src/policy/quota/owner_assignment.rs
+++ b/src/policy/quota/owner_assignment.rs
@@ -1,7 +1,7 @@
 //! The assignment of a customer's quota, and of its hard limit, to gateways.
 
 use super::{GatewaySet, QuotaSettings, Role};
-use crate::state::hash;
+use crate::state::unit_draw;
 use crate::{CustomerId, Plan};
 
 /// Part of a hard limit that two gateways hold and grant on request. The rest is spread evenly over all
@@ -49,8 +49,8 @@
 /// The positions of two different members of a set of so many gateways, drawn by the customer's identifier.
 /// They are the same where the set has but one.
 fn granter_positions(id: CustomerId, set_size: f64) -> [u64; GRANTER_COUNT] {
-    let first = (hash(id.0) * set_size) as u64;
-    let distance = 1 + (hash(!id.0) * (set_size - 1.0)) as u64;
+    let first = (unit_draw(id.0) * set_size) as u64;
+    let distance = 1 + (unit_draw(!id.0) * (set_size - 1.0)) as u64;
     [first, first + distance]
 }
 
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -2,7 +2,7 @@
 
 use super::QuotaManager;
 use crate::gossip::{OutboxEntry, PeerStart, UsageReport};
-use crate::state::hash;
+use crate::state::unit_draw;
 use crate::{CustomerId, Duration, Instant};
 
 /// How long after a grant a gateway reports the level of a bucket.
@@ -69,7 +69,7 @@
             customer.granted_at.is_some_and(|granted_at| now.duration_since(granted_at) < LEVEL_FRESHNESS);
         let is_level_known = customer.role.is_owner() || was_granted_lately;
         // One of the two is drawn to grant units of the hard limit: two grants would waste one.
-        let draw = hash(now.as_micros() ^ id.0);
+        let draw = unit_draw(now.as_micros() ^ id.0);
         let drawn_granter = customer.granters[usize::from(draw < SECOND_GRANTER_SHARE)];
         let is_granter = drawn_granter == to || customer.granters.contains(&own_id);
         let needs_hard_limit = entry.requests_grant && customer.grant_request.needs_hard_limit;
--- a/src/policy/quota/shortages.rs
+++ b/src/policy/quota/shortages.rs
@@ -1,7 +1,7 @@
 //! Shortages: which limits of its customer's plan do not allow a request now, and for how long.
 
 use super::{time_to_refill, Customer, QuotaManager, QuotaOwnership};
-use crate::state::{hash, Salt, MICROS_PER_SECOND};
+use crate::state::{unit_draw, Salt, MICROS_PER_SECOND};
 use crate::{CustomerId, Duration, Instant, Plan, Request};
 
 /// How long a grant holds where no newer one comes. After that a customer is admitted: most are inside their
@@ -153,7 +153,7 @@
         if self.grant_request.requested_at.is_none() {
             return false;
         }
-        let draw = hash(facts.request.id.0 ^ START_SALT.of(started_at.as_micros()));
+        let draw = unit_draw(facts.request.id.0 ^ START_SALT.of(started_at.as_micros()));
         let loses_draw = draw * (1.0 + plan.over_quota_cost) > 1.0;
         let is_alive = |owner: &u16| last_heard_at(*owner).is_some_and(|heard| is_recent(facts.now, heard));
         loses_draw || self.quota_owners.iter().all(is_alive)
--- a/src/state.rs
+++ b/src/state.rs
@@ -7,7 +7,9 @@
 mod request;
 mod request_table;
 
-pub use arithmetic::{decay, hash, DecayingAverage, DecayingRate, Salt, MICROS_PER_SECOND};
+pub use arithmetic::{
+    decay, unit_draw, DecayingAverage, DecayingRate, Salt, GOLDEN_RATIO_MULTIPLIER, MICROS_PER_SECOND,
+};
 pub use backend::Backend;
 pub use backend_table::BackendTable;
 pub use endpoint_index::EndpointIndex;
--- a/src/state/arithmetic.rs
+++ b/src/state/arithmetic.rs
@@ -15,15 +15,18 @@
     }
 }
 
-/// A number from 0 to 1 that looks random (splitmix64).
-pub fn hash(seed: u64) -> f64 {
-    let mut bits = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15);
+/// The odd number nearest to 2^64 over the golden ratio: multiples of it are spread evenly over 64 bits.
+pub const GOLDEN_RATIO_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+
+/// A number from 0 to 1, less than 1, that looks random and follows from the seed (splitmix64).
+pub fn unit_draw(seed: u64) -> f64 {
+    let mut bits = seed.wrapping_mul(GOLDEN_RATIO_MULTIPLIER);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     ((bits ^ (bits >> 31)) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Mixes a further number into the seed of a [`hash`], by exclusive or: draws that differ in it are
+/// Mixes a further number into the seed of a [`unit_draw`], by exclusive or: draws that differ in it are
 /// independent.
 #[derive(Clone, Copy)]
 pub struct Salt {
--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -1,6 +1,6 @@
 //! The backends that a gateway knows, kept up to date with the endpoint list.
 
-use super::{hash, Backend, EndpointIndex, Salt};
+use super::{unit_draw, Backend, EndpointIndex, Salt};
 use crate::gossip::backend_tag;
 use crate::policy::BackendHealth;
 use crate::{Availability, BackendId, Endpoint, GatewayId, Settings, SizeMeaning};
@@ -152,7 +152,7 @@
     /// The key of a backend in this gateway's own order. Floats that are not negative are ordered as their
     /// bits are.
     fn index_key(&self, id: BackendId) -> u64 {
-        hash(id.0 ^ GATEWAY_SALT.of(self.own_id.0.into())).to_bits()
+        unit_draw(id.0 ^ GATEWAY_SALT.of(self.own_id.0.into())).to_bits()
     }
 }
 
