--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -59,7 +59,9 @@
     /// Reads from all connections, without regard to readiness events.
     pub fn read_all(&mut self, now: Instant) {
         let keys: Vec<usize> = self.connections.iter().map(|(key, _)| key).collect();
-        keys.into_iter().for_each(|key| self.read(key, now));
+        for key in keys {
+            self.read(key, now);
+        }
     }
 
     /// Reads from a connection and enforces the memory limit.
@@ -155,7 +157,7 @@
         connection.record_command(now);
         let bytes = &connection.input[position];
         match Command::parse(bytes, &self.argument_ranges, &self.schema) {
-            Some(Ok(_)) if connection.over_limit => {
+            Some(Ok(_)) if connection.is_over_limit() => {
                 tracing::debug!(target: "client_connection", client = connection.serial, "over the limit");
                 connection.start_closing();
                 self.reply_immediately(key, BUSY_REPLY);
