--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -40,7 +40,7 @@
                 self.decide_admission(request.id, GrantAnswers::Complete, actions);
             }
             ArrivalDecision::AwaitGrant { scope, timing } => {
-                let draw = self.draw();
+                let draw = unit_draw(self.next_seed());
                 if self.quota.skips_grant_request(self.now, request.customer, draw) {
                     tracing::debug!(target: "policy", request = request.id.0, "grant request skipped");
                     return self.reject(
@@ -103,10 +103,10 @@
         self.quota.refill_and_find_shortages(&facts, |peer| peers.last_heard_at(peer))
     }
 
-    /// A number from 0 to 1, by the seed.
-    fn draw(&mut self) -> f64 {
+    /// The seed of the next draw.
+    pub(crate) fn next_seed(&mut self) -> u64 {
         self.random_state = self.random_state.wrapping_add(1);
-        unit_draw(self.random_state)
+        self.random_state
     }
 
     /// Has a request wait until the quota owners have answered, or for as long as that may take.
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -8,9 +8,9 @@
 impl Gateway {
     /// Sends a request's next attempt; false if no backend may take it now.
     pub(crate) fn send_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        self.random_state = self.random_state.wrapping_add(1);
+        let seed = self.next_seed();
         let Some(state) = self.requests.get(id) else { return false };
-        let backend = match self.choose_backend(state) {
+        let backend = match self.choose_backend(state, seed) {
             Ok(backend) => backend,
             Err(reason) => {
                 tracing::debug!(target: "policy", request = id.0, ?reason, "no backend chosen");
@@ -31,11 +31,11 @@
     }
 
     /// Chooses a backend for a request's next attempt.
-    fn choose_backend(&self, state: &RequestState) -> Result<BackendId, NoBackend> {
+    fn choose_backend(&self, state: &RequestState, seed: u64) -> Result<BackendId, NoBackend> {
         let scope = self.retry_scope(state).map_err(|KeyExpired| NoBackend::KeyExpired)?;
         self.load_balancer.choose(&ChoiceFacts {
             now: self.now,
-            seed: self.random_state,
+            seed,
             class: state.request.class.into(),
             attempts: &state.attempts,
             scope: &scope,
