--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -18,7 +18,7 @@
             return; // delivered twice: the first one gets the answer
         }
         if let Err(reason) = self.screen(&request) {
-            return self.reject(request.id, reason, Duration::ZERO, actions);
+            return self.push_rejection(request.id, reason, Duration::ZERO, actions);
         }
         let claimed_plan = request.plan;
         let observed = self.quota.observe_request(self.now, &request);
@@ -28,10 +28,10 @@
                 target: "policy", request = request.id.0, claimed_plan, recorded_plan = observed.plan,
                 "hard limit evaded"
             );
-            return self.reject(request.id, RejectReason::HardLimitEvaded, Duration::MAX, actions);
+            return self.push_rejection(request.id, RejectReason::HardLimitEvaded, Duration::MAX, actions);
         }
         if !self.passes_load_shedding(&request, observed.familiarity) {
-            return self.reject(request.id, RejectReason::Shed, Duration::MAX, actions);
+            return self.push_rejection(request.id, RejectReason::Shed, Duration::MAX, actions);
         }
         let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
         match self.decide_arrival(&request, observed.grant) {
@@ -43,7 +43,7 @@
                 let draw = unit_draw(self.next_seed());
                 if self.quota.skips_grant_request(self.now, request.customer, draw) {
                     tracing::debug!(target: "policy", request = request.id.0, "grant request skipped");
-                    return self.reject(
+                    return self.push_rejection(
                         request.id,
                         RejectReason::GrantRequestSkipped,
                         Duration::MAX,
@@ -195,7 +195,7 @@
             self.load_shedder.record_rejection();
         }
         self.requests.remove(request.id);
-        self.reject(request.id, reason, retry_after, actions);
+        self.push_rejection(request.id, reason, retry_after, actions);
         if let Some(purpose) = self.quota.report_after_rejection(request.customer, point) {
             self.queue_usage_report(request.customer, purpose, actions);
         }
--- a/src/gateway/closing.rs
+++ b/src/gateway/closing.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::quota::ReportPurpose;
 use crate::policy::{FinalAnswer, RejectReason, RetryPolicy, NOT_SERVED_RETRY_AFTER};
-use crate::{Action, Duration, Gateway, RequestId};
+use crate::{Action, Duration, Gateway, Request, RequestId};
 
 impl Gateway {
     /// Gives a request that is not served its final answer, by whether it may have been executed.
@@ -11,7 +11,7 @@
         let idempotency = self.class_of(&state.request).idempotency;
         match RetryPolicy::final_answer(idempotency, state.first_possibly_executed().is_some()) {
             FinalAnswer::Rejected => {
-                self.reject(id, RejectReason::NotServed, NOT_SERVED_RETRY_AFTER, actions);
+                self.push_rejection(id, RejectReason::NotServed, NOT_SERVED_RETRY_AFTER, actions);
             }
             FinalAnswer::Failed => {
                 tracing::debug!(target: "policy", request = id.0, "failed");
@@ -21,8 +21,9 @@
         self.close_request(id, actions);
     }
 
-    /// Gives a request its final answer; the advice when to send it again is cut to what the settings allow.
-    pub(crate) fn reject(
+    /// Asks the host to reject a request, which stays open here; the advice when to send it again is cut to
+    /// what the settings allow.
+    pub(crate) fn push_rejection(
         &self,
         id: RequestId,
         reason: RejectReason,
@@ -49,14 +50,20 @@
         if state.attempts_in_flight() > 0 {
             return;
         }
-        let (request, was_sent, awaited_grant) =
-            (state.request, !state.attempts.is_empty(), state.awaiting_grant);
+        let request = state.request;
+        let (awaited_grant, had_attempt) = (state.awaiting_grant, !state.attempts.is_empty());
         self.requests.remove(id);
         if awaited_grant {
             self.quota.stop_awaiting_grant(request.customer, id);
-        } else if !was_sent {
-            self.quota.charge(request.customer, -request.units);
-            self.queue_usage_report(request.customer, ReportPurpose::Usage, actions);
+        } else if !had_attempt {
+            self.refund_unused(&request, actions);
         }
     }
+
+    /// Gives back the units of an admitted request of which the host was asked for no attempt, and reports
+    /// that to the owners of the quota. An attempt that the host did not send is charged nevertheless.
+    fn refund_unused(&mut self, request: &Request, actions: &mut Vec<Action>) {
+        self.quota.charge(request.customer, -request.units);
+        self.queue_usage_report(request.customer, ReportPurpose::Usage, actions);
+    }
 }
