--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -11,6 +11,17 @@
 use crate::state::{unit_draw, RequestState, MICROS_PER_SECOND};
 use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
 
+/// What a look at an entry of the queue has found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum QueueCheck {
+    /// Its request waits for an attempt, and may wait longer.
+    StillQueued,
+    /// Its request has an attempt in flight, was closed or is forgotten.
+    NotQueued,
+    /// Its request had waited for as long as it may, and was ended.
+    Expired,
+}
+
 impl Gateway {
     /// Rejects a new request, admits it, or has it wait until its quota owners have answered.
     pub(crate) fn on_request(&mut self, mut request: Request, actions: &mut Vec<Action>) {
@@ -232,15 +243,17 @@
     /// Ends the queued requests that have waited for as long as they may.
     pub(crate) fn expire_queued_requests(&mut self, actions: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.requests.queue) {
-            if !self.expire_if_overdue(id, actions) {
+            if self.expire_if_overdue(id, actions) == QueueCheck::StillQueued {
                 self.requests.queue.push_back(id);
             }
         }
     }
 
-    /// Ends a request that was queued for as long as it may be; true if it need not wait.
-    fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else { return true };
+    /// Ends a request that was queued for as long as it may be.
+    fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> QueueCheck {
+        let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else {
+            return QueueCheck::NotQueued;
+        };
         let facts = QueueFacts {
             now: self.now,
             arrived_at: state.arrived_at,
@@ -248,11 +261,11 @@
             latency_budget: state.latency_budget(self.class_of(&state.request).latency_objective),
             min_queue_time: min_queue_time(self.settings.tick),
         };
-        let is_overdue = facts.is_overdue();
-        if is_overdue {
-            self.reject_or_fail(id, actions);
+        if !facts.is_overdue() {
+            return QueueCheck::StillQueued;
         }
-        is_overdue
+        self.reject_or_fail(id, actions);
+        QueueCheck::Expired
     }
 
     /// Sends queued requests, in their order, while there is capacity.
