--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -57,6 +57,16 @@
 /// Attempts of a peer that reports nothing count as in flight for so long.
 const REPORTED_IN_FLIGHT_LIFETIME: Duration = Duration::from_millis(1500);
 
+/// From when on this gateway knows what customers used.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum KnownUsage {
+    /// From the beginning: all gateways started with this one, with nothing used before.
+    #[default]
+    Complete,
+    /// From this gateway's start: others may have forwarded requests before.
+    Since(Instant),
+}
+
 /// Counts what customers use, and decides what they may use.
 ///
 /// It is told of requests, attempts, reports and grants, and asked by their facts. What is to be sent to
@@ -67,9 +77,8 @@
     settings: QuotaSettings,
     /// The record of each customer seen lately.
     customers: BTreeMap<CustomerId, Customer>,
-    /// Since when all usage of customers is known: this start; none where all gateways started with this one,
-    /// with nothing used before.
-    usage_known_since: Option<Instant>,
+    /// From when on all usage of customers is known.
+    known_usage: KnownUsage,
     /// When old records are next removed.
     next_sweep_at: Instant,
 }
@@ -79,7 +88,7 @@
     pub(crate) fn new(settings: &Settings, now: Instant) -> QuotaManager {
         QuotaManager {
             settings: QuotaSettings::new(settings, now),
-            usage_known_since: Some(now),
+            known_usage: KnownUsage::Since(now),
             ..QuotaManager::default()
         }
     }
@@ -141,28 +150,32 @@
 
     /// Whether tokens are withheld in case gateways forwarded requests before this start.
     pub(crate) fn withholds_tokens(&self) -> bool {
-        self.usage_known_since.is_some()
+        self.known_usage != KnownUsage::Complete
     }
 
     /// Adds the withheld tokens to all buckets, where all gateways started together and all buckets were full
     /// then. A customer that is always beyond its quota would never get them otherwise.
     pub(crate) fn release_withheld_tokens(&mut self) {
         tracing::debug!(target: "policy", customers = self.customers.len(), "withheld tokens released");
-        self.usage_known_since = None;
+        self.known_usage = KnownUsage::Complete;
         for customer in self.customers.values_mut() {
             customer.bucket.release_withheld();
         }
     }
 
-    /// Seconds for which all usage has been known here.
+    /// Seconds for which all usage has been known here; the highest number where it was from the beginning,
+    /// so that every bucket with a rate is full.
     fn seconds_of_known_usage(&self, now: Instant) -> f64 {
-        self.usage_known_since.map_or(f64::MAX, |since| now.duration_since(since).as_secs_f64())
+        match self.known_usage {
+            KnownUsage::Complete => f64::MAX,
+            KnownUsage::Since(since) => now.duration_since(since).as_secs_f64(),
+        }
     }
 
     /// Whether the whole fleet started a short time ago. Later a peer may have forgotten customers.
     fn fleet_just_started(&self, now: Instant) -> bool {
         let age = now.duration_since(self.settings.started_at);
-        self.usage_known_since.is_none() && age < CUSTOMER_IDLE_TIME
+        self.known_usage == KnownUsage::Complete && age < CUSTOMER_IDLE_TIME
     }
 
     /// Refills a customer's token buckets up to now, and returns its record and its plan.
