--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -41,7 +41,7 @@
 use gateway_set::GatewaySet;
 use grant_request::GrantRequest;
 use hard_limit::HardLimitShare;
-use identity::{IdentityClaim, CUSTOMER_IDLE_TIME};
+use identity::{IdentityClaim, InitialUsage, CUSTOMER_IDLE_TIME};
 use owner_assignment::{OwnerAssignment, GRANTER_COUNT};
 use remote_usage::{GatewayUsage, RemoteUsage};
 use settings::QuotaSettings;
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -1,7 +1,7 @@
 //! What a gateway knows of a customer: its token buckets, its owners and the usage that gateways reported.
 
 use super::identity::CUSTOMER_IDLE_TIME;
-use super::{refill_time, GatewaySet, GrantRequest, HardLimitShare, IdentityClaim};
+use super::{refill_time, GatewaySet, GrantRequest, HardLimitShare, IdentityClaim, InitialUsage};
 use super::{OwnerAssignment, QuotaBucket, RemoteUsage, GRANTER_COUNT, USAGE_RATE_TIME_CONSTANT};
 use crate::gossip::{wrap_total, TokenLevel, UsageReport, MAX_PLAN};
 use crate::state::decay;
@@ -89,14 +89,15 @@
     pub(super) fn new(
         now: Instant,
         claim: &IdentityClaim,
+        initial: &InitialUsage,
         plan: &Plan,
         assignment: OwnerAssignment,
     ) -> Customer {
         Customer {
             plan: claim.plan,
             gateway_set: assignment.gateway_set,
-            bucket: QuotaBucket::new(plan, claim.tokens),
-            remote: RemoteUsage::with_rate(claim.remote_rate),
+            bucket: QuotaBucket::new(plan, initial.tokens),
+            remote: RemoteUsage::with_rate(initial.remote_rate),
             refilled_at: now,
             hard_limit: HardLimitShare {
                 fraction: assignment.hard_limit_fraction,
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -10,13 +10,18 @@
 /// A customer unseen for so long is as good as unknown.
 pub(super) const CUSTOMER_IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// What one request or report says of its customer, and what its record begins with if there is none yet.
+/// What one request or report says of its customer.
 #[derive(Clone, Copy)]
 pub(super) struct IdentityClaim {
     /// Index of the plan.
     pub plan: usize,
     /// The gateways that serve the customer, in whole gateways.
     pub gateway_set: GatewaySet,
+}
+
+/// The usage that a new record of a customer begins with.
+#[derive(Clone, Copy)]
+pub(super) struct InitialUsage {
     /// Units in the quota's token bucket.
     pub tokens: f64,
     /// Units a second through all other gateways.
@@ -56,11 +61,13 @@
         let claim = IdentityClaim {
             plan: usize::from(request.plan),
             gateway_set: set.in_whole_gateways(self.settings.gateway_count),
+        };
+        let initial = InitialUsage {
             tokens: self.settings.ownership.initial_tokens(plan, share + refilled),
             remote_rate: plan.rate * (1.0 - 1.0 / set.size),
         };
         let own_id = self.settings.own_id;
-        let customer = self.record_identity(now, request.customer, &claim);
+        let customer = self.record_identity(now, request.customer, &claim, &initial);
         let is_unseen =
             customer.last_seen_at.is_none_or(|seen_at| now.duration_since(seen_at) > CUSTOMER_IDLE_TIME);
         customer.last_seen_at = Some(now);
@@ -74,7 +81,7 @@
     }
 
     /// Records the plan and the gateways that a request or a report names for a customer, and returns its
-    /// record.
+    /// record; a new one begins with the initial usage.
     ///
     /// Whoever sends a request may name any plan. The record follows what most requests and reports say, so
     /// that neither the first nor a single one decides.
@@ -83,10 +90,11 @@
         now: Instant,
         id: CustomerId,
         claim: &IdentityClaim,
+        initial: &InitialUsage,
     ) -> &mut Customer {
         let customer = match self.customers.entry(id) {
             Entry::Vacant(vacant) => {
-                return vacant.insert(self.settings.new_customer(now, id, claim, f64::MAX));
+                return vacant.insert(self.settings.new_customer(now, id, claim, initial, f64::MAX));
             }
             Entry::Occupied(occupied) => occupied.into_mut(),
         };
@@ -103,7 +111,8 @@
             );
             // The bucket must not begin full again each time that somebody makes the record change.
             let max_hard_limit_tokens = customer.hard_limit.tokens;
-            customer.replace_identity(self.settings.new_customer(now, id, claim, max_hard_limit_tokens));
+            let new = self.settings.new_customer(now, id, claim, initial, max_hard_limit_tokens);
+            customer.replace_identity(new);
         }
         customer
     }
--- a/src/policy/quota/settings.rs
+++ b/src/policy/quota/settings.rs
@@ -1,6 +1,6 @@
 //! What the rules of quotas are given when a gateway starts.
 
-use super::{Customer, IdentityClaim, OwnerAssignment, QuotaOwnership};
+use super::{Customer, IdentityClaim, InitialUsage, OwnerAssignment, QuotaOwnership};
 use crate::{CustomerId, Instant, Plan, Settings};
 
 /// The plans, and this gateway's place in the fleet.
@@ -41,11 +41,12 @@
         now: Instant,
         id: CustomerId,
         claim: &IdentityClaim,
+        initial: &InitialUsage,
         max_hard_limit_tokens: f64,
     ) -> Customer {
         let plan = &self.plans[claim.plan];
         let assignment = OwnerAssignment::new(self, id, claim.gateway_set, plan);
-        let mut customer = Customer::new(now, claim, plan, assignment);
+        let mut customer = Customer::new(now, claim, initial, plan, assignment);
         customer.hard_limit.fill_since_start(
             plan,
             now.duration_since(self.started_at),
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -2,7 +2,7 @@
 //! it.
 
 use super::customer::{record_lifetime, Role, MAX_REPORTED_IN_FLIGHT};
-use super::{Customer, GatewaySet, GatewayUsage, IdentityClaim, QuotaManager};
+use super::{Customer, GatewaySet, GatewayUsage, IdentityClaim, InitialUsage, QuotaManager};
 use crate::gossip::{floor_to_wire_units, wrapping_delta, PeerAge, QuotaGrant, UsageReport};
 use crate::{Instant, Plan};
 
@@ -84,10 +84,9 @@
         let claim = IdentityClaim {
             plan: usize::from(report.plan),
             gateway_set: set.in_whole_gateways(self.settings.gateway_count),
-            tokens: reported.unwrap_or(presumed),
-            remote_rate: 0.0,
         };
-        self.record_identity(now, report.customer, &claim);
+        let initial = InitialUsage { tokens: reported.unwrap_or(presumed), remote_rate: 0.0 };
+        self.record_identity(now, report.customer, &claim, &initial);
         Some(())
     }
 }
