--- a/src/event.rs
+++ b/src/event.rs
@@ -46,9 +46,11 @@
     pub deadline: Instant,
     /// The units that it takes from the customer's quota.
     pub units: f64,
-    /// The number of gateways that receive the customer's requests.
+    /// The number of gateways that receive the customer's requests. The simulator's wire has fractions; the
+    /// ingress reads whole numbers.
     pub gateway_set_size: f64,
-    /// The first of these gateways; the others follow it by index, and gateway 0 follows the last one.
+    /// The first of these gateways, a fraction like the number; the others follow it by index, and gateway 0
+    /// follows the last one.
     pub gateway_set_start: f64,
 }
 
--- a/src/policy/quota/gateway_set.rs
+++ b/src/policy/quota/gateway_set.rs
@@ -7,7 +7,8 @@
 pub(super) struct GatewaySet {
     /// The first of them.
     pub start: u16,
-    /// How many there are, at least 1; a request may name a fraction.
+    /// How many there are, at least 1. A request on the simulator's wire may name a fraction, which counts in
+    /// shares of a quota; the ingress has whole numbers.
     pub size: f64,
 }
 
