--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -15,10 +15,11 @@
 use permission::{may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal, KeyExpired};
 use thiserror::Error;
 
-/// Share of a request's latency budget after which an attempt at a silent backend is given up on.
-const SILENCE_SHARE: f64 = 0.35;
-/// Share of a request's latency budget after which an attempt is late at a backend that answers others.
-const LATE_SHARE: f64 = 0.6;
+/// Time from the send of an attempt, as a share of its request's latency budget, after which it is given up
+/// on at a silent backend.
+const SILENCE_CHECK_SHARE: f64 = 0.35;
+/// The same after which an attempt is late at a backend that answers others.
+const LATE_ATTEMPT_SHARE: f64 = 0.6;
 
 /// What decides on a further attempt of a request.
 #[derive(Clone, Copy, Debug)]
@@ -60,9 +61,10 @@
     pub now: Instant,
     /// When the attempt was sent.
     pub sent_at: Instant,
-    /// How long the request's answer is in time, from its arrival.
+    /// The time from the request's arrival within which an answer is in time. The shares of it count from the
+    /// send, also for a retry.
     pub latency_budget: Duration,
-    /// Whether the backend has answered nobody since the attempt was sent.
+    /// Whether the backend has answered no attempt of the class since this one was sent.
     pub is_silent: bool,
     /// Whether load is shed: an attempt that is merely late is then not repeated.
     pub is_shedding: bool,
@@ -154,12 +156,12 @@
 
     /// When an attempt that is sent now is checked for the first time.
     pub(crate) fn first_check_at(sent_at: Instant, latency_budget: Duration) -> Instant {
-        sent_at + latency_budget.mul_f64(SILENCE_SHARE)
+        sent_at + latency_budget.mul_f64(SILENCE_CHECK_SHARE)
     }
 
     /// What is done about an attempt that has no answer yet.
     pub(crate) fn check_attempt(&self, facts: &AttemptCheckFacts) -> AttemptCheck {
-        let late_at = facts.sent_at + facts.latency_budget.mul_f64(LATE_SHARE);
+        let late_at = facts.sent_at + facts.latency_budget.mul_f64(LATE_ATTEMPT_SHARE);
         if !facts.is_silent && facts.now < late_at {
             return AttemptCheck::CheckAt(late_at);
         }
