--- a/src/action.rs
+++ b/src/action.rs
@@ -49,9 +49,10 @@
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Poll discovery once, now.
+    /// Ask discovery for the changes since its last answer, and for those to come.
     ///
-    /// The ingress follows a schedule of its own and ignores this.
+    /// The simulator takes this for a call that subscribes, which is answered once, also where a subscription
+    /// holds. The ingress makes long polls on a schedule of its own and ignores this.
     PollDiscovery,
     /// A line for the log.
     ///
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -10,8 +10,8 @@
 pub const ACTION_SIZE: usize = 32;
 /// The receiver of a message to all peers.
 const ALL_PEERS: GatewayId = GatewayId(u16::MAX);
-/// The value of the byte that the simulator's record has for a poll of discovery.
-const POLL_NOW: u8 = 1;
+/// What the byte of a call to discovery says: that it subscribes, and does not unsubscribe.
+const SUBSCRIBE: u8 = 1;
 
 /// The codes of actions, with their names on the wire.
 mod code {
@@ -85,7 +85,7 @@
             }
             Action::Log(text) => self.write_tail(record, text.as_bytes()),
             Action::PollDiscovery => {
-                record.u8(POLL_NOW);
+                record.u8(SUBSCRIBE);
             }
         }
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -125,7 +125,8 @@
     /// An agent on the same host, which has each change at once. The simulator delivers its changes unasked.
     #[default]
     LocalAgent,
-    /// A service that all gateways share. The simulator polls it when a gateway asks it to.
+    /// A service that all gateways share. In the simulator a gateway asks it by
+    /// [`Action::PollDiscovery`](crate::Action).
     SharedService,
 }
 
