--- a/src/policy.rs
+++ b/src/policy.rs
@@ -19,9 +19,7 @@
 pub(crate) use attempt_expiry::{attempt_expiry, ExpiryFacts};
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
 pub(crate) use load_balancing::{ChoiceFacts, LoadBalancer, NoBackend, RecentSends, ReportedQueue};
-pub(crate) use load_shedding::{
-    Familiarity, LoadShedder, SheddingFacts, StageChange, NOT_SERVED_RETRY_AFTER,
-};
+pub(crate) use load_shedding::{Familiarity, LoadShedder, SheddingFacts, StageChange};
 pub(crate) use outlier_detection::{
     AnswerFacts, BackendHealth, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, OutlierDetector,
     SilenceVerdict, Source, REJECTION_NORMAL_RATIO,
@@ -30,6 +28,7 @@
 pub(crate) use reasons::{EjectionReason, RejectReason};
 pub(crate) use retry::{
     AttemptCheck, AttemptCheckFacts, ExecutedAttempt, FinalAnswer, RetryFacts, RetryPolicy, RetryScope,
+    NOT_SERVED_RETRY_AFTER,
 };
 pub use start_times::StartTimes;
 pub(crate) use wake_up::WakeUpSchedule;
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -5,16 +5,16 @@
 use crate::{CustomerId, Duration, Instant, Plan};
 use std::fmt;
 
-/// Share of the customers on ordinary plans that is admitted, by stage (paper, table I).
+/// Share of the customers on ordinary plans that is admitted, by stage: as for amber traffic in table I of
+/// Demir and Ghose, "Maintaining Useful Server Throughput under Load Attacks Using Active NIC Portals".
 const ADMITTED_SHARES: [f64; 4] = [1.0, 0.9, 0.7, 0.5];
-/// The stage at which only customers on the dearest plan are admitted.
+/// The stage at which only customers on the dearest plan are admitted. Where all prices are equal it sheds as
+/// the stage before.
 const LAST_STAGE: usize = ADMITTED_SHARES.len();
 /// The stage from which customers that were not seen of late are shed like others.
 const FIRST_STAGE_FOR_UNSEEN: usize = 2;
 /// The least time on a stage before a higher one: the effect of a stage has to show first.
-const MIN_STAGE_TIME_UP: Duration = Duration::from_millis(1500);
-/// How long a client whose request was not served is asked to stay away: the stage may have risen by then.
-pub(crate) const NOT_SERVED_RETRY_AFTER: Duration = MIN_STAGE_TIME_UP;
+pub(super) const MIN_STAGE_TIME_UP: Duration = Duration::from_millis(1500);
 /// The least time on a stage before a lower one.
 const MIN_STAGE_TIME_DOWN: Duration = Duration::from_secs(2);
 /// How long the same customers are shed: longer than their clients retry.
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -10,6 +10,7 @@
 
 pub(crate) use scope::RetryScope;
 
+use super::load_shedding::MIN_STAGE_TIME_UP;
 use crate::{Duration, Endpoint, Idempotency, IdempotencyScope, Instant, Limits, Settings};
 use budget::RetryBudget;
 use permission::{may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal, KeyExpired};
@@ -21,6 +22,10 @@
 /// The same after which an attempt is late at a backend that answers others.
 const LATE_ATTEMPT_SHARE: f64 = 0.6;
 
+/// How long a client whose request was not served is asked to stay away: the shedding stage may have risen by
+/// then.
+pub(crate) const NOT_SERVED_RETRY_AFTER: Duration = MIN_STAGE_TIME_UP;
+
 /// What decides on a further attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryFacts {
