--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -63,7 +63,6 @@
         latency_objective: SECOND,
         latency_objective_stretch: 0.0,
         deadline: SECOND * 4,
-        priority_weight: 1.0,
         late_weight: 0.0,
         idempotency: Idempotency::Idempotent,
         streaming: false,
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -27,7 +27,7 @@
     pub hedging: bool,
     /// The most attempts of a request.
     pub max_attempts: usize,
-    /// How long a backend that takes no new work may still be sent some.
+    /// How long after the change a backend that takes no new work may still be sent some.
     pub drain_grace: Duration,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,7 +15,7 @@
 //! let class = Class {
 //!     latency_objective: Duration::from_millis(500), latency_objective_stretch: 0.0,
 //!     deadline: Duration::from_secs(2),
-//!     priority_weight: 1.0, late_weight: 0.0, idempotency: Idempotency::Idempotent, streaming: false,
+//!     late_weight: 0.0, idempotency: Idempotency::Idempotent, streaming: false,
 //! };
 //! let settings = Settings {
 //!     gateway_count: 1, tick: Duration::from_millis(4), classes: vec![class], plans: vec![plan], ..Settings::default()
--- a/src/policy/attempt_expiry/tests.rs
+++ b/src/policy/attempt_expiry/tests.rs
@@ -13,7 +13,6 @@
         latency_objective: OBJECTIVE,
         latency_objective_stretch: 0.0,
         deadline: Duration::from_secs(2),
-        priority_weight: 1.0,
         late_weight,
         idempotency: Idempotency::Idempotent,
         streaming: false,
--- a/src/policy/load_balancing/tests.rs
+++ b/src/policy/load_balancing/tests.rs
@@ -26,7 +26,6 @@
             latency_objective: Duration::from_millis(400),
             latency_objective_stretch: 0.0,
             deadline: Duration::from_secs(2),
-            priority_weight: 1.0,
             late_weight: 0.0,
             idempotency: Idempotency::Idempotent,
             streaming: false,
--- a/src/policy/outlier_detection/tests.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -26,7 +26,6 @@
         latency_objective: OBJECTIVE,
         latency_objective_stretch: 0.0,
         deadline: OBJECTIVE,
-        priority_weight: 1.0,
         late_weight: 0.0,
         idempotency: Idempotency::Idempotent,
         streaming: false,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -41,13 +41,12 @@
 pub struct Class {
     /// An answer within this time earns the full priority weight.
     pub latency_objective: Duration,
-    /// The objective grows by this multiple of a request's own work.
+    /// Above 0 the deployment adds this multiple of a request's own work to its objective. A gateway doesn't
+    /// know that work: it goes by the objective alone, and gives up no late attempt of such a class.
     pub latency_objective_stretch: f64,
     /// The longest that a client waits, its own retries included.
     pub deadline: Duration,
-    /// The priority of an answer within the latency objective.
-    pub priority_weight: f64,
-    /// The share of the priority weight that an answer after the objective earns.
+    /// The share of the class's priority weight that an answer after the objective earns.
     pub late_weight: f64,
     /// Whether it may be executed again.
     pub idempotency: Idempotency,
@@ -104,7 +103,8 @@
 /// The figures of the rules.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// New work to a draining backend must have ended after this.
+    /// A draining backend may be sent new work for this long after the change was delivered. The load
+    /// balancer sends it none at all; only the audit goes by this.
     pub drain_grace: Duration,
     /// A backend starts at this share of its capacity or more.
     pub slow_start_floor: f64,
@@ -112,7 +112,7 @@
     pub slow_start_duration: Duration,
     /// A backend in slow start fails when it is sent more than this multiple of its capacity ...
     pub overload_factor: f64,
-    /// ... for this long.
+    /// ... within this time.
     pub overload_window: Duration,
     /// Discovery must be polled at least this often where it must be polled.
     pub max_poll_interval: Duration,
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -11,7 +11,7 @@
 //! | `grades[].group`: `all`, `zone`, `cell` | [`IdempotencyScope`]: fleet, zone, cell |
 //! | `grades[].objective_us`, `aim_stretch` | `latency_objective`, `latency_objective_stretch` |
 //! | `grades[].give_up_us` | `deadline` |
-//! | `grades[].worth`, `late_worth` | `priority_weight`, `late_weight` |
+//! | `grades[].worth`, `late_worth` | the priority weight, which no decision uses; `late_weight` |
 //! | `contracts[]` | plans, [`Plan`] |
 //! | `contracts[].quota_rate`, `max_out` | `rate`, `concurrency_quota` |
 //! | `contracts[].never_over_rate`, `ceiling_burst` | `hard_limit_rate`, `hard_limit_burst` |
@@ -52,8 +52,10 @@
     Flag,
 }
 
-/// Keys of a plan that no decision uses. A configuration without them, or with a bad value there, is refused
-/// all the same.
+/// The key of a class that no decision uses, its priority weight. A configuration without it, or with a bad
+/// value there, is refused all the same.
+const UNUSED_CLASS_KEY: (&str, ValueKind) = ("worth", ValueKind::Number);
+/// The same of a plan.
 const UNUSED_PLAN_KEYS: [(&str, ValueKind); 2] =
     [("ceiling_slack", ValueKind::Number), ("over_worth", ValueKind::Number)];
 /// The same outside the lists.
@@ -202,12 +204,17 @@
     fn class(&self, index: u64) -> Result<Class, SettingsError> {
         let SettingsReader(values) = self;
         let key = |name: &str| format!("{CLASSES}.{index}.{name}");
+        let idempotency = self.idempotency(index)?;
+        let latency_objective = values.duration(&key("objective_us"))?;
+        let latency_objective_stretch = values.number_or(&key("aim_stretch"), 0.0)?;
+        let deadline = values.duration(&key("give_up_us"))?;
+        let (unused_key, kind) = UNUSED_CLASS_KEY;
+        self.check(&key(unused_key), kind)?;
         Ok(Class {
-            idempotency: self.idempotency(index)?,
-            latency_objective: values.duration(&key("objective_us"))?,
-            latency_objective_stretch: values.number_or(&key("aim_stretch"), 0.0)?,
-            deadline: values.duration(&key("give_up_us"))?,
-            priority_weight: values.number(&key("worth"))?,
+            idempotency,
+            latency_objective,
+            latency_objective_stretch,
+            deadline,
             late_weight: values.number(&key("late_worth"))?,
             streaming: values.flag(&key("stream"))?,
         })
--- a/tests/support/src/settings.rs
+++ b/tests/support/src/settings.rs
@@ -33,7 +33,6 @@
         latency_objective: SECOND,
         latency_objective_stretch: 0.0,
         deadline: SECOND * 4,
-        priority_weight: 1.0,
         late_weight: 0.0,
         idempotency,
         streaming: false,
