--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -15,10 +15,10 @@
 /// The most of that time: a process that starts counts as informed after 6 s like any other, and the response
 /// takes its time.
 const MAX_SPREAD: Duration = Duration::from_secs(4);
-/// The longest time from a failed poll to the next one, in microseconds, drawn from this range: a change
-/// counts as delivered 6 s after discovery had it and could be reached, which may be the moment after the
-/// poll, and the rest is for the response.
-const MAX_POLL_GAP: RangeInclusive<u64> = 4_500_000..=5_000_000;
+/// The longest time from a failed poll to the next one is drawn from this range: a change counts as delivered
+/// 6 s after discovery had it and could be reached, which may be the moment after the poll, and the rest is
+/// for the response.
+const POLL_GAP: RangeInclusive<Duration> = Duration::from_millis(4500)..=Duration::from_secs(5);
 
 /// Periodic polls in the time within which one is due: two, so that one may fail.
 const POLLS_PER_INTERVAL: u64 = 2;
@@ -64,7 +64,8 @@
     /// Polls of a service that all ingresses share, with a queue in front of it. It also works on polls that
     /// have been given up, so a queue that is full after a mass restart empties only if rejected ingresses
     /// stay away as long as the rule lets them. `max_poll_interval` is the time of the settings within which
-    /// discovery must be polled.
+    /// discovery must be polled. A poll that waits may last longer than that: while it is pending it is
+    /// answered with each change, and an ingress that polled more often would only add to the load.
     pub fn shared_service(max_poll_interval: Duration, ingress_count: u64) -> PollTimings {
         PollTimings {
             poll_timeout: (max_poll_interval * 2).clamp(Self::LOCAL_AGENT.poll_timeout, MAX_POLL_TIMEOUT),
@@ -130,7 +131,7 @@
     /// Records a failure now, of the poll that was pending, if one was, and schedules the next poll.
     pub fn on_failure(&mut self, now: Instant, pending: Option<FailedPoll>) -> NextPoll {
         let unobserved_since = self.unobserved_since(now, pending);
-        let latest = unobserved_since + Duration::from_micros(self.random.u64(MAX_POLL_GAP));
+        let latest = unobserved_since + self.draw(POLL_GAP);
         let is_first_failure = !std::mem::replace(&mut self.is_failing, true);
         let spread = if is_first_failure { self.spread() } else { Duration::ZERO };
         let at = (now + self.jittered(self.next_delay) + spread).min(latest).max(now);
@@ -166,12 +167,17 @@
     fn jittered(&mut self, middle: Duration) -> Duration {
         let shortest = middle / 2;
         let longest = middle * 3 / 2;
-        Duration::from_micros(self.random.u64(shortest.as_micros()..=longest.as_micros()))
+        self.draw(shortest..=longest)
+    }
+
+    /// A time drawn from a range.
+    fn draw(&mut self, range: RangeInclusive<Duration>) -> Duration {
+        Duration::from_micros(self.random.u64(range.start().as_micros()..=range.end().as_micros()))
     }
 
     /// The part of one ingress in the time over which polls at one moment are spread.
     fn spread(&mut self) -> Duration {
-        Duration::from_micros(self.random.u64(0..=self.timings.spread.as_micros()))
+        self.draw(Duration::ZERO..=self.timings.spread)
     }
 }
 
--- a/src/policy/start_times.rs
+++ b/src/policy/start_times.rs
@@ -7,18 +7,18 @@
 
 /// How far in the future a start may seem to lie: clocks differ a little. One further off was read by the
 /// wrong clock.
-const CLOCK_SKEW: i64 = 1_000_000;
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(1);
 /// How much later than its start a backend's new start may be listed, while discovery can be reached.
 const MAX_LISTING_DELAY: Duration = Duration::from_secs(6);
 
 /// By how much the wall clock was ahead of the host's time, which begins as Unix time and goes on steadily.
 #[derive(Clone, Copy, Default)]
 struct ClockOffsets {
-    /// At the latest reading.
+    /// At the latest reading, in microseconds.
     latest: i64,
-    /// The least there was.
+    /// The least there was, in microseconds.
     lowest: i64,
-    /// The most there was.
+    /// The most there was, in microseconds.
     highest: i64,
 }
 
@@ -35,7 +35,8 @@
     fn least_age(&self, now: Instant, unix_start: UnixTime) -> Duration {
         let offsets = [0, self.latest, self.lowest, self.highest];
         let ages = offsets.map(|offset| now.as_micros() as i64 + offset - unix_start.as_micros() as i64);
-        let possible = ages.into_iter().filter(|age| *age >= -CLOCK_SKEW);
+        let max_skew = MAX_CLOCK_SKEW.as_micros() as i64;
+        let possible = ages.into_iter().filter(|age| *age >= -max_skew);
         Duration::from_micros(possible.min().unwrap_or(0).max(0) as u64)
     }
 }
