--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,8 +1,9 @@
 //! A gateway: it takes events, asks the components that decide in a fixed order, and turns their decisions
 //! into actions.
 //!
-//! Nothing is decided here: each rule stands in the file of its concern under `src/policy`, with its inputs.
-//! The gateway's files follow the events:
+//! Each rule stands in the file of its concern under `src/policy`, with its inputs. What is left to these
+//! files is the order: queued requests are sent first in, first out, and a stall of the host is followed by
+//! answers to what is overdue. They follow the events:
 //!
 //! | event or duty | file |
 //! | --- | --- |
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Sends a peer that started one report of each customer whose quota it owns.
+    /// A peer has started: forgets what its earlier process reported, and queues one report of each active
+    /// customer whose quota the peer owns.
     fn on_peer_start(&mut self, peer: u16, start: PeerStart) {
         let unreported = self.quota.on_peer_start(self.now, peer, start);
         tracing::debug!(target: "policy", peer, ?start, customers = unreported.len(), "peer started");
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,5 +1,8 @@
-//! Every decision of a gateway and every tuned constant, a file for each concern. No I/O, no clock: what is random comes
+//! The decisions of a gateway and their constants, a file for each concern. No I/O, no clock: what is random comes
 //! from the seed alone.
+//!
+//! Constants of the transport stand elsewhere: those of the messages between gateways in `gossip`, those of
+//! connections and sockets in the ingress.
 
 pub(crate) mod admission;
 mod attempt_expiry;
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -1,9 +1,14 @@
-//! The one place of each rule on what may be done now: start an attempt, repeat it with its key, begin to
-//! write it, send to a backend, use a connection again, close a client's connection. The policy and the host
-//! both ask here, and get a typed reason for a yes and for a no. [`crate::audit`] checks afterwards what was
-//! done.
+//! The rules on what may be done now, each answered with a typed reason for a no. [`crate::audit`] checks
+//! afterwards what was done.
 //!
-//! The rules on attempts stand with the retry policy, in `policy/retry/permission.rs`.
+//! | question | who asks | file |
+//! | --- | --- | --- |
+//! | may an attempt be started? | the retry policy and the host | `policy/retry/permission.rs` |
+//! | may an idempotency key be repeated? | the retry policy | `policy/retry/permission.rs` |
+//! | may the first byte of an attempt be written? | the host | here |
+//! | may a backend be sent something new? | the host; the load balancer chooses among ready ones | here |
+//! | may a connection be used again? | the host | here |
+//! | may a client's connection be closed? | the host | here |
 
 pub use super::retry::permission::{
     may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal, KeyExpired,
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -15,6 +15,19 @@
 //! | what is reported, and to whom? | `reporting.rs` |
 //! | how are buckets refilled and charged? | `customer.rs`, `hard_limit.rs`, `token_bucket.rs` |
 //! | what do other gateways use? | `remote_usage.rs` |
+//!
+//! How long an answer of an owner counts, from the shortest time to the longest:
+//!
+//! - `SHARED_GRANT_FRESHNESS` in `ownership.rs`: the age of a grant that stands for a further request, where
+//!   all gateways are owners.
+//! - `MAX_GRANT_WAIT` in `grant_request.rs`: the wait of a request for a grant, and the age of a request for
+//!   one that others share.
+//! - `HARD_LIMIT_GRANT_LIFETIME` in `grant_request.rs`: the time from a request for units of the hard limit
+//!   to their grant.
+//! - `REJECTION_FRESHNESS` in `policy/admission.rs`: the age of a grant by which a customer without tokens is
+//!   rejected at once.
+//! - `LEVEL_FRESHNESS` in `reporting.rs`: the age of a grant by which a reporter knows the level of a bucket.
+//! - `GRANT_LIFETIME` in `shortages.rs`: the age of a grant by which the usage of others is known at all.
 
 mod customer;
 mod gateway_set;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -201,7 +201,9 @@
         let (Idempotency::Keyed { scope, window }, Some(executed)) = (idempotency, executed) else {
             return Ok(RetryScope::Anywhere);
         };
-        // An attempt begins once its connection is up: by then, too, the key has to be known.
+        // An attempt begins once its connection is up: by then, too, the key has to be known. The host lets
+        // it begin up to the connect timeout after it was given the action (`WriteFacts::begins_by`), and may
+        // be given that a tick after this decision.
         let begins_by = now + self.tick + self.limits.connect_timeout;
         may_repeat_key(window, executed.sent_at, begins_by)?;
         Ok(RetryScope::Within(scope, executed.endpoint))
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers: records and data structures. No decision and no tuned value lives here.
+//! What a gateway remembers: records and data structures. What follows from them is decided in `policy`.
 
 mod arithmetic;
 mod backend;
