--- a/src/action.rs
+++ b/src/action.rs
@@ -42,7 +42,7 @@
         /// Returned with the event.
         token: u32,
     },
-    /// Send a message of at most 256 bytes to one peer, or to all.
+    /// Send a message of at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES) to one peer, or to all.
     SendToPeer {
         /// The receiver; none means all.
         to: Option<GatewayId>,
--- a/src/bin/ingress/peers.rs
+++ b/src/bin/ingress/peers.rs
@@ -1,14 +1,12 @@
 //! The transport of gossip: UDP datagrams between ingresses, which are identified by their addresses.
 
 use crate::config::PeerAddresses;
-use ingress::GatewayId;
+use ingress::{GatewayId, MAX_MESSAGE_BYTES};
 use mio::net::UdpSocket;
 use mio::{Interest, Registry, Token};
 use std::io;
 use std::net::SocketAddr;
 
-/// The most bytes of a message.
-const MAX_MESSAGE_BYTES: usize = 256;
 /// The most datagrams per receive, so that a flood of them does not starve the event loop's other work.
 const MAX_DATAGRAMS_PER_RECEIVE: usize = 64;
 
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -9,7 +9,7 @@
 mod peer;
 mod units;
 
-pub use encoding::{MAX_CLASS, MAX_PLAN, MAX_SAMPLES, MAX_USAGE_REPORTS};
+pub use encoding::{MAX_CLASS, MAX_MESSAGE_BYTES, MAX_PLAN, MAX_SAMPLES, MAX_USAGE_REPORTS};
 pub use exchange::PeerExchange;
 pub use message::{backend_tag, incarnation_of, Body, LatencySample, Message, QuotaGrant, UsageReport};
 pub use peer::{OutboxEntry, PeerAge, PeerStart};
--- a/src/gossip/encoding.rs
+++ b/src/gossip/encoding.rs
@@ -52,7 +52,7 @@
 /// Bytes of a quota grant.
 const QUOTA_GRANT_BYTES: usize = 12;
 /// The most bytes that a message may have.
-const MAX_MESSAGE_BYTES: usize = 256;
+pub const MAX_MESSAGE_BYTES: usize = 256;
 /// Bytes that are left for the body beside all samples.
 const MAX_BODY_BYTES: usize = MAX_MESSAGE_BYTES - HEADER_BYTES - MAX_SAMPLES * SAMPLE_BYTES;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -64,6 +64,7 @@
 pub use endpoint::{Availability, Endpoint, EndpointUpdate};
 pub use event::{AttemptEnded, Event, Outcome, Request};
 pub use gateway::Gateway;
+pub use gossip::MAX_MESSAGE_BYTES;
 pub use identifiers::{BackendId, CustomerId, GatewayId, RequestId};
 pub use policy::{discovery_schedule, permissions, StartTimes};
 pub use settings::{
--- a/src/state/arithmetic.rs
+++ b/src/state/arithmetic.rs
@@ -1,9 +1,9 @@
 //! Arithmetic that the records share.
 
-use crate::{Duration, Instant};
+use crate::{time, Duration, Instant};
 
 /// Microseconds in a second, for sums with fractions.
-pub const MICROS_PER_SECOND: f64 = 1e6;
+pub const MICROS_PER_SECOND: f64 = time::MICROS_PER_SECOND as f64;
 
 /// What is left at one time of a value of 1 at another that decays exponentially: 1/e after the time
 /// constant. Nothing has decayed where the times are in the wrong order.
--- a/src/time.rs
+++ b/src/time.rs
@@ -10,7 +10,7 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 /// Microseconds in a second.
-const MICROS_PER_SECOND: u64 = 1_000_000;
+pub(crate) const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// A point in time on the host's monotonic clock.
 ///
