--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -9,8 +9,11 @@
 mod peer;
 mod units;
 
-pub use encoding::{MAX_CLASS, MAX_MESSAGE_BYTES, MAX_PLAN, MAX_SAMPLES, MAX_USAGE_REPORTS};
-pub use exchange::PeerExchange;
-pub use message::{backend_tag, incarnation_of, Body, LatencySample, Message, QuotaGrant, UsageReport};
-pub use peer::{OutboxEntry, PeerAge, PeerStart};
-pub use units::{floor_to_wire_units, wrap_total, wrapping_delta, TokenLevel};
+pub use encoding::MAX_MESSAGE_BYTES;
+pub(crate) use encoding::{MAX_CLASS, MAX_PLAN, MAX_SAMPLES, MAX_USAGE_REPORTS};
+pub(crate) use exchange::PeerExchange;
+pub(crate) use message::{
+    backend_tag, incarnation_of, Body, LatencySample, Message, QuotaGrant, UsageReport,
+};
+pub(crate) use peer::{OutboxEntry, PeerAge, PeerStart};
+pub(crate) use units::{floor_to_wire_units, wrap_total, wrapping_delta, TokenLevel};
--- a/src/gossip/bytes.rs
+++ b/src/gossip/bytes.rs
@@ -11,52 +11,52 @@
 
 /// The bytes of a message in the making.
 #[derive(Default)]
-pub struct ByteWriter(Vec<u8>);
+pub(crate) struct ByteWriter(Vec<u8>);
 
 impl ByteWriter {
     /// The bytes written.
-    pub fn finish(self) -> Vec<u8> {
+    pub(crate) fn finish(self) -> Vec<u8> {
         self.0
     }
 
     /// Appends one byte.
-    pub fn u8(&mut self, value: u8) {
+    pub(crate) fn u8(&mut self, value: u8) {
         self.0.push(value);
     }
 
     /// Appends two bytes.
-    pub fn u16(&mut self, value: u16) {
+    pub(crate) fn u16(&mut self, value: u16) {
         self.0.extend_from_slice(&value.to_le_bytes());
     }
 
     /// Appends two bytes, in two's complement.
-    pub fn i16(&mut self, value: i16) {
+    pub(crate) fn i16(&mut self, value: i16) {
         self.0.extend_from_slice(&value.to_le_bytes());
     }
 
     /// Appends the low three bytes.
-    pub fn u24(&mut self, value: u32) {
+    pub(crate) fn u24(&mut self, value: u32) {
         self.0.extend_from_slice(&value.to_le_bytes()[..3]);
     }
 
     /// Appends four bytes.
-    pub fn u32(&mut self, value: u32) {
+    pub(crate) fn u32(&mut self, value: u32) {
         self.0.extend_from_slice(&value.to_le_bytes());
     }
 
     /// Appends a customer's id and a count of at most 127, in five bytes.
-    pub fn customer_and_count(&mut self, customer: CustomerId, count: u8) {
+    pub(crate) fn customer_and_count(&mut self, customer: CustomerId, count: u8) {
         let packed = (customer.0 & CUSTOMER_MASK) | u64::from(count.min(MAX_COUNT)) << CUSTOMER_BITS;
         self.0.extend_from_slice(&packed.to_le_bytes()[..5]);
     }
 }
 
 /// What is left to read of a message. Each method returns none where the bytes don't suffice.
-pub struct ByteReader<'a>(pub &'a [u8]);
+pub(crate) struct ByteReader<'a>(pub &'a [u8]);
 
 impl ByteReader<'_> {
     /// Whether all bytes have been read.
-    pub fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
@@ -68,33 +68,33 @@
     }
 
     /// Reads one byte.
-    pub fn u8(&mut self) -> Option<u8> {
+    pub(crate) fn u8(&mut self) -> Option<u8> {
         self.take().map(u8::from_le_bytes)
     }
 
     /// Reads two bytes.
-    pub fn u16(&mut self) -> Option<u16> {
+    pub(crate) fn u16(&mut self) -> Option<u16> {
         self.take().map(u16::from_le_bytes)
     }
 
     /// Reads two bytes, in two's complement.
-    pub fn i16(&mut self) -> Option<i16> {
+    pub(crate) fn i16(&mut self) -> Option<i16> {
         self.take().map(i16::from_le_bytes)
     }
 
     /// Reads three bytes.
-    pub fn u24(&mut self) -> Option<u32> {
+    pub(crate) fn u24(&mut self) -> Option<u32> {
         let [low, middle, high] = self.take()?;
         Some(u32::from_le_bytes([low, middle, high, 0]))
     }
 
     /// Reads four bytes.
-    pub fn u32(&mut self) -> Option<u32> {
+    pub(crate) fn u32(&mut self) -> Option<u32> {
         self.take().map(u32::from_le_bytes)
     }
 
     /// Reads a customer's id and a count, from five bytes.
-    pub fn customer_and_count(&mut self) -> Option<(CustomerId, u8)> {
+    pub(crate) fn customer_and_count(&mut self) -> Option<(CustomerId, u8)> {
         let mut packed = [0; 8];
         packed[..5].copy_from_slice(&self.take::<5>()?);
         let packed = u64::from_le_bytes(packed);
--- a/src/gossip/encoding.rs
+++ b/src/gossip/encoding.rs
@@ -57,19 +57,19 @@
 const MAX_BODY_BYTES: usize = MAX_MESSAGE_BYTES - HEADER_BYTES - MAX_SAMPLES * SAMPLE_BYTES;
 
 /// The most [`LatencySample`]s that a message carries.
-pub const MAX_SAMPLES: usize = 6;
+pub(crate) const MAX_SAMPLES: usize = 6;
 /// The most [`UsageReport`]s that fit in a message.
-pub const MAX_USAGE_REPORTS: usize = MAX_BODY_BYTES / USAGE_REPORT_BYTES;
+pub(crate) const MAX_USAGE_REPORTS: usize = MAX_BODY_BYTES / USAGE_REPORT_BYTES;
 /// The most [`QuotaGrant`]s that fit in a message.
 const MAX_QUOTA_GRANTS: usize = (MAX_BODY_BYTES - INCARNATION_BYTES) / QUOTA_GRANT_BYTES;
 /// The highest plan that a [`UsageReport`] can name.
-pub const MAX_PLAN: usize = 63;
+pub(crate) const MAX_PLAN: usize = 63;
 /// The highest class that a [`LatencySample`] can name.
-pub const MAX_CLASS: usize = 7;
+pub(crate) const MAX_CLASS: usize = 7;
 
 impl Message {
     /// The message's bytes. What is too much for one message is left out.
-    pub fn encode(&self) -> Vec<u8> {
+    pub(crate) fn encode(&self) -> Vec<u8> {
         let (kind, entry_count) = match &self.body {
             Body::UsageReports(reports) => (USAGE_REPORTS_KIND, reports.len().min(MAX_USAGE_REPORTS)),
             Body::QuotaGrants { grants, .. } => (QUOTA_GRANTS_KIND, grants.len().min(MAX_QUOTA_GRANTS)),
@@ -95,7 +95,7 @@
     }
 
     /// Reads a message; none for anything that [`Message::encode`] cannot have made.
-    pub fn decode(bytes: &[u8]) -> Option<Message> {
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Message> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return None;
         }
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -9,7 +9,7 @@
 
 /// A message of a peer that is to be handled.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReceivedMessage {
+pub(crate) struct ReceivedMessage {
     /// The message.
     pub message: Message,
     /// Set with the first message of a process.
@@ -20,7 +20,7 @@
 
 /// Why a message of a peer is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum IgnoredMessage {
+pub(crate) enum IgnoredMessage {
     /// It cannot be decoded.
     #[error("malformed")]
     Malformed,
@@ -42,7 +42,7 @@
 
 /// The peers of a gateway, their outboxes, and the latency samples that go along with any message.
 #[derive(Default)]
-pub struct PeerExchange {
+pub(crate) struct PeerExchange {
     /// The index of this gateway.
     own_id: GatewayId,
     /// How many gateways there are.
@@ -61,7 +61,7 @@
 
 impl PeerExchange {
     /// The exchange of a gateway that started at a time, and was not heard by any peer yet.
-    pub fn new(settings: &Settings, started_at: Instant, send_interval: Duration) -> PeerExchange {
+    pub(crate) fn new(settings: &Settings, started_at: Instant, send_interval: Duration) -> PeerExchange {
         PeerExchange {
             own_id: settings.own_id,
             gateway_count: settings.gateway_count,
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// Why the message has to be ignored.
-    pub fn receive(
+    pub(crate) fn receive(
         &mut self,
         now: Instant,
         from: GatewayId,
@@ -98,7 +98,7 @@
     }
 
     /// The bytes of the next message to a peer, with the latest latency samples.
-    pub fn next_message(&mut self, now: Instant, to: u16, body: Body) -> Vec<u8> {
+    pub(crate) fn next_message(&mut self, now: Instant, to: u16, body: Body) -> Vec<u8> {
         let samples = self.take_samples();
         let (incarnation, send_interval) = (self.incarnation, self.send_interval);
         let peer = self.peer_mut(to);
@@ -108,24 +108,24 @@
     }
 
     /// Whether an answer is for this process. One for an earlier process of this gateway would count twice.
-    pub fn is_for_this_process(&self, receiver_incarnation: u32) -> bool {
+    pub(crate) fn is_for_this_process(&self, receiver_incarnation: u32) -> bool {
         receiver_incarnation == self.incarnation
     }
 
     /// When a message of a peer last came.
-    pub fn last_heard_at(&self, peer: u16) -> Option<Instant> {
+    pub(crate) fn last_heard_at(&self, peer: u16) -> Option<Instant> {
         self.peers.get(&peer).and_then(|peer| peer.last_heard_at)
     }
 
     /// Whether all other gateways are known, and started within a time of this one.
-    pub fn whole_fleet_started_within(&self, window: Duration) -> bool {
+    pub(crate) fn whole_fleet_started_within(&self, window: Duration) -> bool {
         let fleet_size = usize::from(self.gateway_count.max(1));
         let started_together = |peer: &Peer| peer.started_within(window, self.incarnation);
         self.peers.len() + 1 == fleet_size && self.peers.values().all(started_together)
     }
 
     /// Puts a customer into a peer's outbox. A request for a grant that waits there already still goes.
-    pub fn queue(&mut self, peer: u16, customer: CustomerId, entry: OutboxEntry) {
+    pub(crate) fn queue(&mut self, peer: u16, customer: CustomerId, entry: OutboxEntry) {
         let queued = self.peer_mut(peer).outbox.entry(customer).or_default();
         queued.copies_left = entry.copies_left;
         queued.requests_grant |= entry.requests_grant;
@@ -133,14 +133,14 @@
     }
 
     /// Puts a customer into a peer's outbox for one message, in place of what waits there.
-    pub fn queue_single_report(&mut self, peer: u16, customer: CustomerId) {
+    pub(crate) fn queue_single_report(&mut self, peer: u16, customer: CustomerId) {
         let entry = OutboxEntry { copies_left: 1, requests_grant: false };
         self.peer_mut(peer).outbox.insert(customer, entry);
         self.with_outbox.insert(peer);
     }
 
     /// Takes from a peer's outbox what the next message carries; none for a peer that has no record.
-    pub fn next_batch(&mut self, peer: u16) -> Option<Vec<(CustomerId, OutboxEntry)>> {
+    pub(crate) fn next_batch(&mut self, peer: u16) -> Option<Vec<(CustomerId, OutboxEntry)>> {
         let record = self.peers.get_mut(&peer)?;
         let batch = record.next_batch(MAX_USAGE_REPORTS);
         if record.outbox.is_empty() {
@@ -150,18 +150,18 @@
     }
 
     /// Whether the interval since the last message to a peer has passed.
-    pub fn may_send(&self, now: Instant, peer: u16) -> bool {
+    pub(crate) fn may_send(&self, now: Instant, peer: u16) -> bool {
         self.peers.get(&peer).is_none_or(|peer| peer.next_send_at <= now)
     }
 
     /// Peers with something in their outbox that may be sent a message now.
-    pub fn ready_to_send(&self, now: Instant) -> Vec<u16> {
+    pub(crate) fn ready_to_send(&self, now: Instant) -> Vec<u16> {
         let is_ready = |peer: &u16| self.peers.get(peer).is_some_and(|peer| peer.next_send_at <= now);
         self.with_outbox.iter().copied().filter(is_ready).collect()
     }
 
     /// Puts a sample before older ones, failures before others; the last ones go where there are too many.
-    pub fn queue_sample(&mut self, sample: LatencySample, copies_left: u8) {
+    pub(crate) fn queue_sample(&mut self, sample: LatencySample, copies_left: u8) {
         let is_failure = |queued: &&QueuedSample| queued.sample.objective_ratio.is_none();
         let failures = self.latency_samples.iter().filter(is_failure).count();
         let position = if sample.objective_ratio.is_none() { 0 } else { failures };
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -7,7 +7,7 @@
 /// A customer's usage, as one gateway counts it since its start. It goes to the owners of the customer's
 /// quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct UsageReport {
+pub(crate) struct UsageReport {
     /// The customer.
     pub customer: CustomerId,
     /// Index of the customer's plan.
@@ -35,7 +35,7 @@
 /// It grants or refuses, and does not say which: the receiver tells by whether the tokens and the attempts in
 /// flight leave room for its request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaGrant {
+pub(crate) struct QuotaGrant {
     /// The customer.
     pub customer: CustomerId,
     /// The receiver's own total as last reported: `tokens` doesn't include newer usage yet.
@@ -53,7 +53,7 @@
 
 /// How one attempt at a backend went.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LatencySample {
+pub(crate) struct LatencySample {
     /// The backend, by its [`backend_tag`].
     pub backend_tag: u32,
     /// The request's class.
@@ -64,7 +64,7 @@
 
 /// What a message is about, besides latency samples.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Body {
+pub(crate) enum Body {
     /// The sender's usage, for owners of the customers' quotas.
     UsageReports(Vec<UsageReport>),
     /// An owner's answers to usage reports that requested grants.
@@ -78,7 +78,7 @@
 
 /// A message between two gateways.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Message {
+pub(crate) struct Message {
     /// The sender's incarnation, see [`incarnation_of`].
     pub incarnation: u32,
     /// Counts the sender's messages to this receiver, wrapping.
@@ -91,11 +91,11 @@
 
 /// The number that tells a gateway from the same gateway after a restart: the millisecond of its start by its
 /// wall clock, wrapping. A later one may be less, since wall clocks are stepped.
-pub fn incarnation_of(started_at: Instant) -> u32 {
+pub(crate) fn incarnation_of(started_at: Instant) -> u32 {
     (started_at.as_micros() / 1000) as u32
 }
 
 /// A short name for a backend, 24 bits of a hash of its id.
-pub fn backend_tag(id: u64) -> u32 {
+pub(crate) fn backend_tag(id: u64) -> u32 {
     (id.wrapping_mul(GOLDEN_RATIO_MULTIPLIER) >> 40) as u32
 }
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -5,7 +5,7 @@
 
 /// A customer whose usage waits to be reported to a peer.
 #[derive(Clone, Copy, Default)]
-pub struct OutboxEntry {
+pub(crate) struct OutboxEntry {
     /// How many messages carry it from now on, the next one included.
     pub copies_left: u8,
     /// Whether the next message requests a grant.
@@ -14,7 +14,7 @@
 
 /// How a process of a peer came to be heard for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeerStart {
+pub(crate) enum PeerStart {
     /// No earlier process of the peer was known.
     FirstHeard,
     /// It follows another one, whose messages were heard.
@@ -23,7 +23,7 @@
 
 /// Whether a peer's process has run for longer than the one here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeerAge {
+pub(crate) enum PeerAge {
     /// It started before this one.
     Older,
     /// It started with this one or later.
--- a/src/gossip/units.rs
+++ b/src/gossip/units.rs
@@ -16,45 +16,45 @@
 const FAILURE_STEP: u8 = 31;
 
 /// Units as a number of wire units, not rounded yet.
-pub fn to_wire_units(units: f64) -> f64 {
+pub(crate) fn to_wire_units(units: f64) -> f64 {
     units * WIRE_UNITS_PER_UNIT
 }
 
 /// The units that a number of wire units stands for.
-pub fn from_wire_units(wire_units: impl Into<f64>) -> f64 {
+pub(crate) fn from_wire_units(wire_units: impl Into<f64>) -> f64 {
     wire_units.into() / WIRE_UNITS_PER_UNIT
 }
 
 /// A total of units as messages carry it: in wire units, wrapping.
-pub fn wrap_total(units: f64) -> u16 {
+pub(crate) fn wrap_total(units: f64) -> u16 {
     (to_wire_units(units).round() as i64) as u16
 }
 
 /// Units between two wrapped totals; negative if the later one is less.
-pub fn wrapping_delta(earlier: u16, later: u16) -> f64 {
+pub(crate) fn wrapping_delta(earlier: u16, later: u16) -> f64 {
     from_wire_units(later.wrapping_sub(earlier) as i16)
 }
 
 /// Rounds units down to what a grant can carry.
-pub fn floor_to_wire_units(units: f64) -> f64 {
+pub(crate) fn floor_to_wire_units(units: f64) -> f64 {
     from_wire_units(to_wire_units(units.clamp(0.0, from_wire_units(u8::MAX))).floor())
 }
 
 /// How full a token bucket is, in 254 steps; or that the sender doesn't know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TokenLevel(u8);
+pub(crate) struct TokenLevel(u8);
 
 impl TokenLevel {
     /// The sender does not know the level.
-    pub const UNKNOWN: TokenLevel = TokenLevel(u8::MAX);
+    pub(crate) const UNKNOWN: TokenLevel = TokenLevel(u8::MAX);
 
     /// The level of a bucket with a capacity of `burst`; an overdrawn one counts as empty.
-    pub fn of(tokens: f64, burst: f64) -> TokenLevel {
+    pub(crate) fn of(tokens: f64, burst: f64) -> TokenLevel {
         TokenLevel((tokens / burst.max(SMALLEST) * LEVEL_STEPS).clamp(0.0, LEVEL_STEPS) as u8)
     }
 
     /// The tokens in a bucket with a capacity of `burst`, if the level is known.
-    pub fn tokens(self, burst: f64) -> Option<f64> {
+    pub(crate) fn tokens(self, burst: f64) -> Option<f64> {
         (self != TokenLevel::UNKNOWN).then(|| f64::from(self.0) / LEVEL_STEPS * burst)
     }
 
--- a/src/policy/reasons.rs
+++ b/src/policy/reasons.rs
@@ -2,7 +2,7 @@
 
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RejectReason {
+pub(crate) enum RejectReason {
     /// It names a class or a plan that does not exist, or a number of units that makes no sense.
     Invalid,
     /// Too little time is left for it to be answered.
@@ -25,7 +25,7 @@
 
 /// Why a backend was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EjectionReason {
+pub(crate) enum EjectionReason {
     /// Too many of its answers were failures.
     Failures,
     /// It has answered no attempt of the class for too long.
--- a/src/state.rs
+++ b/src/state.rs
@@ -7,11 +7,11 @@
 mod request;
 mod request_table;
 
-pub use arithmetic::{
+pub(crate) use arithmetic::{
     decay, unit_draw, DecayingAverage, DecayingRate, Salt, GOLDEN_RATIO_MULTIPLIER, MICROS_PER_SECOND,
 };
-pub use backend::Backend;
-pub use backend_table::BackendTable;
-pub use endpoint_index::EndpointIndex;
-pub use request::{Attempt, RequestState};
-pub use request_table::RequestTable;
+pub(crate) use backend::Backend;
+pub(crate) use backend_table::BackendTable;
+pub(crate) use endpoint_index::EndpointIndex;
+pub(crate) use request::{Attempt, RequestState};
+pub(crate) use request_table::RequestTable;
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -5,7 +5,7 @@
 
 /// A backend that is ready, or that attempts are still in flight at.
 #[derive(Default)]
-pub struct Backend {
+pub(crate) struct Backend {
     /// Its latest entry of the endpoint list.
     pub endpoint: Endpoint,
     /// Its capacity relative to others, 1 where the list does not say.
@@ -24,13 +24,13 @@
 
 impl Backend {
     /// Records that an attempt is sent there; sends older than `window` are forgotten.
-    pub fn begin_attempt(&mut self, now: Instant, window: Duration) {
+    pub(crate) fn begin_attempt(&mut self, now: Instant, window: Duration) {
         self.in_flight += 1;
         self.recent_sends.record(now, window);
     }
 
     /// Records that an attempt there has ended.
-    pub fn end_attempt(&mut self) {
+    pub(crate) fn end_attempt(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 }
--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -11,7 +11,7 @@
 
 /// The backends of a gateway, with indexes of those that are ready.
 #[derive(Default)]
-pub struct BackendTable {
+pub(crate) struct BackendTable {
     /// Those that are ready, and those with attempts of this gateway in flight.
     backends: BTreeMap<BackendId, Backend>,
     /// The ready ones by the tags that messages between gateways use.
@@ -30,7 +30,7 @@
 
 impl BackendTable {
     /// No backends yet.
-    pub fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &Settings) -> Self {
         BackendTable {
             own_id: settings.own_id,
             class_count: settings.classes.len(),
@@ -40,38 +40,38 @@
     }
 
     /// A backend's record.
-    pub fn get(&self, id: BackendId) -> Option<&Backend> {
+    pub(crate) fn get(&self, id: BackendId) -> Option<&Backend> {
         self.backends.get(&id)
     }
 
     /// A backend's record, to change.
-    pub fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
+    pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
         self.backends.get_mut(&id)
     }
 
     /// The number of ready backends.
-    pub fn ready_count(&self) -> usize {
+    pub(crate) fn ready_count(&self) -> usize {
         self.ready.len()
     }
 
     /// The capacity of the ready backends together, in sizes.
-    pub fn ready_capacity(&self) -> f64 {
+    pub(crate) fn ready_capacity(&self) -> f64 {
         self.ready_capacity
     }
 
     /// The ready backend at a position in this gateway's own order, counted from 0.
-    pub fn ready_at(&self, position: usize) -> Option<&Backend> {
+    pub(crate) fn ready_at(&self, position: usize) -> Option<&Backend> {
         self.get(self.ready.get(position)?)
     }
 
     /// The ready backend with a tag, as messages between gateways name it.
-    pub fn by_tag(&self, tag: u32) -> Option<BackendId> {
+    pub(crate) fn by_tag(&self, tag: u32) -> Option<BackendId> {
         self.by_tag.get(&tag).copied()
     }
 
     /// Replaces the endpoint list. Backends that are not on the new one are forgotten once no attempt is in
     /// flight there.
-    pub fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
+    pub(crate) fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
         self.backends.values_mut().for_each(|backend| backend.ready = false);
         for endpoint in endpoints {
             self.upsert(endpoint);
@@ -81,7 +81,7 @@
     }
 
     /// Applies a changed entry of the endpoint list, in time that hardly grows with the list.
-    pub fn apply_change(&mut self, endpoint: Endpoint) {
+    pub(crate) fn apply_change(&mut self, endpoint: Endpoint) {
         let id = endpoint.backend;
         let ready_size_before = self.ready_size(id);
         self.upsert(endpoint);
@@ -97,7 +97,7 @@
     }
 
     /// Forgets a backend that is not ready once no attempt is in flight there.
-    pub fn remove_if_drained(&mut self, id: BackendId) {
+    pub(crate) fn remove_if_drained(&mut self, id: BackendId) {
         if self.backends.get(&id).is_some_and(|backend| !backend.ready && backend.in_flight == 0) {
             self.backends.remove(&id);
         }
--- a/src/state/endpoint_index.rs
+++ b/src/state/endpoint_index.rs
@@ -10,7 +10,7 @@
 /// A change moves the entries of one part only, so that its cost hardly grows with the list; a position is
 /// found by counting through the parts.
 #[derive(Default)]
-pub struct EndpointIndex {
+pub(crate) struct EndpointIndex {
     /// Each sorted and not empty; the entries of one come before those of the next.
     parts: Vec<Vec<(u64, BackendId)>>,
     /// Entries of all parts.
@@ -19,7 +19,7 @@
 
 impl EndpointIndex {
     /// An index of these entries, in any order.
-    pub fn of(mut entries: Vec<(u64, BackendId)>) -> EndpointIndex {
+    pub(crate) fn of(mut entries: Vec<(u64, BackendId)>) -> EndpointIndex {
         entries.sort_unstable();
         entries.dedup();
         let parts = entries.chunks(MAX_PART_LEN / 2).map(<[_]>::to_vec).collect();
@@ -27,12 +27,12 @@
     }
 
     /// The number of backends.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.len
     }
 
     /// The backend at a position, counted from 0.
-    pub fn get(&self, position: usize) -> Option<BackendId> {
+    pub(crate) fn get(&self, position: usize) -> Option<BackendId> {
         let mut position_in_part = position;
         for part in &self.parts {
             if let Some((_, id)) = part.get(position_in_part) {
@@ -49,7 +49,7 @@
     }
 
     /// Inserts a backend, if it is not there.
-    pub fn insert(&mut self, key: u64, id: BackendId) {
+    pub(crate) fn insert(&mut self, key: u64, id: BackendId) {
         let entry = (key, id);
         let part_number = self.part_of(&entry);
         let Some(part) = self.parts.get_mut(part_number) else {
@@ -66,7 +66,7 @@
     }
 
     /// Removes a backend, if it is there.
-    pub fn remove(&mut self, key: u64, id: BackendId) {
+    pub(crate) fn remove(&mut self, key: u64, id: BackendId) {
         let entry = (key, id);
         let part_number = self.part_of(&entry);
         let Some(part) = self.parts.get_mut(part_number) else { return };
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -3,7 +3,7 @@
 use crate::{Action, Duration, Endpoint, Instant, Outcome, Request};
 
 /// One send of a request to a backend.
-pub struct Attempt {
+pub(crate) struct Attempt {
     /// The backend's entry of the endpoint list at the send.
     pub endpoint: Endpoint,
     /// When the host was asked to send it.
@@ -18,7 +18,7 @@
 
 /// A request from its arrival until its last attempt has ended.
 #[derive(Default)]
-pub struct RequestState {
+pub(crate) struct RequestState {
     /// As it arrived, but for the plan, which is its customer's.
     pub request: Request,
     /// When it arrived.
@@ -35,7 +35,7 @@
 
 impl RequestState {
     /// Asks the host to cancel the attempts in flight, but for one to keep.
-    pub fn cancel_attempts(&mut self, keep: Option<u16>, actions: &mut Vec<Action>) {
+    pub(crate) fn cancel_attempts(&mut self, keep: Option<u16>, actions: &mut Vec<Action>) {
         for (number, attempt) in (0u16..).zip(&mut self.attempts) {
             if attempt.in_flight && !attempt.cancelled && keep != Some(number) {
                 attempt.cancelled = true;
@@ -45,7 +45,7 @@
     }
 
     /// Adds an attempt that is sent now.
-    pub fn begin_attempt(&mut self, endpoint: Endpoint, now: Instant) {
+    pub(crate) fn begin_attempt(&mut self, endpoint: Endpoint, now: Instant) {
         self.attempts.push(Attempt {
             endpoint,
             sent_at: now,
@@ -57,7 +57,7 @@
 
     /// Records how an attempt ended, and returns the endpoint that it was sent to; none if it is not in
     /// flight.
-    pub fn end_attempt(&mut self, number: u16, outcome: Outcome) -> Option<Endpoint> {
+    pub(crate) fn end_attempt(&mut self, number: u16, outcome: Outcome) -> Option<Endpoint> {
         let attempt = self.attempts.get_mut(usize::from(number)).filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
         attempt.never_executed = outcome.never_executed();
@@ -65,28 +65,28 @@
     }
 
     /// How many attempts are in flight.
-    pub fn attempts_in_flight(&self) -> usize {
+    pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
 
     /// The latest attempt that is in flight and not cancelled.
-    pub fn latest_attempt_in_flight(&self) -> Option<&Attempt> {
+    pub(crate) fn latest_attempt_in_flight(&self) -> Option<&Attempt> {
         self.attempts.iter().rev().find(|attempt| attempt.in_flight && !attempt.cancelled)
     }
 
     /// Whether it is owed an answer and has no attempt in flight.
-    pub fn awaits_attempt(&self) -> bool {
+    pub(crate) fn awaits_attempt(&self) -> bool {
         !self.closed && self.attempts_in_flight() == 0
     }
 
     /// The first attempt that was or may have been executed.
-    pub fn first_possibly_executed(&self) -> Option<&Attempt> {
+    pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| !attempt.never_executed)
     }
 
     /// The time from the arrival within which an answer earns its full weight: the latency objective, or what
     /// the client waits if that is less.
-    pub fn latency_budget(&self, latency_objective: Duration) -> Duration {
+    pub(crate) fn latency_budget(&self, latency_objective: Duration) -> Duration {
         latency_objective.min(self.request.deadline.duration_since(self.arrived_at))
     }
 }
--- a/src/state/request_table.rs
+++ b/src/state/request_table.rs
@@ -8,7 +8,7 @@
 
 /// The requests of a gateway.
 #[derive(Default)]
-pub struct RequestTable {
+pub(crate) struct RequestTable {
     /// By identifier.
     requests: BTreeMap<RequestId, RequestState>,
     /// Admitted requests that wait for a backend, in the order in which they came.
@@ -21,42 +21,42 @@
 
 impl RequestTable {
     /// Whether a request is not finished.
-    pub fn contains(&self, id: RequestId) -> bool {
+    pub(crate) fn contains(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
     /// A request's state.
-    pub fn get(&self, id: RequestId) -> Option<&RequestState> {
+    pub(crate) fn get(&self, id: RequestId) -> Option<&RequestState> {
         self.requests.get(&id)
     }
 
     /// A request's state, to change.
-    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
+    pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
         self.requests.get_mut(&id)
     }
 
     /// All requests that are not finished.
-    pub fn iter(&self) -> impl Iterator<Item = &RequestState> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &RequestState> {
         self.requests.values()
     }
 
     /// Adds a request.
-    pub fn insert(&mut self, state: RequestState) {
+    pub(crate) fn insert(&mut self, state: RequestState) {
         self.requests.insert(state.request.id, state);
     }
 
     /// Forgets a request.
-    pub fn remove(&mut self, id: RequestId) {
+    pub(crate) fn remove(&mut self, id: RequestId) {
         self.requests.remove(&id);
     }
 
     /// Schedules another look at a request.
-    pub fn check_at(&mut self, time: Instant, id: RequestId) {
+    pub(crate) fn check_at(&mut self, time: Instant, id: RequestId) {
         self.checks.push(Reverse((time, id)));
     }
 
     /// Takes out the next request that is to be looked at by now.
-    pub fn next_due(&mut self, now: Instant) -> Option<RequestId> {
+    pub(crate) fn next_due(&mut self, now: Instant) -> Option<RequestId> {
         let Reverse((time, id)) = self.checks.peek().copied()?;
         if time > now {
             return None;
