--- a/src/action.rs
+++ b/src/action.rs
@@ -42,16 +42,17 @@
         /// Returned with the event.
         token: u32,
     },
-    /// Send a message of at most 256 bytes to one peer, or to all.
+    /// Send a message of at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES) to one peer, or to all.
     SendToPeer {
         /// The receiver; none means all.
         to: Option<GatewayId>,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Poll discovery once, now.
+    /// Ask discovery for the changes since its last answer, and for those to come.
     ///
-    /// The ingress follows a schedule of its own and ignores this.
+    /// The simulator takes this for a call that subscribes, which is answered once, also where a subscription
+    /// holds. The ingress makes long polls on a schedule of its own and ignores this.
     PollDiscovery,
     /// A line for the log.
     ///
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -8,9 +8,20 @@
     DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
 };
 use crate::policy::{Familiarity, RejectReason, SheddingFacts};
-use crate::state::{hash, RequestState, MICROS_PER_SECOND};
+use crate::state::{unit_draw, RequestState, MICROS_PER_SECOND};
 use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
 
+/// What a look at an entry of the queue has found.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum QueueCheck {
+    /// Its request waits for an attempt, and may wait longer.
+    StillQueued,
+    /// Its request has an attempt in flight, was closed or is forgotten.
+    NotQueued,
+    /// Its request had waited for as long as it may, and was ended.
+    Expired,
+}
+
 impl Gateway {
     /// Rejects a new request, admits it, or has it wait until its quota owners have answered.
     pub(crate) fn on_request(&mut self, mut request: Request, actions: &mut Vec<Action>) {
@@ -18,7 +29,7 @@
             return; // delivered twice: the first one gets the answer
         }
         if let Err(reason) = self.screen(&request) {
-            return self.reject(request.id, reason, Duration::ZERO, actions);
+            return self.push_rejection(request.id, reason, Duration::ZERO, actions);
         }
         let claimed_plan = request.plan;
         let observed = self.quota.observe_request(self.now, &request);
@@ -28,10 +39,10 @@
                 target: "policy", request = request.id.0, claimed_plan, recorded_plan = observed.plan,
                 "hard limit evaded"
             );
-            return self.reject(request.id, RejectReason::HardLimitEvaded, Duration::MAX, actions);
+            return self.push_rejection(request.id, RejectReason::HardLimitEvaded, Duration::MAX, actions);
         }
         if !self.passes_load_shedding(&request, observed.familiarity) {
-            return self.reject(request.id, RejectReason::Shed, Duration::MAX, actions);
+            return self.push_rejection(request.id, RejectReason::Shed, Duration::MAX, actions);
         }
         let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
         match self.decide_arrival(&request, observed.grant) {
@@ -40,10 +51,10 @@
                 self.decide_admission(request.id, GrantAnswers::Complete, actions);
             }
             ArrivalDecision::AwaitGrant { scope, timing } => {
-                let draw = self.draw();
+                let draw = unit_draw(self.next_seed());
                 if self.quota.skips_grant_request(self.now, request.customer, draw) {
                     tracing::debug!(target: "policy", request = request.id.0, "grant request skipped");
-                    return self.reject(
+                    return self.push_rejection(
                         request.id,
                         RejectReason::GrantRequestSkipped,
                         Duration::MAX,
@@ -103,10 +114,10 @@
         self.quota.refill_and_find_shortages(&facts, |peer| peers.last_heard_at(peer))
     }
 
-    /// A number from 0 to 1, by the seed.
-    fn draw(&mut self) -> f64 {
+    /// The seed of the next draw.
+    pub(crate) fn next_seed(&mut self) -> u64 {
         self.random_state = self.random_state.wrapping_add(1);
-        hash(self.random_state)
+        self.random_state
     }
 
     /// Has a request wait until the quota owners have answered, or for as long as that may take.
@@ -195,7 +206,7 @@
             self.load_shedder.record_rejection();
         }
         self.requests.remove(request.id);
-        self.reject(request.id, reason, retry_after, actions);
+        self.push_rejection(request.id, reason, retry_after, actions);
         if let Some(purpose) = self.quota.report_after_rejection(request.customer, point) {
             self.queue_usage_report(request.customer, purpose, actions);
         }
@@ -232,15 +243,17 @@
     /// Ends the queued requests that have waited for as long as they may.
     pub(crate) fn expire_queued_requests(&mut self, actions: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.requests.queue) {
-            if !self.expire_if_overdue(id, actions) {
+            if self.expire_if_overdue(id, actions) == QueueCheck::StillQueued {
                 self.requests.queue.push_back(id);
             }
         }
     }
 
-    /// Ends a request that was queued for as long as it may be; true if it need not wait.
-    fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else { return true };
+    /// Ends a request that was queued for as long as it may be.
+    fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> QueueCheck {
+        let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else {
+            return QueueCheck::NotQueued;
+        };
         let facts = QueueFacts {
             now: self.now,
             arrived_at: state.arrived_at,
@@ -248,11 +261,11 @@
             latency_budget: state.latency_budget(self.class_of(&state.request).latency_objective),
             min_queue_time: min_queue_time(self.settings.tick),
         };
-        let is_overdue = facts.is_overdue();
-        if is_overdue {
-            self.reject_or_fail(id, actions);
+        if !facts.is_overdue() {
+            return QueueCheck::StillQueued;
         }
-        is_overdue
+        self.reject_or_fail(id, actions);
+        QueueCheck::Expired
     }
 
     /// Sends queued requests, in their order, while there is capacity.
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -1,20 +1,20 @@
 //! Load shedding: which customers are rejected under overload, in stages of rising severity.
 
 use super::pressure::{Pressure, LOW_PRESSURE};
-use crate::state::{hash, Salt};
+use crate::state::{unit_draw, Salt};
 use crate::{CustomerId, Duration, Instant, Plan};
 use std::fmt;
 
-/// Share of the customers on ordinary plans that is admitted, by stage (paper, table I).
+/// Share of the customers on ordinary plans that is admitted, by stage: as for amber traffic in table I of
+/// Demir and Ghose, "Maintaining Useful Server Throughput under Load Attacks Using Active NIC Portals".
 const ADMITTED_SHARES: [f64; 4] = [1.0, 0.9, 0.7, 0.5];
-/// The stage at which only customers on the dearest plan are admitted.
+/// The stage at which only customers on the dearest plan are admitted. Where all prices are equal it sheds as
+/// the stage before.
 const LAST_STAGE: usize = ADMITTED_SHARES.len();
 /// The stage from which customers that were not seen of late are shed like others.
 const FIRST_STAGE_FOR_UNSEEN: usize = 2;
 /// The least time on a stage before a higher one: the effect of a stage has to show first.
-const MIN_STAGE_TIME_UP: Duration = Duration::from_millis(1500);
-/// How long a client whose request was not served is asked to stay away: the stage may have risen by then.
-pub(crate) const NOT_SERVED_RETRY_AFTER: Duration = MIN_STAGE_TIME_UP;
+pub(super) const MIN_STAGE_TIME_UP: Duration = Duration::from_millis(1500);
 /// The least time on a stage before a lower one.
 const MIN_STAGE_TIME_DOWN: Duration = Duration::from_secs(2);
 /// How long the same customers are shed: longer than their clients retry.
@@ -165,7 +165,7 @@
 /// A number from 0 to 1, the same for a customer at all gateways for an epoch.
 pub(crate) fn epoch_draw(now: Instant, customer: CustomerId) -> f64 {
     let epoch = now.period_index(SHEDDING_EPOCH);
-    hash(customer.0 ^ EPOCH_SALT.of(epoch))
+    unit_draw(customer.0 ^ EPOCH_SALT.of(epoch))
 }
 
 #[cfg(test)]
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -2,7 +2,7 @@
 
 use super::QuotaManager;
 use crate::gossip::{OutboxEntry, PeerStart, UsageReport};
-use crate::state::hash;
+use crate::state::unit_draw;
 use crate::{CustomerId, Duration, Instant};
 
 /// How long after a grant a gateway reports the level of a bucket.
@@ -43,12 +43,12 @@
     /// The owners that are to be told of a customer's usage. A grant is requested of its granters.
     pub(crate) fn report_recipients(&self, id: CustomerId, purpose: ReportPurpose) -> Vec<ReportRecipient> {
         let Some(customer) = self.customers.get(&id) else { return Vec::new() };
-        let retransmissions = self.settings.ownership.report_copies();
+        let copies_left = self.settings.ownership.report_copies();
         let others = customer.quota_owners.iter().copied().filter(|owner| *owner != self.settings.own_id);
         let recipient = |gateway| {
             let can_grant = customer.granters.contains(&gateway);
             let requests_grant = purpose == ReportPurpose::GrantRequest && can_grant;
-            ReportRecipient { gateway, entry: OutboxEntry { retransmissions, requests_grant } }
+            ReportRecipient { gateway, entry: OutboxEntry { copies_left, requests_grant } }
         };
         let mut recipients = Vec::with_capacity(customer.quota_owners.len());
         recipients.extend(others.map(recipient));
@@ -69,7 +69,7 @@
             customer.granted_at.is_some_and(|granted_at| now.duration_since(granted_at) < LEVEL_FRESHNESS);
         let is_level_known = customer.role.is_owner() || was_granted_lately;
         // One of the two is drawn to grant units of the hard limit: two grants would waste one.
-        let draw = hash(now.as_micros() ^ id.0);
+        let draw = unit_draw(now.as_micros() ^ id.0);
         let drawn_granter = customer.granters[usize::from(draw < SECOND_GRANTER_SHARE)];
         let is_granter = drawn_granter == to || customer.granters.contains(&own_id);
         let needs_hard_limit = entry.requests_grant && customer.grant_request.needs_hard_limit;
