--- a/src/action.rs
+++ b/src/action.rs
@@ -7,7 +7,10 @@
 /// Several actions are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a backend.
+    /// Send the request to a backend, as its next attempt.
+    ///
+    /// Attempts are numbered from 0 for each request. Host and gateway both count the `Send`s of a request;
+    /// [`Action::Cancel`] and [`AttemptEnded`](crate::AttemptEnded) name an attempt by its number.
     Send {
         /// The request.
         id: RequestId,
@@ -39,15 +42,21 @@
         /// Returned with the event.
         token: u32,
     },
-    /// Send a message of at most 256 bytes to one peer, or to all.
+    /// Send a message of at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES) to one peer, or to all.
     SendToPeer {
         /// The receiver; none means all.
         to: Option<GatewayId>,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Subscribe to discovery, or no longer.
-    WatchEndpoints(bool),
+    /// Ask discovery for the changes since its last answer, and for those to come.
+    ///
+    /// The simulator takes this for a call that subscribes, which is answered once, also where a subscription
+    /// holds. The ingress makes long polls on a schedule of its own and ignores this.
+    PollDiscovery,
     /// A line for the log.
+    ///
+    /// Changes of the shedding stage alone are logged by an action, so that the simulator, which shows the
+    /// log of its actions, shows them. All other lines are `tracing` events.
     Log(String),
 }
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -27,7 +27,7 @@
     pub hedging: bool,
     /// The most attempts of a request.
     pub max_attempts: usize,
-    /// How long a backend that takes no new work may still be sent some.
+    /// How long after the change a backend that takes no new work may still be sent some.
     pub drain_grace: Duration,
 }
 
@@ -95,11 +95,6 @@
         Auditor { rules, ..Auditor::default() }
     }
 
-    /// The settings that the invariants depend on.
-    pub fn rules(&self) -> &AuditRules {
-        &self.rules
-    }
-
     /// The violations so far by kind; kinds that never occurred are left out.
     pub fn counts(&self) -> impl Iterator<Item = (ViolationKind, u64)> + '_ {
         let counts = ViolationKind::ALL.into_iter().zip(self.counts);
@@ -110,11 +105,11 @@
     pub fn endpoint_listed(&mut self, endpoint: &Endpoint, now: Instant) {
         let Endpoint { backend, zone, cell, availability, .. } = *endpoint;
         self.locations.insert(backend, Location { zone, cell });
-        self.backend_listed(backend, availability, now);
+        self.availability_changed(backend, availability, now);
     }
 
-    /// Records the availability of a backend in the endpoint list.
-    pub fn backend_listed(&mut self, backend: BackendId, availability: Availability, now: Instant) {
+    /// Records the availability of a backend by the endpoint list; gone if the list no longer has it.
+    pub fn availability_changed(&mut self, backend: BackendId, availability: Availability, now: Instant) {
         if availability == Availability::Ready {
             self.closed_since.remove(&backend);
             return;
@@ -147,7 +142,7 @@
     }
 
     /// Counts a violation, and returns whether to log it.
-    pub fn count(&mut self, violation: Violation, now: Instant) -> bool {
+    pub fn count_and_should_log(&mut self, violation: Violation, now: Instant) -> bool {
         let index = violation.kind as usize;
         self.counts[index] += 1;
         let logged_lately = self.last_logged_at[index].is_some_and(|at| now < at + LOG_INTERVAL);
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -1,10 +1,12 @@
 //! The exchange of a command and its reply on a connection.
 
-use super::closing::CloseReason;
-use super::connection::{Connection, ReadStep};
+use super::closing::BackendCloseReason;
+use super::connection::{BackendConnection, ReadStep};
 use super::idle_reuse::IdleReuse;
 use super::reply::{self, ExchangeResult};
-use super::{AssignedConnection, AttemptId, Backends, BegunAttempt, CommandState, Completion};
+use super::{
+    AssignedConnection, AttemptId, BackendConnections, CommandState, ExchangeCompletion, FirstByteWritten,
+};
 use super::{ConnectionId, StatedTimeout};
 use crate::readiness::Readiness;
 use crate::resp::{self, ParsedReply};
@@ -26,7 +28,7 @@
     Unusable,
 }
 
-impl Backends {
+impl BackendConnections {
     /// Assigns an attempt to a connection, and writes the command that `encode` appends. Returns none if that
     /// has failed; the end of the attempt is among the completions then.
     pub fn assign(
@@ -47,7 +49,7 @@
         };
         let connection = &mut self.connections[key];
         connection.attempt = Some(attempt);
-        connection.state_since = now;
+        connection.assigned_at = now;
         connection.written = 0;
         connection.stated_timeout = stated_timeout;
         connection.command.clear();
@@ -73,7 +75,7 @@
                 attempt = attempt.number,
                 backend = backend.0,
                 ?refusal,
-                "not sent"
+                "backend unavailable"
             );
             return Err(Outcome::NotSent);
         }
@@ -105,25 +107,30 @@
     }
 
     /// The connection with an id, if it is still open.
-    fn connection(&self, id: ConnectionId) -> Option<&Connection> {
+    fn connection(&self, id: ConnectionId) -> Option<&BackendConnection> {
         self.connections.get(id.key).filter(|connection| connection.serial == id.serial)
     }
 
     /// Whether a connection is open and its command not completely written, so that the backend cannot have
     /// begun to execute it.
-    pub fn is_unsent(&self, id: ConnectionId) -> bool {
+    pub fn is_incomplete(&self, id: ConnectionId) -> bool {
         self.connection(id).is_some_and(|connection| connection.command_state() == CommandState::Unsent)
     }
 
-    /// Closes a connection if it is still open and carries this attempt, and returns how much of the command
-    /// was written. There is no completion: the caller accounts for the end of the attempt.
-    pub fn cancel(&mut self, id: ConnectionId, attempt: AttemptId) -> Option<CommandState> {
+    /// Closes a connection for `reason` if it is still open and carries this attempt, and returns how much of
+    /// the command was written. There is no completion: the caller accounts for the end of the attempt.
+    pub fn cancel(
+        &mut self,
+        id: ConnectionId,
+        attempt: AttemptId,
+        reason: BackendCloseReason,
+    ) -> Option<CommandState> {
         let connection = self.connection(id)?;
         if connection.attempt != Some(attempt) {
             return None;
         }
         let command = connection.command_state();
-        self.remove(id.key, CloseReason::Cancelled);
+        self.remove(id.key, reason);
         Some(command)
     }
 
@@ -131,13 +138,13 @@
     /// time.
     ///
     /// A command that is written later might reach the backend after the window of its idempotency key, and
-    /// be executed twice. The policy relies on this timeout when it judges the window.
+    /// be executed twice. The gateway relies on this timeout when it judges the window.
     pub fn on_connect_timeout(&mut self, id: ConnectionId, attempt: AttemptId) {
         let carries_attempt =
             self.connection(id).is_some_and(|connection| connection.attempt == Some(attempt));
-        if carries_attempt && self.is_unsent(id) {
+        if carries_attempt && self.is_incomplete(id) {
             self.complete(id.key, ExchangeResult::without_reply(Outcome::ConnectFailed), None);
-            self.remove(id.key, CloseReason::ConnectTimeout);
+            self.remove(id.key, BackendCloseReason::ConnectTimeout);
         }
     }
 
@@ -162,8 +169,9 @@
         let was_unwritten = connection.is_not_yet_written();
         let result = connection.write_command();
         if was_unwritten && connection.written > 0 {
-            let Connection { backend, stated_timeout, .. } = *connection;
-            let begun = connection.attempt.map(|attempt| BegunAttempt { attempt, backend, stated_timeout });
+            let BackendConnection { backend, stated_timeout, .. } = *connection;
+            let begun =
+                connection.attempt.map(|attempt| FirstByteWritten { attempt, backend, stated_timeout });
             self.begun.extend(begun);
         }
         if result.is_ok() {
@@ -171,12 +179,12 @@
         }
         // The backend may have sent a rejection before it closed the connection, as at its connection limit.
         let id = ConnectionId { key, serial: connection.serial };
-        let assigned_at = connection.state_since;
+        let assigned_at = connection.assigned_at;
         self.read(key, assigned_at);
         if self.connection(id).is_some() {
             let result = ExchangeResult::without_reply(Outcome::ConnectFailed);
             self.complete(key, result, Some(assigned_at));
-            self.remove(key, CloseReason::Broken);
+            self.remove(key, BackendCloseReason::Broken);
         }
     }
 
@@ -187,16 +195,16 @@
             match step {
                 ReadStep::Interrupted => {}
                 ReadStep::Blocked => return,
-                ReadStep::Ended => return self.fail(key, now, CloseReason::Broken),
+                ReadStep::Ended => return self.fail(key, now, BackendCloseReason::Broken),
                 ReadStep::Received => {
                     if self.process_received(key, now) == Usability::Unusable {
-                        return self.remove(key, CloseReason::Unusable);
+                        return self.remove(key, BackendCloseReason::Unusable);
                     }
                 }
             }
         }
         // No reply is that long: the backend sends without end.
-        self.fail(key, now, CloseReason::Unusable);
+        self.fail(key, now, BackendCloseReason::Unusable);
     }
 
     /// Completes the exchange if the reply is complete or malformed.
@@ -231,7 +239,7 @@
     }
 
     /// Closes a connection that has failed, and ends the attempt on it.
-    pub(super) fn fail(&mut self, key: usize, now: Instant, reason: CloseReason) {
+    pub(super) fn fail(&mut self, key: usize, now: Instant, reason: BackendCloseReason) {
         let outcome = self.connections[key].failure_outcome();
         self.complete(key, ExchangeResult::without_reply(outcome), Some(now));
         self.remove(key, reason);
@@ -242,10 +250,12 @@
     pub(super) fn complete(&mut self, key: usize, result: ExchangeResult, ended_at: Option<Instant>) {
         let connection = &self.connections[key];
         let Some(attempt) = connection.attempt else { return };
-        let (backend, started_at) = (connection.backend, connection.state_since);
+        let (backend, started_at) = (connection.backend, connection.assigned_at);
         if let Some(idle_time) = connection.idle_before {
             let reuse = idle_reuse(connection, result.outcome, ended_at);
-            reuse.into_iter().for_each(|reuse| self.idle_reuse.record(idle_time, reuse));
+            if let Some(reuse) = reuse {
+                self.idle_reuse.record(idle_time, reuse);
+            }
         }
         self.push_completion(attempt, backend, started_at, result);
     }
@@ -259,7 +269,7 @@
         result: ExchangeResult,
     ) {
         let ExchangeResult { outcome, value, reported_queue_depth } = result;
-        self.completions.push(Completion {
+        self.completions.push(ExchangeCompletion {
             attempt,
             backend,
             outcome,
@@ -272,10 +282,14 @@
 
 /// The result of the reuse of a connection whose attempt has ended with this outcome; none if it shows
 /// nothing about the idle time before.
-fn idle_reuse(connection: &Connection, outcome: Outcome, ended_at: Option<Instant>) -> Option<IdleReuse> {
+fn idle_reuse(
+    connection: &BackendConnection,
+    outcome: Outcome,
+    ended_at: Option<Instant>,
+) -> Option<IdleReuse> {
     if !matches!(outcome, Outcome::Reset | Outcome::ConnectFailed) {
         return Some(IdleReuse::Alive);
     }
-    let was_immediate = ended_at.is_some_and(|at| at <= connection.state_since + IMMEDIATE_FAILURE);
+    let was_immediate = ended_at.is_some_and(|at| at <= connection.assigned_at + IMMEDIATE_FAILURE);
     (connection.received.is_empty() && was_immediate).then_some(IdleReuse::Stale)
 }
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -1,6 +1,6 @@
 //! Handles what clients do, and replies to their requests.
 
-use super::request_table::{IdHash, RequestEntry};
+use super::request_entries::{IdHash, RequestEntry};
 use super::timer_queue::Timer;
 use super::EventLoop;
 use crate::clients::{AcceptOutcome, ClientError, ClientEvent, ReplyHandle, BUSY_REPLY};
@@ -22,7 +22,7 @@
     Failed,
 }
 
-/// Why a request is answered before it is opened: the policy does not see it.
+/// Why a request is answered before it is opened: the gateway does not see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OpenRefusal {
     /// A request with its id is open, or has ended a moment ago. It gets an error.
@@ -33,6 +33,15 @@
     NoCapacity,
 }
 
+/// Why the program fails a request that the gateway has not answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum MissedAnswer {
+    /// The client's timeout is over.
+    ClientDeadline,
+    /// The reply deadline of the shutdown has passed.
+    ShutdownDeadline,
+}
+
 /// The longest timeout of a client that is used: the timers of answered requests would otherwise pile up for
 /// hours.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
@@ -46,12 +55,13 @@
 impl EventLoop {
     /// Accepts a batch of waiting connections.
     pub(super) fn accept(&mut self) -> AcceptOutcome {
-        let (now, descriptors, backends) = (self.now, &self.descriptors, &mut self.backends);
+        let (now, descriptors, backend_connections) =
+            (self.now, &self.descriptors, &mut self.backend_connections);
         let outcome = self.clients.accept(self.poll.registry(), now, |clients| {
-            descriptors.capacity_for_client(clients, backends, now)
+            descriptors.capacity_for_client(clients, backend_connections, now)
         });
         match outcome {
-            AcceptOutcome::Drained => {}
+            AcceptOutcome::QueueEmpty => {}
             AcceptOutcome::MorePending => self.accept_pending = true,
             // The poll reports each arrival once: without a timer, these would wait for the next one.
             AcceptOutcome::NoDescriptor => {
@@ -64,29 +74,31 @@
         outcome
     }
 
-    /// Reports all disconnected clients to the policy before any other event: the place that a request leaves
-    /// in the queue must not go to another disconnected client.
+    /// Reports all disconnected clients to the gateway before any other event: the place that a request
+    /// leaves in the queue must not go to another disconnected client.
     pub(super) fn report_disconnects(&mut self) {
         let disconnected = |event: &ClientEvent| match event {
             ClientEvent::Disconnected(id) => Some(*id),
             ClientEvent::Command { .. } => None,
         };
         let ids: Vec<RequestId> = self.clients.pending_events().filter_map(disconnected).collect();
-        ids.into_iter().for_each(|id| self.report_disconnect(id));
+        for id in ids {
+            self.report_disconnect(id);
+        }
     }
 
-    /// Closes a request whose client has disconnected, and reports that to the policy, unless it was closed
+    /// Closes a request whose client has disconnected, and reports that to the gateway, unless it was closed
     /// before.
     fn report_disconnect(&mut self, id: RequestId) {
         if self.requests.close(id).is_none() {
             return;
         }
         tracing::debug!(target: "request", request = id.0, "client disconnected");
-        self.counters.disconnected += 1;
+        self.counters.requests_disconnected += 1;
         if let Some(request) = self.requests.get_mut(id) {
             request.audit.client_disconnected();
         }
-        self.pending_events.push_back(Event::ClientDisconnected(id));
+        self.pending_events.push_back(Event::RequestClosed(id));
     }
 
     /// Handles the commands and disconnects of clients, in their order.
@@ -94,7 +106,7 @@
         self.report_disconnects();
         while let Some(event) = self.clients.next_event() {
             self.process_client_event(event);
-            self.run_policy();
+            self.run_gateway();
         }
     }
 
@@ -107,13 +119,13 @@
             ClientEvent::Disconnected(id) => {
                 // It may have happened after the last report, while earlier events were handled.
                 self.report_disconnect(id);
-                self.cancel_unsent(id);
+                self.cancel_incomplete(id);
                 self.requests.remove_if_finished(id, self.now);
             }
         }
     }
 
-    /// Opens a request and passes it to the policy, or rejects it where a limit is reached. Its timeout
+    /// Opens a request and passes it to the gateway, or rejects it where a limit is reached. Its timeout
     /// counts from its arrival, which is earlier than now if the process was delayed.
     fn open_request(&mut self, id: RequestId, reply_to: ReplyHandle, arrived_at: Instant, command: Command) {
         let id_hash = self.requests.hash_id(&command);
@@ -124,7 +136,7 @@
         let arrived_at = arrived_at.min(self.now);
         let client_deadline = arrived_at + timeout;
         self.timers.schedule(client_deadline, Timer::ClientDeadline(id));
-        // The policy's deadline is a little before the client's: the reply takes time to arrive.
+        // The gateway's deadline is a little before the client's: the reply takes time to arrive.
         let reply_time = (self.tick * 2 + REPLY_TRANSIT_TIME).min(timeout / REPLY_TIME_DIVISOR);
         let deadline = client_deadline - reply_time;
         let request = Request { id, deadline, ..command.request };
@@ -135,11 +147,11 @@
             customer = request.customer.0,
             class = request.class,
             timeout_ms = timeout.as_millis(),
-            waited_us = self.now.duration_since(arrived_at).as_micros(),
+            waited_ms = self.now.duration_since(arrived_at).as_millis_f64(),
             client = reply_to.client(),
             "opened"
         );
-        self.counters.requests += 1;
+        self.counters.requests_opened += 1;
         let audit = RequestAudit::new(&self.auditor, request.class.into(), client_deadline);
         let attempts = Vec::new();
         let entry = RequestEntry { command, reply_to, deadline, attempts, closed: false, audit, id_hash };
@@ -172,7 +184,9 @@
             "not opened"
         );
         match refusal {
-            OpenRefusal::DuplicateId => self.clients.reject(reply_to, ClientError::DuplicateRequestId),
+            OpenRefusal::DuplicateId => {
+                self.clients.refuse_invalid(reply_to, ClientError::DuplicateRequestId);
+            }
             OpenRefusal::ShuttingDown | OpenRefusal::NoCapacity => self.clients.reply(reply_to, BUSY_REPLY),
         }
     }
@@ -183,27 +197,30 @@
             self.clients.reply(reply_to, text);
             self.record_answer(id, answer);
         }
-        self.cancel_unsent(id);
+        self.cancel_incomplete(id);
         self.requests.remove_if_finished(id, self.now);
     }
 
     /// Logs, counts and audits a request's final reply.
     fn record_answer(&mut self, id: RequestId, answer: Answer) {
         tracing::debug!(target: "request", request = id.0, ?answer, "answered");
-        self.counters.answers += 1;
-        self.counters.rejections += u64::from(answer == Answer::Rejected);
-        self.counters.failures += u64::from(answer == Answer::Failed);
+        self.counters.requests_answered += 1;
+        self.counters.requests_rejected += u64::from(answer == Answer::Rejected);
+        self.counters.requests_failed += u64::from(answer == Answer::Failed);
         let now = self.clock.now();
         let violated = self.requests.get_mut(id).and_then(|request| request.audit.answered(now));
-        violated.into_iter().for_each(|kind| self.report_violation(kind, Some(id)));
+        if let Some(kind) = violated {
+            self.report_violation(kind, Some(id));
+        }
     }
 
-    /// Fails a request that has no final reply at its client's deadline. The policy answers each request
-    /// before that; if it does not, the client still gets a reply.
-    pub(super) fn fail_unanswered(&mut self, id: RequestId) {
+    /// Fails a request that has no final reply at its client's deadline or at that of the shutdown. The
+    /// gateway answers each request before the former; if it does not, the client still gets a reply.
+    pub(super) fn fail_unanswered(&mut self, id: RequestId, reason: MissedAnswer) {
         if self.requests.is_open(id) {
+            tracing::debug!(target: "request", request = id.0, ?reason, "not answered in time");
             self.reply(id, FAILED_REPLY, Answer::Failed);
-            self.pending_events.push_back(Event::ClientDisconnected(id));
+            self.pending_events.push_back(Event::RequestClosed(id));
         }
     }
 }
--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -3,9 +3,19 @@
 use crate::clients::{AcceptOutcome, Clients};
 use ingress::{Duration, Instant};
 
-/// How long connections are accepted at least after the signal: clients go on connecting for up to 0.4 s, or
-/// longer where they have not noticed the shutdown.
-pub const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(500);
+/// By the protocol (planned restarts), clients open new connections for at most this long after SIGTERM, in
+/// milliseconds.
+const CONNECTING_MILLIS: u64 = 400;
+/// By the protocol, SIGKILL comes no sooner than this after the longest deadline of a request has passed
+/// since SIGTERM, in milliseconds.
+const KILL_DELAY_MILLIS: u64 = 700;
+/// The part of [`KILL_DELAY_MILLIS`] for which requests are served after the longest deadline, in
+/// milliseconds.
+const REPLY_MARGIN_MILLIS: u64 = 400;
+
+/// How long connections are accepted at least after the signal: 100 ms longer than clients open them, since
+/// some notice the shutdown late.
+pub const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(CONNECTING_MILLIS + 100);
 /// After that, accepting ends once no connection was opened for this long.
 const ACCEPTING_QUIET_TIME: Duration = Duration::from_millis(300);
 /// The interval of that check.
@@ -14,13 +24,14 @@
 const DRAINING_IDLE_CLIENT_TIME: Duration = Duration::from_secs(1);
 /// How long, while draining, clients may take to read their replies.
 pub const MAX_DRAINING_TIME: Duration = Duration::from_secs(2);
-/// The longest deadline of a request that the shutdown waits for.
+/// The longest deadline of a request that the shutdown waits for. By the protocol, SIGKILL does not wait for
+/// a longer one.
 const MAX_REPLY_DEADLINE: Duration = Duration::from_secs(3);
-/// How long after that deadline the last requests are failed: SIGKILL may come 0.7 s after it.
-const REPLY_MARGIN: Duration = Duration::from_millis(400);
-/// How long after the reply deadline the process ends, even if clients still send: SIGKILL may come 0.3 s
-/// after it.
-const EXIT_MARGIN: Duration = Duration::from_millis(150);
+/// How long after that deadline the last requests are failed.
+const REPLY_MARGIN: Duration = Duration::from_millis(REPLY_MARGIN_MILLIS);
+/// How long after the reply deadline the process ends, even if clients still send: half of the time that is
+/// left until SIGKILL.
+const EXIT_MARGIN: Duration = Duration::from_millis((KILL_DELAY_MILLIS - REPLY_MARGIN_MILLIS) / 2);
 
 /// The phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -97,7 +108,7 @@
     /// Whether to go on accepting connections: more are waiting, or the latest one was opened a short while
     /// ago.
     pub fn keeps_accepting(&self, now: Instant, accepted: AcceptOutcome, last_accepted_at: Instant) -> bool {
-        let arriving = accepted != AcceptOutcome::Drained || now < last_accepted_at + ACCEPTING_QUIET_TIME;
+        let arriving = accepted != AcceptOutcome::QueueEmpty || now < last_accepted_at + ACCEPTING_QUIET_TIME;
         arriving && now + MIN_ACCEPTING_TIME < self.reply_deadline()
     }
 
@@ -106,8 +117,8 @@
         self.phase = Phase::Draining { reply_deadline: self.reply_deadline(), since: now };
     }
 
-    /// Whether draining is complete: no client is left, or none that is waited for any longer.
-    pub fn is_drained(&self, now: Instant, clients: &Clients) -> bool {
+    /// Whether no client is left, or none that is waited for any longer.
+    pub fn can_end(&self, now: Instant, clients: &Clients) -> bool {
         let Phase::Draining { since, .. } = self.phase else { return false };
         let waited = now.duration_since(since);
         // An incomplete command, or replies that are not read, would otherwise delay the process until it is
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -1,5 +1,6 @@
 //! Runs the timers, among them the steps of the graceful shutdown.
 
+use super::client_events::MissedAnswer;
 use super::clock::unix_time;
 use super::shutdown::ACCEPTING_CHECK_INTERVAL;
 use super::timer_queue::Timer;
@@ -18,18 +19,18 @@
     pub(super) fn run_due_timers(&mut self) {
         for timer in self.timers.take_due(self.now) {
             self.run_timer(timer);
-            self.run_policy();
+            self.run_gateway();
         }
     }
 
     /// Runs one timer.
     fn run_timer(&mut self, timer: Timer) {
         match timer {
-            Timer::Policy(token) => self.pending_events.push_back(Event::Timer(token)),
+            Timer::Gateway(token) => self.pending_events.push_back(Event::Timer(token)),
             Timer::AttemptTimeout(attempt) => self.time_out_attempt(attempt),
-            Timer::ClientDeadline(id) => self.fail_unanswered(id),
+            Timer::ClientDeadline(id) => self.fail_unanswered(id, MissedAnswer::ClientDeadline),
             Timer::ConnectTimeout(connection, attempt) => {
-                self.backends.on_connect_timeout(connection, attempt);
+                self.backend_connections.on_connect_timeout(connection, attempt);
             }
             Timer::Sweep => self.sweep(),
             Timer::RetryAccept => {
@@ -39,14 +40,16 @@
             Timer::RetryReload => self.reload(),
             Timer::StopAccepting => self.stop_accepting(),
             Timer::ReplyDeadline => {
-                self.requests.ids().into_iter().for_each(|id| self.fail_unanswered(id));
+                for id in self.requests.ids() {
+                    self.fail_unanswered(id, MissedAnswer::ShutdownDeadline);
+                }
             }
         }
     }
 
     /// Removes expired connections and ids, and schedules the next sweep.
     fn sweep(&mut self) {
-        self.backends.sweep(self.now);
+        self.backend_connections.sweep(self.now);
         self.clients.close_expired(self.now);
         self.requests.expire_ended_ids(self.now);
         self.start_times.observe_clock(self.clock.now(), unix_time());
@@ -57,25 +60,26 @@
     fn stop_accepting(&mut self) {
         let mut accepted = self.accept();
         if self.shutdown.keeps_accepting(self.now, accepted, self.clients.last_accepted_at) {
-            self.clients.drain(self.now, Accepting::Continue);
+            self.clients.close_when_idle(self.now, Accepting::Continue);
             self.timers.schedule(self.now + ACCEPTING_CHECK_INTERVAL, Timer::StopAccepting);
         } else {
             // Closing the listener resets the connections in its queue, and their requests are lost: accept
             // them first.
             for _ in 0..MAX_FINAL_ACCEPTS {
-                if accepted == AcceptOutcome::Drained {
+                if accepted == AcceptOutcome::QueueEmpty {
                     break;
                 }
                 accepted = self.accept();
             }
-            self.clients.drain(self.now, Accepting::Stop);
+            self.clients.close_when_idle(self.now, Accepting::Stop);
             self.shutdown.start_draining(self.now);
         }
         self.process_client_events();
     }
 
-    /// Whether all received requests are answered, and no client is left that may send more.
-    pub(super) fn can_exit(&mut self) -> bool {
+    /// Reads and answers what clients have sent by now, once all earlier requests are answered; returns
+    /// whether the process can end: all requests are answered, and no client is left that is waited for.
+    pub(super) fn finish_if_drained(&mut self) -> bool {
         if !self.is_drained() {
             return false;
         }
@@ -87,11 +91,12 @@
         self.is_drained()
     }
 
-    /// Whether all requests are answered that were read so far.
+    /// Whether the listener is closed, all requests are answered that were read so far, and no client is
+    /// waited for.
     fn is_drained(&self) -> bool {
         self.shutdown.is_draining()
             && !self.requests.any_open()
             && !self.clients.has_pending_work()
-            && self.shutdown.is_drained(self.now, &self.clients)
+            && self.shutdown.can_end(self.now, &self.clients)
     }
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -41,13 +41,16 @@
     pub plan: u16,
     /// The customer that sent it.
     pub customer: CustomerId,
-    /// The client's deadline.
+    /// By when the gateway has to have answered: the client's deadline, less what the host reserves for the
+    /// reply to arrive.
     pub deadline: Instant,
     /// The units that it takes from the customer's quota.
     pub units: f64,
-    /// The number of gateways that receive the customer's requests.
+    /// The number of gateways that receive the customer's requests. The simulator's wire has fractions; the
+    /// ingress reads whole numbers.
     pub gateway_set_size: f64,
-    /// The first of these gateways; the others follow it by index, and gateway 0 follows the last one.
+    /// The first of these gateways, a fraction like the number; the others follow it by index, and gateway 0
+    /// follows the last one.
     pub gateway_set_start: f64,
 }
 
@@ -62,8 +65,8 @@
     pub backend: BackendId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The request has its final answer.
-    pub answered: bool,
+    /// No answer is owed to the request any more: it has its final answer, or its client has disconnected.
+    pub request_closed: bool,
     /// How long it was in flight.
     pub elapsed: Duration,
     /// The units that the request really took, where its own number is an estimate.
@@ -88,8 +91,9 @@
         /// The number of the attempt.
         attempt: u16,
     },
-    /// The client disconnected; no answer is owed any more.
-    ClientDisconnected(RequestId),
+    /// The host closed a request without an answer of the gateway, since its client disconnected or was
+    /// failed at a deadline. No answer is owed any more.
+    RequestClosed(RequestId),
     /// A timer with this token is due.
     Timer(u32),
     /// A peer's message.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,8 +1,9 @@
 //! A gateway: it takes events, asks the components that decide in a fixed order, and turns their decisions
 //! into actions.
 //!
-//! Nothing is decided here: each rule stands in the file of its concern under `src/policy`, with its inputs.
-//! The gateway's files follow the events:
+//! Each rule stands in the file of its concern under `src/policy`, with its inputs. What is left to these
+//! files is the order: queued requests are sent first in, first out, and a stall of the host is followed by
+//! answers to what is overdue. They follow the events:
 //!
 //! | event or duty | file |
 //! | --- | --- |
@@ -116,7 +117,7 @@
         match event {
             Event::Request(request) => self.on_request(request, actions),
             Event::AttemptEnded(ended) => self.on_attempt_ended(&ended, actions),
-            Event::ClientDisconnected(id) => self.close_request(id, actions),
+            Event::RequestClosed(id) => self.close_request(id, actions),
             Event::FirstByte { id, attempt } => self.on_first_byte(id, attempt, actions),
             Event::PeerMessage { from, bytes } => self.on_peer_message(from, &bytes, actions),
             Event::Endpoints(update, endpoints) => self.on_endpoints(update, endpoints, actions),
@@ -174,8 +175,8 @@
 
     /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the
     /// concurrency limit.
-    pub(crate) fn record_pressure(&mut self, latency_ratio: f64) {
-        self.pressure.record(self.now, latency_ratio);
+    pub(crate) fn record_pressure(&mut self, normal_ratio: f64) {
+        self.pressure.record(self.now, normal_ratio);
         self.concurrency_limiter.on_answer(&self.pressure, self.load());
     }
 
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Sends a peer that started one report of each customer whose quota it owns.
+    /// A peer has started: forgets what its earlier process reported, and queues one report of each active
+    /// customer whose quota the peer owns.
     fn on_peer_start(&mut self, peer: u16, start: PeerStart) {
         let unreported = self.quota.on_peer_start(self.now, peer, start);
         tracing::debug!(target: "policy", peer, ?start, customers = unreported.len(), "peer started");
@@ -58,7 +59,7 @@
             let Some(backend) = self.backends.by_tag(sample.backend_tag) else { continue };
             let Some(settings) = self.settings.classes.get(class) else { continue };
             let objective_micros = settings.latency_objective.as_micros_f64();
-            let latency_micros = sample.relative_latency.map(|relative| relative * objective_micros);
+            let latency_micros = sample.objective_ratio.map(|ratio| ratio * objective_micros);
             let source = Source::Peer;
             self.record_peer_observation(&Observation { backend, class, latency_micros, source });
         }
@@ -74,7 +75,7 @@
     fn on_quota_grant(&mut self, from: u16, grant: &QuotaGrant, actions: &mut Vec<Action>) {
         let Some(answered) = self.quota.on_grant(self.now, from, grant) else { return };
         for id in answered.waiting {
-            self.admit(id, answered.answers, actions);
+            self.decide_admission(id, answered.answers, actions);
         }
     }
 
--- a/src/gossip/encoding.rs
+++ b/src/gossip/encoding.rs
@@ -52,24 +52,24 @@
 /// Bytes of a quota grant.
 const QUOTA_GRANT_BYTES: usize = 12;
 /// The most bytes that a message may have.
-const MAX_MESSAGE_BYTES: usize = 256;
+pub const MAX_MESSAGE_BYTES: usize = 256;
 /// Bytes that are left for the body beside all samples.
 const MAX_BODY_BYTES: usize = MAX_MESSAGE_BYTES - HEADER_BYTES - MAX_SAMPLES * SAMPLE_BYTES;
 
 /// The most [`LatencySample`]s that a message carries.
-pub const MAX_SAMPLES: usize = 6;
+pub(crate) const MAX_SAMPLES: usize = 6;
 /// The most [`UsageReport`]s that fit in a message.
-pub const MAX_USAGE_REPORTS: usize = MAX_BODY_BYTES / USAGE_REPORT_BYTES;
+pub(crate) const MAX_USAGE_REPORTS: usize = MAX_BODY_BYTES / USAGE_REPORT_BYTES;
 /// The most [`QuotaGrant`]s that fit in a message.
 const MAX_QUOTA_GRANTS: usize = (MAX_BODY_BYTES - INCARNATION_BYTES) / QUOTA_GRANT_BYTES;
 /// The highest plan that a [`UsageReport`] can name.
-pub const MAX_PLAN: usize = 63;
+pub(crate) const MAX_PLAN: usize = 63;
 /// The highest class that a [`LatencySample`] can name.
-pub const MAX_CLASS: usize = 7;
+pub(crate) const MAX_CLASS: usize = 7;
 
 impl Message {
     /// The message's bytes. What is too much for one message is left out.
-    pub fn encode(&self) -> Vec<u8> {
+    pub(crate) fn encode(&self) -> Vec<u8> {
         let (kind, entry_count) = match &self.body {
             Body::UsageReports(reports) => (USAGE_REPORTS_KIND, reports.len().min(MAX_USAGE_REPORTS)),
             Body::QuotaGrants { grants, .. } => (QUOTA_GRANTS_KIND, grants.len().min(MAX_QUOTA_GRANTS)),
@@ -95,7 +95,7 @@
     }
 
     /// Reads a message; none for anything that [`Message::encode`] cannot have made.
-    pub fn decode(bytes: &[u8]) -> Option<Message> {
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Message> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return None;
         }
@@ -136,7 +136,7 @@
     fn encode(&self, writer: &mut ByteWriter) {
         writer.u24(self.backend_tag);
         let class = self.class.min(MAX_CLASS as u8);
-        writer.u8(class << LATENCY_STEP_BITS | latency_step(self.relative_latency));
+        writer.u8(class << LATENCY_STEP_BITS | latency_step(self.objective_ratio));
     }
 
     /// Reads what [`Self::encode`] wrote; none if it is cut off.
@@ -144,8 +144,8 @@
         let backend_tag = reader.u24()?;
         let class_and_step = reader.u8()?;
         let class = class_and_step >> LATENCY_STEP_BITS;
-        let relative_latency = latency_of_step(class_and_step & LATENCY_STEP_MASK);
-        Some(LatencySample { backend_tag, class, relative_latency })
+        let objective_ratio = latency_of_step(class_and_step & LATENCY_STEP_MASK);
+        Some(LatencySample { backend_tag, class, objective_ratio })
     }
 }
 
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -5,16 +5,16 @@
 
 /// A customer whose usage waits to be reported to a peer.
 #[derive(Clone, Copy, Default)]
-pub struct OutboxEntry {
-    /// How many more messages carry it.
-    pub retransmissions: u8,
+pub(crate) struct OutboxEntry {
+    /// How many messages carry it from now on, the next one included.
+    pub copies_left: u8,
     /// Whether the next message requests a grant.
     pub requests_grant: bool,
 }
 
 /// How a process of a peer came to be heard for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeerStart {
+pub(crate) enum PeerStart {
     /// No earlier process of the peer was known.
     FirstHeard,
     /// It follows another one, whose messages were heard.
@@ -23,7 +23,7 @@
 
 /// Whether a peer's process has run for longer than the one here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeerAge {
+pub(crate) enum PeerAge {
     /// It started before this one.
     Older,
     /// It started with this one or later.
@@ -132,10 +132,10 @@
         let batch: Vec<_> = rotated.take(most).map(|(id, entry)| (*id, *entry)).collect();
         self.last_sent = batch.last().map_or(self.last_sent, |(id, _)| CustomerId(id.0 + 1));
         for (id, entry) in &batch {
-            let retransmissions = entry.retransmissions - 1;
-            self.outbox.insert(*id, OutboxEntry { retransmissions, requests_grant: false });
+            let copies_left = entry.copies_left - 1;
+            self.outbox.insert(*id, OutboxEntry { copies_left, requests_grant: false });
         }
-        self.outbox.retain(|_, entry| entry.retransmissions > 0);
+        self.outbox.retain(|_, entry| entry.copies_left > 0);
         batch
     }
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,5 +1,8 @@
-//! Every decision of a gateway and every tuned constant, a file for each concern. No I/O, no clock: what is random comes
+//! The decisions of a gateway and their constants, a file for each concern. No I/O, no clock: what is random comes
 //! from the seed alone.
+//!
+//! Constants of the transport stand elsewhere: those of the messages between gateways in `gossip`, those of
+//! connections and sockets in the ingress.
 
 pub(crate) mod admission;
 mod attempt_expiry;
@@ -19,17 +22,16 @@
 pub(crate) use attempt_expiry::{attempt_expiry, ExpiryFacts};
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
 pub(crate) use load_balancing::{ChoiceFacts, LoadBalancer, NoBackend, RecentSends, ReportedQueue};
-pub(crate) use load_shedding::{
-    Familiarity, LoadShedder, SheddingFacts, StageChange, NOT_SERVED_RETRY_AFTER,
-};
+pub(crate) use load_shedding::{Familiarity, LoadShedder, SheddingFacts, StageChange};
 pub(crate) use outlier_detection::{
     AnswerFacts, BackendHealth, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, OutlierDetector,
-    SilenceVerdict, Source, REJECTION_LATENCY_RATIO,
+    SilenceVerdict, Source, REJECTION_NORMAL_RATIO,
 };
 pub(crate) use pressure::Pressure;
 pub(crate) use reasons::{EjectionReason, RejectReason};
 pub(crate) use retry::{
     AttemptCheck, AttemptCheckFacts, ExecutedAttempt, FinalAnswer, RetryFacts, RetryPolicy, RetryScope,
+    NOT_SERVED_RETRY_AFTER,
 };
 pub use start_times::StartTimes;
 pub(crate) use wake_up::WakeUpSchedule;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -5,13 +5,15 @@
 //! queue.
 
 use super::load_shedding::epoch_draw;
-use super::quota::{GrantAnswers, GrantScope, GrantStatus, GrantTiming, QuotaOwnership, Shortage, TokenWait};
+use super::quota::{GrantAnswers, GrantScope, GrantStatus, GrantTiming, QuotaOwnership, Shortage, Shortages};
 use super::wake_up::wake_up_interval;
 use super::RejectReason;
 use crate::{CustomerId, Duration, Instant, Plan, Request};
 
 /// Share of the latency budget that a request may be queued for; queued longer it would fail late.
-const MAX_QUEUE_SHARE: f64 = 0.3;
+const MAX_QUEUE_TIME_SHARE: f64 = 0.3;
+/// Length of the queue, as a share of the concurrency limit, at which no customer may join it any more.
+const MAX_QUEUE_LENGTH_SHARE: f64 = 0.3;
 /// Age up to which a grant by which there were no tokens stands for further requests. A no may rest on an
 /// older grant than a yes: otherwise the retries of a customer over its quota would request grants without
 /// end.
@@ -69,14 +71,14 @@
 pub(crate) struct ArrivalFacts<'a> {
     /// The time.
     pub now: Instant,
-    /// When the client gives up.
+    /// By when the request has to be answered.
     pub deadline: Instant,
     /// See [`min_queue_time`].
     pub min_queue_time: Duration,
     /// The customer's plan.
     pub plan: &'a Plan,
     /// The limits that the request would have to wait for, as far as known here.
-    pub wait: TokenWait,
+    pub shortages: Shortages,
     /// What is known of the grants for the customer.
     pub grant: GrantStatus,
     /// Which gateways own the quota.
@@ -100,8 +102,8 @@
 impl ArrivalFacts<'_> {
     /// Decides whether the request has to wait for a grant.
     pub(crate) fn decide(&self) -> ArrivalDecision {
-        let needs_hard_limit = self.wait.hard_limit.is_some();
-        let lacks_hard_limit_alone = needs_hard_limit && self.wait.quota.is_none();
+        let needs_hard_limit = self.shortages.hard_limit.is_some();
+        let lacks_hard_limit_alone = needs_hard_limit && self.shortages.quota.is_none();
         let needs_grant_request = lacks_hard_limit_alone && self.grant.hard_limit_is_elsewhere;
         let can_wait = self.now + self.min_queue_time <= self.deadline;
         if !can_wait || (self.is_quota_known() && !needs_grant_request) {
@@ -115,7 +117,7 @@
 
     /// Whether the quota is counted here, or a grant is recent enough to decide by.
     fn is_quota_known(&self) -> bool {
-        let is_over_rate_quota = self.wait.quota.is_some() && self.plan.concurrency_quota == 0;
+        let is_over_rate_quota = self.shortages.quota.is_some() && self.plan.concurrency_quota == 0;
         let freshness =
             if is_over_rate_quota { REJECTION_FRESHNESS } else { self.ownership.grant_freshness() };
         self.grant.is_quota_owner || self.grant.grant_age.is_some_and(|age| age < freshness)
@@ -175,7 +177,7 @@
     /// Whether the queue has no place for the customer. The fuller it is, the fewer customers may join it;
     /// the same ones for a shedding epoch, since their retries would come too late to be of use.
     fn is_crowded_out(&self) -> bool {
-        let queue_fill = self.queue_length as f64 / (self.concurrency_limit * MAX_QUEUE_SHARE);
+        let queue_fill = self.queue_length as f64 / (self.concurrency_limit * MAX_QUEUE_LENGTH_SHARE);
         let is_saturated = f64::from(self.in_flight) >= self.concurrency_limit;
         is_saturated && epoch_draw(self.now, self.customer) >= 1.0 - queue_fill
     }
@@ -187,7 +189,7 @@
     pub now: Instant,
     /// When the request came.
     pub arrived_at: Instant,
-    /// When the client gives up.
+    /// By when the request has to be answered.
     pub deadline: Instant,
     /// The time from the arrival within which an answer earns its full weight.
     pub latency_budget: Duration,
@@ -198,7 +200,7 @@
 impl QueueFacts {
     /// Whether the request has been queued for as long as it may be, or has no time left to wait.
     pub(crate) fn is_overdue(&self) -> bool {
-        let queued_until = self.arrived_at + self.latency_budget.mul_f64(MAX_QUEUE_SHARE);
+        let queued_until = self.arrived_at + self.latency_budget.mul_f64(MAX_QUEUE_TIME_SHARE);
         self.now > queued_until || self.now + self.min_queue_time > self.deadline
     }
 }
--- a/src/policy/outlier_detection/observation.rs
+++ b/src/policy/outlier_detection/observation.rs
@@ -4,10 +4,10 @@
 use crate::{BackendId, Duration};
 
 /// Messages that carry the sample of a success.
-const SUCCESS_RETRANSMISSIONS: u8 = 12;
+const SUCCESS_COPIES: u8 = 12;
 /// Messages that carry the sample of a failure, which go before those of successes: each peer has to learn
 /// of it soon.
-const FAILURE_RETRANSMISSIONS: u8 = 36;
+const FAILURE_COPIES: u8 = 36;
 
 /// Who saw how an attempt went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,16 +47,16 @@
         Some(LatencySample {
             backend_tag: backend_tag(self.backend.0),
             class: self.class as u8,
-            relative_latency: self.latency_micros.map(|latency| latency / objective_micros),
+            objective_ratio: self.latency_micros.map(|latency| latency / objective_micros),
         })
     }
 
     /// How many messages carry its sample.
-    pub(crate) fn retransmissions(&self) -> u8 {
+    pub(crate) fn copies(&self) -> u8 {
         if self.is_failure() {
-            FAILURE_RETRANSMISSIONS
+            FAILURE_COPIES
         } else {
-            SUCCESS_RETRANSMISSIONS
+            SUCCESS_COPIES
         }
     }
 }
--- a/src/policy/outlier_detection/tests.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -26,7 +26,6 @@
         latency_objective: OBJECTIVE,
         latency_objective_stretch: 0.0,
         deadline: OBJECTIVE,
-        priority_weight: 1.0,
         late_weight: 0.0,
         idempotency: Idempotency::Idempotent,
         streaming: false,
@@ -87,7 +86,7 @@
     for _ in 0..20 {
         assert_eq!(detector.record_outcome(&mut health, &ended(Evidence::Rejection, START)), None);
     }
-    assert_eq!(health.check_silence(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
+    assert_eq!(health.eject_if_silent(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
     assert_eq!(detector.failure_rate(&health, CLASS, ZONE, START), 0.0);
 }
 
@@ -97,10 +96,10 @@
 #[test]
 fn silence_ejects_a_backend_once_for_all_its_attempts() {
     let mut health = backend();
-    let silence = health.check_silence(CLASS, START, after_millis(100));
+    let silence = health.eject_if_silent(CLASS, START, after_millis(100));
     let SilenceVerdict::Silent { ejection: Some(ejection) } = silence else { panic!("{silence:?}") };
     assert_eq!((ejection.reason, ejection.until), (EjectionReason::Silence, after_millis(600)));
-    let next = health.check_silence(CLASS, START, after_millis(110));
+    let next = health.eject_if_silent(CLASS, START, after_millis(110));
     assert_eq!(next, SilenceVerdict::Silent { ejection: None });
 }
 
@@ -110,8 +109,8 @@
 fn an_answer_after_the_send_is_proof_against_silence() {
     let (mut detector, mut health) = (detector(), backend());
     detector.record_outcome(&mut health, &ended(Evidence::Success, after_millis(50)));
-    assert_eq!(health.check_silence(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
-    assert!(health.check_silence(CLASS, after_millis(60), after_millis(100)).is_silent());
+    assert_eq!(health.eject_if_silent(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
+    assert!(health.eject_if_silent(CLASS, after_millis(60), after_millis(100)).is_silent());
 }
 
 /// A backend fails whenever it is tried again after its ejection. Each ejection lasts twice as long as the
@@ -146,7 +145,7 @@
         "{change:?}"
     );
     assert!(!health.is_ejected(CLASS, 1, later));
-    let silence = health.check_silence(CLASS, after_millis(3000), after_millis(3100));
+    let silence = health.eject_if_silent(CLASS, after_millis(3000), after_millis(3100));
     let SilenceVerdict::Silent { ejection: Some(ejection) } = silence else { panic!("{silence:?}") };
     assert_eq!(ejection.until, after_millis(3600));
 }
@@ -158,7 +157,7 @@
     let (mut detector, mut health) = (detector(), backend());
     end_attempts(&mut detector, &mut health, 10, Evidence::Failure, START);
     assert_eq!(detector.record_outcome(&mut health, &ended(Evidence::Success, START)), None);
-    let successes = (1..).find(|_| {
+    let successes = (1..12).find(|_| {
         let change = detector.record_outcome(&mut health, &ended(Evidence::Success, START));
         matches!(change, Some(HealthChange::Returned { .. }))
     });
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -1,12 +1,17 @@
-//! The one place of each rule on what may be done now: start an attempt, repeat it with its key, begin to
-//! write it, send to a backend, use a connection again, close a client's connection. The policy and the host
-//! both ask here, and get a typed reason for a yes and for a no. [`crate::audit`] checks afterwards what was
-//! done.
+//! The rules on what may be done now, each answered with a typed reason for a no. [`crate::audit`] checks
+//! afterwards what was done.
 //!
-//! The rules on attempts stand with the retry policy, in `policy/retry/permission.rs`.
+//! | question | who asks | file |
+//! | --- | --- | --- |
+//! | may an attempt be started? | the retry policy and the host | `policy/retry/permission.rs` |
+//! | may an idempotency key be repeated? | the retry policy | `policy/retry/permission.rs` |
+//! | may the first byte of an attempt be written? | the host | here |
+//! | may a backend be sent something new? | the host; the load balancer chooses among ready ones | here |
+//! | may a connection be used again? | the host | here |
+//! | may a client's connection be closed? | the host | here |
 
 pub use super::retry::permission::{
-    may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal,
+    may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal, KeyExpired,
 };
 use crate::{Availability, Duration, Instant};
 use thiserror::Error;
@@ -127,6 +132,20 @@
     /// Its end has begun already.
     #[error("it is closing")]
     Closing,
+    /// It was accepted only to reject its first request.
+    #[error("it is over the limit")]
+    OverLimit,
+}
+
+/// Whether this side ends the connection of a client already.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClientClosing {
+    /// It serves commands.
+    Open,
+    /// It was accepted over the limit on connections, only to reject its first request.
+    OverLimit,
+    /// Its end has begun.
+    Closing,
 }
 
 /// What is known of a client's connection.
@@ -136,8 +155,8 @@
     pub is_busy: bool,
     /// Something was received and not parsed, or is to be read yet.
     pub has_input: bool,
-    /// Its end has begun.
-    pub is_closing: bool,
+    /// Whether this side ends it already.
+    pub closing: ClientClosing,
 }
 
 /// Whether a client's connection may be closed now without a word, as between two requests.
@@ -148,13 +167,15 @@
 /// closing already.
 pub fn may_close_client(facts: ClientConnectionFacts) -> Result<(), CloseRefusal> {
     if facts.is_busy {
-        Err(CloseRefusal::RepliesOwed)
-    } else if facts.has_input {
-        Err(CloseRefusal::InputPending)
-    } else if facts.is_closing {
-        Err(CloseRefusal::Closing)
-    } else {
-        Ok(())
+        return Err(CloseRefusal::RepliesOwed);
+    }
+    if facts.has_input {
+        return Err(CloseRefusal::InputPending);
+    }
+    match facts.closing {
+        ClientClosing::Open => Ok(()),
+        ClientClosing::OverLimit => Err(CloseRefusal::OverLimit),
+        ClientClosing::Closing => Err(CloseRefusal::Closing),
     }
 }
 
--- a/src/policy/quota/grant_request/tests.rs
+++ b/src/policy/quota/grant_request/tests.rs
@@ -37,8 +37,8 @@
     };
     assert!(!skipped(25.0, 1.0));
     assert!(skipped(100.0, 0.26) && !skipped(100.0, 0.24), "three of four");
-    let owned = customer_owned(&mut large, CONCURRENCY_QUOTA, true);
-    assert!(!large.skips_grant_request(START, owned, 1.0));
+    let own_customer = customer_owned(&mut large, CONCURRENCY_QUOTA, true);
+    assert!(!large.skips_grant_request(START, own_customer, 1.0));
 
     let mut small = manager(SMALL_FLEET);
     let base = request(customer, CONCURRENCY_QUOTA, 1.0);
@@ -55,7 +55,7 @@
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, HARD_LIMIT, false);
     let waiting = request(customer, HARD_LIMIT, 1.0);
-    let owner = manager.customers[&customer].hard_limit.owners[0];
+    let owner = manager.customers[&customer].granters[0];
     let answer = QuotaGrant { hard_limit_grant: 3.0, ..grant(customer, 9.0, 0) };
     let mut granted_after = |age| {
         manager.await_grant(START, &waiting, GrantScope::QuotaAndHardLimit, GrantTiming::AtOnce);
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -2,15 +2,15 @@
 
 use super::QuotaManager;
 use crate::gossip::{OutboxEntry, PeerStart, UsageReport};
-use crate::state::hash;
+use crate::state::unit_draw;
 use crate::{CustomerId, Duration, Instant};
 
 /// How long after a grant a gateway reports the level of a bucket.
 const LEVEL_FRESHNESS: Duration = Duration::from_secs(1);
 /// A customer seen within this time is reported to an owner that starts.
 const ACTIVE_CUSTOMER_TIME: Duration = Duration::from_secs(2);
-/// The draw up to which the second of two owners is asked for units of the hard limit.
-const SECOND_OWNER_SHARE: f64 = 0.5;
+/// The draw up to which the second of two granters is asked for units of the hard limit.
+const SECOND_GRANTER_SHARE: f64 = 0.5;
 
 /// Why a customer's usage is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,16 +40,15 @@
 }
 
 impl QuotaManager {
-    /// The owners that are to be told of a customer's usage. A grant is requested of those that hold its hard
-    /// limit.
+    /// The owners that are to be told of a customer's usage. A grant is requested of its granters.
     pub(crate) fn report_recipients(&self, id: CustomerId, purpose: ReportPurpose) -> Vec<ReportRecipient> {
         let Some(customer) = self.customers.get(&id) else { return Vec::new() };
-        let retransmissions = self.settings.ownership.report_copies();
+        let copies_left = self.settings.ownership.report_copies();
         let others = customer.quota_owners.iter().copied().filter(|owner| *owner != self.settings.own_id);
         let recipient = |gateway| {
-            let can_grant = customer.hard_limit.owners.contains(&gateway);
+            let can_grant = customer.granters.contains(&gateway);
             let requests_grant = purpose == ReportPurpose::GrantRequest && can_grant;
-            ReportRecipient { gateway, entry: OutboxEntry { retransmissions, requests_grant } }
+            ReportRecipient { gateway, entry: OutboxEntry { copies_left, requests_grant } }
         };
         let mut recipients = Vec::with_capacity(customer.quota_owners.len());
         recipients.extend(others.map(recipient));
@@ -70,9 +69,9 @@
             customer.granted_at.is_some_and(|granted_at| now.duration_since(granted_at) < LEVEL_FRESHNESS);
         let is_level_known = customer.role.is_owner() || was_granted_lately;
         // One of the two is drawn to grant units of the hard limit: two grants would waste one.
-        let draw = hash(now.as_micros() ^ id.0);
-        let drawn_owner = customer.hard_limit.owners[usize::from(draw < SECOND_OWNER_SHARE)];
-        let is_granter = drawn_owner == to || customer.hard_limit.owners.contains(&own_id);
+        let draw = unit_draw(now.as_micros() ^ id.0);
+        let drawn_granter = customer.granters[usize::from(draw < SECOND_GRANTER_SHARE)];
+        let is_granter = drawn_granter == to || customer.granters.contains(&own_id);
         let needs_hard_limit = entry.requests_grant && customer.grant_request.needs_hard_limit;
         Some(UsageReport {
             requests_grant: entry.requests_grant,
--- a/src/policy/quota/reporting/tests.rs
+++ b/src/policy/quota/reporting/tests.rs
@@ -63,11 +63,11 @@
 fn reports_go_to_all_other_owners_and_requests_for_grants_to_two() {
     let mut small = manager(SMALL_FLEET);
     let customer = customer_owned(&mut small, RATE_QUOTA, true);
-    let holders = small.customers[&customer].hard_limit.owners;
+    let holders = small.customers[&customer].granters;
     let recipients = small.report_recipients(customer, ReportPurpose::GrantRequest);
     assert!(recipients.iter().map(|recipient| recipient.gateway).eq([1, 2]));
     for recipient in recipients {
-        assert_eq!(recipient.entry.retransmissions, 2);
+        assert_eq!(recipient.entry.copies_left, 2);
         assert_eq!(recipient.entry.requests_grant, holders.contains(&recipient.gateway));
     }
     let usage = small.report_recipients(customer, ReportPurpose::Usage);
@@ -82,7 +82,7 @@
     let customer = customer_owned(&mut manager, RATE_QUOTA, false);
     let owner = manager.customers[&customer].quota_owners[0];
     manager.on_grant(START, owner, &grant(customer, 20.0, 0));
-    let entry = OutboxEntry { retransmissions: 1, requests_grant: false };
+    let entry = OutboxEntry { copies_left: 1, requests_grant: false };
     let mut level_after = |millis| {
         let report = manager.usage_report(START + Duration::from_millis(millis), owner, customer, entry);
         report.expect("a known customer").tokens_level
@@ -99,8 +99,8 @@
     let customer = customer_owned(&mut manager, HARD_LIMIT, false);
     let waiting = request(customer, HARD_LIMIT, 1.0);
     manager.await_grant(START, &waiting, GrantScope::QuotaAndHardLimit, GrantTiming::AtOnce);
-    let owners = manager.customers[&customer].hard_limit.owners;
-    let entry = OutboxEntry { retransmissions: 1, requests_grant: true };
+    let owners = manager.customers[&customer].granters;
+    let entry = OutboxEntry { copies_left: 1, requests_grant: true };
     let mut drawn_first = 0;
     for millis in 0..100 {
         let now = START + Duration::from_millis(millis);
--- a/src/policy/quota/token_wait.rs
+++ b/src/policy/quota/shortages.rs
@@ -1,8 +1,8 @@
-//! How long a request has to wait until its customer's quota and hard limit allow it.
+//! Shortages: which limits of its customer's plan do not allow a request now, and for how long.
 
-use super::{time_to_refill, Customer, QuotaManager};
-use crate::state::{hash, Salt, MICROS_PER_SECOND};
-use crate::{Duration, Instant, Plan, Request};
+use super::{time_to_refill, Customer, QuotaManager, QuotaOwnership};
+use crate::state::{unit_draw, Salt, MICROS_PER_SECOND};
+use crate::{CustomerId, Duration, Instant, Plan, Request};
 
 /// How long a grant holds where no newer one comes. After that a customer is admitted: most are inside their
 /// quota, and a large fleet whose messages are lost would otherwise reject them all.
@@ -20,6 +20,8 @@
     Rate,
     /// The quota on attempts in flight.
     Concurrency,
+    /// The same quota, where the owners granted nothing and are presumed to be overloaded by the customer.
+    OwnersOverloaded,
     /// The hard limit on the rate of units.
     HardLimit,
 }
@@ -33,16 +35,16 @@
     pub seconds: f64,
 }
 
-/// The limits that a request has to wait for; none that allow it now.
+/// The limits of a plan that do not allow a request now; none of them where the limit allows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct TokenWait {
+pub(crate) struct Shortages {
     /// The quota, on the rate or on attempts in flight.
     pub quota: Option<Shortage>,
     /// The hard limit.
     pub hard_limit: Option<Shortage>,
 }
 
-impl TokenWait {
+impl Shortages {
     /// The limit that takes longest.
     pub(crate) fn longest(self) -> Option<Shortage> {
         let longer = |one: Shortage, other: Shortage| if other.seconds > one.seconds { other } else { one };
@@ -50,9 +52,9 @@
     }
 }
 
-/// What a request's wait depends on, besides its customer's record.
+/// What the shortages of a request depend on, besides its customer's record.
 #[derive(Clone, Copy)]
-pub(crate) struct TokenFacts<'a> {
+pub(crate) struct ShortageFacts<'a> {
     /// The time.
     pub now: Instant,
     /// The request, under its customer's plan.
@@ -62,45 +64,62 @@
 }
 
 impl QuotaManager {
-    /// How long a request has to wait for the tokens that it needs. `last_heard_at` tells when a message of a
-    /// peer last came, if ever.
-    pub(crate) fn token_wait(
+    /// Refills the token buckets of a request's customer, and returns the limits that do not allow the
+    /// request. `last_heard_at` tells when a message of a peer last came, if ever.
+    pub(crate) fn refill_and_find_shortages(
         &mut self,
-        facts: &TokenFacts<'_>,
+        facts: &ShortageFacts<'_>,
         last_heard_at: impl Fn(u16) -> Option<Instant>,
-    ) -> TokenWait {
+    ) -> Shortages {
         let (ownership, started_at) = (self.settings.ownership, self.settings.started_at);
         let Some((customer, plan)) = self.refill(facts.request.customer, facts.now) else {
-            return TokenWait::default();
+            return Shortages::default();
         };
         let units = facts.request.units;
         let usage_known = ownership.knows_usage_without_grant()
             || customer.role.is_owner()
             || customer.granted_at.is_some_and(|granted_at| is_recent(facts.now, granted_at));
-        // Peers have used some units since their last reports.
-        let unreported_units =
-            customer.remote.rate() * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND;
+        let unreported_units = customer.unreported_units(ownership);
         let rate_wait = customer.wait_for_rate(plan, unreported_units, units).filter(|_| usage_known);
-        let at_concurrency_quota = plan.concurrency_quota > 0
-            && if usage_known {
-                customer.estimated_in_flight(unreported_units, units) >= plan.concurrency_quota
-            } else {
-                customer.presumes_owners_overloaded(plan, facts, started_at, last_heard_at)
-            };
+        let reached_quota = if plan.concurrency_quota == 0 {
+            None
+        } else if usage_known {
+            let in_flight = customer.estimated_in_flight(unreported_units, units);
+            (in_flight >= plan.concurrency_quota).then_some(QuotaLimit::Concurrency)
+        } else {
+            let is_presumed = customer.presumes_owners_overloaded(plan, facts, started_at, last_heard_at);
+            is_presumed.then_some(QuotaLimit::OwnersOverloaded)
+        };
         let rate = rate_wait.map(|seconds| Shortage { limit: QuotaLimit::Rate, seconds });
-        let concurrency = at_concurrency_quota.then(|| Shortage {
-            limit: QuotaLimit::Concurrency,
-            seconds: rate_wait.unwrap_or(0.0).max(facts.answer_seconds),
-        });
+        let concurrency = reached_quota
+            .map(|limit| Shortage { limit, seconds: rate_wait.unwrap_or(0.0).max(facts.answer_seconds) });
         let hard_limit = customer.hard_limit.wait_for(plan, units);
-        TokenWait {
+        Shortages {
             quota: concurrency.or(rate),
             hard_limit: hard_limit.map(|seconds| Shortage { limit: QuotaLimit::HardLimit, seconds }),
         }
     }
+
+    /// Units in the bucket of a customer's quota, as of its last refill; none for an unknown customer.
+    pub(crate) fn tokens(&self, id: CustomerId) -> Option<f64> {
+        self.customers.get(&id).map(|customer| customer.bucket.tokens())
+    }
+
+    /// Attempts of a request's customer in flight from all gateways, as its concurrency quota counts them;
+    /// none for an unknown customer.
+    pub(crate) fn in_flight_of_customer(&self, request: &Request) -> Option<u32> {
+        let customer = self.customers.get(&request.customer)?;
+        let unreported_units = customer.unreported_units(self.settings.ownership);
+        Some(customer.estimated_in_flight(unreported_units, request.units))
+    }
 }
 
 impl Customer {
+    /// Units that peers have likely used since their last reports.
+    fn unreported_units(&self, ownership: QuotaOwnership) -> f64 {
+        self.remote.rate() * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND
+    }
+
     /// Seconds until the quota's bucket may have a request's units, where peers used some unreported; none if
     /// it has them now, or if there is no quota on the rate.
     fn wait_for_rate(&self, plan: &Plan, unreported_units: f64, units: f64) -> Option<f64> {
@@ -127,14 +146,14 @@
     fn presumes_owners_overloaded(
         &self,
         plan: &Plan,
-        facts: &TokenFacts<'_>,
+        facts: &ShortageFacts<'_>,
         started_at: Instant,
         last_heard_at: impl Fn(u16) -> Option<Instant>,
     ) -> bool {
         if self.grant_request.requested_at.is_none() {
             return false;
         }
-        let draw = hash(facts.request.id.0 ^ START_SALT.of(started_at.as_micros()));
+        let draw = unit_draw(facts.request.id.0 ^ START_SALT.of(started_at.as_micros()));
         let loses_draw = draw * (1.0 + plan.over_quota_cost) > 1.0;
         let is_alive = |owner: &u16| last_heard_at(*owner).is_some_and(|heard| is_recent(facts.now, heard));
         loses_draw || self.quota_owners.iter().all(is_alive)
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -2,7 +2,7 @@
 //! it.
 
 use super::customer::{record_lifetime, Role, MAX_REPORTED_IN_FLIGHT};
-use super::{Customer, GatewaySet, GatewayUsage, IdentityClaim, QuotaManager};
+use super::{Customer, GatewaySet, GatewayUsage, IdentityClaim, InitialUsage, QuotaManager};
 use crate::gossip::{floor_to_wire_units, wrapping_delta, PeerAge, QuotaGrant, UsageReport};
 use crate::{Instant, Plan};
 
@@ -60,7 +60,8 @@
         let lowest_tokens = ownership.lowest_tokens(plan, customer.bucket.tokens());
         customer.bucket.settle(plan, usage.granted_units, units, lowest_tokens);
         if ownership.counts_grant_requests(plan) {
-            // This rate is one of the whole customer, the sender's own requests included.
+            // The rate counts requests for grants of the whole customer, the sender's included. It goes out
+            // as `remote_rate`, and the gateways ration their requests by it.
             usage.record(now, report.total_units, 0.0);
             customer.remote.raise_rate(f64::from(u8::from(report.requests_grant)));
         } else {
@@ -83,10 +84,9 @@
         let claim = IdentityClaim {
             plan: usize::from(report.plan),
             gateway_set: set.in_whole_gateways(self.settings.gateway_count),
-            tokens: reported.unwrap_or(presumed),
-            remote_rate: 0.0,
         };
-        self.record_identity(now, report.customer, &claim);
+        let initial = InitialUsage { tokens: reported.unwrap_or(presumed), remote_rate: 0.0 };
+        self.record_identity(now, report.customer, &claim, &initial);
         Some(())
     }
 }
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -11,7 +11,7 @@
 //! | `grades[].group`: `all`, `zone`, `cell` | [`IdempotencyScope`]: fleet, zone, cell |
 //! | `grades[].objective_us`, `aim_stretch` | `latency_objective`, `latency_objective_stretch` |
 //! | `grades[].give_up_us` | `deadline` |
-//! | `grades[].worth`, `late_worth` | `priority_weight`, `late_weight` |
+//! | `grades[].worth`, `late_worth` | the priority weight, which no decision uses; `late_weight` |
 //! | `contracts[]` | plans, [`Plan`] |
 //! | `contracts[].quota_rate`, `max_out` | `rate`, `concurrency_quota` |
 //! | `contracts[].never_over_rate`, `ceiling_burst` | `hard_limit_rate`, `hard_limit_burst` |
@@ -21,7 +21,7 @@
 //! | `limits.max_open` | `max_open_requests` |
 //! | `rules.cold_from`, `cold_us` | `slow_start_floor`, `slow_start_duration` |
 //! | `rules.fall_us`, `must_ask_in_us` | `overload_window`, `max_poll_interval` |
-//! | `membership_mode`: `push`, `ask` | [`Discovery`]: push, poll |
+//! | `membership_mode`: `push`, `ask` | [`Discovery`]: local agent, shared service |
 //! | `weights`: `none`, `nominal` or `rough`, `live` | [`SizeMeaning`]: none, capacity, live |
 //! | `n_instances`, `slot_no` | `gateway_count`, `own_id` |
 //! | `skus` | machine types |
@@ -52,8 +52,10 @@
     Flag,
 }
 
-/// Keys of a plan that no decision uses. A configuration without them, or with a bad value there, is refused
-/// all the same.
+/// The key of a class that no decision uses, its priority weight. A configuration without it, or with a bad
+/// value there, is refused all the same.
+const UNUSED_CLASS_KEY: (&str, ValueKind) = ("worth", ValueKind::Number);
+/// The same of a plan.
 const UNUSED_PLAN_KEYS: [(&str, ValueKind); 2] =
     [("ceiling_slack", ValueKind::Number), ("over_worth", ValueKind::Number)];
 /// The same outside the lists.
@@ -134,7 +136,8 @@
     ///
     /// # Errors
     ///
-    /// If the count of the classes is missing or wrong, a class has no name, or there is one beyond the count.
+    /// If the count of the classes is missing or wrong, a class has no name, or there is one beyond the
+    /// count.
     pub fn class_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.names(CLASSES)
     }
@@ -201,12 +204,17 @@
     fn class(&self, index: u64) -> Result<Class, SettingsError> {
         let SettingsReader(values) = self;
         let key = |name: &str| format!("{CLASSES}.{index}.{name}");
+        let idempotency = self.idempotency(index)?;
+        let latency_objective = values.duration(&key("objective_us"))?;
+        let latency_objective_stretch = values.number_or(&key("aim_stretch"), 0.0)?;
+        let deadline = values.duration(&key("give_up_us"))?;
+        let (unused_key, kind) = UNUSED_CLASS_KEY;
+        self.check(&key(unused_key), kind)?;
         Ok(Class {
-            idempotency: self.idempotency(index)?,
-            latency_objective: values.duration(&key("objective_us"))?,
-            latency_objective_stretch: values.number_or(&key("aim_stretch"), 0.0)?,
-            deadline: values.duration(&key("give_up_us"))?,
-            priority_weight: values.number(&key("worth"))?,
+            idempotency,
+            latency_objective,
+            latency_objective_stretch,
+            deadline,
             late_weight: values.number(&key("late_worth"))?,
             streaming: values.flag(&key("stream"))?,
         })
@@ -283,12 +291,12 @@
         })
     }
 
-    /// How the endpoint list is delivered.
+    /// Where the endpoint list comes from.
     fn discovery(&self) -> Result<Discovery, SettingsError> {
         let key = "membership_mode";
         match self.0.text(key)? {
-            "ask" => Ok(Discovery::Poll),
-            "push" => Ok(Discovery::Push),
+            "ask" => Ok(Discovery::SharedService),
+            "push" => Ok(Discovery::LocalAgent),
             other => Err(SettingsError::unknown_value(key, other)),
         }
     }
--- a/tests/decision_digest/fleet.rs
+++ b/tests/decision_digest/fleet.rs
@@ -186,7 +186,7 @@
             HostEvent::ClientDisconnect(id) => {
                 if host.pending.get(&id).is_some_and(|pending| !pending.answered) {
                     self.mark_answered(gateway, id);
-                    self.handle(gateway, Event::ClientDisconnected(id));
+                    self.handle(gateway, Event::RequestClosed(id));
                 }
             }
             HostEvent::GatewayRestart => {
@@ -226,7 +226,7 @@
                 self.schedule(delay, gateway, HostEvent::Timer { restarts, token });
             }
             Action::SendToPeer { to, bytes } => self.deliver_message(gateway, to, bytes),
-            Action::WatchEndpoints(true) => {
+            Action::PollDiscovery => {
                 let kind = if self.random.percent(25) {
                     EndpointUpdate::PollFailed
                 } else {
@@ -235,7 +235,7 @@
                 let event = endpoint_event(kind, self.elapsed(), self.size);
                 self.schedule(MILLISECOND * 30, gateway, HostEvent::GatewayEvent(event));
             }
-            _ => {}
+            Action::Log(_) => {}
         }
     }
 
@@ -330,7 +330,7 @@
                 attempt,
                 backend,
                 outcome,
-                answered: complete,
+                request_closed: complete,
                 elapsed,
                 charged_units: charged,
                 reported_queue_depth,
