--- a/stand-ins/src/process.rs
+++ b/stand-ins/src/process.rs
@@ -6,7 +6,7 @@
 /// The environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
 /// The environment variables that override parts of a configuration.
-const OVERRIDE_VARIABLES: [&str; 3] = ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"];
+const OVERRIDE_VARIABLES: [&str; 2] = ["LB_LISTEN", "LB_DISCOVERY"];
 
 /// The configuration file of an ingress. It is removed when the handle is dropped.
 #[derive(Debug)]
--- a/tests/gateway/outlier_detection.rs
+++ b/tests/gateway/outlier_detection.rs
@@ -27,11 +27,11 @@
     );
 }
 
-/// A backend does not answer one class of requests, for example because the database behind that class is down.
-/// Requests of that class go to other backends, but it still serves the other classes; ejecting it altogether would
-/// take away capacity for no reason.
+/// A backend does not answer one class of requests, for example because the database behind that class is down. That
+/// silence ejects it for the class, whose requests go to other backends; its timeouts by themselves count as no
+/// failure. It still serves the other classes: ejecting it altogether would take away capacity for no reason.
 #[test]
-fn timeouts_of_one_class_eject_a_backend_for_that_class_only() {
+fn silence_to_one_class_ejects_a_backend_for_that_class_only() {
     let mut harness = GatewayHarness::new(settings(), 2);
     for customer in 0..40 {
         let SubmittedRequest { id, actions } =
@@ -96,9 +96,9 @@
     counts
 }
 
-/// One of 30 backends stops answering. Each of a hundred gateways sends it only a request now and then; when each
-/// had to find out for itself, the backend went on getting a good part of its share, and those clients waited in
-/// vain. Gateways tell each other, and after some seconds hardly any request goes there.
+/// One of 30 backends stops answering. Each of a hundred gateways sends it only a request now and then. Formerly each
+/// had to find out for itself, the backend went on getting a good part of its share, and those clients waited in vain;
+/// now gateways notify each other, and after some seconds hardly any request goes there.
 #[test]
 fn a_hundred_gateways_share_observations_of_a_silent_backend() {
     let mut fleet = Fleet::new(100);
