--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -1,11 +1,11 @@
 //! The pools of connections, one for each backend: the backend's address, and the idle connections to it.
 
-use super::closing::CloseReason;
-use super::connection::Connection;
+use super::closing::BackendCloseReason;
+use super::connection::BackendConnection;
 use super::exchange::Usability;
 use super::idle_reuse::IdleReuseTracker;
 use super::reply::ExchangeResult;
-use super::{BegunAttempt, Completion};
+use super::{ExchangeCompletion, FirstByteWritten};
 use crate::discovery::{EndpointEntry, EndpointList};
 use crate::socket_error::is_local_shortage;
 use ingress::permissions::{may_reuse_connection, may_send_to, BackendRefusal, ReuseLimits};
@@ -23,11 +23,10 @@
 /// A duplicate reply would be taken for the reply to the next command, since replies carry no id. It arrives
 /// some milliseconds after the first one, so it is found before the connection is reused.
 pub const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
-/// Idle connections are closed after four fifths of the backends' keep-alive timeout. If both ends closed
-/// them at the same time, a command could be written to a connection that the backend is closing.
-const IDLE_TIME_FACTOR: u64 = 4;
-/// See [`IDLE_TIME_FACTOR`].
-const IDLE_TIME_DIVISOR: u64 = 5;
+/// The parts that the backends' keep-alive timeout is divided into; idle connections are closed one part
+/// before its end. If both ends closed them at the same time, a command could be written to a connection that
+/// the backend is closing.
+const KEEPALIVE_PARTS: u64 = 5;
 
 /// The connections to one backend that are idle.
 #[derive(Default)]
@@ -41,9 +40,9 @@
 }
 
 /// The connections to all backends.
-pub struct Backends {
+pub struct BackendConnections {
     /// Every connection by its key.
-    pub(super) connections: Slab<Connection>,
+    pub(super) connections: Slab<BackendConnection>,
     /// A pool for each backend of the endpoint list.
     pub(super) pools: HashMap<BackendId, Pool>,
     /// The serial number of the latest connection.
@@ -51,29 +50,29 @@
     /// The buffer for reads.
     pub(super) read_buffer: Vec<u8>,
     /// Idle connections are closed after this time, before the backend closes them.
-    pub(super) max_idle_time: Duration,
+    configured_max_idle_time: Duration,
     /// Shortens that time if reused connections turn out to be dead.
     pub(super) idle_reuse: IdleReuseTracker,
     /// The poll's token of the connection with a key.
     token: fn(usize) -> Token,
     /// The ends of attempts that were not taken yet.
-    pub(super) completions: Vec<Completion>,
+    pub(super) completions: Vec<ExchangeCompletion>,
     /// The begun attempts that were not taken yet.
-    pub(super) begun: Vec<BegunAttempt>,
+    pub(super) begun: Vec<FirstByteWritten>,
     /// The number of connections opened so far.
     pub opened_count: u64,
 }
 
-impl Backends {
+impl BackendConnections {
     /// Without any backend. Backends close connections that have been idle for `keepalive_timeout`; `token`
     /// returns the poll's token of the connection with a key.
     pub fn new(keepalive_timeout: Duration, token: fn(usize) -> Token) -> Self {
-        Backends {
+        BackendConnections {
             connections: Slab::new(),
             pools: HashMap::new(),
             last_serial: 0,
             read_buffer: vec![0; BUFFER_SIZE],
-            max_idle_time: keepalive_timeout / IDLE_TIME_DIVISOR * IDLE_TIME_FACTOR,
+            configured_max_idle_time: keepalive_timeout / KEEPALIVE_PARTS * (KEEPALIVE_PARTS - 1),
             idle_reuse: IdleReuseTracker::default(),
             token,
             completions: Vec::new(),
@@ -83,12 +82,12 @@
     }
 
     /// Takes the ends of attempts, in order.
-    pub fn take_completions(&mut self) -> Vec<Completion> {
+    pub fn take_completions(&mut self) -> Vec<ExchangeCompletion> {
         std::mem::take(&mut self.completions)
     }
 
     /// Takes the attempts whose first byte was written, in order.
-    pub fn take_begun(&mut self) -> Vec<BegunAttempt> {
+    pub fn take_begun(&mut self) -> Vec<FirstByteWritten> {
         std::mem::take(&mut self.begun)
     }
 
@@ -109,18 +108,18 @@
                 continue;
             }
             if self.has_moved(entry) || entry.endpoint.availability == Availability::Draining {
-                self.close_idle(backend, CloseReason::BackendUnavailable);
+                self.close_idle(backend, BackendCloseReason::BackendUnavailable);
                 closed_to_new_work.insert(backend);
             }
             let pool = self.pools.entry(backend).or_default();
             (pool.address, pool.availability) = (entry.address, entry.endpoint.availability);
         }
         for backend in &removed {
-            self.close_idle(*backend, CloseReason::BackendUnavailable);
+            self.close_idle(*backend, BackendCloseReason::BackendUnavailable);
             self.pools.remove(backend);
             closed_to_new_work.insert(*backend);
         }
-        self.cancel_unsent(&closed_to_new_work);
+        self.cancel_unwritten(&closed_to_new_work);
         removed
     }
 
@@ -141,18 +140,18 @@
 
     /// Ends attempts of which nothing is written yet at backends that take no new work: they would begin once
     /// their connections are established, perhaps at another backend with the same address.
-    fn cancel_unsent(&mut self, closed_to_new_work: &HashSet<BackendId>) {
-        let is_unsent = |connection: &Connection| {
+    fn cancel_unwritten(&mut self, closed_to_new_work: &HashSet<BackendId>) {
+        let is_unwritten = |connection: &BackendConnection| {
             connection.is_not_yet_written() && closed_to_new_work.contains(&connection.backend)
         };
-        for key in self.keys_where(is_unsent) {
+        for key in self.keys_where(is_unwritten) {
             self.complete(key, ExchangeResult::without_reply(Outcome::NotSent), None);
-            self.remove(key, CloseReason::BackendUnavailable);
+            self.remove(key, BackendCloseReason::BackendUnavailable);
         }
     }
 
     /// The keys of all connections that fulfil a condition.
-    pub(super) fn keys_where(&self, condition: impl Fn(&Connection) -> bool) -> Vec<usize> {
+    pub(super) fn keys_where(&self, condition: impl Fn(&BackendConnection) -> bool) -> Vec<usize> {
         self.connections.iter().filter(|(_, connection)| condition(connection)).map(|(key, _)| key).collect()
     }
 
@@ -167,11 +166,15 @@
         self.pools.get(&backend).is_some_and(|pool| self.newest_reusable(pool, now).is_none())
     }
 
+    /// For how long a connection may be idle.
+    pub(super) fn max_idle_time(&self) -> Duration {
+        self.configured_max_idle_time.min(self.idle_reuse.max_idle_time())
+    }
+
     /// The index in a pool of the newest idle connection that may be reused.
     fn newest_reusable(&self, pool: &Pool, now: Instant) -> Option<usize> {
-        let max_idle_time = self.idle_reuse.max_idle_time().min(self.max_idle_time);
-        let limits = ReuseLimits { min_idle_time: MIN_IDLE_TIME, max_idle_time };
-        let idle_time = |key: usize| now.duration_since(self.connections[key].state_since);
+        let limits = ReuseLimits { min_idle_time: MIN_IDLE_TIME, max_idle_time: self.max_idle_time() };
+        let idle_time = |key: usize| now.duration_since(self.connections[key].idle_since);
         pool.idle.iter().rposition(|key| may_reuse_connection(idle_time(*key), limits).is_ok())
     }
 
@@ -196,12 +199,12 @@
             let position = self.newest_reusable(self.pools.get(&backend)?, now)?;
             let key = self.pools.get_mut(&backend)?.idle.remove(position);
             let connection = &mut self.connections[key];
-            if connection.is_quiet() {
-                connection.idle_before = Some(now.duration_since(connection.state_since));
+            if connection.probe_quiet() {
+                connection.idle_before = Some(now.duration_since(connection.idle_since));
                 return Some(key);
             }
             // Frees its descriptor for the next connection.
-            self.remove(key, CloseReason::Broken);
+            self.remove(key, BackendCloseReason::Broken);
         }
     }
 
@@ -225,7 +228,7 @@
         let _ = stream.set_nodelay(true);
         self.last_serial += 1;
         self.opened_count += 1;
-        slot.insert(Connection::new(stream, self.last_serial, backend, address, now));
+        slot.insert(BackendConnection::new(stream, self.last_serial, backend, address, now));
         Ok(key)
     }
 
@@ -238,7 +241,7 @@
             return Usability::Unusable;
         }
         connection.attempt = None;
-        connection.state_since = now;
+        connection.idle_since = now;
         connection.received.clear();
         connection.received.shrink_to(BUFFER_SIZE);
         connection.command.shrink_to(BUFFER_SIZE);
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -5,7 +5,7 @@
 use super::reply_queue::ReplyQueue;
 use super::Capacity;
 use crate::resp;
-use ingress::permissions::{may_close_client, ClientConnectionFacts};
+use ingress::permissions::{may_close_client, ClientClosing, ClientConnectionFacts};
 use ingress::{Duration, Instant};
 use mio::net::TcpStream;
 use std::net::Shutdown;
@@ -35,8 +35,23 @@
     ShutDown,
 }
 
+/// Why this side began to close a connection, or accepted it only to close it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClosingCause {
+    /// It was accepted over the limit.
+    OverLimit,
+    /// What the client sent is not RESP2.
+    ProtocolError,
+    /// Too many commands in a row were invalid.
+    InvalidCommands,
+    /// The rest of a command did not arrive in time.
+    CommandTimeout,
+    /// The memory limit of all clients was reached, and the rest of a command was missing.
+    OutOfMemory,
+}
+
 /// A client's connection.
-pub struct Connection {
+pub struct ClientConnection {
     /// The socket.
     pub stream: TcpStream,
     /// The number of the connection, which unlike its key is never reused.
@@ -54,10 +69,12 @@
     /// When the incomplete command in `input` began to arrive; before the first command, when the connection
     /// was accepted.
     command_started_at: Instant,
-    /// Rejected commands since the last valid one.
+    /// Invalid commands since the last valid one.
     consecutive_errors: u32,
     /// The state of closing it.
     close_state: CloseState,
+    /// The first cause for closing it, for the log.
+    pub closing_cause: Option<ClosingCause>,
     /// When it is closed even if the client has not closed its end. A connection over the limit has this from
     /// the start.
     pub linger_until: Option<Instant>,
@@ -73,11 +90,11 @@
     pub queued_for_read: bool,
 }
 
-impl Connection {
+impl ClientConnection {
     /// A connection that was just accepted.
     pub fn new(stream: TcpStream, serial: u64, capacity: Capacity, now: Instant) -> Self {
-        let linger_until = (capacity == Capacity::OverLimit).then_some(now + LINGER_TIMEOUT);
-        Connection {
+        let is_over_limit = capacity == Capacity::OverLimit;
+        ClientConnection {
             stream,
             serial,
             input: Vec::new(),
@@ -88,7 +105,8 @@
             command_started_at: now,
             consecutive_errors: 0,
             close_state: CloseState::Open,
-            linger_until,
+            closing_cause: is_over_limit.then_some(ClosingCause::OverLimit),
+            linger_until: is_over_limit.then_some(now + LINGER_TIMEOUT),
             capacity,
             reading_paused: false,
             unread_since: None,
@@ -102,11 +120,22 @@
         let facts = ClientConnectionFacts {
             is_busy: self.is_busy(),
             has_input: !self.input.is_empty() || self.queued_for_read,
-            is_closing: self.is_closing() || self.is_over_limit(),
+            closing: self.closing(),
         };
         may_close_client(facts).is_ok()
     }
 
+    /// Whether this side ends it already.
+    fn closing(&self) -> ClientClosing {
+        if self.is_closing() {
+            ClientClosing::Closing
+        } else if self.is_over_limit() {
+            ClientClosing::OverLimit
+        } else {
+            ClientClosing::Open
+        }
+    }
+
     /// Whether a reply is owed or not completely written.
     pub fn is_busy(&self) -> bool {
         !self.replies.is_empty() || !self.output.is_empty()
@@ -189,7 +218,7 @@
     pub fn record_protocol_error(&mut self) {
         self.consecutive_errors += 1;
         if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS {
-            self.start_closing();
+            self.start_closing(ClosingCause::InvalidCommands);
         }
     }
 
@@ -212,14 +241,15 @@
     }
 
     /// Closes the connection in the middle of a command, after an error reply.
-    pub fn abort_command(&mut self, error: ClientError) {
+    pub fn abort_command(&mut self, error: ClientError, cause: ClosingCause) {
         self.reply_error(error);
-        self.start_closing();
+        self.start_closing(cause);
         self.input = Vec::new();
     }
 
     /// Begins to close the connection: no further command is accepted, and owed replies are still written.
-    pub fn start_closing(&mut self) {
+    pub fn start_closing(&mut self, cause: ClosingCause) {
+        self.closing_cause.get_or_insert(cause);
         if self.close_state == CloseState::Open {
             self.close_state = CloseState::Closing;
         }
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -2,7 +2,7 @@
 //!
 //! While discovery does not respond, the endpoint list stays as it was and polls are retried with backoff.
 
-use super::connection::{Connection, Flush};
+use super::connection::{DiscoveryConnection, Flush};
 use super::http::{Persistence, StreamState};
 use super::poll::{parse_response, PollRequest, PollResponse};
 use super::{EndpointList, LocationNames, PollError};
@@ -30,6 +30,15 @@
     BeganToFail,
 }
 
+/// When the next poll starts after a failed one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Retry {
+    /// After the delay of the schedule.
+    AfterBackoff,
+    /// At once.
+    Immediate,
+}
+
 /// How a watch polls.
 #[derive(Clone, Copy)]
 pub struct WatchOptions {
@@ -60,7 +69,7 @@
     /// The poll's token of the connection.
     token: Token,
     /// The connection, if one is open; it serves several polls if discovery keeps it open.
-    connection: Option<Connection>,
+    connection: Option<DiscoveryConnection>,
     /// The version of the latest list; none makes the next poll request a snapshot.
     index: Option<u64>,
     /// When the pending poll was started; none if no poll is pending.
@@ -127,17 +136,25 @@
         self.poll_started_at = None;
     }
 
-    /// Closes the connection after a failure and schedules the next poll.
+    /// Closes the connection after a failure and schedules the next poll with backoff.
     fn fail(&mut self, now: Instant, error: &PollError) -> PollHealth {
-        let request_sent = self.connection.as_ref().is_none_or(Connection::is_request_sent);
+        self.fail_and_retry(now, error, Retry::AfterBackoff)
+    }
+
+    /// Closes the connection after a failure and schedules the next poll.
+    fn fail_and_retry(&mut self, now: Instant, error: &PollError, retry: Retry) -> PollHealth {
+        let request_sent = self.connection.as_ref().is_none_or(DiscoveryConnection::is_request_sent);
         let pending = self.poll_started_at.map(|started_at| FailedPoll { started_at, request_sent });
         let NextPoll { at, is_first_failure } = self.schedule.on_failure(now, pending);
         self.disconnect();
-        self.next_timer_at = at;
+        self.next_timer_at = match retry {
+            Retry::AfterBackoff => at,
+            Retry::Immediate => now,
+        };
         if !is_first_failure {
             return PollHealth::Unchanged;
         }
-        let retry_in_ms = at.duration_since(now).as_millis();
+        let retry_in_ms = self.next_timer_at.duration_since(now).as_millis();
         tracing::info!(target: "discovery", retry_in_ms, error = %ErrorChain(error), "poll failed");
         PollHealth::BeganToFail
     }
@@ -157,19 +174,18 @@
     /// backoff, since changes may have been missed. Poll timeouts are random, so ingresses do not all do this
     /// at the same time.
     fn on_response_timeout(&mut self, now: Instant, registry: &Registry) -> PollHealth {
-        let is_first_timeout = !std::mem::replace(&mut self.last_poll_timed_out, true);
-        let health = self.fail(now, &PollError::TimedOut);
-        if is_first_timeout {
-            self.next_timer_at = now;
-            self.start_poll(now, registry);
+        if std::mem::replace(&mut self.last_poll_timed_out, true) {
+            return self.fail(now, &PollError::TimedOut);
         }
+        let health = self.fail_and_retry(now, &PollError::TimedOut, Retry::Immediate);
+        self.start_poll(now, registry);
         health
     }
 
     /// Starts the next poll.
     fn start_poll(&mut self, now: Instant, registry: &Registry) -> PollHealth {
         if self.connection.is_none() {
-            match Connection::open(self.address, registry, self.token) {
+            match DiscoveryConnection::open(self.address, registry, self.token) {
                 Ok(connection) => self.connection = Some(connection),
                 Err(error) => return self.fail(now, &PollError::Connect(error)),
             }
@@ -204,7 +220,7 @@
 
     /// Writes as much of the request as possible.
     fn flush(&mut self, now: Instant) -> PollHealth {
-        match self.connection.as_mut().map(Connection::flush) {
+        match self.connection.as_mut().map(DiscoveryConnection::flush) {
             Some(Ok(Flush::Completed)) => self.next_timer_at = self.response_due_at,
             Some(Ok(Flush::NotCompleted)) | None => {}
             Some(Err(error)) => return self.fail(now, &PollError::Send(error)),
@@ -271,7 +287,7 @@
         self.last_poll_timed_out = false;
         // A response may arrive before the request is written. The connection is closed then, since the rest
         // of that request would be read by discovery as the beginning of the next one.
-        let request_sent = self.connection.as_ref().is_some_and(Connection::is_request_sent);
+        let request_sent = self.connection.as_ref().is_some_and(DiscoveryConnection::is_request_sent);
         let has_ended = stream_state == StreamState::Ended || response.persistence == Persistence::Close;
         if has_ended || !request_sent {
             self.connection = None;
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -1,8 +1,8 @@
-//! The event loop: passes input from the sockets to the policy, executes the policy's actions in their order,
-//! and owns the requests and the timers.
+//! The event loop: passes input from the sockets to the gateway, executes the gateway's actions in their
+//! order, and owns the requests and the timers.
 //!
 //! It makes no decisions: it chooses no backend, starts no retry, and rejects a request by itself only where
-//! a limit is reached. The clock is read once per iteration; the policy sees it in steps of its tick.
+//! a limit is reached. The clock is read once per iteration; the gateway sees it in steps of its tick.
 
 mod actions;
 mod arrival_clock;
@@ -14,14 +14,14 @@
 mod counters;
 mod descriptor_budget;
 mod error;
-mod request_table;
+mod request_entries;
 mod shutdown;
 mod source;
 mod start;
 mod timer_queue;
 mod timers;
 
-use crate::backends::Backends;
+use crate::backends::BackendConnections;
 use crate::clients::Clients;
 use crate::discovery::Watch;
 use crate::peers::PeerSocket;
@@ -36,7 +36,7 @@
 use ingress::audit::Auditor;
 use ingress::{Action, Discovery, Duration, Event, Gateway, Instant, StartTimes};
 use mio::{Events, Poll};
-use request_table::RequestTable;
+use request_entries::{AttemptLimits, RequestEntries};
 use shutdown::Shutdown;
 use signal_hook_mio::v1_0::Signals;
 use source::{sort_for_processing, ReadySocket, Source};
@@ -44,7 +44,7 @@
 use std::io;
 use timer_queue::TimerQueue;
 
-/// The ingress: its sockets, the policy, the requests and the timers.
+/// The ingress: its sockets, the gateway, the requests and the timers.
 pub struct EventLoop {
     /// Reports which sockets are ready.
     poll: Poll,
@@ -52,30 +52,33 @@
     clock: Clock,
     /// When the input that the poll reported can have arrived.
     arrivals: ArrivalClock,
-    /// The time that the policy sees.
+    /// The time that the gateway sees.
     now: Instant,
     /// The least step of that time.
     tick: Duration,
-    /// How the endpoint list is delivered: failed polls are reported to the policy where it has to be polled.
+    /// How the endpoint list is delivered: failed polls are reported to the gateway where a shared service
+    /// has it.
     discovery: Discovery,
     /// How long establishing a connection to a backend may take.
     connect_timeout: Duration,
+    /// The settings that limit the attempts of a request.
+    attempt_limits: AttemptLimits,
     /// Checks the invariants.
     auditor: Auditor,
     /// Numbers of requests and attempts, for the log.
     counters: Counters,
     /// Divides the file descriptors between clients and backends.
     descriptors: DescriptorBudget,
-    /// The policy.
+    /// The gateway.
     gateway: Gateway,
-    /// Events that the policy has not handled yet, in order.
+    /// Events that the gateway has not handled yet, in order.
     pending_events: VecDeque<Event>,
-    /// A reused buffer for the policy's actions.
+    /// A reused buffer for the gateway's actions.
     actions: Vec<Action>,
     /// Connections of clients, and the replies owed to them.
     clients: Clients,
     /// Connections to backends.
-    backends: Backends,
+    backend_connections: BackendConnections,
     /// The watch on the endpoint list.
     watch: Watch,
     /// When the listed backends started.
@@ -87,7 +90,7 @@
     /// The signals to the process.
     signals: Signals,
     /// The requests in work.
-    requests: RequestTable,
+    requests: RequestEntries,
     /// The timers that are set.
     timers: TimerQueue,
     /// More connections may be waiting to be accepted.
@@ -112,7 +115,7 @@
             ready.clear();
             ready.extend(events.iter().map(ReadySocket::from));
             self.process_ready(&mut ready);
-            if self.shutdown.has_begun() && (self.can_exit() || self.shutdown.must_exit(self.now)) {
+            if self.shutdown.has_begun() && (self.finish_if_drained() || self.shutdown.must_exit(self.now)) {
                 self.audit_exit();
                 tracing::info!(target: "shutdown", "finished");
                 return Ok(());
@@ -152,12 +155,12 @@
         }
         let next_timer_at =
             self.timers.next_due_at().unwrap_or(Instant::FAR_FUTURE).min(self.watch.next_timer_at);
-        // The policy's time does not advance before a tick has passed, so no timer can be due before.
+        // The gateway's time does not advance before a tick has passed, so no timer can be due before.
         let wake_at = next_timer_at.max(self.now + self.tick);
         wake_at.duration_since(called_at)
     }
 
-    /// Runs one iteration. Discovery is handled first, so that the policy knows a draining backend before it
+    /// Runs one iteration. Discovery is handled first, so that the gateway knows a draining backend before it
     /// sends anything; replies are handled before the timers that would time them out.
     fn process_ready(&mut self, ready: &mut [ReadySocket]) {
         // First of all, so that no other socket or timer begins an attempt for a client that has
@@ -201,9 +204,9 @@
                     self.prepare_to_write(key);
                 }
                 // The exact time: the least idle time of a connection may be less than a tick.
-                self.backends.on_ready(key, self.clock.now(), readiness);
-                self.audit_begun_attempts();
-                self.run_policy();
+                self.backend_connections.on_ready(key, self.clock.now(), readiness);
+                self.record_begun_attempts();
+                self.run_gateway();
             }
             Source::Client(key) => {
                 self.clients.on_ready(key, self.now, readiness);
@@ -212,10 +215,10 @@
         }
     }
 
-    /// Passes all pending events to the policy and executes its actions, until no event is left.
-    fn run_policy(&mut self) {
+    /// Passes all pending events to the gateway and executes its actions, until no event is left.
+    fn run_gateway(&mut self) {
         loop {
-            for completion in self.backends.take_completions() {
+            for completion in self.backend_connections.take_completions() {
                 self.complete(completion);
             }
             let Some(event) = self.pending_events.pop_front() else { return };
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -1,5 +1,5 @@
-//! Reports to the audit what was done, and logs what it finds. A violation never ends the process in service;
-//! in a debug build, as in tests, it panics.
+//! Records what was done, reports it to the audit, and logs what that finds. A violation never ends the
+//! process in service; in a debug build, as in tests, it panics.
 
 use super::EventLoop;
 use crate::backends::AttemptId;
@@ -8,11 +8,12 @@
 
 impl EventLoop {
     /// Records the attempts whose first byte was written.
-    pub(super) fn audit_begun_attempts(&mut self) {
-        for begun in self.backends.take_begun() {
+    pub(super) fn record_begun_attempts(&mut self) {
+        for begun in self.backend_connections.take_begun() {
             let AttemptId { request: id, number } = begun.attempt;
             self.counters.attempts_begun += 1;
             let Some(request) = self.requests.get_mut(id) else { continue };
+            request.record_begun(number);
             let begun = AttemptBegun {
                 number,
                 backend: begun.backend,
@@ -27,10 +28,10 @@
     }
 
     /// Records the end of an attempt.
-    pub(super) fn audit_attempt_end(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let request = self.requests.get_mut(attempt.request);
-        let violated = request.and_then(|request| request.audit.attempt_ended(attempt.number, outcome));
-        if let Some(kind) = violated {
+    pub(super) fn record_attempt_end(&mut self, attempt: AttemptId, outcome: Outcome) {
+        let Some(request) = self.requests.get_mut(attempt.request) else { return };
+        request.record_end(attempt.number, outcome);
+        if let Some(kind) = request.audit.attempt_ended(attempt.number, outcome) {
             self.report_violation(kind, Some(attempt.request));
         }
     }
@@ -51,13 +52,18 @@
 
     /// Counts a violation, and logs it unless one of its kind was logged a moment ago.
     pub(super) fn report_violation(&mut self, kind: ViolationKind, request: Option<RequestId>) {
-        let is_logged = self.auditor.count(Violation { kind, request }, self.now);
-        if is_logged {
+        let should_log = self.auditor.count_and_should_log(Violation { kind, request }, self.now);
+        if should_log {
             let entry = request.and_then(|id| self.requests.get(id));
             let client_request_id = entry.map(|entry| entry.command.client_request_id());
-            let client_request_id = client_request_id.map(String::from_utf8_lossy).unwrap_or_default();
-            let request = request.map_or(0, |id| id.0);
-            tracing::error!(target: "invariant", ?kind, request, %client_request_id, "violated");
+            let client_request_id = client_request_id.map(String::from_utf8_lossy);
+            tracing::error!(
+                target: "invariant",
+                ?kind,
+                request = request.map(|id| id.0),
+                client_request_id = client_request_id.map(tracing::field::display),
+                "violated"
+            );
         }
         debug_assert!(kind.depends_on_speed(), "{kind:?} violated for request {request:?}");
     }
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -4,13 +4,13 @@
 use super::clock::Clock;
 use super::counters::Counters;
 use super::descriptor_budget::DescriptorBudget;
-use super::request_table::RequestTable;
+use super::request_entries::{AttemptLimits, RequestEntries};
 use super::shutdown::Shutdown;
 use super::source::Source;
 use super::timer_queue::{Timer, TimerQueue};
 use super::timers::SWEEP_INTERVAL;
 use super::{EventLoop, EventLoopError};
-use crate::backends::Backends;
+use crate::backends::BackendConnections;
 use crate::clients::Clients;
 use crate::config::{Config, PeerAddresses};
 use crate::discovery::{max_body_bytes, Watch, WatchOptions};
@@ -60,12 +60,12 @@
         let sockets = Sockets { poll, listener, peers, signals };
         let mut event_loop = EventLoop::build(config, sockets, Clock::new(), reload)?;
         event_loop.timers.schedule(event_loop.now + SWEEP_INTERVAL, Timer::Sweep);
-        event_loop.run_policy();
+        event_loop.run_gateway();
         tracing::info!(target: "event_loop", %address, "listening");
         Ok(event_loop)
     }
 
-    /// Builds the event loop, with the cached endpoint list as the first event for the policy.
+    /// Builds the event loop, with the cached endpoint list as the first event for the gateway.
     fn build(config: Config, sockets: Sockets, clock: Clock, reload: Reload) -> Result<Self, EventLoopError> {
         let now = clock.now();
         let options = watch_options(&config, now);
@@ -81,16 +81,17 @@
             tick: settings.tick,
             discovery: settings.discovery,
             connect_timeout: settings.limits.connect_timeout,
+            attempt_limits: AttemptLimits::new(&settings),
             auditor: Auditor::new(AuditRules::new(&settings)),
             counters: Counters::default(),
             descriptors: DescriptorBudget::new(config.max_descriptors)?,
-            requests: RequestTable::new(settings.limits.max_open_requests as usize, memory_share),
+            requests: RequestEntries::new(settings.limits.max_open_requests as usize, memory_share),
             shutdown: Shutdown::new(longest_deadline(&settings)),
             gateway: Gateway::new(settings, config.seed, now),
             pending_events: VecDeque::new(),
             actions: Vec::new(),
             clients: Clients::new(sockets.listener, config.command_schema, memory_share, client_token),
-            backends: Backends::new(config.keepalive_timeout, backend_token),
+            backend_connections: BackendConnections::new(config.keepalive_timeout, backend_token),
             watch,
             start_times: StartTimes::default(),
             reload,
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -132,6 +132,20 @@
     /// Its end has begun already.
     #[error("it is closing")]
     Closing,
+    /// It was accepted only to reject its first request.
+    #[error("it is over the limit")]
+    OverLimit,
+}
+
+/// Whether this side ends the connection of a client already.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClientClosing {
+    /// It serves commands.
+    Open,
+    /// It was accepted over the limit on connections, only to reject its first request.
+    OverLimit,
+    /// Its end has begun.
+    Closing,
 }
 
 /// What is known of a client's connection.
@@ -141,8 +155,8 @@
     pub is_busy: bool,
     /// Something was received and not parsed, or is to be read yet.
     pub has_input: bool,
-    /// Its end has begun.
-    pub is_closing: bool,
+    /// Whether this side ends it already.
+    pub closing: ClientClosing,
 }
 
 /// Whether a client's connection may be closed now without a word, as between two requests.
@@ -153,13 +167,15 @@
 /// closing already.
 pub fn may_close_client(facts: ClientConnectionFacts) -> Result<(), CloseRefusal> {
     if facts.is_busy {
-        Err(CloseRefusal::RepliesOwed)
-    } else if facts.has_input {
-        Err(CloseRefusal::InputPending)
-    } else if facts.is_closing {
-        Err(CloseRefusal::Closing)
-    } else {
-        Ok(())
+        return Err(CloseRefusal::RepliesOwed);
+    }
+    if facts.has_input {
+        return Err(CloseRefusal::InputPending);
+    }
+    match facts.closing {
+        ClientClosing::Open => Ok(()),
+        ClientClosing::OverLimit => Err(CloseRefusal::OverLimit),
+        ClientClosing::Closing => Err(CloseRefusal::Closing),
     }
 }
 
