--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -71,8 +71,8 @@
     pub last_seen_at: Option<Instant>,
     /// The gateways that add up the customer's usage.
     pub quota_owners: Vec<u16>,
-    /// The two gateways that are asked for grants, whether of the quota or of the hard limit; the same one
-    /// twice where it is alone.
+    /// The two gateways that grant units of the hard limit, and of the quota as far as they own it; the same
+    /// one twice where it is alone.
     pub granters: [u16; GRANTER_COUNT],
     /// Whether this gateway is one of the owners.
     pub role: Role,
--- a/src/policy/quota/owner_assignment.rs
+++ b/src/policy/quota/owner_assignment.rs
@@ -19,8 +19,8 @@
     pub quota_owners: Vec<u16>,
     /// Whether this gateway is one of them.
     pub role: Role,
-    /// The two gateways that are asked for grants, whether of its quota or of its hard limit; the same one
-    /// twice where it is alone.
+    /// The two gateways that grant units of the hard limit, and of the quota as far as they own it; the same
+    /// one twice where it is alone.
     pub granters: [u16; GRANTER_COUNT],
     /// The share of the hard limit that is this gateway's own.
     pub hard_limit_fraction: f64,
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -40,7 +40,8 @@
 }
 
 impl QuotaManager {
-    /// The owners that are to be told of a customer's usage. A grant is requested of its granters.
+    /// The owners that are to be told of a customer's usage. A grant is requested of those that are
+    /// granters.
     pub(crate) fn report_recipients(&self, id: CustomerId, purpose: ReportPurpose) -> Vec<ReportRecipient> {
         let Some(customer) = self.customers.get(&id) else { return Vec::new() };
         let copies_left = self.settings.ownership.report_copies();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -42,7 +42,8 @@
     /// An answer within this time earns the full priority weight.
     pub latency_objective: Duration,
     /// Above 0 the deployment adds this multiple of a request's own work to its objective. A gateway doesn't
-    /// know that work: it goes by the objective alone, and gives up no late attempt of such a class.
+    /// know that work: it goes by the objective alone, and lets no attempt of such a class expire before its
+    /// deadline.
     pub latency_objective_stretch: f64,
     /// The longest that a client waits, its own retries included.
     pub deadline: Duration,
