--- a/src/audit/request.rs
+++ b/src/audit/request.rs
@@ -42,7 +42,7 @@
     /// When its client's timeout ends.
     client_deadline: Instant,
     /// It has its final answer, or its client has disconnected.
-    has_ended: bool,
+    closed: bool,
     /// The attempts that have begun, in their order.
     begun: Vec<BegunAttempt>,
 }
@@ -53,7 +53,7 @@
         // A class that is not known is judged by the strictest rule.
         let idempotency = auditor.rules.idempotency.get(class).copied();
         let idempotency = idempotency.unwrap_or(Idempotency::NonIdempotent);
-        RequestAudit { idempotency, client_deadline, has_ended: false, begun: Vec::new() }
+        RequestAudit { idempotency, client_deadline, closed: false, begun: Vec::new() }
     }
 
     /// Records an attempt that has begun, and returns what it violates.
@@ -65,7 +65,7 @@
         let location = auditor.locations.get(&begun.backend).copied();
         let time_left = self.client_deadline.duration_since(begun.at);
         let checks = [
-            (self.has_ended, ViolationKind::AttemptAfterEnd),
+            (self.closed, ViolationKind::AttemptAfterEnd),
             (only_once && may_have_executed && !in_flight, ViolationKind::UnsafeRepeat),
             (in_flight && (only_once || !rules.hedging), ViolationKind::ConcurrentAttempts),
             (self.is_key_expired(begun.at), ViolationKind::KeyExpired),
@@ -112,12 +112,12 @@
 
     /// Records that the client has disconnected.
     pub fn client_disconnected(&mut self) {
-        self.has_ended = true;
+        self.closed = true;
     }
 
     /// Records the final answer, and returns what it violates.
     pub fn answered(&mut self, now: Instant) -> Option<ViolationKind> {
-        if std::mem::replace(&mut self.has_ended, true) {
+        if std::mem::replace(&mut self.closed, true) {
             return Some(ViolationKind::SecondAnswer);
         }
         (now > self.client_deadline + ANSWER_SLACK).then_some(ViolationKind::LateAnswer)
