--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -68,8 +68,8 @@
 struct ClassHealth {
     /// The share of recent attempts that failed.
     failure_rate: FailureRate,
-    /// When it last answered, with whatever outcome.
-    last_answer_at: Instant,
+    /// When an attempt of the class last gave evidence: by an answer, or by a connection that failed.
+    last_evidence_at: Instant,
     /// Until then it costs more, whatever is in flight there.
     ejected_until: Instant,
     /// Ejections since it was last in service; 0 while it is.
@@ -95,7 +95,7 @@
 
     /// Whether an attempt sent at a time is silent, which ejects the backend.
     fn eject_if_silent(&mut self, sent_at: Instant, now: Instant) -> SilenceVerdict {
-        if self.last_answer_at >= sent_at {
+        if self.last_evidence_at >= sent_at {
             return SilenceVerdict::Answering;
         }
         if now < self.ejected_until {
@@ -171,7 +171,7 @@
         now: Instant,
     ) -> Option<HealthChange> {
         let health = &mut self.classes[class];
-        health.last_answer_at = now;
+        health.last_evidence_at = now;
         evidence.is_failure().and_then(|failed| health.record_own(now, failed))
     }
 }
