--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -73,6 +73,9 @@
     /// Until then it costs more, whatever is in flight there.
     ejected_until: Instant,
     /// Ejections since it was last in service; 0 while it is.
+    ///
+    /// Each failure of an attempt of the class counts, also of one that was sent before the first ejection:
+    /// four that fail at once eject the backend for [`BASE_EJECTION_TIME`] doubled three times.
     consecutive_ejections: u32,
 }
 
