--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -90,7 +90,7 @@
 pub struct NextPoll {
     /// When the next poll is due.
     pub at: Instant,
-    /// Whether the last poll before the failed one had succeeded.
+    /// Whether this is the first failure since a success, or since the start.
     pub is_first_failure: bool,
 }
 
