--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -14,7 +14,7 @@
 
 /// Pressure above which load is shed and the concurrency limit is reduced.
 pub(crate) const HIGH_PRESSURE: f64 = 1.0;
-/// Pressure below which shedding is taken back. Between the two nothing moves.
+/// Pressure below which shedding is taken back. Between the two the stage never falls.
 pub(crate) const LOW_PRESSURE: f64 = 0.75;
 /// Time constant of the mean over recent answers.
 pub(crate) const PRESSURE_TIME_CONSTANT: Duration = Duration::from_secs(1);
