--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -87,7 +87,7 @@
 }
 
 /// How long a request may wait for a grant from a time on: as long as a fifth of its latency objective,
-/// or of the time until its deadline.
+/// or of the time until its deadline, and never longer than [`MAX_GRANT_WAIT`].
 pub(crate) fn grant_wait(from: Instant, deadline: Instant, latency_objective: Duration) -> Duration {
     let left = deadline.duration_since(from).min(latency_objective);
     MAX_GRANT_WAIT.min(left / GRANT_WAITS_PER_REQUEST)
