--- a/src/event.rs
+++ b/src/event.rs
@@ -13,7 +13,9 @@
     Rejected,
     /// It timed out; it may have been executed.
     TimedOut,
-    /// No connection was established; it was never executed.
+    /// The backend got no complete command, so that it was never executed: no connection was established, its
+    /// time ended before the command could be written, or the connection broke or a write failed before the
+    /// command was complete.
     ConnectFailed,
     /// The connection broke; it may have been executed.
     Reset,
