--- a/src/policy/outlier_detection/latency_baseline.rs
+++ b/src/policy/outlier_detection/latency_baseline.rs
@@ -8,6 +8,8 @@
 const MAX_INITIAL_UNLOADED_SHARE: f64 = 0.3;
 /// Answers over which the recent latency is a plain mean; from then on each has the weight of one in so many.
 const RECENT_ANSWERS: f64 = 20.0;
+/// Answers for which the unloaded latency is bounded by the latency objective alone.
+const WARM_UP_ANSWERS: f64 = 20.0;
 /// Growth in a second of the highest value that the unloaded latency may take, as a share of it.
 const UNLOADED_LATENCY_GROWTH: f64 = 0.01;
 /// The highest normal latency, as a multiple of the unloaded one ...
@@ -75,7 +77,7 @@
     /// The most that the unloaded latency may be now, in microseconds. It falls at once and rises slowly: the
     /// latencies of an overload must not pass for those of unloaded backends.
     fn highest_unloaded_micros(&self, now: Instant) -> f64 {
-        if self.answers <= RECENT_ANSWERS {
+        if self.answers <= WARM_UP_ANSWERS {
             return self.objective_micros * MAX_INITIAL_UNLOADED_SHARE;
         }
         let seconds = now.duration_since(self.updated_at).as_secs_f64();
