--- a/src/policy/load_balancing/candidate.rs
+++ b/src/policy/load_balancing/candidate.rs
@@ -13,8 +13,9 @@
 const FAILURE_RATE_WEIGHT: f64 = 10.0;
 /// Factor for a backend that an earlier attempt of the request went to.
 const TRIED_FACTOR: f64 = 8.0;
-/// Factor for an ejected backend. It is avoided, but not shut out: where most backends are ejected, those
-/// left would fall over under all the load. One that is left with so many times the load costs more.
+/// Factor for an ejected backend. It is avoided, but not shut out: where most backends are ejected, the
+/// healthy ones would be overloaded by all the requests. The ejected backend is chosen before a healthy one
+/// with more than this many times its [`load`](CandidateFacts::load), other factors being equal.
 const EJECTED_FACTOR: f64 = 10.0;
 /// A reported queue is divided among the gateways, but among so many at most.
 const MAX_QUEUE_SHARERS: u64 = 4;
