--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -147,7 +147,7 @@
             tracing::debug!(
                 target: "policy", customer = report.customer.0, from, tokens, others_in_flight,
                 requested_units = report.requested_units, hard_limit_units = hard_limit_grant,
-                reason = ?decision,                "grant decided"
+                ?decision, "grant decided"
             );
         }
         QuotaGrant {
