--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -167,9 +167,9 @@
         } else {
             GrantAnswers::Outstanding
         };
-        let granted = (!customer.role.is_owner()).then_some(customer.grant_request.charged_by_owner);
+        let presumed_granted = (!customer.role.is_owner()).then_some(customer.grant_request.charged_by_owner);
         tracing::debug!(
-            target: "policy", customer = grant.customer.0, from, granted, tokens = grant.tokens,
+            target: "policy", customer = grant.customer.0, from, presumed_granted, tokens = grant.tokens,
             remote_in_flight = grant.remote_in_flight, hard_limit_units = grant.hard_limit_grant, ?answers,
             "grant received"
         );
