--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -120,7 +120,7 @@
         let is_over_rate_quota = self.shortages.quota.is_some() && self.plan.concurrency_quota == 0;
         let freshness =
             if is_over_rate_quota { REJECTION_FRESHNESS } else { self.ownership.grant_freshness() };
-        self.grant.is_quota_owner || self.grant.grant_age.is_some_and(|age| age < freshness)
+        self.grant.is_quota_owner || self.grant.answer_age.is_some_and(|age| age < freshness)
     }
 }
 
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -33,7 +33,7 @@
 }
 
 /// A request with tokens, at a gateway that owns no quota and whose last grant has this age.
-fn arrival(plan: &Plan, grant_age: Duration) -> ArrivalFacts<'_> {
+fn arrival(plan: &Plan, answer_age: Duration) -> ArrivalFacts<'_> {
     ArrivalFacts {
         now: NOW,
         deadline: NOW + Duration::from_secs(1),
@@ -42,7 +42,7 @@
         shortages: Shortages::default(),
         grant: GrantStatus {
             is_quota_owner: false,
-            grant_age: Some(grant_age),
+            answer_age: Some(answer_age),
             hard_limit_is_elsewhere: true,
         },
         ownership: QuotaOwnership::Designated,
@@ -118,8 +118,8 @@
 #[test]
 fn retries_of_a_customer_over_its_rate_ask_for_no_new_grant() {
     let (rate, concurrency) = (plan(0), plan(2));
-    let decide = |plan: &Plan, limit, grant_age| {
-        ArrivalFacts { shortages: lacks(limit), ..arrival(plan, grant_age) }.decide()
+    let decide = |plan: &Plan, limit, answer_age| {
+        ArrivalFacts { shortages: lacks(limit), ..arrival(plan, answer_age) }.decide()
     };
     let (recent, old) = (Duration::from_millis(499), Duration::from_millis(500));
     assert_eq!(decide(&rate, QuotaLimit::Rate, recent), ArrivalDecision::DecideNow);
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -78,8 +78,8 @@
     pub role: Role,
     /// The usage through all other gateways.
     pub remote: RemoteUsage,
-    /// When a grant last came, to a gateway that is not an owner.
-    pub granted_at: Option<Instant>,
+    /// When an owner last answered, whether it granted or refused, to a gateway that is not an owner.
+    pub answered_at: Option<Instant>,
     /// The last request for a grant, and the requests that wait for it.
     pub grant_request: GrantRequest,
 }
@@ -129,7 +129,7 @@
     /// A gateway that sees little of the customer counts with a floor, so that its share of the tokens is
     /// never nothing.
     pub(super) fn own_share(&self, plan: &Plan) -> f64 {
-        let knows_others = self.role.is_owner() || self.granted_at.is_some();
+        let knows_others = self.role.is_owner() || self.answered_at.is_some();
         let floor = if knows_others { MIN_OWN_RATE } else { 1.0 };
         let own_rate = self.own_rate.max(plan.rate / self.gateway_set.size.max(1.0) * floor);
         own_rate / (own_rate + self.remote.rate()).max(MIN_TOTAL_RATE)
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -137,7 +137,7 @@
         self.settings.ownership.rations_grant_requests()
             && has_concurrency_quota
             && !customer.role.is_owner()
-            && customer.granted_at.is_some_and(|granted_at| is_recent(now, granted_at))
+            && customer.answered_at.is_some_and(|answered_at| is_recent(now, answered_at))
             && draw * customer.remote.rate() > max_request_rate
     }
 
@@ -171,7 +171,7 @@
         tracing::debug!(
             target: "policy", customer = grant.customer.0, from, presumed_granted, tokens = grant.tokens,
             remote_in_flight = grant.remote_in_flight, hard_limit_units = grant.hard_limit_grant, ?answers,
-            "grant received"
+            "quota answer received"
         );
         Some(AnsweredRequests { waiting: customer.grant_request.waiting.clone(), answers })
     }
@@ -181,7 +181,7 @@
     /// Sets the bucket to what an owner says, less the usage that the owner cannot know of yet.
     fn apply_grant(&mut self, plan: &Plan, grant: &QuotaGrant, now: Instant) {
         self.remote.replace(grant.remote_rate, u32::from(grant.remote_in_flight));
-        self.granted_at = Some(now);
+        self.answered_at = Some(now);
         let unreported_units = wrapping_delta(grant.receiver_total, wrap_total(self.total_units));
         self.bucket.set(grant.tokens - unreported_units);
         // What the owner granted it has charged, too: it need not be reported again.
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -33,8 +33,8 @@
 pub(crate) struct GrantStatus {
     /// Whether this gateway owns the customer's quota, and needs no grant.
     pub is_quota_owner: bool,
-    /// The time since the last grant; none where none came.
-    pub grant_age: Option<Duration>,
+    /// The time since an owner's last answer, a grant or a refusal; none where none came.
+    pub answer_age: Option<Duration>,
     /// Whether another gateway could grant units of the hard limit.
     pub hard_limit_is_elsewhere: bool,
 }
@@ -74,7 +74,7 @@
         let familiarity = if is_unseen { Familiarity::Unseen } else { Familiarity::Known };
         let grant = GrantStatus {
             is_quota_owner: customer.role.is_owner(),
-            grant_age: customer.granted_at.map(|granted_at| now.duration_since(granted_at)),
+            answer_age: customer.answered_at.map(|answered_at| now.duration_since(answered_at)),
             hard_limit_is_elsewhere: customer.granters != [own_id; GRANTER_COUNT],
         };
         ObservedCustomer { plan: customer.plan as u16, familiarity, grant }
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -67,7 +67,7 @@
         let own_id = self.settings.own_id;
         let (customer, plan) = self.refill(id, now)?;
         let was_granted_lately =
-            customer.granted_at.is_some_and(|granted_at| now.duration_since(granted_at) < LEVEL_FRESHNESS);
+            customer.answered_at.is_some_and(|answered_at| now.duration_since(answered_at) < LEVEL_FRESHNESS);
         let is_level_known = customer.role.is_owner() || was_granted_lately;
         // One of the two is drawn to grant units of the hard limit: two grants would waste one.
         let draw = unit_draw(now.as_micros() ^ id.0);
--- a/src/policy/quota/shortages.rs
+++ b/src/policy/quota/shortages.rs
@@ -78,7 +78,7 @@
         let units = facts.request.units;
         let usage_known = ownership.knows_usage_without_grant()
             || customer.role.is_owner()
-            || customer.granted_at.is_some_and(|granted_at| is_recent(facts.now, granted_at));
+            || customer.answered_at.is_some_and(|answered_at| is_recent(facts.now, answered_at));
         let unreported_units = customer.unreported_units(ownership);
         let rate_wait = customer.wait_for_rate(plan, unreported_units, units).filter(|_| usage_known);
         let reached_quota = if plan.concurrency_quota == 0 {
--- a/src/policy/quota/shortages/tests.rs
+++ b/src/policy/quota/shortages/tests.rs
@@ -73,6 +73,6 @@
     let remote = RemoteUsage::with_rate(9.5);
     let unknown = Customer { remote, gateway_set: set, ..Customer::default() };
     assert_eq!(unknown.own_share(&plan()), 5.0 / 14.5);
-    let known = Customer { granted_at: Some(NOW), ..unknown };
+    let known = Customer { answered_at: Some(NOW), ..unknown };
     assert_eq!(known.own_share(&plan()), 0.5 / 10.0);
 }
