--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,7 +1,7 @@
 //! Carries out admission: asks the components about a request in order, and turns what they decide into
 //! actions.
 
-use crate::policy::admission::{evades_hard_limit, min_queue_time, AdmissionDecision, AdmissionFacts};
+use crate::policy::admission::{has_plan_mismatch, min_queue_time, AdmissionDecision, AdmissionFacts};
 use crate::policy::admission::{ArrivalDecision, ArrivalFacts, QueueFacts, ScreeningFacts};
 use crate::policy::quota::{grant_wait, ReportPurpose, ShortageFacts, Shortages};
 use crate::policy::quota::{
@@ -34,12 +34,12 @@
         let claimed_plan = request.plan;
         let observed = self.quota.observe_request(self.now, &request);
         request.plan = observed.plan;
-        if evades_hard_limit(&self.settings.plans, claimed_plan, observed.plan) {
+        if has_plan_mismatch(&self.settings.plans, claimed_plan, observed.plan) {
             tracing::debug!(
                 target: "policy", request = request.id.0, claimed_plan, recorded_plan = observed.plan,
-                "hard limit evaded"
+                "claimed plan differs from record"
             );
-            return self.push_rejection(request.id, RejectReason::HardLimitEvaded, Duration::MAX, actions);
+            return self.push_rejection(request.id, RejectReason::PlanMismatch, Duration::MAX, actions);
         }
         if !self.passes_load_shedding(&request, observed.familiarity) {
             return self.push_rejection(request.id, RejectReason::Shed, Duration::MAX, actions);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -60,9 +60,9 @@
     }
 }
 
-/// Whether a request names a plan with a hard limit that its customer's record does not follow: by the plan
-/// that other requests name the limit might be passed.
-pub(crate) fn evades_hard_limit(plans: &[Plan], claimed_plan: u16, recorded_plan: u16) -> bool {
+/// Whether a request names a plan with a hard limit that is not the plan of its customer's record: after a
+/// change of plan that is not known here yet, or to bypass the limit.
+pub(crate) fn has_plan_mismatch(plans: &[Plan], claimed_plan: u16, recorded_plan: u16) -> bool {
     let has_hard_limit = plans[usize::from(claimed_plan)].hard_limit_rate > 0.0;
     has_hard_limit && recorded_plan != claimed_plan
 }
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -152,9 +152,9 @@
 fn a_hard_limit_is_not_evaded_by_naming_another_plan() {
     let without = Plan { hard_limit_rate: 0.0, ..plan(0) };
     let plans = [plan(0), without];
-    assert!(evades_hard_limit(&plans, 0, 1));
-    assert!(!evades_hard_limit(&plans, 0, 0));
-    assert!(!evades_hard_limit(&plans, 1, 0));
+    assert!(has_plan_mismatch(&plans, 0, 1));
+    assert!(!has_plan_mismatch(&plans, 0, 0));
+    assert!(!has_plan_mismatch(&plans, 1, 0));
 }
 
 /// Without tokens a request waits as long as another owner may still answer; then it is rejected, and its
--- a/src/policy/reasons.rs
+++ b/src/policy/reasons.rs
@@ -15,8 +15,8 @@
     /// requests.
     GrantRequestSkipped,
     /// It names a plan with a hard limit that is not the plan of its customer's record, by which the limit
-    /// might be exceeded.
-    HardLimitEvaded,
+    /// might be exceeded. A change of plan that is not known here yet shows like this, too.
+    PlanMismatch,
     /// The gateway has as much in flight and queued as it may.
     Saturated,
     /// It was queued for as long as it may be, or its attempts came to nothing.
