--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -203,7 +203,7 @@
     ) {
         self.end_grant_wait(request, point);
         if reason == RejectReason::Saturated {
-            self.load_shedder.record_rejection();
+            self.load_shedder.record_saturation();
         }
         self.requests.remove(request.id);
         self.push_rejection(request.id, reason, retry_after, actions);
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -21,10 +21,10 @@
 const SHEDDING_EPOCH: Duration = Duration::from_secs(10);
 /// Mixes the number of the epoch into a customer's draw.
 const EPOCH_SALT: Salt = Salt::from_bit(33);
-/// Share of requests rejected for want of capacity that raises an alert while the pressure is not low.
-const ALERT_REJECTION_RATE: f64 = 0.05;
-/// Weight of one request in the rejection rate.
-const REJECTION_WEIGHT: f64 = 0.05;
+/// Share of requests rejected as `Saturated` that raises an alert while the pressure is not low.
+const ALERT_SATURATION_RATE: f64 = 0.05;
+/// Weight of one request in the saturation rate.
+const SATURATION_WEIGHT: f64 = 0.05;
 
 /// Whether a customer was seen of late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 
 /// Decides which customers are shed.
 ///
-/// The stage rises by one while the pressure is high or many requests are rejected for want of capacity, and
+/// The stage rises by one while the pressure is high or many requests are rejected as `Saturated`, and
 /// falls by one while the pressure is low.
 #[derive(Default)]
 pub(crate) struct LoadShedder {
@@ -86,8 +86,8 @@
     stage: usize,
     /// When the stage last changed.
     stage_changed_at: Instant,
-    /// Recent share of requests inside their quota that were rejected for want of capacity.
-    rejection_rate: f64,
+    /// Recent share of requests inside their quota that were rejected as `Saturated`.
+    saturation_rate: f64,
 }
 
 impl LoadShedder {
@@ -118,12 +118,12 @@
 
     /// Records that a request inside its quota was admitted.
     pub(crate) fn record_admission(&mut self) {
-        self.rejection_rate -= REJECTION_WEIGHT * self.rejection_rate;
+        self.saturation_rate -= SATURATION_WEIGHT * self.saturation_rate;
     }
 
-    /// Records that a request inside its quota was rejected for want of capacity.
-    pub(crate) fn record_rejection(&mut self) {
-        self.rejection_rate += REJECTION_WEIGHT * (1.0 - self.rejection_rate);
+    /// Records that a request inside its quota was rejected as `Saturated`.
+    pub(crate) fn record_saturation(&mut self) {
+        self.saturation_rate += SATURATION_WEIGHT * (1.0 - self.saturation_rate);
     }
 
     /// Moves by at most one stage, and returns the stage before if it moved.
@@ -157,7 +157,7 @@
     /// Whether more has to be shed. Rejections alone raise no alert: shedding causes them, and backends may
     /// be idle meanwhile.
     fn is_alert(&self, pressure: &Pressure) -> bool {
-        let is_rejecting = pressure.level() > LOW_PRESSURE && self.rejection_rate > ALERT_REJECTION_RATE;
+        let is_rejecting = pressure.level() > LOW_PRESSURE && self.saturation_rate > ALERT_SATURATION_RATE;
         pressure.is_high() || is_rejecting
     }
 }
--- a/src/policy/load_shedding/tests.rs
+++ b/src/policy/load_shedding/tests.rs
@@ -77,7 +77,7 @@
 #[test]
 fn rejections_alone_hold_no_stage() {
     let (mut shedder, pressure) = (at_stage(2), pressure_of(0.5));
-    (0..100).for_each(|_| shedder.record_rejection());
+    (0..100).for_each(|_| shedder.record_saturation());
     assert_eq!(shedder.update_stage(START + MIN_STAGE_TIME_DOWN * 2, &pressure), Some(2));
     assert_eq!(shedder.stage(), 1);
 }
