--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -48,7 +48,7 @@
         match self.decide_arrival(&request, observed.grant) {
             ArrivalDecision::DecideNow => {
                 self.requests.insert(state);
-                self.decide_admission(request.id, GrantAnswers::Complete, actions);
+                self.apply_admission(request.id, GrantAnswers::Complete, actions);
             }
             ArrivalDecision::AwaitGrant { scope, timing } => {
                 let draw = unit_draw(self.next_seed());
@@ -147,15 +147,15 @@
         let customer = state.request.customer;
         let wait_ends_at = state.arrived_at + self.grant_wait(&state.request, state.arrived_at);
         if self.now >= wait_ends_at {
-            return self.decide_admission(id, GrantAnswers::Complete, actions);
+            return self.apply_admission(id, GrantAnswers::Complete, actions);
         }
         self.requests.check_at(wait_ends_at, id);
         self.queue_usage_report(customer, ReportPurpose::GrantRequest, actions);
     }
 
-    /// Decides on a request by tokens and capacity: admits it, rejects it, or has it wait for a further
-    /// answer of its quota owners.
-    pub(crate) fn decide_admission(
+    /// Carries out what [`AdmissionFacts`] decide on a request by tokens and capacity: admits it, rejects it, or
+    /// has it wait for a further answer of its quota owners.
+    pub(crate) fn apply_admission(
         &mut self,
         id: RequestId,
         answers: GrantAnswers,
