--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -153,8 +153,8 @@
         self.queue_usage_report(customer, ReportPurpose::GrantRequest, actions);
     }
 
-    /// Carries out what [`AdmissionFacts`] decide on a request by tokens and capacity: admits it, rejects it, or
-    /// has it wait for a further answer of its quota owners.
+    /// Carries out what [`AdmissionFacts`] decide on a request by tokens and capacity: admits it, rejects it,
+    /// or has it wait for a further answer of its quota owners.
     pub(crate) fn apply_admission(
         &mut self,
         id: RequestId,
