--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -143,7 +143,7 @@
         };
         let class_index = usize::from(state.request.class);
         let class = &self.settings.classes[class_index];
-        let Some(attempt) = state.latest_attempt_in_flight() else { return };
+        let Some((number, attempt)) = state.latest_attempt_in_flight() else { return };
         let (backend_id, sent_at) = (attempt.endpoint.backend, attempt.sent_at);
         let Some(backend) = self.backends.get_mut(backend_id) else { return };
         let silence = backend.health.eject_if_silent(class_index, sent_at, now);
@@ -163,7 +163,10 @@
         tracing::debug!(
             target: "policy",
             request = id.0,
+            attempt = number,
             backend = backend_id.0,
+            class = class_index,
+            age_ms = now.duration_since(sent_at).as_millis(),
             is_silent = silence.is_silent(),
             decision = ?check,
             "late attempt checked"
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -69,9 +69,10 @@
         self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
 
-    /// The latest attempt that is in flight and not cancelled.
-    pub(crate) fn latest_attempt_in_flight(&self) -> Option<&Attempt> {
-        self.attempts.iter().rev().find(|attempt| attempt.in_flight && !attempt.cancelled)
+    /// The latest attempt that is in flight and not cancelled, with its number.
+    pub(crate) fn latest_attempt_in_flight(&self) -> Option<(usize, &Attempt)> {
+        let mut numbered = self.attempts.iter().enumerate().rev();
+        numbered.find(|(_, attempt)| attempt.in_flight && !attempt.cancelled)
     }
 
     /// Whether it is owed an answer and has no attempt in flight.
