--- a/src/gateway/closing.rs
+++ b/src/gateway/closing.rs
@@ -14,7 +14,7 @@
                 self.push_rejection(id, RejectReason::NotServed, NOT_SERVED_RETRY_AFTER, actions);
             }
             FinalAnswer::Failed => {
-                tracing::debug!(target: "policy", request = id.0, "failed");
+                tracing::debug!(target: "policy", request = id.0, attempts = state.attempts.len(), "failed");
                 actions.push(Action::Fail(id));
             }
         }
