--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -147,7 +147,7 @@
         let customer = state.request.customer;
         let wait_ends_at = state.arrived_at + self.grant_wait(&state.request, state.arrived_at);
         if self.now >= wait_ends_at {
-            return self.apply_admission(id, GrantAnswers::Complete, actions);
+            return self.apply_admission(id, GrantAnswers::TimedOut, actions);
         }
         self.requests.check_at(wait_ends_at, id);
         self.queue_usage_report(customer, ReportPurpose::GrantRequest, actions);
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -167,6 +167,8 @@
     let complete = AdmissionFacts { answers: GrantAnswers::Complete, ..outstanding };
     let (reason, retry_after) = (RejectReason::OverQuota, Duration::from_millis(500));
     assert_eq!(complete.decide(), AdmissionDecision::Reject { reason, retry_after });
+    let timed_out = AdmissionFacts { answers: GrantAnswers::TimedOut, ..outstanding };
+    assert_eq!(timed_out.decide(), complete.decide());
 }
 
 /// All attempts that the gateway may have in flight are, and requests queue. The queue holds three tenths of
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -44,8 +44,10 @@
 /// Whether further answers to a request for a grant may come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantAnswers {
-    /// All have come, or none is waited for any longer.
+    /// All have come, or none was requested.
     Complete,
+    /// None is waited for any longer. It decides like [`GrantAnswers::Complete`].
+    TimedOut,
     /// Another owner may still grant what this one did not have.
     Outstanding,
 }
