--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -9,6 +9,7 @@
 mod peer;
 mod units;
 
+pub(crate) use bytes::MAX_REPORTED_IN_FLIGHT;
 pub use encoding::MAX_MESSAGE_BYTES;
 pub(crate) use encoding::{MAX_CLASS, MAX_PLAN, MAX_SAMPLES, MAX_USAGE_REPORTS};
 pub(crate) use exchange::PeerExchange;
--- a/src/gossip/bytes.rs
+++ b/src/gossip/bytes.rs
@@ -6,8 +6,8 @@
 const CUSTOMER_BITS: u64 = 33;
 /// Selects the customer's id.
 const CUSTOMER_MASK: u64 = (1 << CUSTOMER_BITS) - 1;
-/// The highest count in the bits above the id.
-const MAX_COUNT: u8 = 127;
+/// The highest count of attempts in flight that a message carries, in the bits above the id.
+pub(crate) const MAX_REPORTED_IN_FLIGHT: u8 = 127;
 
 /// The bytes of a message in the making.
 #[derive(Default)]
@@ -44,9 +44,10 @@
         self.0.extend_from_slice(&value.to_le_bytes());
     }
 
-    /// Appends a customer's id and a count of at most 127, in five bytes.
+    /// Appends a customer's id and a count of at most [`MAX_REPORTED_IN_FLIGHT`], in five bytes.
     pub(crate) fn customer_and_count(&mut self, customer: CustomerId, count: u8) {
-        let packed = (customer.0 & CUSTOMER_MASK) | u64::from(count.min(MAX_COUNT)) << CUSTOMER_BITS;
+        let packed =
+            (customer.0 & CUSTOMER_MASK) | u64::from(count.min(MAX_REPORTED_IN_FLIGHT)) << CUSTOMER_BITS;
         self.0.extend_from_slice(&packed.to_le_bytes()[..5]);
     }
 }
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -3,12 +3,10 @@
 use super::identity::CUSTOMER_IDLE_TIME;
 use super::{refill_time, GatewaySet, GrantRequest, HardLimitShare, IdentityClaim, InitialUsage};
 use super::{OwnerAssignment, QuotaBucket, RemoteUsage, GRANTER_COUNT, USAGE_RATE_TIME_CONSTANT};
-use crate::gossip::{wrap_total, TokenLevel, UsageReport, MAX_PLAN};
+use crate::gossip::{wrap_total, TokenLevel, UsageReport, MAX_PLAN, MAX_REPORTED_IN_FLIGHT};
 use crate::state::decay;
 use crate::{CustomerId, Duration, Instant, Plan};
 
-/// The highest count of attempts in flight that a message carries.
-pub(super) const MAX_REPORTED_IN_FLIGHT: u8 = 127;
 /// The least rate of usage through this gateway, as a part of its even share, where the usage of others is
 /// known.
 const MIN_OWN_RATE: f64 = 0.1;
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -1,9 +1,11 @@
 //! The owner's side of usage reports: what a report adds to a customer's usage, and the grant that answers
 //! it.
 
-use super::customer::{record_lifetime, Role, MAX_REPORTED_IN_FLIGHT};
+use super::customer::{record_lifetime, Role};
 use super::{Customer, GatewaySet, GatewayUsage, IdentityClaim, InitialUsage, QuotaManager};
-use crate::gossip::{floor_to_wire_units, wrapping_delta, PeerAge, QuotaGrant, UsageReport};
+use crate::gossip::{
+    floor_to_wire_units, wrapping_delta, PeerAge, QuotaGrant, UsageReport, MAX_REPORTED_IN_FLIGHT,
+};
 use crate::{Instant, Plan};
 
 /// Most units, as a part of the burst, that the first report of an older gateway may be believed to add.
