--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,7 +1,9 @@
 //! Carries out admission: asks the components about a request in order, and turns what they decide into
 //! actions.
 
-use crate::policy::admission::{has_plan_mismatch, min_queue_time, AdmissionDecision, AdmissionFacts};
+use crate::policy::admission::{
+    has_plan_mismatch, has_time_to_wait, min_queue_time, AdmissionDecision, AdmissionFacts,
+};
 use crate::policy::admission::{ArrivalDecision, ArrivalFacts, QueueFacts, ScreeningFacts};
 use crate::policy::quota::{grant_wait, ReportPurpose, ShortageFacts, Shortages};
 use crate::policy::quota::{
@@ -237,7 +239,7 @@
 
     /// Whether a request has the time to be queued.
     pub(crate) fn can_be_queued(&self, state: &RequestState, now: Instant) -> bool {
-        now + min_queue_time(self.settings.tick) <= state.request.deadline
+        has_time_to_wait(now, state.request.deadline, min_queue_time(self.settings.tick))
     }
 
     /// Ends the queued requests that have waited for as long as they may.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -26,6 +26,12 @@
     wake_up_interval(tick) * MIN_WAKE_UPS
 }
 
+/// Whether the time until a deadline is enough for a request to wait. `min_queue_time` is that of
+/// [`min_queue_time`].
+pub(crate) fn has_time_to_wait(now: Instant, deadline: Instant, min_queue_time: Duration) -> bool {
+    now + min_queue_time <= deadline
+}
+
 /// What a request is screened by as it comes.
 pub(crate) struct ScreeningFacts<'a> {
     /// The time.
@@ -46,7 +52,7 @@
         if !self.is_valid() {
             return Err(RejectReason::Invalid);
         }
-        if self.request.deadline < self.now + self.min_queue_time {
+        if !has_time_to_wait(self.now, self.request.deadline, self.min_queue_time) {
             return Err(RejectReason::NoTime);
         }
         Ok(())
@@ -105,7 +111,7 @@
         let needs_hard_limit = self.shortages.hard_limit.is_some();
         let lacks_hard_limit_alone = needs_hard_limit && self.shortages.quota.is_none();
         let needs_grant_request = lacks_hard_limit_alone && self.grant.hard_limit_is_elsewhere;
-        let can_wait = self.now + self.min_queue_time <= self.deadline;
+        let can_wait = has_time_to_wait(self.now, self.deadline, self.min_queue_time);
         if !can_wait || (self.is_quota_known() && !needs_grant_request) {
             return ArrivalDecision::DecideNow;
         }
@@ -201,7 +207,7 @@
     /// Whether the request has been queued for as long as it may be, or has no time left to wait.
     pub(crate) fn is_overdue(&self) -> bool {
         let queued_until = self.arrived_at + self.latency_budget.mul_f64(MAX_QUEUE_TIME_SHARE);
-        self.now > queued_until || self.now + self.min_queue_time > self.deadline
+        self.now > queued_until || !has_time_to_wait(self.now, self.deadline, self.min_queue_time)
     }
 }
 
