--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -152,16 +152,17 @@
 
     /// Draws units from both buckets; negative units are given back.
     pub(super) fn charge(&mut self, plan: &Plan, units: f64) {
-        self.bucket.charge(plan, units);
+        self.bucket.charge_clamped(plan, units);
         self.hard_limit.charge(plan, units);
         self.total_units += units;
         self.own_rate = (self.own_rate + units / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
     }
 
-    /// Records the end of an attempt, and by how many units it took more than was charged.
+    /// Records the end of an attempt, and by how many units it took more than was charged. The quota is
+    /// corrected by them; the hard limit stays as it was charged at admission.
     pub(super) fn end_attempt(&mut self, correction_units: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.bucket.deduct(correction_units);
+        self.bucket.deduct_unclamped(correction_units);
         self.total_units += correction_units;
     }
 
--- a/src/policy/quota/token_bucket.rs
+++ b/src/policy/quota/token_bucket.rs
@@ -35,18 +35,24 @@
     }
 
     /// Draws units; negative units are given back. A debt is as large as the bucket at most.
-    pub(super) fn charge(&mut self, plan: &Plan, units: f64) {
+    pub(super) fn charge_clamped(&mut self, plan: &Plan, units: f64) {
         self.tokens = (self.tokens - units).clamp(-plan.burst, plan.burst);
     }
 
     /// Draws units that were used or granted already, whatever debt that leaves.
-    pub(super) fn deduct(&mut self, units: f64) {
+    pub(super) fn deduct_unclamped(&mut self, units: f64) {
         self.tokens -= units;
     }
 
     /// Replaces a charge for units that were granted by one for those that were used. The bucket's level
     /// stays within `lowest_tokens` and the bucket's capacity.
-    pub(super) fn settle(&mut self, plan: &Plan, granted_units: f64, used_units: f64, lowest_tokens: f64) {
+    pub(super) fn settle_clamped(
+        &mut self,
+        plan: &Plan,
+        granted_units: f64,
+        used_units: f64,
+        lowest_tokens: f64,
+    ) {
         self.tokens = (self.tokens + granted_units - used_units).clamp(lowest_tokens, plan.burst);
     }
 
--- a/src/policy/quota/token_bucket/tests.rs
+++ b/src/policy/quota/token_bucket/tests.rs
@@ -8,11 +8,11 @@
 #[test]
 fn a_debt_is_no_larger_than_the_bucket() {
     let mut bucket = QuotaBucket::new(&plan(), 20.0);
-    bucket.charge(&plan(), 1000.0);
+    bucket.charge_clamped(&plan(), 1000.0);
     assert_eq!(bucket.tokens(), -20.0);
     bucket.refill(&plan(), 10.0, 3.0);
     assert_eq!(bucket.tokens(), 10.0);
-    bucket.charge(&plan(), -1000.0);
+    bucket.charge_clamped(&plan(), -1000.0);
     assert_eq!(bucket.tokens(), 20.0, "given back up to its capacity");
 }
 
@@ -21,10 +21,10 @@
 #[test]
 fn a_grant_is_settled_by_what_was_used() {
     let mut bucket = QuotaBucket::new(&plan(), 12.0);
-    bucket.deduct(5.0);
-    bucket.settle(&plan(), 5.0, 3.0, 0.0);
+    bucket.deduct_unclamped(5.0);
+    bucket.settle_clamped(&plan(), 5.0, 3.0, 0.0);
     assert_eq!(bucket.tokens(), 9.0);
-    bucket.settle(&plan(), 0.0, 30.0, 0.0);
+    bucket.settle_clamped(&plan(), 0.0, 30.0, 0.0);
     assert_eq!(bucket.tokens(), 0.0, "no lower than it may be");
 }
 
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -60,7 +60,7 @@
         };
         let units = customer.new_units(plan, usage.reported_total, scope, report);
         let lowest_tokens = ownership.lowest_tokens(plan, customer.bucket.tokens());
-        customer.bucket.settle(plan, usage.granted_units, units, lowest_tokens);
+        customer.bucket.settle_clamped(plan, usage.granted_units, units, lowest_tokens);
         if ownership.counts_grant_requests(plan) {
             // The rate counts requests for grants of the whole customer, the sender's included. It goes out
             // as `remote_rate`, and the gateways ration their requests by it.
@@ -183,7 +183,7 @@
         let is_countable = report.in_flight < MAX_REPORTED_IN_FLIGHT;
         self.remote.set_in_flight(usage, report.in_flight + u8::from(is_granted && is_countable));
         usage.granted_units = if is_granted { report.requested_units } else { 0.0 };
-        self.bucket.deduct(usage.granted_units);
+        self.bucket.deduct_unclamped(usage.granted_units);
     }
 
     /// Units of the hard limit for a gateway, deducted here first: a lost message loses them.
