--- a/src/policy/start_times.rs
+++ b/src/policy/start_times.rs
@@ -33,8 +33,8 @@
     /// The least age, by any of the clock readings there were, of what started at a Unix time; nothing if it
     /// started in the future by all of them.
     ///
-    /// An offset of 0, with which the host's time begins, is a reading, too. It lies between the lowest and the
-    /// highest, and it is listed by itself since the age by the lowest may be impossible.
+    /// An offset of 0, with which the host's time begins, is a reading, too. It lies between the lowest and
+    /// the highest, and it is listed by itself since the age by the lowest may be impossible.
     fn least_age(&self, now: Instant, unix_start: UnixTime) -> Duration {
         let offsets = [0, self.latest, self.lowest, self.highest];
         let ages = offsets.map(|offset| now.as_micros() as i64 + offset - unix_start.as_micros() as i64);
