--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -9,7 +9,7 @@
 use crate::policy::quota::{
     DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
 };
-use crate::policy::{Familiarity, RejectReason, SheddingFacts};
+use crate::policy::{Familiarity, RejectReason, RetryAdvice, SheddingFacts};
 use crate::state::{unit_draw, RequestState, MICROS_PER_SECOND};
 use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
 
@@ -31,7 +31,7 @@
             return; // delivered twice: the first one gets the answer
         }
         if let Err(reason) = self.screen(&request) {
-            return self.push_rejection(request.id, reason, Duration::ZERO, actions);
+            return self.push_rejection(request.id, reason, RetryAdvice::None, actions);
         }
         let claimed_plan = request.plan;
         let observed = self.quota.observe_request(self.now, &request);
@@ -41,10 +41,15 @@
                 target: "policy", request = request.id.0, claimed_plan, recorded_plan = observed.plan,
                 "claimed plan differs from record"
             );
-            return self.push_rejection(request.id, RejectReason::PlanMismatch, Duration::MAX, actions);
+            return self.push_rejection(
+                request.id,
+                RejectReason::PlanMismatch,
+                RetryAdvice::Longest,
+                actions,
+            );
         }
         if !self.passes_load_shedding(&request, observed.familiarity) {
-            return self.push_rejection(request.id, RejectReason::Shed, Duration::MAX, actions);
+            return self.push_rejection(request.id, RejectReason::Shed, RetryAdvice::Longest, actions);
         }
         let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
         match self.decide_arrival(&request, observed.grant) {
@@ -59,7 +64,7 @@
                     return self.push_rejection(
                         request.id,
                         RejectReason::GrantRequestSkipped,
-                        Duration::MAX,
+                        RetryAdvice::Longest,
                         actions,
                     );
                 }
@@ -188,8 +193,8 @@
         match decision {
             AdmissionDecision::KeepWaiting => {}
             AdmissionDecision::Admit => self.enqueue(&request, point, actions),
-            AdmissionDecision::Reject { reason, retry_after } => {
-                self.reject_admission(&request, point, reason, retry_after, actions);
+            AdmissionDecision::Reject { reason, advice } => {
+                self.reject_admission(&request, point, reason, advice, actions);
             }
         }
     }
@@ -200,7 +205,7 @@
         request: &Request,
         point: DecisionPoint,
         reason: RejectReason,
-        retry_after: Duration,
+        advice: RetryAdvice,
         actions: &mut Vec<Action>,
     ) {
         self.end_grant_wait(request, point);
@@ -208,7 +213,7 @@
             self.load_shedder.record_saturation();
         }
         self.requests.remove(request.id);
-        self.push_rejection(request.id, reason, retry_after, actions);
+        self.push_rejection(request.id, reason, advice, actions);
         if let Some(purpose) = self.quota.report_after_rejection(request.customer, point) {
             self.queue_usage_report(request.customer, purpose, actions);
         }
--- a/src/gateway/closing.rs
+++ b/src/gateway/closing.rs
@@ -1,7 +1,7 @@
 //! Ends requests: gives them their final answer, cancels what is in flight for them, and forgets them.
 
 use crate::policy::quota::ReportPurpose;
-use crate::policy::{FinalAnswer, RejectReason, RetryPolicy, NOT_SERVED_RETRY_AFTER};
+use crate::policy::{FinalAnswer, RejectReason, RetryAdvice, RetryPolicy, NOT_SERVED_RETRY_AFTER};
 use crate::{Action, Duration, Gateway, Request, RequestId};
 
 impl Gateway {
@@ -11,7 +11,12 @@
         let idempotency = self.class_of(&state.request).idempotency;
         match RetryPolicy::final_answer(idempotency, state.first_possibly_executed().is_some()) {
             FinalAnswer::Rejected => {
-                self.push_rejection(id, RejectReason::NotServed, NOT_SERVED_RETRY_AFTER, actions);
+                self.push_rejection(
+                    id,
+                    RejectReason::NotServed,
+                    RetryAdvice::After(NOT_SERVED_RETRY_AFTER),
+                    actions,
+                );
             }
             FinalAnswer::Failed => {
                 tracing::debug!(target: "policy", request = id.0, attempts = state.attempts.len(), "failed");
@@ -27,12 +32,12 @@
         &self,
         id: RequestId,
         reason: RejectReason,
-        retry_after: Duration,
+        advice: RetryAdvice,
         actions: &mut Vec<Action>,
     ) {
         let limits = &self.settings.limits;
         let max_retry_after = if limits.retry_after { limits.max_retry_after } else { Duration::ZERO };
-        let retry_after = retry_after.min(max_retry_after);
+        let retry_after = advice.retry_after(max_retry_after);
         let retry_after_ms = retry_after.as_millis_ceil();
         tracing::debug!(target: "policy", request = id.0, ?reason, retry_after_ms, "rejected");
         actions.push(Action::Reject { id, retry_after });
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -28,7 +28,7 @@
     SilenceVerdict, Source, REJECTION_NORMAL_RATIO,
 };
 pub(crate) use pressure::Pressure;
-pub(crate) use reasons::{EjectionReason, RejectReason};
+pub(crate) use reasons::{EjectionReason, RejectReason, RetryAdvice};
 pub(crate) use retry::{
     AttemptCheck, AttemptCheckFacts, ExecutedAttempt, FinalAnswer, RetryFacts, RetryPolicy, RetryScope,
     NOT_SERVED_RETRY_AFTER,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -7,7 +7,7 @@
 use super::load_shedding::epoch_draw;
 use super::quota::{GrantAnswers, GrantScope, GrantStatus, GrantTiming, QuotaOwnership, Shortage, Shortages};
 use super::wake_up::wake_up_interval;
-use super::RejectReason;
+use super::{RejectReason, RetryAdvice};
 use crate::{CustomerId, Duration, Instant, Plan, Request};
 
 /// Share of the latency budget that a request may be queued for; queued longer it would fail late.
@@ -160,7 +160,7 @@
         /// Why.
         reason: RejectReason,
         /// When the client is advised to come again.
-        retry_after: Duration,
+        advice: RetryAdvice,
     },
 }
 
@@ -171,10 +171,10 @@
             Some(_) if self.answers == GrantAnswers::Outstanding => AdmissionDecision::KeepWaiting,
             Some(shortage) => AdmissionDecision::Reject {
                 reason: RejectReason::OverQuota,
-                retry_after: Duration::from_secs_f64(shortage.seconds),
+                advice: RetryAdvice::After(Duration::from_secs_f64(shortage.seconds)),
             },
             None if self.is_crowded_out() => {
-                AdmissionDecision::Reject { reason: RejectReason::Saturated, retry_after: Duration::MAX }
+                AdmissionDecision::Reject { reason: RejectReason::Saturated, advice: RetryAdvice::Longest }
             }
             None => AdmissionDecision::Admit,
         }
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -165,8 +165,9 @@
     let outstanding = AdmissionFacts { shortage, answers: GrantAnswers::Outstanding, ..admission() };
     assert_eq!(outstanding.decide(), AdmissionDecision::KeepWaiting);
     let complete = AdmissionFacts { answers: GrantAnswers::Complete, ..outstanding };
-    let (reason, retry_after) = (RejectReason::OverQuota, Duration::from_millis(500));
-    assert_eq!(complete.decide(), AdmissionDecision::Reject { reason, retry_after });
+    let reason = RejectReason::OverQuota;
+    let advice = RetryAdvice::After(Duration::from_millis(500));
+    assert_eq!(complete.decide(), AdmissionDecision::Reject { reason, advice });
     let timed_out = AdmissionFacts { answers: GrantAnswers::TimedOut, ..outstanding };
     assert_eq!(timed_out.decide(), complete.decide());
 }
@@ -191,8 +192,8 @@
     assert!((450..550).contains(&joining(100, 15)));
     assert_eq!(joining(100, 30), 0);
     let full = AdmissionFacts { in_flight: 100, queue_length: 30, concurrency_limit: 100.0, ..admission() };
-    let (reason, retry_after) = (RejectReason::Saturated, Duration::MAX);
-    assert_eq!(full.decide(), AdmissionDecision::Reject { reason, retry_after });
+    let (reason, advice) = (RejectReason::Saturated, RetryAdvice::Longest);
+    assert_eq!(full.decide(), AdmissionDecision::Reject { reason, advice });
 }
 
 /// No backend takes a queued request. It is given up after three tenths of the time in which an answer is
--- a/src/policy/reasons.rs
+++ b/src/policy/reasons.rs
@@ -1,4 +1,7 @@
-//! The reasons of rejections and ejections, as log lines spell them.
+//! The reasons of rejections and ejections, as log lines spell them, and the advice that goes with a
+//! rejection.
+
+use crate::Duration;
 
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,6 +26,28 @@
     NotServed,
 }
 
+/// When a rejected client is advised to send its request again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RetryAdvice {
+    /// It gets no advice.
+    None,
+    /// After a time, or after the longest one that the settings allow if that is less.
+    After(Duration),
+    /// After the longest time that the settings allow.
+    Longest,
+}
+
+impl RetryAdvice {
+    /// The time after which to retry, where the settings allow `longest` at most; zero for no advice.
+    pub(crate) fn retry_after(self, longest: Duration) -> Duration {
+        match self {
+            RetryAdvice::None => Duration::ZERO,
+            RetryAdvice::After(time) => time.min(longest),
+            RetryAdvice::Longest => longest,
+        }
+    }
+}
+
 /// Why a backend was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EjectionReason {
