--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -170,7 +170,7 @@
         match self.shortage {
             Some(_) if self.answers == GrantAnswers::Outstanding => AdmissionDecision::KeepWaiting,
             Some(shortage) => AdmissionDecision::Reject {
-                reason: RejectReason::OverQuota,
+                reason: shortage.limit.reject_reason(),
                 advice: RetryAdvice::After(Duration::from_secs_f64(shortage.seconds)),
             },
             None if self.is_crowded_out() => {
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -168,6 +168,9 @@
     let reason = RejectReason::OverQuota;
     let advice = RetryAdvice::After(Duration::from_millis(500));
     assert_eq!(complete.decide(), AdmissionDecision::Reject { reason, advice });
+    let presumed = AdmissionFacts { shortage: lacks(QuotaLimit::OwnersOverloaded).quota, ..complete };
+    let unknown = AdmissionDecision::Reject { reason: RejectReason::QuotaUnknown, advice };
+    assert_eq!(presumed.decide(), unknown);
     let timed_out = AdmissionFacts { answers: GrantAnswers::TimedOut, ..outstanding };
     assert_eq!(timed_out.decide(), complete.decide());
 }
--- a/src/policy/quota/shortages.rs
+++ b/src/policy/quota/shortages.rs
@@ -1,6 +1,7 @@
 //! Shortages: which limits of its customer's plan do not allow a request now, and for how long.
 
 use super::{time_to_refill, Customer, QuotaManager, QuotaOwnership};
+use crate::policy::RejectReason;
 use crate::state::{unit_draw, Salt, MICROS_PER_SECOND};
 use crate::{CustomerId, Duration, Instant, Plan, Request};
 
@@ -13,19 +14,30 @@
 /// itself.
 const START_SALT: Salt = Salt::from_bit(24);
 
-/// A limit of a customer's plan.
+/// What does not allow a request now: a limit of its customer's plan, or that the usage is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaLimit {
     /// The quota on the rate of units.
     Rate,
     /// The quota on attempts in flight.
     Concurrency,
-    /// The same quota, where the owners granted nothing and are presumed to be overloaded by the customer.
+    /// No limit that is known to be reached: there is a quota on attempts in flight, its owners granted
+    /// nothing, and they are presumed to be overloaded by the customer.
     OwnersOverloaded,
     /// The hard limit on the rate of units.
     HardLimit,
 }
 
+impl QuotaLimit {
+    /// The reason of a rejection for it.
+    pub(crate) fn reject_reason(self) -> RejectReason {
+        match self {
+            QuotaLimit::OwnersOverloaded => RejectReason::QuotaUnknown,
+            QuotaLimit::Rate | QuotaLimit::Concurrency | QuotaLimit::HardLimit => RejectReason::OverQuota,
+        }
+    }
+}
+
 /// A limit that does not allow a request now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Shortage {
--- a/src/policy/reasons.rs
+++ b/src/policy/reasons.rs
@@ -14,6 +14,8 @@
     Shed,
     /// Its customer has used its quota or its hard limit.
     OverQuota,
+    /// The owners of its customer's quota granted nothing and are presumed to be overloaded by the customer.
+    QuotaUnknown,
     /// Its customer is far beyond its quota, and the owners of the quota are not asked for each of its
     /// requests.
     GrantRequestSkipped,
