--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -27,7 +27,7 @@
 use crate::policy::discovery_schedule::PeriodicPoll;
 use crate::policy::quota::QuotaManager;
 use crate::policy::{ConcurrencyLimiter, GatewayLoad, LoadShedder, Pressure, StageChange};
-use crate::policy::{LoadBalancer, OutlierDetector, RetryPolicy, WakeUpSchedule};
+use crate::policy::{LoadBalancer, OutlierDetector, RejectReason, RetryPolicy, WakeUpSchedule};
 use crate::state::{BackendTable, RequestTable};
 use crate::{Action, Class, Event, Instant, Plan, Request, RequestId, Settings};
 
@@ -149,7 +149,7 @@
         let overdue = unsent.filter(|state| !self.can_be_queued(state, now));
         let overdue: Vec<RequestId> = overdue.map(|state| state.request.id).collect();
         for id in overdue {
-            self.reject_or_fail(id, actions);
+            self.reject_or_fail(id, RejectReason::HostStalled, actions);
         }
         self.resumed_at = now;
     }
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -271,7 +271,7 @@
         if !facts.is_overdue() {
             return QueueCheck::StillQueued;
         }
-        self.reject_or_fail(id, actions);
+        self.reject_or_fail(id, RejectReason::QueueTimeout, actions);
         QueueCheck::Expired
     }
 
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -4,7 +4,7 @@
 use crate::policy::permissions::KeyExpired;
 use crate::policy::quota::ReportPurpose;
 use crate::policy::{
-    AttemptCheck, AttemptCheckFacts, ExecutedAttempt, RetryFacts, RetryScope, SilenceVerdict,
+    AttemptCheck, AttemptCheckFacts, ExecutedAttempt, RejectReason, RetryFacts, RetryScope, SilenceVerdict,
 };
 use crate::state::RequestState;
 use crate::{Action, AttemptEnded, BackendId, CustomerId, Gateway, Outcome, RequestId};
@@ -34,7 +34,7 @@
         if settled.request_closed {
             self.close_request(ended.id, actions);
         } else if settled.was_last_in_flight && !self.retry(ended.id, actions) {
-            self.reject_or_fail(ended.id, actions);
+            self.reject_or_fail(ended.id, RejectReason::AttemptsExhausted, actions);
         }
         self.backends.remove_if_drained(settled.backend);
         if settled.usage_changed {
--- a/src/gateway/closing.rs
+++ b/src/gateway/closing.rs
@@ -6,17 +6,12 @@
 
 impl Gateway {
     /// Gives a request that is not served its final answer, by whether it may have been executed.
-    pub(crate) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    pub(crate) fn reject_or_fail(&mut self, id: RequestId, reason: RejectReason, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get(id) else { return };
         let idempotency = self.class_of(&state.request).idempotency;
         match RetryPolicy::final_answer(idempotency, state.first_possibly_executed().is_some()) {
             FinalAnswer::Rejected => {
-                self.push_rejection(
-                    id,
-                    RejectReason::NotServed,
-                    RetryAdvice::After(NOT_SERVED_RETRY_AFTER),
-                    actions,
-                );
+                self.push_rejection(id, reason, RetryAdvice::After(NOT_SERVED_RETRY_AFTER), actions);
             }
             FinalAnswer::Failed => {
                 tracing::debug!(target: "policy", request = id.0, attempts = state.attempts.len(), "failed");
@@ -39,7 +34,12 @@
         let max_retry_after = if limits.retry_after { limits.max_retry_after } else { Duration::ZERO };
         let retry_after = advice.retry_after(max_retry_after);
         let retry_after_ms = retry_after.as_millis_ceil();
-        tracing::debug!(target: "policy", request = id.0, ?reason, retry_after_ms, "rejected");
+        let state = self.requests.get(id);
+        let attempts = state.map(|state| state.attempts.len());
+        let age_ms = state.map(|state| self.now.duration_since(state.arrived_at).as_millis());
+        tracing::debug!(
+            target: "policy", request = id.0, ?reason, retry_after_ms, attempts, age_ms, "rejected"
+        );
         actions.push(Action::Reject { id, retry_after });
     }
 
--- a/src/policy/reasons.rs
+++ b/src/policy/reasons.rs
@@ -24,8 +24,12 @@
     PlanMismatch,
     /// The gateway has as much in flight and queued as it may.
     Saturated,
-    /// It was queued for as long as it may be, or its attempts came to nothing.
-    NotServed,
+    /// It was queued for as long as it may be.
+    QueueTimeout,
+    /// The host stood still, and the request had too little time left when it went on.
+    HostStalled,
+    /// Its attempts did not succeed, and no other is permitted or no backend may take one.
+    AttemptsExhausted,
 }
 
 /// When a rejected client is advised to send its request again.
--- a/tests/ingress/logging.rs
+++ b/tests/ingress/logging.rs
@@ -29,7 +29,7 @@
         ("attempt: started", "command=Sent"),
         ("attempt: ended", "outcome=Rejected"),
         ("policy: retry considered", "permission="),
-        ("policy: rejected", "reason=NotServed"),
+        ("policy: rejected", "reason=AttemptsExhausted"),
         ("request: answered", "answer=Rejected"),
     ] {
         assert!(
