--- a/src/bin/ingress/backends/attempt.rs
+++ b/src/bin/ingress/backends/attempt.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandState {
     /// At least one byte is still to be written.
-    Unsent,
+    Incomplete,
     /// It is completely written.
     Sent,
 }
--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -84,7 +84,7 @@
         if self.written == self.command.len() {
             CommandState::Sent
         } else {
-            CommandState::Unsent
+            CommandState::Incomplete
         }
     }
 
@@ -97,7 +97,7 @@
     pub fn failure_outcome(&self) -> Outcome {
         match self.command_state() {
             CommandState::Sent => Outcome::Reset,
-            CommandState::Unsent => Outcome::ConnectFailed,
+            CommandState::Incomplete => Outcome::ConnectFailed,
         }
     }
 
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -114,7 +114,7 @@
     /// Whether a connection is open and its command not completely written, so that the backend cannot have
     /// begun to execute it.
     pub fn is_incomplete(&self, id: ConnectionId) -> bool {
-        self.connection(id).is_some_and(|connection| connection.command_state() == CommandState::Unsent)
+        self.connection(id).is_some_and(|connection| connection.command_state() == CommandState::Incomplete)
     }
 
     /// Closes a connection for `reason` if it is still open and carries this attempt, and returns how much of
@@ -154,7 +154,7 @@
         let Some(connection) = self.connections.get_mut(key) else { return };
         if readiness == Readiness::Writable {
             connection.is_connected = connection.is_connected || connection.stream.peer_addr().is_ok();
-            if connection.command_state() == CommandState::Unsent {
+            if connection.command_state() == CommandState::Incomplete {
                 self.write(key);
             }
         }
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -115,7 +115,7 @@
     let connection = assigned.connection;
     let peer = rig.listener.accept().unwrap().0;
     rig.connections.on_ready(connection.key, START, Readiness::Writable);
-    assert_eq!(assigned.command, CommandState::Unsent);
+    assert_eq!(assigned.command, CommandState::Incomplete);
     assert!(rig.connections.connections[connection.key].is_connected);
     assert!(rig.connections.is_incomplete(connection));
     rig.connections.on_connect_timeout(connection, attempt(1));
@@ -152,7 +152,7 @@
     let now = START + MIN_IDLE_TIME;
     let second =
         rig.connections.assign(rig.poll.registry(), BACKEND, attempt(2), no_time(now), long).unwrap();
-    assert_eq!((second.connection, second.command), (first, CommandState::Unsent));
+    assert_eq!((second.connection, second.command), (first, CommandState::Incomplete));
     rig.connections.on_connect_timeout(first, attempt(1));
     assert!(rig.connections.is_incomplete(first), "the later attempt goes on");
     rig.connections.on_connect_timeout(first, attempt(2));
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -58,7 +58,7 @@
 fn timeout_outcome(command: CommandState) -> Outcome {
     match command {
         CommandState::Sent => Outcome::TimedOut,
-        CommandState::Unsent => Outcome::ConnectFailed,
+        CommandState::Incomplete => Outcome::ConnectFailed,
     }
 }
 
@@ -146,7 +146,7 @@
             );
             attempt.connection = Some(assigned.connection);
             self.timers.schedule(attempt.expires_at, Timer::AttemptTimeout(attempt_id));
-            if assigned.command == CommandState::Unsent {
+            if assigned.command == CommandState::Incomplete {
                 let timer = Timer::ConnectTimeout(assigned.connection, attempt_id);
                 self.timers.schedule(attempt.begins_by, timer);
             }
