--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -215,7 +215,7 @@
     }
 
     /// Records an invalid command; after too many in a row the connection is closed after its reply.
-    pub fn record_protocol_error(&mut self) {
+    pub fn record_invalid_command(&mut self) {
         self.consecutive_errors += 1;
         if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS {
             self.start_closing(ClosingCause::InvalidCommands);
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -191,7 +191,7 @@
     fn refuse_command(&mut self, key: usize, error: ClientError) {
         let connection = &mut self.connections[key];
         tracing::debug!(target: "client_connection", client = connection.serial, %error, "command refused");
-        connection.record_protocol_error();
+        connection.record_invalid_command();
         self.reply_error(key, error);
     }
 
--- a/src/bin/ingress/clients/writing.rs
+++ b/src/bin/ingress/clients/writing.rs
@@ -12,7 +12,7 @@
     pub fn refuse_invalid(&mut self, reply_to: ReplyHandle, error: ClientError) {
         let connection = self.connections.get_mut(reply_to.key);
         if let Some(connection) = connection.filter(|connection| connection.serial == reply_to.serial) {
-            connection.record_protocol_error();
+            connection.record_invalid_command();
         }
         self.reply(reply_to, &error_line(error));
     }
