--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -23,7 +23,7 @@
     /// The client does not read its replies.
     WriteTimeout,
     /// The memory limit of all clients is reached, and this one has unread replies.
-    OutOfMemory,
+    MemoryLimit,
 }
 
 impl ClientCloseReason {
@@ -36,7 +36,7 @@
         ClientCloseReason::NoCommand,
         ClientCloseReason::LingerTimeout,
         ClientCloseReason::WriteTimeout,
-        ClientCloseReason::OutOfMemory,
+        ClientCloseReason::MemoryLimit,
     ];
 
     /// Whether replies may be lost with the connection, since the client does not wait for them.
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -47,7 +47,7 @@
     /// The rest of a command did not arrive in time.
     CommandTimeout,
     /// The memory limit of all clients was reached, and the rest of a command was missing.
-    OutOfMemory,
+    MemoryLimit,
 }
 
 /// A client's connection.
--- a/src/bin/ingress/clients/error.rs
+++ b/src/bin/ingress/clients/error.rs
@@ -21,7 +21,7 @@
     DuplicateRequestId,
     /// The memory limit of all clients is reached, and this connection takes the most.
     #[error("no memory for the rest of a command")]
-    OutOfMemory,
+    MemoryLimit,
     /// A command was not completed in time.
     #[error("the rest of a command did not come in time")]
     CommandTimeout,
--- a/src/bin/ingress/clients/memory.rs
+++ b/src/bin/ingress/clients/memory.rs
@@ -51,10 +51,10 @@
             let largest = closable.max_by_key(|(_, connection)| connection.accounted_memory);
             let Some((key, connection)) = largest else { return };
             if connection.input.is_empty() {
-                self.remove(key, ClientCloseReason::OutOfMemory);
+                self.remove(key, ClientCloseReason::MemoryLimit);
                 continue;
             }
-            connection.abort_command(ClientError::OutOfMemory, ClosingCause::OutOfMemory);
+            connection.abort_command(ClientError::MemoryLimit, ClosingCause::MemoryLimit);
             self.memory.account(connection);
             self.queue_for_write(key);
         }
