--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -83,8 +83,8 @@
     QueueEmpty,
     /// Further connections may be waiting.
     MorePending,
-    /// A descriptor or memory is lacking for a further connection.
-    NoDescriptor,
+    /// Accepting is to be retried a little later: a descriptor or memory is lacking for a further connection.
+    RetryLater,
 }
 
 /// Whether an ingress that shuts down still accepts connections.
--- a/src/bin/ingress/clients/accepting.rs
+++ b/src/bin/ingress/clients/accepting.rs
@@ -38,14 +38,14 @@
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let capacity = capacity(self);
             if capacity == Capacity::Exhausted {
-                return AcceptOutcome::NoDescriptor;
+                return AcceptOutcome::RetryLater;
             }
             match self.next_connection() {
                 Ok(stream) => {
                     if let Err(stream) = self.add(stream, registry, capacity, now) {
                         self.unregistered = Some(stream);
                         self.on_accept_failure(now);
-                        return AcceptOutcome::NoDescriptor;
+                        return AcceptOutcome::RetryLater;
                     }
                     self.accept_failing_since = None;
                 }
@@ -57,7 +57,7 @@
                 Err(error) if concerns_one_connection(&error) => {}
                 Err(_) => {
                     self.on_accept_failure(now);
-                    return AcceptOutcome::NoDescriptor;
+                    return AcceptOutcome::RetryLater;
                 }
             }
         }
--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -167,7 +167,7 @@
     client.write_all(&request_command()).unwrap();
     fixture.clients.set_arrival_time(NOW);
     let outcome = fixture.clients.accept(fixture.poll.registry(), NOW, |_| Capacity::Exhausted);
-    assert_eq!(outcome, AcceptOutcome::NoDescriptor);
+    assert_eq!(outcome, AcceptOutcome::RetryLater);
     let accepted_at = NOW + WAIT;
     fixture.clients.set_arrival_time(accepted_at);
     while fixture.clients.len() == 0 {
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -64,7 +64,7 @@
             AcceptOutcome::QueueEmpty => {}
             AcceptOutcome::MorePending => self.accept_pending = true,
             // The poll reports each arrival once: without a timer, these would wait for the next one.
-            AcceptOutcome::NoDescriptor => {
+            AcceptOutcome::RetryLater => {
                 if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
                     self.timers.schedule(now + ACCEPT_RETRY_DELAY, Timer::RetryAccept);
                 }
--- a/src/bin/ingress/event_loop/shutdown/tests.rs
+++ b/src/bin/ingress/event_loop/shutdown/tests.rs
@@ -45,7 +45,7 @@
         (AcceptOutcome::QueueEmpty, now - Duration::from_micros(299_999), true),
         (AcceptOutcome::QueueEmpty, now - Duration::from_micros(300_000), false),
         (AcceptOutcome::MorePending, Instant::ZERO, true),
-        (AcceptOutcome::NoDescriptor, Instant::ZERO, true),
+        (AcceptOutcome::RetryLater, Instant::ZERO, true),
     ] {
         assert_eq!(shutdown.keeps_accepting(now, accepted, last_accepted_at), keeps, "{accepted:?}");
     }
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -441,10 +441,10 @@
     for client in &mut clients {
         client.write_all(&PING[..6]).unwrap();
     }
-    while event_loop.accept() != AcceptOutcome::NoDescriptor {
+    while event_loop.accept() != AcceptOutcome::RetryLater {
         event_loop.clients.read_all(event_loop.now);
     }
-    (0..5).for_each(|_| assert_eq!(event_loop.accept(), AcceptOutcome::NoDescriptor));
+    (0..5).for_each(|_| assert_eq!(event_loop.accept(), AcceptOutcome::RetryLater));
     let due = event_loop.timers.take_due(Instant::FAR_FUTURE);
     assert_eq!(due.iter().filter(|timer| **timer == Timer::RetryAccept).count(), 1);
 }
