--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -18,6 +18,8 @@
     ShuttingDown,
     /// No command has ever arrived on it.
     NoCommand,
+    /// It was accepted over the limit, and no request came on it in time.
+    OverLimitTimeout,
     /// The time for reading the last reply is over.
     LingerTimeout,
     /// The client does not read its replies.
@@ -28,12 +30,13 @@
 
 impl ClientCloseReason {
     /// All reasons.
-    pub const ALL: [ClientCloseReason; 8] = [
+    pub const ALL: [ClientCloseReason; 9] = [
         ClientCloseReason::Disconnected,
         ClientCloseReason::Broken,
         ClientCloseReason::DescriptorNeeded,
         ClientCloseReason::ShuttingDown,
         ClientCloseReason::NoCommand,
+        ClientCloseReason::OverLimitTimeout,
         ClientCloseReason::LingerTimeout,
         ClientCloseReason::WriteTimeout,
         ClientCloseReason::MemoryLimit,
@@ -115,10 +118,11 @@
             // A client over the limit may have sent its request by now. It is answered first, and closed by
             // the next call.
             self.read(key, now);
-            let connection = self.connections.get(key);
-            if connection.is_some_and(|connection| connection.is_shut_down() || connection.output.is_empty())
-            {
+            let Some(connection) = self.connections.get(key) else { continue };
+            if connection.is_shut_down() {
                 self.remove(key, ClientCloseReason::LingerTimeout);
+            } else if connection.output.is_empty() {
+                self.remove(key, ClientCloseReason::OverLimitTimeout);
             }
         }
     }
--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -140,6 +140,20 @@
     expect_reply(&mut client, b"-BUSY\r\n");
     fixture.clients.close_expired(NOW + LINGER_TIMEOUT * 3);
     assert_eq!(fixture.clients.len(), 0, "rejected and closed");
+    let counts: Vec<_> = fixture.clients.close_counts().collect();
+    assert_eq!(counts, [(ClientCloseReason::LingerTimeout, 1)]);
+}
+
+/// A client connects when all places are taken, and sends nothing. It had no reply to read, so the log must not say
+/// that it took too long to read one.
+#[test]
+fn a_client_over_the_limit_without_a_request_is_not_logged_as_lingering() {
+    let mut fixture = Fixture::new(1 << 20);
+    let _client = fixture.client(Capacity::OverLimit);
+    fixture.clients.close_expired(NOW + LINGER_TIMEOUT);
+    assert_eq!(fixture.clients.len(), 0, "closed");
+    let counts: Vec<_> = fixture.clients.close_counts().collect();
+    assert_eq!(counts, [(ClientCloseReason::OverLimitTimeout, 1)]);
 }
 
 /// Reading from a client is interrupted, or finds no memory, as often as one iteration allows, so that the rest
