--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -115,7 +115,9 @@
             ready.clear();
             ready.extend(events.iter().map(ReadySocket::from));
             self.process_ready(&mut ready);
-            if self.shutdown.has_begun() && (self.finish_if_drained() || self.shutdown.must_exit(self.now)) {
+            if self.shutdown.has_begun()
+                && (self.drain_and_check_finished() || self.shutdown.must_exit(self.now))
+            {
                 self.audit_exit();
                 tracing::info!(target: "shutdown", "finished");
                 return Ok(());
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -111,7 +111,7 @@
         let Some(reply_deadline) = self.shutdown.begin(self.now) else { return };
         let reply_time_ms = reply_deadline.duration_since(self.now).as_millis();
         tracing::info!(target: "shutdown", reply_time_ms, "started");
-        self.timers.schedule(self.now + MIN_ACCEPTING_TIME, Timer::StopAccepting);
+        self.timers.schedule(self.now + MIN_ACCEPTING_TIME, Timer::CheckAccepting);
         self.timers.schedule(reply_deadline, Timer::ReplyDeadline);
     }
 }
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -58,7 +58,7 @@
     let since = event_loop.now - MAX_DRAINING_TIME - Duration::MICROSECOND;
     event_loop.shutdown.phase = Phase::Draining { reply_deadline: Instant::FAR_FUTURE, since };
     client.write_all(b"NG\r\n").unwrap();
-    event_loop.finish_if_drained();
+    event_loop.drain_and_check_finished();
     let mut reply = [0; 7];
     client.set_read_timeout(Some(std::time::Duration::from_millis(200))).unwrap();
     client.read_exact(&mut reply).expect("a reply before the exit");
@@ -78,7 +78,7 @@
     }
     // The shutdown has begun; the time for accepting is over by the next iteration.
     event_loop.shutdown.phase = Phase::Accepting { reply_deadline: event_loop.now + MIN_ACCEPTING_TIME };
-    event_loop.timers.schedule(event_loop.now, Timer::StopAccepting);
+    event_loop.timers.schedule(event_loop.now, Timer::CheckAccepting);
     while !event_loop.shutdown.is_draining() {
         event_loop.now += ACCEPTING_CHECK_INTERVAL;
         event_loop.process_ready(&mut []);
@@ -103,7 +103,7 @@
     }
     event_loop.shutdown.phase = Phase::Draining { reply_deadline: event_loop.now, since: event_loop.now };
     client.write_all(&request_command(1)).unwrap();
-    event_loop.finish_if_drained();
+    event_loop.drain_and_check_finished();
     let mut reply = [0; 7];
     client.read_exact(&mut reply).unwrap();
     assert_eq!((&reply, event_loop.requests.len()), (b"-BUSY\r\n", 0));
--- a/src/bin/ingress/event_loop/timer_queue.rs
+++ b/src/bin/ingress/event_loop/timer_queue.rs
@@ -23,7 +23,7 @@
     /// Reading the configuration is retried after it has failed.
     RetryReload,
     /// During the shutdown: the listener is closed unless clients still connect.
-    StopAccepting,
+    CheckAccepting,
     /// During the shutdown: requests without a reply are failed.
     ReplyDeadline,
 }
--- a/src/bin/ingress/event_loop/timer_queue/tests.rs
+++ b/src/bin/ingress/event_loop/timer_queue/tests.rs
@@ -17,12 +17,12 @@
     timers.schedule(at(5), Timer::ClientDeadline(RequestId(1)));
     timers.schedule(at(5), Timer::AttemptTimeout(AttemptId { request: RequestId(2), number: 0 }));
     timers.schedule(at(5), Timer::Gateway(9));
-    timers.schedule(at(4), Timer::StopAccepting);
+    timers.schedule(at(4), Timer::CheckAccepting);
     timers.schedule(at(6), Timer::Gateway(1));
     assert_eq!(timers.next_due_at(), Some(at(4)));
     let due = timers.take_due(at(5));
     let expected = [
-        Timer::StopAccepting,
+        Timer::CheckAccepting,
         Timer::Gateway(9),
         Timer::AttemptTimeout(AttemptId { request: RequestId(2), number: 0 }),
         Timer::ClientDeadline(RequestId(1)),
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -38,7 +38,7 @@
                 self.accept();
             }
             Timer::RetryReload => self.reload(),
-            Timer::StopAccepting => self.stop_accepting(),
+            Timer::CheckAccepting => self.check_accepting(),
             Timer::ReplyDeadline => {
                 for id in self.requests.ids() {
                     self.fail_unanswered(id, MissedAnswer::ShutdownDeadline);
@@ -56,12 +56,12 @@
         self.timers.schedule(self.now + SWEEP_INTERVAL, Timer::Sweep);
     }
 
-    /// Closes the listener unless clients still connect.
-    fn stop_accepting(&mut self) {
+    /// Accepts what waits, and goes on accepting while clients still connect; closes the listener otherwise.
+    fn check_accepting(&mut self) {
         let mut accepted = self.accept();
         if self.shutdown.keeps_accepting(self.now, accepted, self.clients.last_accepted_at) {
             self.clients.close_when_idle(self.now, Accepting::Continue);
-            self.timers.schedule(self.now + ACCEPTING_CHECK_INTERVAL, Timer::StopAccepting);
+            self.timers.schedule(self.now + ACCEPTING_CHECK_INTERVAL, Timer::CheckAccepting);
         } else {
             // Closing the listener resets the connections in its queue, and their requests are lost: accept
             // them first.
@@ -79,7 +79,7 @@
 
     /// Reads and answers what clients have sent by now, once all earlier requests are answered; returns
     /// whether the process can end: all requests are answered, and no client is left that is waited for.
-    pub(super) fn finish_if_drained(&mut self) -> bool {
+    pub(super) fn drain_and_check_finished(&mut self) -> bool {
         if !self.is_drained() {
             return false;
         }
