--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -20,8 +20,11 @@
 const ACCEPTING_QUIET_TIME: Duration = Duration::from_millis(300);
 /// The interval of that check.
 pub const ACCEPTING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long before the reply deadline accepting ends at the latest: a later connection's request could hardly
+/// be served.
+const ACCEPTING_END_MARGIN: Duration = Duration::from_millis(500);
 /// How long, while draining, the rest of an incomplete command is waited for.
-const DRAINING_IDLE_CLIENT_TIME: Duration = Duration::from_secs(1);
+const INCOMPLETE_COMMAND_TIME: Duration = Duration::from_secs(1);
 /// How long, while draining, clients may take to read their replies.
 pub const MAX_DRAINING_TIME: Duration = Duration::from_secs(2);
 /// The longest deadline of a request that the shutdown waits for. By the protocol, SIGKILL does not wait for
@@ -109,7 +112,7 @@
     /// ago.
     pub fn keeps_accepting(&self, now: Instant, accepted: AcceptOutcome, last_accepted_at: Instant) -> bool {
         let arriving = accepted != AcceptOutcome::QueueEmpty || now < last_accepted_at + ACCEPTING_QUIET_TIME;
-        arriving && now + MIN_ACCEPTING_TIME < self.reply_deadline()
+        arriving && now + ACCEPTING_END_MARGIN < self.reply_deadline()
     }
 
     /// Begins to drain: the listener is closed.
@@ -124,7 +127,7 @@
         // An incomplete command, or replies that are not read, would otherwise delay the process until it is
         // killed.
         clients.len() == 0
-            || (waited > DRAINING_IDLE_CLIENT_TIME && clients.busy_count() == 0)
+            || (waited > INCOMPLETE_COMMAND_TIME && clients.busy_count() == 0)
             || waited > MAX_DRAINING_TIME
             || self.is_past_reply_deadline(now)
     }
--- a/src/bin/ingress/event_loop/shutdown/tests.rs
+++ b/src/bin/ingress/event_loop/shutdown/tests.rs
@@ -49,7 +49,7 @@
     ] {
         assert_eq!(shutdown.keeps_accepting(now, accepted, last_accepted_at), keeps, "{accepted:?}");
     }
-    let late = STARTED + LONGEST_REPLY_TIME - MIN_ACCEPTING_TIME;
+    let late = STARTED + LONGEST_REPLY_TIME - ACCEPTING_END_MARGIN;
     assert!(shutdown.keeps_accepting(late - Duration::MICROSECOND, AcceptOutcome::MorePending, late));
     assert!(!shutdown.keeps_accepting(late, AcceptOutcome::MorePending, late));
     shutdown.start_draining(late);
