--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -67,6 +67,12 @@
     pub(super) fn send(&mut self, id: RequestId, backend: BackendId, expires_at: Option<Instant>) {
         let Some(request) = self.requests.get_mut(id) else {
             // The request has ended and been removed: there is no attempt to log, count or audit.
+            //
+            // This occurs where several requests are closed before the gateway handles the first of these
+            // events, as at the shutdown's reply deadline, and it sends another of them meanwhile. One from
+            // its queue has had no attempt, so that 0 is its number. For a hedged one 0 is the attempt that
+            // has just ended: the gateway ignores this end and takes the hedge for in flight from then on,
+            // which matters little since the process ends within `EXIT_MARGIN`.
             let attempt = AttemptId { request: id, number: 0 };
             let end =
                 AttemptEndReport { request_closed: true, ..AttemptEndReport::not_sent(attempt, backend) };
