--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -115,12 +115,13 @@
             ready.clear();
             ready.extend(events.iter().map(ReadySocket::from));
             self.process_ready(&mut ready);
-            if self.shutdown.has_begun()
-                && (self.drain_and_check_finished() || self.shutdown.must_exit(self.now))
-            {
-                self.audit_exit();
-                tracing::info!(target: "shutdown", "finished");
-                return Ok(());
+            if self.shutdown.has_begun() {
+                let drained = self.drain_and_check_finished();
+                if drained || self.shutdown.must_exit(self.now) {
+                    self.audit_exit();
+                    self.log_finished(drained);
+                    return Ok(());
+                }
             }
         }
     }
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -73,6 +73,8 @@
             }
             self.clients.close_when_idle(self.now, Accepting::Stop);
             self.shutdown.start_draining(self.now);
+            let (open_requests, clients) = (self.requests.open_ids().len(), self.clients.len());
+            tracing::info!(target: "shutdown", open_requests, clients, "listener closed");
         }
         self.process_client_events();
     }
@@ -91,6 +93,12 @@
         self.is_drained()
     }
 
+    /// Logs the end of the process: `drained`, or forced since the time for that is over.
+    pub(super) fn log_finished(&self, drained: bool) {
+        let (open_requests, clients) = (self.requests.open_ids().len(), self.clients.len());
+        tracing::info!(target: "shutdown", drained, open_requests, clients, "finished");
+    }
+
     /// Whether the listener is closed, all requests are answered that were read so far, and no client is
     /// waited for.
     fn is_drained(&self) -> bool {
--- a/tests/ingress/shutdown.rs
+++ b/tests/ingress/shutdown.rs
@@ -41,7 +41,10 @@
     );
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
     assert!(start.elapsed() < Duration::from_secs(3), "SIGKILL may come 3.7 s after SIGTERM");
-    assert!(!ingress.log().contains("panicked"));
+    let log = ingress.log();
+    assert!(!log.contains("panicked"));
+    assert!(log.contains("shutdown: listener closed, open_requests="), "{log}");
+    assert!(log.contains("shutdown: finished, drained=true open_requests=0 clients=0"), "{log}");
 }
 
 /// Clients that have not heard of a shutdown go on connecting after SIGTERM. If the listener were closed at once,
