--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -4,7 +4,20 @@
 use super::EventLoop;
 use crate::backends::AttemptId;
 use ingress::audit::{AttemptBegun, Violation, ViolationKind};
-use ingress::{Outcome, RequestId};
+use ingress::{BackendId, Duration, Outcome, RequestId};
+
+/// What is known of a violation beside its kind and request, for the log.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct ViolationDetails {
+    /// The number of the attempt.
+    attempt: Option<u16>,
+    /// Where the attempt went.
+    backend: Option<BackendId>,
+    /// The timeout that was stated to the backend.
+    stated_timeout: Option<Duration>,
+    /// How the attempt ended.
+    outcome: Option<Outcome>,
+}
 
 impl EventLoop {
     /// Records the attempts whose first byte was written.
@@ -21,8 +34,14 @@
                 stated_timeout: begun.stated_timeout.timeout,
             };
             let violated = request.audit.attempt_begun(&self.auditor, &begun);
+            let details = ViolationDetails {
+                attempt: Some(number),
+                backend: Some(begun.backend),
+                stated_timeout: Some(begun.stated_timeout),
+                outcome: None,
+            };
             for kind in violated {
-                self.report_violation(kind, Some(id));
+                self.report_violation(kind, Some(id), details);
             }
         }
     }
@@ -32,26 +51,38 @@
         let Some(request) = self.requests.get_mut(attempt.request) else { return };
         request.record_end(attempt.number, outcome);
         if let Some(kind) = request.audit.attempt_ended(attempt.number, outcome) {
-            self.report_violation(kind, Some(attempt.request));
+            let entry = request.attempts.get(usize::from(attempt.number));
+            let details = ViolationDetails {
+                attempt: Some(attempt.number),
+                backend: entry.map(|entry| entry.backend),
+                stated_timeout: None,
+                outcome: Some(outcome),
+            };
+            self.report_violation(kind, Some(attempt.request), details);
         }
     }
 
     /// Reports the connections of clients that this side closed with replies owed.
     pub(super) fn audit_closed_clients(&mut self) {
         for id in self.clients.take_abandoned() {
-            self.report_violation(ViolationKind::ClosedWithRepliesOwed, id);
+            self.report_violation(ViolationKind::ClosedWithRepliesOwed, id, ViolationDetails::default());
         }
     }
 
     /// Reports the requests that have no answer when the process ends.
     pub(super) fn audit_exit(&mut self) {
         for id in self.requests.open_ids() {
-            self.report_violation(ViolationKind::NoAnswer, Some(id));
+            self.report_violation(ViolationKind::NoAnswer, Some(id), ViolationDetails::default());
         }
     }
 
     /// Counts a violation, and logs it unless one of its kind was logged a moment ago.
-    pub(super) fn report_violation(&mut self, kind: ViolationKind, request: Option<RequestId>) {
+    pub(super) fn report_violation(
+        &mut self,
+        kind: ViolationKind,
+        request: Option<RequestId>,
+        details: ViolationDetails,
+    ) {
         let should_log = self.auditor.count_and_should_log(Violation { kind, request }, self.now);
         if should_log {
             let entry = request.and_then(|id| self.requests.get(id));
@@ -62,6 +93,10 @@
                 ?kind,
                 request = request.map(|id| id.0),
                 client_request_id = client_request_id.map(tracing::field::display),
+                attempt = details.attempt,
+                backend = details.backend.map(|backend| backend.0),
+                stated_timeout_ms = details.stated_timeout.map(Duration::as_millis_f64),
+                outcome = details.outcome.map(tracing::field::debug),
                 "violated"
             );
         }
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -1,5 +1,6 @@
 //! Handles what clients do, and replies to their requests.
 
+use super::auditing::ViolationDetails;
 use super::request_entries::{IdHash, RequestEntry};
 use super::timer_queue::Timer;
 use super::EventLoop;
@@ -210,7 +211,7 @@
         let now = self.clock.now();
         let violated = self.requests.get_mut(id).and_then(|request| request.audit.answered(now));
         if let Some(kind) = violated {
-            self.report_violation(kind, Some(id));
+            self.report_violation(kind, Some(id), ViolationDetails::default());
         }
     }
 
