--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -140,6 +140,20 @@
     expect_reply(&mut client, b"-BUSY\r\n");
     fixture.clients.close_expired(NOW + LINGER_TIMEOUT * 3);
     assert_eq!(fixture.clients.len(), 0, "rejected and closed");
+    let counts: Vec<_> = fixture.clients.close_counts().collect();
+    assert_eq!(counts, [(ClientCloseReason::LingerTimeout, 1)]);
+}
+
+/// A client connects when all places are taken, and sends nothing. It had no reply to read, so the log must not say
+/// that it took too long to read one.
+#[test]
+fn a_client_over_the_limit_without_a_request_is_not_logged_as_lingering() {
+    let mut fixture = Fixture::new(1 << 20);
+    let _client = fixture.client(Capacity::OverLimit);
+    fixture.clients.close_expired(NOW + LINGER_TIMEOUT);
+    assert_eq!(fixture.clients.len(), 0, "closed");
+    let counts: Vec<_> = fixture.clients.close_counts().collect();
+    assert_eq!(counts, [(ClientCloseReason::OverLimitTimeout, 1)]);
 }
 
 /// Reading from a client is interrupted, or finds no memory, as often as one iteration allows, so that the rest
@@ -167,7 +181,7 @@
     client.write_all(&request_command()).unwrap();
     fixture.clients.set_arrival_time(NOW);
     let outcome = fixture.clients.accept(fixture.poll.registry(), NOW, |_| Capacity::Exhausted);
-    assert_eq!(outcome, AcceptOutcome::NoDescriptor);
+    assert_eq!(outcome, AcceptOutcome::RetryLater);
     let accepted_at = NOW + WAIT;
     fixture.clients.set_arrival_time(accepted_at);
     while fixture.clients.len() == 0 {
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -1,5 +1,6 @@
 //! Handles what clients do, and replies to their requests.
 
+use super::auditing::ViolationDetails;
 use super::request_entries::{IdHash, RequestEntry};
 use super::timer_queue::Timer;
 use super::EventLoop;
@@ -64,7 +65,7 @@
             AcceptOutcome::QueueEmpty => {}
             AcceptOutcome::MorePending => self.accept_pending = true,
             // The poll reports each arrival once: without a timer, these would wait for the next one.
-            AcceptOutcome::NoDescriptor => {
+            AcceptOutcome::RetryLater => {
                 if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
                     self.timers.schedule(now + ACCEPT_RETRY_DELAY, Timer::RetryAccept);
                 }
@@ -210,7 +211,7 @@
         let now = self.clock.now();
         let violated = self.requests.get_mut(id).and_then(|request| request.audit.answered(now));
         if let Some(kind) = violated {
-            self.report_violation(kind, Some(id));
+            self.report_violation(kind, Some(id), ViolationDetails::default());
         }
     }
 
