--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,13 +1,15 @@
 //! Carries out admission: asks the components about a request in order, and turns what they decide into
 //! actions.
 
-use crate::policy::admission::{evades_hard_limit, min_queue_time, AdmissionDecision, AdmissionFacts};
+use crate::policy::admission::{
+    has_plan_mismatch, has_time_to_wait, min_queue_time, AdmissionDecision, AdmissionFacts,
+};
 use crate::policy::admission::{ArrivalDecision, ArrivalFacts, QueueFacts, ScreeningFacts};
 use crate::policy::quota::{grant_wait, ReportPurpose, ShortageFacts, Shortages};
 use crate::policy::quota::{
     DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
 };
-use crate::policy::{Familiarity, RejectReason, SheddingFacts};
+use crate::policy::{Familiarity, RejectReason, RetryAdvice, SheddingFacts};
 use crate::state::{unit_draw, RequestState, MICROS_PER_SECOND};
 use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
 
@@ -29,26 +31,31 @@
             return; // delivered twice: the first one gets the answer
         }
         if let Err(reason) = self.screen(&request) {
-            return self.push_rejection(request.id, reason, Duration::ZERO, actions);
+            return self.push_rejection(request.id, reason, RetryAdvice::None, actions);
         }
         let claimed_plan = request.plan;
         let observed = self.quota.observe_request(self.now, &request);
         request.plan = observed.plan;
-        if evades_hard_limit(&self.settings.plans, claimed_plan, observed.plan) {
+        if has_plan_mismatch(&self.settings.plans, claimed_plan, observed.plan) {
             tracing::debug!(
                 target: "policy", request = request.id.0, claimed_plan, recorded_plan = observed.plan,
-                "hard limit evaded"
+                "claimed plan differs from record"
+            );
+            return self.push_rejection(
+                request.id,
+                RejectReason::PlanMismatch,
+                RetryAdvice::Longest,
+                actions,
             );
-            return self.push_rejection(request.id, RejectReason::HardLimitEvaded, Duration::MAX, actions);
         }
         if !self.passes_load_shedding(&request, observed.familiarity) {
-            return self.push_rejection(request.id, RejectReason::Shed, Duration::MAX, actions);
+            return self.push_rejection(request.id, RejectReason::Shed, RetryAdvice::Longest, actions);
         }
         let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
         match self.decide_arrival(&request, observed.grant) {
             ArrivalDecision::DecideNow => {
                 self.requests.insert(state);
-                self.decide_admission(request.id, GrantAnswers::Complete, actions);
+                self.apply_admission(request.id, GrantAnswers::Complete, actions);
             }
             ArrivalDecision::AwaitGrant { scope, timing } => {
                 let draw = unit_draw(self.next_seed());
@@ -57,7 +64,7 @@
                     return self.push_rejection(
                         request.id,
                         RejectReason::GrantRequestSkipped,
-                        Duration::MAX,
+                        RetryAdvice::Longest,
                         actions,
                     );
                 }
@@ -147,15 +154,15 @@
         let customer = state.request.customer;
         let wait_ends_at = state.arrived_at + self.grant_wait(&state.request, state.arrived_at);
         if self.now >= wait_ends_at {
-            return self.decide_admission(id, GrantAnswers::Complete, actions);
+            return self.apply_admission(id, GrantAnswers::TimedOut, actions);
         }
         self.requests.check_at(wait_ends_at, id);
         self.queue_usage_report(customer, ReportPurpose::GrantRequest, actions);
     }
 
-    /// Decides on a request by tokens and capacity: admits it, rejects it, or has it wait for a further
-    /// answer of its quota owners.
-    pub(crate) fn decide_admission(
+    /// Carries out what [`AdmissionFacts`] decide on a request by tokens and capacity: admits it, rejects it,
+    /// or has it wait for a further answer of its quota owners.
+    pub(crate) fn apply_admission(
         &mut self,
         id: RequestId,
         answers: GrantAnswers,
@@ -186,8 +193,8 @@
         match decision {
             AdmissionDecision::KeepWaiting => {}
             AdmissionDecision::Admit => self.enqueue(&request, point, actions),
-            AdmissionDecision::Reject { reason, retry_after } => {
-                self.reject_admission(&request, point, reason, retry_after, actions);
+            AdmissionDecision::Reject { reason, advice } => {
+                self.reject_admission(&request, point, reason, advice, actions);
             }
         }
     }
@@ -198,15 +205,15 @@
         request: &Request,
         point: DecisionPoint,
         reason: RejectReason,
-        retry_after: Duration,
+        advice: RetryAdvice,
         actions: &mut Vec<Action>,
     ) {
         self.end_grant_wait(request, point);
         if reason == RejectReason::Saturated {
-            self.load_shedder.record_rejection();
+            self.load_shedder.record_saturation();
         }
         self.requests.remove(request.id);
-        self.push_rejection(request.id, reason, retry_after, actions);
+        self.push_rejection(request.id, reason, advice, actions);
         if let Some(purpose) = self.quota.report_after_rejection(request.customer, point) {
             self.queue_usage_report(request.customer, purpose, actions);
         }
@@ -237,7 +244,7 @@
 
     /// Whether a request has the time to be queued.
     pub(crate) fn can_be_queued(&self, state: &RequestState, now: Instant) -> bool {
-        now + min_queue_time(self.settings.tick) <= state.request.deadline
+        has_time_to_wait(now, state.request.deadline, min_queue_time(self.settings.tick))
     }
 
     /// Ends the queued requests that have waited for as long as they may.
@@ -264,7 +271,7 @@
         if !facts.is_overdue() {
             return QueueCheck::StillQueued;
         }
-        self.reject_or_fail(id, actions);
+        self.reject_or_fail(id, RejectReason::QueueTimeout, actions);
         QueueCheck::Expired
     }
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -7,7 +7,7 @@
 use super::load_shedding::epoch_draw;
 use super::quota::{GrantAnswers, GrantScope, GrantStatus, GrantTiming, QuotaOwnership, Shortage, Shortages};
 use super::wake_up::wake_up_interval;
-use super::RejectReason;
+use super::{RejectReason, RetryAdvice};
 use crate::{CustomerId, Duration, Instant, Plan, Request};
 
 /// Share of the latency budget that a request may be queued for; queued longer it would fail late.
@@ -26,6 +26,12 @@
     wake_up_interval(tick) * MIN_WAKE_UPS
 }
 
+/// Whether the time until a deadline is enough for a request to wait. `min_queue_time` is that of
+/// [`min_queue_time`].
+pub(crate) fn has_time_to_wait(now: Instant, deadline: Instant, min_queue_time: Duration) -> bool {
+    now + min_queue_time <= deadline
+}
+
 /// What a request is screened by as it comes.
 pub(crate) struct ScreeningFacts<'a> {
     /// The time.
@@ -46,7 +52,7 @@
         if !self.is_valid() {
             return Err(RejectReason::Invalid);
         }
-        if self.request.deadline < self.now + self.min_queue_time {
+        if !has_time_to_wait(self.now, self.request.deadline, self.min_queue_time) {
             return Err(RejectReason::NoTime);
         }
         Ok(())
@@ -60,9 +66,9 @@
     }
 }
 
-/// Whether a request names a plan with a hard limit that its customer's record does not follow: by the plan
-/// that other requests name the limit might be passed.
-pub(crate) fn evades_hard_limit(plans: &[Plan], claimed_plan: u16, recorded_plan: u16) -> bool {
+/// Whether a request names a plan with a hard limit that is not the plan of its customer's record: after a
+/// change of plan that is not known here yet, or to bypass the limit.
+pub(crate) fn has_plan_mismatch(plans: &[Plan], claimed_plan: u16, recorded_plan: u16) -> bool {
     let has_hard_limit = plans[usize::from(claimed_plan)].hard_limit_rate > 0.0;
     has_hard_limit && recorded_plan != claimed_plan
 }
@@ -105,7 +111,7 @@
         let needs_hard_limit = self.shortages.hard_limit.is_some();
         let lacks_hard_limit_alone = needs_hard_limit && self.shortages.quota.is_none();
         let needs_grant_request = lacks_hard_limit_alone && self.grant.hard_limit_is_elsewhere;
-        let can_wait = self.now + self.min_queue_time <= self.deadline;
+        let can_wait = has_time_to_wait(self.now, self.deadline, self.min_queue_time);
         if !can_wait || (self.is_quota_known() && !needs_grant_request) {
             return ArrivalDecision::DecideNow;
         }
@@ -120,7 +126,7 @@
         let is_over_rate_quota = self.shortages.quota.is_some() && self.plan.concurrency_quota == 0;
         let freshness =
             if is_over_rate_quota { REJECTION_FRESHNESS } else { self.ownership.grant_freshness() };
-        self.grant.is_quota_owner || self.grant.grant_age.is_some_and(|age| age < freshness)
+        self.grant.is_quota_owner || self.grant.answer_age.is_some_and(|age| age < freshness)
     }
 }
 
@@ -154,7 +160,7 @@
         /// Why.
         reason: RejectReason,
         /// When the client is advised to come again.
-        retry_after: Duration,
+        advice: RetryAdvice,
     },
 }
 
@@ -164,11 +170,11 @@
         match self.shortage {
             Some(_) if self.answers == GrantAnswers::Outstanding => AdmissionDecision::KeepWaiting,
             Some(shortage) => AdmissionDecision::Reject {
-                reason: RejectReason::OverQuota,
-                retry_after: Duration::from_secs_f64(shortage.seconds),
+                reason: shortage.limit.reject_reason(),
+                advice: RetryAdvice::After(Duration::from_secs_f64(shortage.seconds)),
             },
             None if self.is_crowded_out() => {
-                AdmissionDecision::Reject { reason: RejectReason::Saturated, retry_after: Duration::MAX }
+                AdmissionDecision::Reject { reason: RejectReason::Saturated, advice: RetryAdvice::Longest }
             }
             None => AdmissionDecision::Admit,
         }
@@ -201,7 +207,7 @@
     /// Whether the request has been queued for as long as it may be, or has no time left to wait.
     pub(crate) fn is_overdue(&self) -> bool {
         let queued_until = self.arrived_at + self.latency_budget.mul_f64(MAX_QUEUE_TIME_SHARE);
-        self.now > queued_until || self.now + self.min_queue_time > self.deadline
+        self.now > queued_until || !has_time_to_wait(self.now, self.deadline, self.min_queue_time)
     }
 }
 
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -33,7 +33,7 @@
 }
 
 /// A request with tokens, at a gateway that owns no quota and whose last grant has this age.
-fn arrival(plan: &Plan, grant_age: Duration) -> ArrivalFacts<'_> {
+fn arrival(plan: &Plan, answer_age: Duration) -> ArrivalFacts<'_> {
     ArrivalFacts {
         now: NOW,
         deadline: NOW + Duration::from_secs(1),
@@ -42,7 +42,7 @@
         shortages: Shortages::default(),
         grant: GrantStatus {
             is_quota_owner: false,
-            grant_age: Some(grant_age),
+            answer_age: Some(answer_age),
             hard_limit_is_elsewhere: true,
         },
         ownership: QuotaOwnership::Designated,
@@ -118,8 +118,8 @@
 #[test]
 fn retries_of_a_customer_over_its_rate_ask_for_no_new_grant() {
     let (rate, concurrency) = (plan(0), plan(2));
-    let decide = |plan: &Plan, limit, grant_age| {
-        ArrivalFacts { shortages: lacks(limit), ..arrival(plan, grant_age) }.decide()
+    let decide = |plan: &Plan, limit, answer_age| {
+        ArrivalFacts { shortages: lacks(limit), ..arrival(plan, answer_age) }.decide()
     };
     let (recent, old) = (Duration::from_millis(499), Duration::from_millis(500));
     assert_eq!(decide(&rate, QuotaLimit::Rate, recent), ArrivalDecision::DecideNow);
@@ -152,9 +152,9 @@
 fn a_hard_limit_is_not_evaded_by_naming_another_plan() {
     let without = Plan { hard_limit_rate: 0.0, ..plan(0) };
     let plans = [plan(0), without];
-    assert!(evades_hard_limit(&plans, 0, 1));
-    assert!(!evades_hard_limit(&plans, 0, 0));
-    assert!(!evades_hard_limit(&plans, 1, 0));
+    assert!(has_plan_mismatch(&plans, 0, 1));
+    assert!(!has_plan_mismatch(&plans, 0, 0));
+    assert!(!has_plan_mismatch(&plans, 1, 0));
 }
 
 /// Without tokens a request waits as long as another owner may still answer; then it is rejected, and its
@@ -165,8 +165,14 @@
     let outstanding = AdmissionFacts { shortage, answers: GrantAnswers::Outstanding, ..admission() };
     assert_eq!(outstanding.decide(), AdmissionDecision::KeepWaiting);
     let complete = AdmissionFacts { answers: GrantAnswers::Complete, ..outstanding };
-    let (reason, retry_after) = (RejectReason::OverQuota, Duration::from_millis(500));
-    assert_eq!(complete.decide(), AdmissionDecision::Reject { reason, retry_after });
+    let reason = RejectReason::OverQuota;
+    let advice = RetryAdvice::After(Duration::from_millis(500));
+    assert_eq!(complete.decide(), AdmissionDecision::Reject { reason, advice });
+    let presumed = AdmissionFacts { shortage: lacks(QuotaLimit::OwnersOverloaded).quota, ..complete };
+    let unknown = AdmissionDecision::Reject { reason: RejectReason::QuotaUnknown, advice };
+    assert_eq!(presumed.decide(), unknown);
+    let timed_out = AdmissionFacts { answers: GrantAnswers::TimedOut, ..outstanding };
+    assert_eq!(timed_out.decide(), complete.decide());
 }
 
 /// All attempts that the gateway may have in flight are, and requests queue. The queue holds three tenths of
@@ -189,8 +195,8 @@
     assert!((450..550).contains(&joining(100, 15)));
     assert_eq!(joining(100, 30), 0);
     let full = AdmissionFacts { in_flight: 100, queue_length: 30, concurrency_limit: 100.0, ..admission() };
-    let (reason, retry_after) = (RejectReason::Saturated, Duration::MAX);
-    assert_eq!(full.decide(), AdmissionDecision::Reject { reason, retry_after });
+    let (reason, advice) = (RejectReason::Saturated, RetryAdvice::Longest);
+    assert_eq!(full.decide(), AdmissionDecision::Reject { reason, advice });
 }
 
 /// No backend takes a queued request. It is given up after three tenths of the time in which an answer is
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -3,12 +3,10 @@
 use super::identity::CUSTOMER_IDLE_TIME;
 use super::{refill_time, GatewaySet, GrantRequest, HardLimitShare, IdentityClaim, InitialUsage};
 use super::{OwnerAssignment, QuotaBucket, RemoteUsage, GRANTER_COUNT, USAGE_RATE_TIME_CONSTANT};
-use crate::gossip::{wrap_total, TokenLevel, UsageReport, MAX_PLAN};
+use crate::gossip::{wrap_total, TokenLevel, UsageReport, MAX_PLAN, MAX_REPORTED_IN_FLIGHT};
 use crate::state::decay;
 use crate::{CustomerId, Duration, Instant, Plan};
 
-/// The highest count of attempts in flight that a message carries.
-pub(super) const MAX_REPORTED_IN_FLIGHT: u8 = 127;
 /// The least rate of usage through this gateway, as a part of its even share, where the usage of others is
 /// known.
 const MIN_OWN_RATE: f64 = 0.1;
@@ -78,8 +76,8 @@
     pub role: Role,
     /// The usage through all other gateways.
     pub remote: RemoteUsage,
-    /// When a grant last came, to a gateway that is not an owner.
-    pub granted_at: Option<Instant>,
+    /// When an owner last answered, whether it granted or refused, to a gateway that is not an owner.
+    pub answered_at: Option<Instant>,
     /// The last request for a grant, and the requests that wait for it.
     pub grant_request: GrantRequest,
 }
@@ -129,7 +127,7 @@
     /// A gateway that sees little of the customer counts with a floor, so that its share of the tokens is
     /// never nothing.
     pub(super) fn own_share(&self, plan: &Plan) -> f64 {
-        let knows_others = self.role.is_owner() || self.granted_at.is_some();
+        let knows_others = self.role.is_owner() || self.answered_at.is_some();
         let floor = if knows_others { MIN_OWN_RATE } else { 1.0 };
         let own_rate = self.own_rate.max(plan.rate / self.gateway_set.size.max(1.0) * floor);
         own_rate / (own_rate + self.remote.rate()).max(MIN_TOTAL_RATE)
@@ -154,16 +152,17 @@
 
     /// Draws units from both buckets; negative units are given back.
     pub(super) fn charge(&mut self, plan: &Plan, units: f64) {
-        self.bucket.charge(plan, units);
+        self.bucket.charge_clamped(plan, units);
         self.hard_limit.charge(plan, units);
         self.total_units += units;
         self.own_rate = (self.own_rate + units / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
     }
 
-    /// Records the end of an attempt, and by how many units it took more than was charged.
+    /// Records the end of an attempt, and by how many units it took more than was charged. The quota is
+    /// corrected by them; the hard limit stays as it was charged at admission.
     pub(super) fn end_attempt(&mut self, correction_units: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.bucket.deduct(correction_units);
+        self.bucket.deduct_unclamped(correction_units);
         self.total_units += correction_units;
     }
 
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -44,8 +44,10 @@
 /// Whether further answers to a request for a grant may come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantAnswers {
-    /// All have come, or none is waited for any longer.
+    /// All have come, or none was requested.
     Complete,
+    /// None is waited for any longer. It decides like [`GrantAnswers::Complete`].
+    TimedOut,
     /// Another owner may still grant what this one did not have.
     Outstanding,
 }
@@ -87,7 +89,7 @@
 }
 
 /// How long a request may wait for a grant from a time on: as long as a fifth of its latency objective,
-/// or of the time until its deadline.
+/// or of the time until its deadline, and never longer than [`MAX_GRANT_WAIT`].
 pub(crate) fn grant_wait(from: Instant, deadline: Instant, latency_objective: Duration) -> Duration {
     let left = deadline.duration_since(from).min(latency_objective);
     MAX_GRANT_WAIT.min(left / GRANT_WAITS_PER_REQUEST)
@@ -137,7 +139,7 @@
         self.settings.ownership.rations_grant_requests()
             && has_concurrency_quota
             && !customer.role.is_owner()
-            && customer.granted_at.is_some_and(|granted_at| is_recent(now, granted_at))
+            && customer.answered_at.is_some_and(|answered_at| is_recent(now, answered_at))
             && draw * customer.remote.rate() > max_request_rate
     }
 
@@ -167,11 +169,11 @@
         } else {
             GrantAnswers::Outstanding
         };
-        let granted = (!customer.role.is_owner()).then_some(customer.grant_request.charged_by_owner);
+        let presumed_granted = (!customer.role.is_owner()).then_some(customer.grant_request.charged_by_owner);
         tracing::debug!(
-            target: "policy", customer = grant.customer.0, from, granted, tokens = grant.tokens,
+            target: "policy", customer = grant.customer.0, from, presumed_granted, tokens = grant.tokens,
             remote_in_flight = grant.remote_in_flight, hard_limit_units = grant.hard_limit_grant, ?answers,
-            "grant received"
+            "quota answer received"
         );
         Some(AnsweredRequests { waiting: customer.grant_request.waiting.clone(), answers })
     }
@@ -181,7 +183,7 @@
     /// Sets the bucket to what an owner says, less the usage that the owner cannot know of yet.
     fn apply_grant(&mut self, plan: &Plan, grant: &QuotaGrant, now: Instant) {
         self.remote.replace(grant.remote_rate, u32::from(grant.remote_in_flight));
-        self.granted_at = Some(now);
+        self.answered_at = Some(now);
         let unreported_units = wrapping_delta(grant.receiver_total, wrap_total(self.total_units));
         self.bucket.set(grant.tokens - unreported_units);
         // What the owner granted it has charged, too: it need not be reported again.
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -1,9 +1,11 @@
 //! The owner's side of usage reports: what a report adds to a customer's usage, and the grant that answers
 //! it.
 
-use super::customer::{record_lifetime, Role, MAX_REPORTED_IN_FLIGHT};
+use super::customer::{record_lifetime, Role};
 use super::{Customer, GatewaySet, GatewayUsage, IdentityClaim, InitialUsage, QuotaManager};
-use crate::gossip::{floor_to_wire_units, wrapping_delta, PeerAge, QuotaGrant, UsageReport};
+use crate::gossip::{
+    floor_to_wire_units, wrapping_delta, PeerAge, QuotaGrant, UsageReport, MAX_REPORTED_IN_FLIGHT,
+};
 use crate::{Instant, Plan};
 
 /// Most units, as a part of the burst, that the first report of an older gateway may be believed to add.
@@ -58,7 +60,7 @@
         };
         let units = customer.new_units(plan, usage.reported_total, scope, report);
         let lowest_tokens = ownership.lowest_tokens(plan, customer.bucket.tokens());
-        customer.bucket.settle(plan, usage.granted_units, units, lowest_tokens);
+        customer.bucket.settle_clamped(plan, usage.granted_units, units, lowest_tokens);
         if ownership.counts_grant_requests(plan) {
             // The rate counts requests for grants of the whole customer, the sender's included. It goes out
             // as `remote_rate`, and the gateways ration their requests by it.
@@ -147,7 +149,7 @@
             tracing::debug!(
                 target: "policy", customer = report.customer.0, from, tokens, others_in_flight,
                 requested_units = report.requested_units, hard_limit_units = hard_limit_grant,
-                reason = ?decision,                "grant decided"
+                ?decision, "grant decided"
             );
         }
         QuotaGrant {
@@ -181,7 +183,7 @@
         let is_countable = report.in_flight < MAX_REPORTED_IN_FLIGHT;
         self.remote.set_in_flight(usage, report.in_flight + u8::from(is_granted && is_countable));
         usage.granted_units = if is_granted { report.requested_units } else { 0.0 };
-        self.bucket.deduct(usage.granted_units);
+        self.bucket.deduct_unclamped(usage.granted_units);
     }
 
     /// Units of the hard limit for a gateway, deducted here first: a lost message loses them.
--- a/src/policy/reasons.rs
+++ b/src/policy/reasons.rs
@@ -1,4 +1,7 @@
-//! The reasons of rejections and ejections, as log lines spell them.
+//! The reasons of rejections and ejections, as log lines spell them, and the advice that goes with a
+//! rejection.
+
+use crate::Duration;
 
 /// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,16 +14,44 @@
     Shed,
     /// Its customer has used its quota or its hard limit.
     OverQuota,
+    /// The owners of its customer's quota granted nothing and are presumed to be overloaded by the customer.
+    QuotaUnknown,
     /// Its customer is far beyond its quota, and the owners of the quota are not asked for each of its
     /// requests.
     GrantRequestSkipped,
     /// It names a plan with a hard limit that is not the plan of its customer's record, by which the limit
-    /// might be exceeded.
-    HardLimitEvaded,
+    /// might be exceeded. A change of plan that is not known here yet shows like this, too.
+    PlanMismatch,
     /// The gateway has as much in flight and queued as it may.
     Saturated,
-    /// It was queued for as long as it may be, or its attempts came to nothing.
-    NotServed,
+    /// It was queued for as long as it may be.
+    QueueTimeout,
+    /// The host stood still, and the request had too little time left when it went on.
+    HostStalled,
+    /// Its attempts did not succeed, and no other is permitted or no backend may take one.
+    AttemptsExhausted,
+}
+
+/// When a rejected client is advised to send its request again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RetryAdvice {
+    /// It gets no advice.
+    None,
+    /// After a time, or after the longest one that the settings allow if that is less.
+    After(Duration),
+    /// After the longest time that the settings allow.
+    Longest,
+}
+
+impl RetryAdvice {
+    /// The time after which to retry, where the settings allow `longest` at most; zero for no advice.
+    pub(crate) fn retry_after(self, longest: Duration) -> Duration {
+        match self {
+            RetryAdvice::None => Duration::ZERO,
+            RetryAdvice::After(time) => time.min(longest),
+            RetryAdvice::Longest => longest,
+        }
+    }
 }
 
 /// Why a backend was ejected.
