--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -66,43 +66,22 @@
     /// Begins an attempt if the request may have one, and there are time and a connection for it.
     pub(super) fn send(&mut self, id: RequestId, backend: BackendId, expires_at: Option<Instant>) {
         let Some(request) = self.requests.get_mut(id) else {
-            // The request has ended and been removed: there is no attempt to log, count or audit.
-            //
-            // This occurs where several requests are closed before the gateway handles the first of these
-            // events, as at the shutdown's reply deadline, and it sends another of them meanwhile. One from
-            // its queue has had no attempt, so that 0 is its number. For a hedged one 0 is the attempt that
-            // has just ended: the gateway ignores this end and takes the hedge for in flight from then on,
-            // which matters little since the process ends within `EXIT_MARGIN`.
-            let attempt = AttemptId { request: id, number: 0 };
-            let end =
-                AttemptEndReport { request_closed: true, ..AttemptEndReport::not_sent(attempt, backend) };
-            return self.pending_events.push_back(end.into());
+            return self.report_removed_request(id, backend);
         };
         let request_closed = request.closed;
         let number = u16::try_from(request.attempts.len()).unwrap_or(u16::MAX);
         let attempt = AttemptId { request: id, number };
         let expires_at = expires_at.map_or(request.deadline, |expires_at| expires_at.min(request.deadline));
         let refusal = request.may_send(&self.attempt_limits).err();
-        request.attempts.push(AttemptEntry {
-            backend,
-            started_at: self.now,
-            expires_at,
-            begins_by: self.now + self.connect_timeout,
-            connection: None,
-            has_begun: false,
-            may_have_executed: false,
-        });
+        let begins_by = self.now + self.connect_timeout;
+        request.attempts.push(AttemptEntry::new(backend, self.now, expires_at, begins_by));
         // The exact time: the loop may have been delayed since it read its clock, and the client have given
         // up.
         let has_expired = expires_at <= self.clock.now().max(self.now);
         if refusal.is_some() || has_expired {
+            let refusal = refusal.map(tracing::field::debug);
             tracing::debug!(
-                target: "attempt",
-                request = id.0,
-                attempt = number,
-                backend = backend.0,
-                refusal = refusal.map(tracing::field::debug),
-                has_expired,
+                target: "attempt", request = id.0, attempt = number, backend = backend.0, refusal, has_expired,
                 "not permitted"
             );
             return self.end_attempt(AttemptEndReport {
@@ -112,17 +91,26 @@
         }
         if !self.reserve_descriptor(backend) {
             tracing::debug!(
-                target: "attempt",
-                request = id.0,
-                attempt = number,
-                backend = backend.0,
-                "no descriptor"
+                target: "attempt", request = id.0, attempt = number, backend = backend.0, "no descriptor"
             );
             return self.end_attempt(AttemptEndReport::not_sent(attempt, backend));
         }
         self.assign_last_attempt(attempt);
     }
 
+    /// Ends an attempt of a request that has ended and been removed: there is nothing to log, count or audit.
+    ///
+    /// This occurs where several requests are closed before the gateway handles the first of these events, as
+    /// at the shutdown's reply deadline, and it sends another of them meanwhile. One from its queue has had no
+    /// attempt, so that 0 is its number. For a hedged one 0 is the attempt that has just ended: the gateway
+    /// ignores this end and takes the hedge for in flight from then on, which matters little since the process
+    /// ends within `EXIT_MARGIN`.
+    fn report_removed_request(&mut self, id: RequestId, backend: BackendId) {
+        let attempt = AttemptId { request: id, number: 0 };
+        let end = AttemptEndReport { request_closed: true, ..AttemptEndReport::not_sent(attempt, backend) };
+        self.pending_events.push_back(end.into());
+    }
+
     /// Writes the command of a request's last attempt to a connection.
     fn assign_last_attempt(&mut self, attempt_id: AttemptId) {
         let Some(request) = self.requests.get_mut(attempt_id.request) else { return };
--- a/src/bin/ingress/event_loop/request_entries.rs
+++ b/src/bin/ingress/event_loop/request_entries.rs
@@ -52,6 +52,21 @@
     pub may_have_executed: bool,
 }
 
+impl AttemptEntry {
+    /// An attempt that has no connection yet.
+    pub fn new(backend: BackendId, started_at: Instant, expires_at: Instant, begins_by: Instant) -> Self {
+        AttemptEntry {
+            backend,
+            started_at,
+            expires_at,
+            begins_by,
+            connection: None,
+            has_begun: false,
+            may_have_executed: false,
+        }
+    }
+}
+
 /// A request that has no final reply yet, or has attempts in flight.
 pub struct RequestEntry {
     /// The client's command.
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -51,8 +51,13 @@
         if !self.passes_load_shedding(&request, observed.familiarity) {
             return self.push_rejection(request.id, RejectReason::Shed, RetryAdvice::Longest, actions);
         }
+        self.begin_admission(request, observed.grant, actions);
+    }
+
+    /// Decides on a request that passed load shedding, or has it wait for a grant.
+    fn begin_admission(&mut self, request: Request, grant: GrantStatus, actions: &mut Vec<Action>) {
         let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
-        match self.decide_arrival(&request, observed.grant) {
+        match self.decide_arrival(&request, grant) {
             ArrivalDecision::DecideNow => {
                 self.requests.insert(state);
                 self.apply_admission(request.id, GrantAnswers::Complete, actions);
