--- a/src/bin/ingress/event_loop/actions.rs
+++ b/src/bin/ingress/event_loop/actions.rs
@@ -33,7 +33,7 @@
             }
             // The watch is always on.
             Action::PollDiscovery => {}
-            Action::Log(line) => tracing::info!(target: logging::UNTITLED, "{line}"),
+            Action::Log(line) => tracing::info!(target: logging::NO_TARGET, "{line}"),
         }
     }
 
--- a/src/bin/ingress/logging.rs
+++ b/src/bin/ingress/logging.rs
@@ -18,7 +18,7 @@
 /// `trace` or `off`.
 pub const LEVEL_VARIABLE: &str = "LB_LOG";
 /// The target of an event whose message names its origin itself.
-pub const UNTITLED: &str = "";
+pub const NO_TARGET: &str = "";
 /// The level if the variable is not set or not valid.
 const DEFAULT_LEVEL: LevelFilter = LevelFilter::INFO;
 /// The most lines in the buffer; further ones are dropped.
@@ -74,7 +74,7 @@
         event.record(&mut line);
         writer.write_str("ingress: ")?;
         let target = event.metadata().target();
-        if target != UNTITLED {
+        if target != NO_TARGET {
             write!(writer, "{target}: ")?;
         }
         writeln!(writer, "{}{}", line.message, line.fields)
--- a/src/bin/ingress/main.rs
+++ b/src/bin/ingress/main.rs
@@ -58,7 +58,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            tracing::error!(target: logging::UNTITLED, "{}", ErrorChain(&error));
+            tracing::error!(target: logging::NO_TARGET, "{}", ErrorChain(&error));
             ExitCode::FAILURE
         }
     }
