--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -22,9 +22,9 @@
 
 /// Whether further commands of a connection are parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Intake {
+enum ReadState {
     /// They are.
-    Open,
+    Active,
     /// Too many replies are owed or unread.
     Paused,
 }
@@ -80,7 +80,7 @@
     /// its limit.
     fn read_and_parse(&mut self, key: usize, now: Instant) {
         for _ in 0..MAX_READS_PER_ITERATION {
-            if self.parse_commands(key, now) == Intake::Paused {
+            if self.parse_commands(key, now) == ReadState::Paused {
                 self.pause_reading(key);
                 return;
             }
@@ -99,8 +99,8 @@
             connection.receive(&self.read_buffer[..received], now);
         }
         match self.parse_commands(key, now) {
-            Intake::Open => self.read_later(key),
-            Intake::Paused => self.pause_reading(key),
+            ReadState::Active => self.read_later(key),
+            ReadState::Paused => self.pause_reading(key),
         }
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Parses the complete commands that a connection has sent.
-    fn parse_commands(&mut self, key: usize, now: Instant) -> Intake {
+    fn parse_commands(&mut self, key: usize, now: Instant) -> ReadState {
         let mut parsed = 0;
         loop {
             let connection = &mut self.connections[key];
@@ -148,9 +148,9 @@
         let connection = &mut self.connections[key];
         connection.consume_input(parsed);
         if connection.is_backlogged() {
-            Intake::Paused
+            ReadState::Paused
         } else {
-            Intake::Open
+            ReadState::Active
         }
     }
 
