--- a/src/bin/ingress/clients/output.rs
+++ b/src/bin/ingress/clients/output.rs
@@ -12,9 +12,9 @@
 
 /// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WriteProgress {
+pub enum WriteOutcome {
     /// All was written, or as much as the socket takes; a readiness event follows.
-    Made,
+    Written,
     /// The system lacks memory; the write is to be retried.
     OutOfMemory,
 }
@@ -52,7 +52,7 @@
     }
 
     /// Writes as much as the socket takes; an error means that the connection is broken.
-    pub fn write_to(&mut self, stream: &mut TcpStream, now: Instant) -> io::Result<WriteProgress> {
+    pub fn write_to(&mut self, stream: &mut TcpStream, now: Instant) -> io::Result<WriteOutcome> {
         while self.unwritten() > 0 {
             match stream.write(&self.bytes[self.written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
@@ -65,11 +65,11 @@
                     self.blocked_since = self.blocked_since.or(Some(now));
                     break;
                 }
-                Err(error) if is_out_of_memory(&error) => return Ok(WriteProgress::OutOfMemory),
+                Err(error) if is_out_of_memory(&error) => return Ok(WriteOutcome::OutOfMemory),
                 Err(error) => return Err(error),
             }
         }
-        Ok(WriteProgress::Made)
+        Ok(WriteOutcome::Written)
     }
 
     /// Removes the written bytes and frees most of their memory.
--- a/src/bin/ingress/clients/writing.rs
+++ b/src/bin/ingress/clients/writing.rs
@@ -3,7 +3,7 @@
 use super::closing::ClientCloseReason;
 use super::connection::error_line;
 use super::error::ClientError;
-use super::output::WriteProgress;
+use super::output::WriteOutcome;
 use super::{Clients, ReplyHandle};
 use ingress::Instant;
 
@@ -37,8 +37,8 @@
             let Some(connection) = self.connections.get_mut(key) else { continue };
             connection.queued_for_write = false;
             match connection.output.write_to(&mut connection.stream, now) {
-                Ok(WriteProgress::Made) => {}
-                Ok(WriteProgress::OutOfMemory) => {
+                Ok(WriteOutcome::Written) => {}
+                Ok(WriteOutcome::OutOfMemory) => {
                     connection.queued_for_write = true;
                     self.write_retries.push(key);
                     continue;
