--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -145,7 +145,7 @@
     close_counts: [u64; ClientCloseReason::ALL.len()],
     /// Connections that this side has closed with replies owed, each with one request without a reply. Such a
     /// close violates an invariant.
-    abandoned: Vec<Option<RequestId>>,
+    closed_with_replies_owed: Vec<Option<RequestId>>,
 }
 
 impl Clients {
@@ -180,7 +180,7 @@
             queued_since: None,
             accept_failing_since: None,
             close_counts: Default::default(),
-            abandoned: Vec::new(),
+            closed_with_replies_owed: Vec::new(),
         }
     }
 
@@ -227,8 +227,8 @@
 
     /// Takes the connections that this side has closed with replies owed, each with one request without a
     /// reply.
-    pub fn take_abandoned(&mut self) -> Vec<Option<RequestId>> {
-        std::mem::take(&mut self.abandoned)
+    pub fn take_closed_with_replies_owed(&mut self) -> Vec<Option<RequestId>> {
+        std::mem::take(&mut self.closed_with_replies_owed)
     }
 
     /// How many connections are idle.
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -196,7 +196,7 @@
         );
         self.close_counts[reason as usize] += 1;
         if connection.is_busy() && !reason.may_drop_replies() {
-            self.abandoned.push(connection.replies.pending_latest_first().next());
+            self.closed_with_replies_owed.push(connection.replies.pending_latest_first().next());
         }
         self.lingering_count -= usize::from(connection.linger_until.is_some());
         self.over_limit_count -= usize::from(connection.is_over_limit());
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -64,7 +64,7 @@
 
     /// Reports the connections of clients that this side closed with replies owed.
     pub(super) fn audit_closed_clients(&mut self) {
-        for id in self.clients.take_abandoned() {
+        for id in self.clients.take_closed_with_replies_owed() {
             self.report_violation(ViolationKind::ClosedWithRepliesOwed, id, ViolationDetails::default());
         }
     }
