--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -17,7 +17,7 @@
 /// some notice the shutdown late.
 pub const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(CONNECTING_MILLIS + 100);
 /// After that, accepting ends once no connection was opened for this long.
-const ACCEPTING_QUIET_TIME: Duration = Duration::from_millis(300);
+const ACCEPT_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 /// The interval of that check.
 pub const ACCEPTING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long before the reply deadline accepting ends at the latest: a later connection's request could hardly
@@ -110,8 +110,13 @@
 
     /// Whether to go on accepting connections: more are waiting, or the latest one was opened a short while
     /// ago.
-    pub fn keeps_accepting(&self, now: Instant, accepted: AcceptOutcome, last_accepted_at: Instant) -> bool {
-        let arriving = accepted != AcceptOutcome::QueueEmpty || now < last_accepted_at + ACCEPTING_QUIET_TIME;
+    pub fn should_keep_accepting(
+        &self,
+        now: Instant,
+        accepted: AcceptOutcome,
+        last_accepted_at: Instant,
+    ) -> bool {
+        let arriving = accepted != AcceptOutcome::QueueEmpty || now < last_accepted_at + ACCEPT_IDLE_TIMEOUT;
         arriving && now + ACCEPTING_END_MARGIN < self.reply_deadline()
     }
 
@@ -121,7 +126,7 @@
     }
 
     /// Whether no client is left, or none that is waited for any longer.
-    pub fn can_end(&self, now: Instant, clients: &Clients) -> bool {
+    pub fn can_exit(&self, now: Instant, clients: &Clients) -> bool {
         let Phase::Draining { since, .. } = self.phase else { return false };
         let waited = now.duration_since(since);
         // An incomplete command, or replies that are not read, would otherwise delay the process until it is
--- a/src/bin/ingress/event_loop/shutdown/tests.rs
+++ b/src/bin/ingress/event_loop/shutdown/tests.rs
@@ -47,11 +47,11 @@
         (AcceptOutcome::MorePending, Instant::ZERO, true),
         (AcceptOutcome::RetryLater, Instant::ZERO, true),
     ] {
-        assert_eq!(shutdown.keeps_accepting(now, accepted, last_accepted_at), keeps, "{accepted:?}");
+        assert_eq!(shutdown.should_keep_accepting(now, accepted, last_accepted_at), keeps, "{accepted:?}");
     }
     let late = STARTED + LONGEST_REPLY_TIME - ACCEPTING_END_MARGIN;
-    assert!(shutdown.keeps_accepting(late - Duration::MICROSECOND, AcceptOutcome::MorePending, late));
-    assert!(!shutdown.keeps_accepting(late, AcceptOutcome::MorePending, late));
+    assert!(shutdown.should_keep_accepting(late - Duration::MICROSECOND, AcceptOutcome::MorePending, late));
+    assert!(!shutdown.should_keep_accepting(late, AcceptOutcome::MorePending, late));
     shutdown.start_draining(late);
     assert!(shutdown.is_draining() && shutdown.is_past_reply_deadline(STARTED + LONGEST_REPLY_TIME));
 }
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -59,7 +59,7 @@
     /// Accepts what waits, and goes on accepting while clients still connect; closes the listener otherwise.
     fn check_accepting(&mut self) {
         let mut accepted = self.accept();
-        if self.shutdown.keeps_accepting(self.now, accepted, self.clients.last_accepted_at) {
+        if self.shutdown.should_keep_accepting(self.now, accepted, self.clients.last_accepted_at) {
             self.clients.close_when_idle(self.now, Accepting::Continue);
             self.timers.schedule(self.now + ACCEPTING_CHECK_INTERVAL, Timer::CheckAccepting);
         } else {
@@ -105,6 +105,6 @@
         self.shutdown.is_draining()
             && !self.requests.any_open()
             && !self.clients.has_pending_work()
-            && self.shutdown.can_end(self.now, &self.clients)
+            && self.shutdown.can_exit(self.now, &self.clients)
     }
 }
