--- a/src/bin/ingress/command.rs
+++ b/src/bin/ingress/command.rs
@@ -59,7 +59,7 @@
     }
 
     /// Whether the verb is the one for a class of this idempotency.
-    fn suits(self, idempotency: Idempotency) -> bool {
+    fn matches_idempotency(self, idempotency: Idempotency) -> bool {
         (self == Verb::Get) == (idempotency == Idempotency::Idempotent)
     }
 }
--- a/src/bin/ingress/command/options.rs
+++ b/src/bin/ingress/command/options.rs
@@ -149,7 +149,7 @@
 
     /// Checks that the verb is the one for the class, and that a key is given where the class needs one.
     pub fn check_idempotency(&self, verb: Verb, idempotency: Idempotency) -> Result<(), CommandError> {
-        if !verb.suits(idempotency) {
+        if !verb.matches_idempotency(idempotency) {
             return Err(CommandError::VerbMismatch);
         }
         let needs_key = matches!(idempotency, Idempotency::Keyed { .. });
