--- a/src/bin/ingress/event_loop/arrival_clock.rs
+++ b/src/bin/ingress/event_loop/arrival_clock.rs
@@ -29,11 +29,11 @@
     pub fn poll_returned(&mut self, called_at: Instant, timeout: Duration, returned_at: Instant) {
         let elapsed = returned_at.duration_since(called_at);
         let waited = elapsed.min(timeout);
-        let overslept = elapsed - waited;
+        let overrun = elapsed - waited;
         let has_waited = waited >= MIN_WAIT;
         // Input that was there when the call began can have arrived at any time since the call before.
         let busy = if has_waited { Duration::ZERO } else { called_at.duration_since(self.reported_at) };
-        self.arrived_at = returned_at - (overslept + busy);
+        self.arrived_at = returned_at - (overrun + busy);
         self.reported_at = returned_at;
     }
 
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -66,7 +66,7 @@
     /// Begins an attempt if the request may have one, and there are time and a connection for it.
     pub(super) fn send(&mut self, id: RequestId, backend: BackendId, expires_at: Option<Instant>) {
         let Some(request) = self.requests.get_mut(id) else {
-            return self.report_removed_request(id, backend);
+            return self.end_attempt_of_removed_request(id, backend);
         };
         let request_closed = request.closed;
         let number = u16::try_from(request.attempts.len()).unwrap_or(u16::MAX);
@@ -105,7 +105,7 @@
     /// attempt, so that 0 is its number. For a hedged one 0 is the attempt that has just ended: the gateway
     /// ignores this end and takes the hedge for in flight from then on, which matters little since the process
     /// ends within `EXIT_MARGIN`.
-    fn report_removed_request(&mut self, id: RequestId, backend: BackendId) {
+    fn end_attempt_of_removed_request(&mut self, id: RequestId, backend: BackendId) {
         let attempt = AttemptId { request: id, number: 0 };
         let end = AttemptEndReport { request_closed: true, ..AttemptEndReport::not_sent(attempt, backend) };
         self.pending_events.push_back(end.into());
--- a/src/bin/ingress/event_loop/clock.rs
+++ b/src/bin/ingress/event_loop/clock.rs
@@ -8,23 +8,23 @@
 /// Later steps of the wall clock do not change it, so its spans are real time.
 pub struct Clock {
     /// The start, by the system's monotonic clock.
-    started: std::time::Instant,
+    monotonic_start: std::time::Instant,
     /// The start, by the wall clock.
-    started_at: Instant,
+    wall_clock_start: Instant,
 }
 
 impl Clock {
     /// Starts the clock at the wall clock's time.
     pub fn new() -> Self {
         Clock {
-            started: std::time::Instant::now(),
-            started_at: Instant::from_micros(unix_time().as_micros()),
+            monotonic_start: std::time::Instant::now(),
+            wall_clock_start: Instant::from_micros(unix_time().as_micros()),
         }
     }
 
     /// The time.
     pub fn now(&self) -> Instant {
-        self.started_at + Duration::from_micros(self.started.elapsed().as_micros() as u64)
+        self.wall_clock_start + Duration::from_micros(self.monotonic_start.elapsed().as_micros() as u64)
     }
 }
 
