--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -134,7 +134,7 @@
         let ready_ids = || ready().map(|backend| backend.endpoint.backend);
         self.ready_capacity = ready().map(|backend| backend.size).sum();
         self.by_tag = ready_ids().map(|id| (backend_tag(id.0), id)).collect();
-        self.ready = EndpointIndex::of(ready_ids().map(|id| (self.index_key(id), id)).collect());
+        self.ready = EndpointIndex::from_entries(ready_ids().map(|id| (self.index_key(id), id)).collect());
     }
 
     /// Removes a backend that is not ready from the indexes.
--- a/src/state/endpoint_index/tests.rs
+++ b/src/state/endpoint_index/tests.rs
@@ -17,7 +17,7 @@
         let key = |number: u64| number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 52; // few keys: many are alike
         let mut expected: std::collections::BTreeSet<(u64, BackendId)> =
             (0..size).map(|number| (key(number), BackendId(number))).collect();
-        let mut index = EndpointIndex::of(expected.iter().copied().collect());
+        let mut index = EndpointIndex::from_entries(expected.iter().copied().collect());
         for step in 0..4_000 {
             let number = random.u64(0..size.max(1) * 2);
             // Mostly in, then mostly out, down to none.
@@ -35,11 +35,11 @@
         for number in 0..size.max(1) * 2 {
             index.remove(key(number), BackendId(number));
         }
-        assert_eq!((index.len(), index.get(0), index.parts.len()), (0, None, 0));
+        assert_eq!((index.len(), index.get(0), index.blocks.len()), (0, None, 0));
     }
 }
 
-/// Fifty thousand backends are listed one by one. A change touches one part of the index, so parts must stay small;
+/// Fifty thousand backends are listed one by one. A change touches one block of the index, so blocks must stay small;
 /// if one grew with the list, each change at a large deployment would hold up all requests.
 #[test]
 fn no_part_grows_with_the_list() {
@@ -48,5 +48,5 @@
         index.insert(number.wrapping_mul(0x9E37_79B9_7F4A_7C15), BackendId(number));
     }
     assert_eq!(index.len(), 50_000);
-    assert!(index.parts.iter().all(|part| (1..=MAX_PART_LEN).contains(&part.len())));
+    assert!(index.blocks.iter().all(|block| (1..=MAX_BLOCK_LEN).contains(&block.len())));
 }
