--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -142,7 +142,7 @@
     ) {
         tracing::debug!(target: "policy", request = request.id.0, ?scope, ?timing, "awaits a quota grant");
         let wait = self.grant_wait(request, self.now) / self.quota.ownership().grant_attempts();
-        self.requests.check_at(self.now + wait, request.id);
+        self.requests.schedule_check(self.now + wait, request.id);
         if self.quota.await_grant(self.now, request, scope, timing) == GrantRequestStep::RequestGrant {
             self.queue_usage_report(request.customer, ReportPurpose::GrantRequest, actions);
         }
@@ -161,7 +161,7 @@
         if self.now >= wait_ends_at {
             return self.apply_admission(id, GrantAnswers::TimedOut, actions);
         }
-        self.requests.check_at(wait_ends_at, id);
+        self.requests.schedule_check(wait_ends_at, id);
         self.queue_usage_report(customer, ReportPurpose::GrantRequest, actions);
     }
 
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -121,7 +121,7 @@
 
     /// Looks again at all requests that are due to be.
     pub(crate) fn check_due_requests(&mut self, actions: &mut Vec<Action>) {
-        while let Some(id) = self.requests.next_due(self.now) {
+        while let Some(id) = self.requests.pop_due(self.now) {
             self.check_request(id, actions);
         }
     }
@@ -156,7 +156,7 @@
             idempotency: class.idempotency,
         });
         match check {
-            AttemptCheck::CheckAt(check_at) => return self.requests.check_at(check_at, id),
+            AttemptCheck::CheckAt(check_at) => return self.requests.schedule_check(check_at, id),
             AttemptCheck::CancelAndRetry => state.cancel_attempts(None, actions),
             AttemptCheck::Hedge | AttemptCheck::KeepWaiting => {}
         }
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -23,7 +23,7 @@
         if state.attempts.is_empty() {
             self.retry_policy.record_first_attempt();
         }
-        self.requests.check_at(check_at, id);
+        self.requests.schedule_check(check_at, id);
         self.load_balancer.record_send(self.now);
         self.begin_attempt(id, backend);
         actions.push(Action::Send { id, backend, expires_at });
--- a/src/state/request_table.rs
+++ b/src/state/request_table.rs
@@ -51,12 +51,12 @@
     }
 
     /// Schedules another look at a request.
-    pub(crate) fn check_at(&mut self, time: Instant, id: RequestId) {
+    pub(crate) fn schedule_check(&mut self, time: Instant, id: RequestId) {
         self.checks.push(Reverse((time, id)));
     }
 
     /// Takes out the next request that is to be looked at by now.
-    pub(crate) fn next_due(&mut self, now: Instant) -> Option<RequestId> {
+    pub(crate) fn pop_due(&mut self, now: Instant) -> Option<RequestId> {
         let Reverse((time, id)) = self.checks.peek().copied()?;
         if time > now {
             return None;
