--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -42,7 +42,7 @@
     /// How many gateways there are, at least 1.
     pub(crate) fleet_size: u64,
     /// Counted up for each draw; the seed is its first value.
-    pub(crate) random_state: u64,
+    pub(crate) seed_counter: u64,
     /// The host's clock at the latest event; it never goes back.
     pub(crate) now: Instant,
     /// When all that depends on time alone is looked at next.
@@ -80,7 +80,7 @@
         let quota = QuotaManager::new(&settings, now);
         let send_interval = quota.ownership().report_interval();
         Gateway {
-            random_state: seed,
+            seed_counter: seed,
             now,
             quota,
             peers: PeerExchange::new(&settings, now, send_interval),
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -128,8 +128,8 @@
 
     /// The seed of the next draw.
     pub(crate) fn next_seed(&mut self) -> u64 {
-        self.random_state = self.random_state.wrapping_add(1);
-        self.random_state
+        self.seed_counter = self.seed_counter.wrapping_add(1);
+        self.seed_counter
     }
 
     /// Has a request wait until the quota owners have answered, or for as long as that may take.
