--- a/src/audit.rs
+++ b/src/audit.rs
@@ -145,11 +145,11 @@
     pub fn count_and_should_log(&mut self, violation: Violation, now: Instant) -> bool {
         let index = violation.kind as usize;
         self.counts[index] += 1;
-        let logged_lately = self.last_logged_at[index].is_some_and(|at| now < at + LOG_INTERVAL);
-        if !logged_lately {
+        let logged_recently = self.last_logged_at[index].is_some_and(|at| now < at + LOG_INTERVAL);
+        if !logged_recently {
             self.last_logged_at[index] = Some(now);
         }
-        !logged_lately
+        !logged_recently
     }
 }
 
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -123,7 +123,7 @@
         let answer_seconds = unloaded_micros / MICROS_PER_SECOND;
         let facts = ShortageFacts { now: self.now, request, answer_seconds };
         let peers = &self.peers;
-        self.quota.refill_and_find_shortages(&facts, |peer| peers.last_heard_at(peer))
+        self.quota.refill_and_find_shortages(&facts, |peer| peers.last_received_at(peer))
     }
 
     /// The seed of the next draw.
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -113,8 +113,8 @@
     }
 
     /// When a message of a peer last came.
-    pub(crate) fn last_heard_at(&self, peer: u16) -> Option<Instant> {
-        self.peers.get(&peer).and_then(|peer| peer.last_heard_at)
+    pub(crate) fn last_received_at(&self, peer: u16) -> Option<Instant> {
+        self.peers.get(&peer).and_then(|peer| peer.last_received_at)
     }
 
     /// Whether all other gateways are known, and started within a time of this one.
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -72,7 +72,7 @@
     /// Messages sent to it, wrapping.
     pub(super) sent_messages: u16,
     /// When a message was last received.
-    pub(super) last_heard_at: Option<Instant>,
+    pub(super) last_received_at: Option<Instant>,
     /// When the next message may be sent.
     pub(super) next_send_at: Instant,
     /// Where in the outbox the last message ended.
@@ -86,12 +86,12 @@
     pub(super) fn receive(&mut self, incarnation: u32, sequence: u16, now: Instant) -> Receipt {
         let same_incarnation = incarnation == self.incarnation;
         let is_behind = sequence.wrapping_sub(self.last_sequence) as i16 <= 0;
-        let heard_lately = self.last_heard_at.is_some_and(|heard_at| now < heard_at + MAX_MESSAGE_DELAY);
-        let overtaken = is_behind && heard_lately;
-        if (same_incarnation && overtaken) || self.was_superseded_lately(incarnation, now) {
+        let received_recently = self.last_received_at.is_some_and(|received_at| now < received_at + MAX_MESSAGE_DELAY);
+        let overtaken = is_behind && received_recently;
+        if (same_incarnation && overtaken) || self.was_recently_superseded(incarnation, now) {
             return Receipt::Outdated;
         }
-        (self.last_sequence, self.last_heard_at) = (sequence, Some(now));
+        (self.last_sequence, self.last_received_at) = (sequence, Some(now));
         if same_incarnation {
             return Receipt::Current;
         }
@@ -103,7 +103,7 @@
     }
 
     /// Whether a message of this incarnation may have been on its way since before the peer's restart.
-    fn was_superseded_lately(&self, incarnation: u32, now: Instant) -> bool {
+    fn was_recently_superseded(&self, incarnation: u32, now: Instant) -> bool {
         let superseded = self.superseded.filter(|superseded| superseded.incarnation == incarnation);
         superseded.is_some_and(|superseded| now < superseded.at + MAX_MESSAGE_DELAY)
     }
--- a/src/gossip/peer/tests.rs
+++ b/src/gossip/peer/tests.rs
@@ -14,9 +14,9 @@
     assert_eq!(peer.receive(5, 65_535, at(10)), Receipt::NewIncarnation(PeerStart::FirstHeard));
     assert_eq!(peer.receive(5, 65_535, at(20)), Receipt::Outdated, "a repeat");
     assert_eq!(peer.receive(5, 65_534, at(30)), Receipt::Outdated, "overtaken");
-    assert_eq!(peer.last_heard_at, Some(at(10)));
+    assert_eq!(peer.last_received_at, Some(at(10)));
     assert_eq!(peer.receive(5, 0, at(40)), Receipt::Current, "the sequence number wrapped");
-    assert_eq!(peer.last_heard_at, Some(at(40)));
+    assert_eq!(peer.last_received_at, Some(at(40)));
 }
 
 /// A peer restarts and counts its messages from one. They are handled, while those of the process before that are still on
