--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -1,7 +1,7 @@
 //! A gateway's exchange of messages with its peers: what waits for each of them, and the form and order of
 //! what comes.
 
-use super::peer::{OutboxEntry, Peer, PeerAge, PeerStart, Receipt};
+use super::peer::{OutboxEntry, Peer, PeerAge, PeerStart, MessageStatus};
 use super::{incarnation_of, Body, LatencySample, Message, MAX_SAMPLES, MAX_USAGE_REPORTS};
 use crate::{CustomerId, Duration, GatewayId, Instant, Settings};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -89,9 +89,9 @@
         let own_incarnation = self.incarnation;
         let peer = self.peer_mut(from.0);
         let start = match peer.receive(message.incarnation, message.sequence, now) {
-            Receipt::Outdated => return Err(IgnoredMessage::Outdated),
-            Receipt::Current => None,
-            Receipt::NewIncarnation(start) => Some(start),
+            MessageStatus::Outdated => return Err(IgnoredMessage::Outdated),
+            MessageStatus::Current => None,
+            MessageStatus::NewIncarnation(start) => Some(start),
         };
         let sender_age = peer.age(own_incarnation);
         Ok(ReceivedMessage { message, start, sender_age })
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -32,7 +32,7 @@
 
 /// What the incarnation and the sequence number of a message say of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Receipt {
+pub(super) enum MessageStatus {
     /// It is from before the peer's restart, a repeat, or overtaken by a later one.
     Outdated,
     /// It is a newer one of the incarnation that is known.
@@ -46,7 +46,7 @@
 const MAX_MESSAGE_DELAY: Duration = Duration::from_secs(1);
 /// Messages that a peer sent before the first one that came here, from which on it has run for longer than
 /// this gateway: a process that starts is heard within its first few, whatever is lost.
-const MESSAGES_OF_AN_OLDER_PEER: u16 = 16;
+const MIN_FIRST_SEQUENCE_OF_OLDER_PEER: u16 = 16;
 
 /// An incarnation in whose place there is another one.
 #[derive(Clone, Copy)]
@@ -76,30 +76,30 @@
     /// When the next message may be sent.
     pub(super) next_send_at: Instant,
     /// Where in the outbox the last message ended.
-    last_sent: CustomerId,
+    next_customer: CustomerId,
     /// The customers to report to it.
     pub(super) outbox: BTreeMap<CustomerId, OutboxEntry>,
 }
 
 impl Peer {
     /// Records a message's incarnation and sequence number, and tells whether it is to be handled.
-    pub(super) fn receive(&mut self, incarnation: u32, sequence: u16, now: Instant) -> Receipt {
+    pub(super) fn receive(&mut self, incarnation: u32, sequence: u16, now: Instant) -> MessageStatus {
         let same_incarnation = incarnation == self.incarnation;
         let is_behind = sequence.wrapping_sub(self.last_sequence) as i16 <= 0;
         let received_recently = self.last_received_at.is_some_and(|received_at| now < received_at + MAX_MESSAGE_DELAY);
         let overtaken = is_behind && received_recently;
         if (same_incarnation && overtaken) || self.was_recently_superseded(incarnation, now) {
-            return Receipt::Outdated;
+            return MessageStatus::Outdated;
         }
         (self.last_sequence, self.last_received_at) = (sequence, Some(now));
         if same_incarnation {
-            return Receipt::Current;
+            return MessageStatus::Current;
         }
         let restarted = self.incarnation > 0;
         let superseded = SupersededIncarnation { incarnation: self.incarnation, at: now };
         self.superseded = restarted.then_some(superseded);
         (self.incarnation, self.first_sequence) = (incarnation, sequence);
-        Receipt::NewIncarnation(if restarted { PeerStart::Restarted } else { PeerStart::FirstHeard })
+        MessageStatus::NewIncarnation(if restarted { PeerStart::Restarted } else { PeerStart::FirstHeard })
     }
 
     /// Whether a message of this incarnation may have been on its way since before the peer's restart.
@@ -112,8 +112,8 @@
     /// only where they do not.
     pub(super) fn age(&self, own_incarnation: u32) -> PeerAge {
         let restarted_since = self.superseded.is_some();
-        let is_in_midstream = self.first_sequence >= MESSAGES_OF_AN_OLDER_PEER;
-        if !restarted_since && (is_in_midstream || self.incarnation < own_incarnation) {
+        let missed_first_messages = self.first_sequence >= MIN_FIRST_SEQUENCE_OF_OLDER_PEER;
+        if !restarted_since && (missed_first_messages || self.incarnation < own_incarnation) {
             PeerAge::Older
         } else {
             PeerAge::NotOlder
@@ -125,12 +125,12 @@
         u64::from(self.incarnation.abs_diff(own_incarnation)) <= window.as_millis()
     }
 
-    /// Takes from the outbox what the next message carries, `most` customers at most. It goes round from
+    /// Takes from the outbox what the next message carries, `max_customers` customers at most. It goes round from
     /// where the last one ended: otherwise the last customers would never be sent when more change than fit.
-    pub(super) fn next_batch(&mut self, most: usize) -> Vec<(CustomerId, OutboxEntry)> {
-        let rotated = self.outbox.range(self.last_sent..).chain(self.outbox.range(..self.last_sent));
-        let batch: Vec<_> = rotated.take(most).map(|(id, entry)| (*id, *entry)).collect();
-        self.last_sent = batch.last().map_or(self.last_sent, |(id, _)| CustomerId(id.0 + 1));
+    pub(super) fn next_batch(&mut self, max_customers: usize) -> Vec<(CustomerId, OutboxEntry)> {
+        let rotated = self.outbox.range(self.next_customer..).chain(self.outbox.range(..self.next_customer));
+        let batch: Vec<_> = rotated.take(max_customers).map(|(id, entry)| (*id, *entry)).collect();
+        self.next_customer = batch.last().map_or(self.next_customer, |(id, _)| CustomerId(id.0 + 1));
         for (id, entry) in &batch {
             let copies_left = entry.copies_left - 1;
             self.outbox.insert(*id, OutboxEntry { copies_left, requests_grant: false });
--- a/src/gossip/peer/tests.rs
+++ b/src/gossip/peer/tests.rs
@@ -11,11 +11,11 @@
 #[test]
 fn repeats_and_overtaken_messages_are_outdated() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5, 65_535, at(10)), Receipt::NewIncarnation(PeerStart::FirstHeard));
-    assert_eq!(peer.receive(5, 65_535, at(20)), Receipt::Outdated, "a repeat");
-    assert_eq!(peer.receive(5, 65_534, at(30)), Receipt::Outdated, "overtaken");
+    assert_eq!(peer.receive(5, 65_535, at(10)), MessageStatus::NewIncarnation(PeerStart::FirstHeard));
+    assert_eq!(peer.receive(5, 65_535, at(20)), MessageStatus::Outdated, "a repeat");
+    assert_eq!(peer.receive(5, 65_534, at(30)), MessageStatus::Outdated, "overtaken");
     assert_eq!(peer.last_received_at, Some(at(10)));
-    assert_eq!(peer.receive(5, 0, at(40)), Receipt::Current, "the sequence number wrapped");
+    assert_eq!(peer.receive(5, 0, at(40)), MessageStatus::Current, "the sequence number wrapped");
     assert_eq!(peer.last_received_at, Some(at(40)));
 }
 
@@ -24,10 +24,10 @@
 #[test]
 fn a_restarted_peer_counts_its_messages_anew() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5, 100, at(10)), Receipt::NewIncarnation(PeerStart::FirstHeard));
-    assert_eq!(peer.receive(6, 1, at(20)), Receipt::NewIncarnation(PeerStart::Restarted));
-    assert_eq!(peer.receive(5, 101, at(30)), Receipt::Outdated, "from before the restart");
-    assert_eq!(peer.receive(6, 2, at(40)), Receipt::Current);
+    assert_eq!(peer.receive(5, 100, at(10)), MessageStatus::NewIncarnation(PeerStart::FirstHeard));
+    assert_eq!(peer.receive(6, 1, at(20)), MessageStatus::NewIncarnation(PeerStart::Restarted));
+    assert_eq!(peer.receive(5, 101, at(30)), MessageStatus::Outdated, "from before the restart");
+    assert_eq!(peer.receive(6, 2, at(40)), MessageStatus::Current);
 }
 
 /// More customers change than a message holds. The next message begins where the last one ended, so that each customer is
@@ -53,10 +53,10 @@
 #[test]
 fn a_peer_that_restarts_with_its_clock_set_back_is_heard() {
     let mut peer = Peer::default();
-    assert_eq!(peer.receive(5_000_000, 100, at(10)), Receipt::NewIncarnation(PeerStart::FirstHeard));
-    assert_eq!(peer.receive(5, 1, at(20)), Receipt::NewIncarnation(PeerStart::Restarted));
-    assert_eq!(peer.receive(5_000_000, 101, at(30)), Receipt::Outdated, "from before the restart");
-    assert_eq!(peer.receive(5, 2, at(40)), Receipt::Current);
+    assert_eq!(peer.receive(5_000_000, 100, at(10)), MessageStatus::NewIncarnation(PeerStart::FirstHeard));
+    assert_eq!(peer.receive(5, 1, at(20)), MessageStatus::NewIncarnation(PeerStart::Restarted));
+    assert_eq!(peer.receive(5_000_000, 101, at(30)), MessageStatus::Outdated, "from before the restart");
+    assert_eq!(peer.receive(5, 2, at(40)), MessageStatus::Current);
 }
 
 /// A peer is cut off for forty minutes and sends so many messages meanwhile that its sequence numbers seem to have
@@ -67,11 +67,11 @@
     let mut peer = Peer::default();
     peer.receive(5, 100, at(10));
     let after_the_cut = at(10) + Duration::from_secs(40 * 60);
-    assert_eq!(peer.receive(5, 100 + 40_000, after_the_cut), Receipt::Current);
+    assert_eq!(peer.receive(5, 100 + 40_000, after_the_cut), MessageStatus::Current);
     assert_eq!(
         peer.receive(5, 100 + 39_999, after_the_cut + Duration::from_micros(10)),
-        Receipt::Outdated,
+        MessageStatus::Outdated,
         "overtaken"
     );
-    assert_eq!(peer.receive(5, 100 + 40_001, after_the_cut + Duration::from_micros(20)), Receipt::Current);
+    assert_eq!(peer.receive(5, 100 + 40_001, after_the_cut + Duration::from_micros(20)), MessageStatus::Current);
 }
