--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -54,7 +54,7 @@
     /// The record of each peer.
     peers: BTreeMap<u16, Peer>,
     /// Peers with something in their outbox.
-    with_outbox: BTreeSet<u16>,
+    nonempty_outboxes: BTreeSet<u16>,
     /// Samples for the next messages, failures first, and the latest before older ones.
     latency_samples: VecDeque<QueuedSample>,
 }
@@ -129,14 +129,14 @@
         let queued = self.peer_mut(peer).outbox.entry(customer).or_default();
         queued.copies_left = entry.copies_left;
         queued.requests_grant |= entry.requests_grant;
-        self.with_outbox.insert(peer);
+        self.nonempty_outboxes.insert(peer);
     }
 
     /// Puts a customer into a peer's outbox for one message, in place of what waits there.
     pub(crate) fn queue_single_report(&mut self, peer: u16, customer: CustomerId) {
         let entry = OutboxEntry { copies_left: 1, requests_grant: false };
         self.peer_mut(peer).outbox.insert(customer, entry);
-        self.with_outbox.insert(peer);
+        self.nonempty_outboxes.insert(peer);
     }
 
     /// Takes from a peer's outbox what the next message carries; none for a peer that has no record.
@@ -144,7 +144,7 @@
         let record = self.peers.get_mut(&peer)?;
         let batch = record.next_batch(MAX_USAGE_REPORTS);
         if record.outbox.is_empty() {
-            self.with_outbox.remove(&peer);
+            self.nonempty_outboxes.remove(&peer);
         }
         Some(batch)
     }
@@ -157,7 +157,7 @@
     /// Peers with something in their outbox that may be sent a message now.
     pub(crate) fn ready_to_send(&self, now: Instant) -> Vec<u16> {
         let is_ready = |peer: &u16| self.peers.get(peer).is_some_and(|peer| peer.next_send_at <= now);
-        self.with_outbox.iter().copied().filter(is_ready).collect()
+        self.nonempty_outboxes.iter().copied().filter(is_ready).collect()
     }
 
     /// Puts a sample before older ones, failures before others; the last ones go where there are too many.
--- a/src/gossip/units.rs
+++ b/src/gossip/units.rs
@@ -5,7 +5,7 @@
 /// Steps of a [`TokenLevel`]; the last one is a full bucket.
 const LEVEL_STEPS: f64 = 254.0;
 /// The smallest divisor, for a bucket that holds nothing, and the smallest latency, which has a logarithm.
-const SMALLEST: f64 = 1e-9;
+const EPSILON: f64 = 1e-9;
 /// Latencies are sent in steps of a fifth of an octave ...
 const LATENCY_STEPS_PER_OCTAVE: f64 = 5.0;
 /// ... from five octaves below the latency objective ...
@@ -49,8 +49,8 @@
     pub(crate) const UNKNOWN: TokenLevel = TokenLevel(u8::MAX);
 
     /// The level of a bucket with a capacity of `burst`; an overdrawn one counts as empty.
-    pub(crate) fn of(tokens: f64, burst: f64) -> TokenLevel {
-        TokenLevel((tokens / burst.max(SMALLEST) * LEVEL_STEPS).clamp(0.0, LEVEL_STEPS) as u8)
+    pub(crate) fn from_tokens(tokens: f64, burst: f64) -> TokenLevel {
+        TokenLevel((tokens / burst.max(EPSILON) * LEVEL_STEPS).clamp(0.0, LEVEL_STEPS) as u8)
     }
 
     /// The tokens in a bucket with a capacity of `burst`, if the level is known.
@@ -72,7 +72,7 @@
 /// The step, in five bits, for a latency as a share of the objective; none is a failure.
 pub(super) fn latency_step(objective_ratio: Option<f64>) -> u8 {
     let Some(latency) = objective_ratio else { return FAILURE_STEP };
-    let octaves = latency.max(SMALLEST).log2() + OCTAVES_BELOW_OBJECTIVE;
+    let octaves = latency.max(EPSILON).log2() + OCTAVES_BELOW_OBJECTIVE;
     (octaves * LATENCY_STEPS_PER_OCTAVE).round().clamp(0.0, LAST_LATENCY_STEP) as u8
 }
 
--- a/src/gossip/units/tests.rs
+++ b/src/gossip/units/tests.rs
@@ -23,9 +23,9 @@
 /// unknown would be rejected otherwise.
 #[test]
 fn a_token_level_keeps_its_fill_and_an_unknown_one_gives_none() {
-    assert_eq!(TokenLevel::of(10.0, 10.0).tokens(10.0), Some(10.0));
-    assert_eq!(TokenLevel::of(20.0, 10.0).tokens(10.0), Some(10.0), "more than full is full");
-    assert_eq!(TokenLevel::of(-1.0, 10.0).tokens(10.0), Some(0.0), "overdrawn is empty");
-    assert_eq!(TokenLevel::of(5.0, 0.0).to_byte(), 254, "a bucket without capacity");
+    assert_eq!(TokenLevel::from_tokens(10.0, 10.0).tokens(10.0), Some(10.0));
+    assert_eq!(TokenLevel::from_tokens(20.0, 10.0).tokens(10.0), Some(10.0), "more than full is full");
+    assert_eq!(TokenLevel::from_tokens(-1.0, 10.0).tokens(10.0), Some(0.0), "overdrawn is empty");
+    assert_eq!(TokenLevel::from_tokens(5.0, 0.0).to_byte(), 254, "a bucket without capacity");
     assert_eq!(TokenLevel::UNKNOWN.tokens(10.0), None);
 }
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -182,7 +182,7 @@
             total_units: wrap_total(self.total_units),
             in_flight: self.in_flight.min(u32::from(MAX_REPORTED_IN_FLIGHT)) as u8,
             tokens_level: burst
-                .map_or(TokenLevel::UNKNOWN, |burst| TokenLevel::of(self.bucket.tokens(), burst)),
+                .map_or(TokenLevel::UNKNOWN, |burst| TokenLevel::from_tokens(self.bucket.tokens(), burst)),
             gateway_set_start: self.gateway_set.start,
             gateway_set_size: self.gateway_set.size as u16,
             requests_grant: false,
--- a/src/policy/quota/reporting/tests.rs
+++ b/src/policy/quota/reporting/tests.rs
@@ -87,7 +87,7 @@
         let report = manager.usage_report(START + Duration::from_millis(millis), owner, customer, entry);
         report.expect("a known customer").tokens_level
     };
-    assert_eq!(level_after(999), TokenLevel::of(20.0, 20.0));
+    assert_eq!(level_after(999), TokenLevel::from_tokens(20.0, 20.0));
     assert_eq!(level_after(1000), TokenLevel::UNKNOWN);
 }
 
