--- a/src/audit/request.rs
+++ b/src/audit/request.rs
@@ -22,7 +22,7 @@
 }
 
 /// An attempt that has begun.
-struct BegunAttempt {
+struct AttemptRecord {
     /// The attempt's number, from 0.
     number: u16,
     /// When its first byte was written.
@@ -44,7 +44,7 @@
     /// It has its final answer, or its client has disconnected.
     closed: bool,
     /// The attempts that have begun, in their order.
-    begun: Vec<BegunAttempt>,
+    attempts: Vec<AttemptRecord>,
 }
 
 impl RequestAudit {
@@ -53,28 +53,28 @@
         // A class that is not known is judged by the strictest rule.
         let idempotency = auditor.rules.idempotency.get(class).copied();
         let idempotency = idempotency.unwrap_or(Idempotency::NonIdempotent);
-        RequestAudit { idempotency, client_deadline, closed: false, begun: Vec::new() }
+        RequestAudit { idempotency, client_deadline, closed: false, attempts: Vec::new() }
     }
 
     /// Records an attempt that has begun, and returns what it violates.
     pub fn attempt_begun(&mut self, auditor: &Auditor, begun: &AttemptBegun) -> Vec<ViolationKind> {
         let rules = &auditor.rules;
-        let in_flight = self.begun.iter().any(|earlier| earlier.in_flight);
-        let may_have_executed = self.begun.iter().any(|earlier| earlier.may_have_executed);
-        let only_once = self.idempotency == Idempotency::NonIdempotent;
+        let in_flight = self.attempts.iter().any(|earlier| earlier.in_flight);
+        let may_have_executed = self.attempts.iter().any(|earlier| earlier.may_have_executed);
+        let is_non_idempotent = self.idempotency == Idempotency::NonIdempotent;
         let location = auditor.locations.get(&begun.backend).copied();
         let time_left = self.client_deadline.duration_since(begun.at);
         let checks = [
             (self.closed, ViolationKind::AttemptAfterEnd),
-            (only_once && may_have_executed && !in_flight, ViolationKind::UnsafeRepeat),
-            (in_flight && (only_once || !rules.hedging), ViolationKind::ConcurrentAttempts),
+            (is_non_idempotent && may_have_executed && !in_flight, ViolationKind::UnsafeRepeat),
+            (in_flight && (is_non_idempotent || !rules.hedging), ViolationKind::ConcurrentAttempts),
             (self.is_key_expired(begun.at), ViolationKind::KeyExpired),
-            (self.is_key_unknown_at(location), ViolationKind::KeyOutOfScope),
+            (self.is_key_out_of_scope(location), ViolationKind::KeyOutOfScope),
             (usize::from(begun.number) >= rules.max_attempts, ViolationKind::TooManyAttempts),
             (begun.stated_timeout > time_left + TIME_SLACK, ViolationKind::TimeOverstated),
             (auditor.is_closed(begun.backend, begun.at), ViolationKind::ClosedBackend),
         ];
-        self.begun.push(BegunAttempt {
+        self.attempts.push(AttemptRecord {
             number: begun.number,
             begun_at: begun.at,
             in_flight: true,
@@ -88,15 +88,15 @@
     /// executed.
     fn is_key_expired(&self, now: Instant) -> bool {
         let Idempotency::Keyed { window, .. } = self.idempotency else { return false };
-        let first = self.begun.iter().find(|earlier| earlier.may_have_executed);
+        let first = self.attempts.iter().find(|earlier| earlier.may_have_executed);
         first.is_some_and(|first| now > first.begun_at + window)
     }
 
     /// Whether the backend at a location does not know the idempotency key of an earlier attempt that may
     /// have been executed.
-    fn is_key_unknown_at(&self, location: Option<Location>) -> bool {
+    fn is_key_out_of_scope(&self, location: Option<Location>) -> bool {
         let Idempotency::Keyed { scope, .. } = self.idempotency else { return false };
-        let first = self.begun.iter().find(|earlier| earlier.may_have_executed);
+        let first = self.attempts.iter().find(|earlier| earlier.may_have_executed);
         let first = first.and_then(|first| first.location);
         first.zip(location).is_some_and(|(first, location)| !first.shares_keys(location, scope))
     }
@@ -104,7 +104,7 @@
     /// Records how an attempt has ended, and returns what that violates. An attempt that never began has no
     /// record.
     pub fn attempt_ended(&mut self, number: u16, outcome: Outcome) -> Option<ViolationKind> {
-        let attempt = self.begun.iter_mut().find(|attempt| attempt.number == number)?;
+        let attempt = self.attempts.iter_mut().find(|attempt| attempt.number == number)?;
         let was_in_flight = std::mem::replace(&mut attempt.in_flight, false);
         attempt.may_have_executed = !outcome.never_executed();
         (!was_in_flight).then_some(ViolationKind::UnexpectedEnd)
--- a/src/audit/violation.rs
+++ b/src/audit/violation.rs
@@ -52,7 +52,7 @@
     ];
 
     /// Whether a pause of the machine can cause it in a program without a fault.
-    pub fn depends_on_speed(self) -> bool {
+    pub fn is_timing_dependent(self) -> bool {
         self == ViolationKind::LateAnswer
     }
 }
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -100,6 +100,6 @@
                 "violated"
             );
         }
-        debug_assert!(kind.depends_on_speed(), "{kind:?} violated for request {request:?}");
+        debug_assert!(kind.is_timing_dependent(), "{kind:?} violated for request {request:?}");
     }
 }
