--- a/src/bin/simulator-adapter/wire/field_reader.rs
+++ b/src/bin/simulator-adapter/wire/field_reader.rs
@@ -58,12 +58,12 @@
     }
 
     /// The time when a backend started; none for 0, which stands for long ago.
-    pub fn start(&mut self) -> Option<Instant> {
+    pub fn start_time(&mut self) -> Option<Instant> {
         Some(self.instant()).filter(|start| *start != Instant::ZERO)
     }
 
-    /// A span of time, in microseconds.
-    pub fn span(&mut self) -> Duration {
+    /// A duration of time, in microseconds.
+    pub fn duration(&mut self) -> Duration {
         Duration::from_micros(u64::from(self.u32()))
     }
 
--- a/src/bin/simulator-adapter/wire/field_writer.rs
+++ b/src/bin/simulator-adapter/wire/field_writer.rs
@@ -51,9 +51,9 @@
         self.bytes(&value.to_le_bytes())
     }
 
-    /// A span of time, in microseconds, in four bytes; one that is too long for them becomes the longest.
-    pub fn span(&mut self, span: Duration) -> &mut Self {
-        self.u32(u32::try_from(span.as_micros()).unwrap_or(u32::MAX))
+    /// A duration of time, in microseconds, in four bytes; one that is too long for them becomes the longest.
+    pub fn duration(&mut self, duration: Duration) -> &mut Self {
+        self.u32(u32::try_from(duration.as_micros()).unwrap_or(u32::MAX))
     }
 
     /// A request's identifier.
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -149,7 +149,7 @@
             cell: fields.u16(),
             availability: self.availability(&mut fields)?,
             size: fields.f32(),
-            started_at: fields.start(),
+            started_at: fields.start_time(),
         })
     }
 
@@ -177,7 +177,7 @@
         report_fields: &[LoadReportField],
     ) -> Result<Event, RecordError> {
         let id = RequestId(fields.u64());
-        let elapsed = fields.span();
+        let elapsed = fields.duration();
         let outcome = self.outcome(fields)?;
         let request_closed = fields.u8() != 0;
         let attempt = fields.u16();
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -68,7 +68,7 @@
                 record.request(*id).u64(expires_at).backend(*backend);
             }
             Action::Reject { id, retry_after } => {
-                record.request(*id).span(*retry_after);
+                record.request(*id).duration(*retry_after);
             }
             Action::Fail(id) => {
                 record.request(*id);
@@ -77,7 +77,7 @@
                 record.request(*id).u16(*attempt);
             }
             Action::SetTimer { delay, token } => {
-                record.span(*delay).u32(*token);
+                record.duration(*delay).u32(*token);
             }
             Action::SendToPeer { to, bytes } => {
                 record.u16(to.unwrap_or(ALL_PEERS).0);
--- a/src/time.rs
+++ b/src/time.rs
@@ -42,10 +42,10 @@
         Duration(self.0.saturating_sub(earlier.0))
     }
 
-    /// The point a span later, as `+` gives it, also in constants.
+    /// The point a duration later, as `+` gives it, also in constants.
     #[must_use]
-    pub const fn saturating_add(self, span: Duration) -> Instant {
-        Instant(self.0.saturating_add(span.0))
+    pub const fn saturating_add(self, duration: Duration) -> Instant {
+        Instant(self.0.saturating_add(duration.0))
     }
 
     /// The number of the period that this point lies in, where periods follow each other from the beginning
@@ -62,28 +62,28 @@
 impl Add<Duration> for Instant {
     type Output = Instant;
 
-    /// The point a span later; [`Instant::FAR_FUTURE`] where there is none.
-    fn add(self, span: Duration) -> Instant {
-        self.saturating_add(span)
+    /// The point a duration later; [`Instant::FAR_FUTURE`] where there is none.
+    fn add(self, duration: Duration) -> Instant {
+        self.saturating_add(duration)
     }
 }
 
 impl AddAssign<Duration> for Instant {
-    fn add_assign(&mut self, span: Duration) {
-        *self = *self + span;
+    fn add_assign(&mut self, duration: Duration) {
+        *self = *self + duration;
     }
 }
 
 impl Sub<Duration> for Instant {
     type Output = Instant;
 
-    /// The point a span earlier; [`Instant::ZERO`] where there is none.
-    fn sub(self, span: Duration) -> Instant {
-        Instant(self.0.saturating_sub(span.0))
+    /// The point a duration earlier; [`Instant::ZERO`] where there is none.
+    fn sub(self, duration: Duration) -> Instant {
+        Instant(self.0.saturating_sub(duration.0))
     }
 }
 
-/// A span of time.
+/// A duration of time.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Duration(u64);
 
@@ -97,9 +97,9 @@
 impl Duration {
     /// No time.
     pub const ZERO: Duration = Duration(0);
-    /// The shortest span.
+    /// The shortest duration.
     pub const MICROSECOND: Duration = Duration(1);
-    /// The longest span: forever.
+    /// The longest duration: forever.
     pub const MAX: Duration = Duration(u64::MAX);
 
     /// So many microseconds.
@@ -163,7 +163,7 @@
         self.0 == 0
     }
 
-    /// This span times a factor, cut to whole microseconds; zero for a negative factor.
+    /// This duration times a factor, cut to whole microseconds; zero for a negative factor.
     #[must_use]
     pub fn mul_f64(self, factor: f64) -> Duration {
         Duration((self.0 as f64 * factor) as u64)
@@ -182,7 +182,7 @@
 impl Sub for Duration {
     type Output = Duration;
 
-    /// The difference; zero where the other span is longer.
+    /// The difference; zero where the other duration is longer.
     fn sub(self, other: Duration) -> Duration {
         Duration(self.0.saturating_sub(other.0))
     }
