--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -10,7 +10,7 @@
 pub enum AdapterError {
     /// The input ended within the header of a batch.
     #[error("input ended after {read} bytes of a batch header")]
-    HeaderCutShort {
+    TruncatedHeader {
         /// Bytes of the header that were read.
         read: usize,
     },
@@ -22,7 +22,7 @@
     ReadBatch(#[source] io::Error),
     /// The input ended within a batch.
     #[error("input ended inside a batch: {read} of {expected} bytes after its header")]
-    BatchCutShort {
+    TruncatedBatch {
         /// Bytes after the header that were read.
         read: usize,
         /// Bytes after the header that it promised.
--- a/src/bin/simulator-adapter/input.rs
+++ b/src/bin/simulator-adapter/input.rs
@@ -11,7 +11,7 @@
     // Memory grows with what arrives, not with what the header claims: a false length claims none.
     let read = input.take(expected).read_to_end(&mut frame).map_err(AdapterError::ReadBatch)?;
     if (read as u64) < expected {
-        return Err(AdapterError::BatchCutShort { read, expected });
+        return Err(AdapterError::TruncatedBatch { read, expected });
     }
     Ok(Some(frame))
 }
@@ -23,7 +23,7 @@
     while read < header.len() {
         match input.read(&mut header[read..]) {
             Ok(0) if read == 0 => return Ok(None),
-            Ok(0) => return Err(AdapterError::HeaderCutShort { read }),
+            Ok(0) => return Err(AdapterError::TruncatedHeader { read }),
             Ok(count) => read += count,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) => return Err(AdapterError::ReadHeader(error)),
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -117,7 +117,7 @@
     /// Reads a seed and the place of the settings.
     fn start(&self, fields: &mut FieldReader) -> Result<RecordContent<'a>, RecordError> {
         let seed = fields.u64();
-        let text = self.tail_part(fields, "conf", 1)?;
+        let text = self.tail_slice(fields, "conf", 1)?;
         let settings =
             std::str::from_utf8(text).map_err(|error| self.error("conf", FieldProblem::NotUtf8(error)))?;
         Ok(RecordContent::Start { seed, settings })
@@ -133,7 +133,7 @@
             other => return Err(self.error("scope", FieldProblem::UnknownEndpointUpdate(other))),
         };
         fields.skip(ENDPOINT_UPDATE_SKIPPED);
-        let rows = self.tail_part(fields, "rows", ENDPOINT_SIZE)?;
+        let rows = self.tail_slice(fields, "rows", ENDPOINT_SIZE)?;
         let endpoints: Result<Vec<Endpoint>, RecordError> =
             rows.chunks_exact(ENDPOINT_SIZE).map(|row| self.endpoint(row)).collect();
         Ok(Event::Endpoints(update, endpoints?))
@@ -200,7 +200,7 @@
     /// Reads a sender and the place of its message.
     fn peer_message(&self, fields: &mut FieldReader) -> Result<Event, RecordError> {
         let from = GatewayId(fields.u16());
-        let bytes = self.tail_part(fields, "octets", 1)?.to_vec();
+        let bytes = self.tail_slice(fields, "octets", 1)?.to_vec();
         Ok(Event::PeerMessage { from, bytes })
     }
 
@@ -221,7 +221,7 @@
 
     /// The part of the tail that the next two fields point to: an offset, and a count of items of `item_size`
     /// bytes.
-    fn tail_part(
+    fn tail_slice(
         &self,
         fields: &mut FieldReader,
         field: &'static str,
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -48,11 +48,11 @@
     }
 
     /// The number at a path, or another one where there is none.
-    pub fn number_or(&self, key: &str, absent: f64) -> Result<f64, SettingsError> {
+    pub fn number_or(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         if self.contains(key) {
             self.number(key)
         } else {
-            Ok(absent)
+            Ok(default)
         }
     }
 
