--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -1,7 +1,7 @@
 //! A gateway's exchange of messages with its peers: what waits for each of them, and the form and order of
 //! what comes.
 
-use super::peer::{OutboxEntry, Peer, PeerAge, PeerStart, MessageStatus};
+use super::peer::{MessageStatus, OutboxEntry, Peer, PeerAge, PeerStart};
 use super::{incarnation_of, Body, LatencySample, Message, MAX_SAMPLES, MAX_USAGE_REPORTS};
 use crate::{CustomerId, Duration, GatewayId, Instant, Settings};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -86,7 +86,8 @@
     pub(super) fn receive(&mut self, incarnation: u32, sequence: u16, now: Instant) -> MessageStatus {
         let same_incarnation = incarnation == self.incarnation;
         let is_behind = sequence.wrapping_sub(self.last_sequence) as i16 <= 0;
-        let received_recently = self.last_received_at.is_some_and(|received_at| now < received_at + MAX_MESSAGE_DELAY);
+        let received_recently =
+            self.last_received_at.is_some_and(|received_at| now < received_at + MAX_MESSAGE_DELAY);
         let overtaken = is_behind && received_recently;
         if (same_incarnation && overtaken) || self.was_recently_superseded(incarnation, now) {
             return MessageStatus::Outdated;
--- a/src/gossip/peer/tests.rs
+++ b/src/gossip/peer/tests.rs
@@ -73,5 +73,8 @@
         MessageStatus::Outdated,
         "overtaken"
     );
-    assert_eq!(peer.receive(5, 100 + 40_001, after_the_cut + Duration::from_micros(20)), MessageStatus::Current);
+    assert_eq!(
+        peer.receive(5, 100 + 40_001, after_the_cut + Duration::from_micros(20)),
+        MessageStatus::Current
+    );
 }
--- a/src/state/endpoint_index.rs
+++ b/src/state/endpoint_index.rs
@@ -45,7 +45,9 @@
 
     /// The number of the block that an entry is in, or belongs in.
     fn block_of(&self, entry: &(u64, BackendId)) -> usize {
-        self.blocks.partition_point(|block| block.first().is_some_and(|first| first <= entry)).saturating_sub(1)
+        self.blocks
+            .partition_point(|block| block.first().is_some_and(|first| first <= entry))
+            .saturating_sub(1)
     }
 
     /// Inserts a backend, if it is not there.
