--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -5,7 +5,7 @@
 use super::reply_queue::ReplyQueue;
 use super::Capacity;
 use crate::resp;
-use ingress::permissions::{may_close_client, ClientClosing, ClientConnectionFacts};
+use ingress::permissions::{may_close_client, ClientClosing, ClientConnectionState};
 use ingress::{Duration, Instant};
 use mio::net::TcpStream;
 use std::net::Shutdown;
@@ -117,12 +117,12 @@
 
     /// Whether it is between two requests, with nothing left to be read, parsed or written.
     pub fn is_idle(&self) -> bool {
-        let facts = ClientConnectionFacts {
+        let state = ClientConnectionState {
             is_busy: self.is_busy(),
             has_input: !self.input.is_empty() || self.queued_for_read,
             closing: self.closing(),
         };
-        may_close_client(facts).is_ok()
+        may_close_client(state).is_ok()
     }
 
     /// Whether this side ends it already.
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -5,7 +5,7 @@
 use super::timer_queue::Timer;
 use super::EventLoop;
 use crate::backends::{AttemptId, BackendCloseReason, CommandState, ExchangeCompletion, StatedTimeout};
-use ingress::permissions::{may_begin_writing, WriteFacts, WriteRefusal};
+use ingress::permissions::{may_begin_writing, WriteContext, WriteRefusal};
 use ingress::{AttemptEnded, BackendId, Duration, Event, Instant, Outcome, RequestId};
 
 /// The end of an attempt, as it is logged, counted, audited and reported to the gateway.
@@ -266,8 +266,8 @@
         let Some(attempt) = request.attempts.get(usize::from(attempt_id.number)) else { return };
         let now = self.clock.now().max(self.now);
         let AttemptEntry { expires_at, begins_by, .. } = *attempt;
-        let facts = WriteFacts { now, expires_at, begins_by, closed: request.closed };
-        if let Err(refusal) = may_begin_writing(&facts) {
+        let context = WriteContext { now, expires_at, begins_by, closed: request.closed };
+        if let Err(refusal) = may_begin_writing(&context) {
             return self.refuse_to_write(attempt_id, refusal);
         }
         let timeout = expires_at.duration_since(now);
--- a/src/bin/ingress/event_loop/request_entries.rs
+++ b/src/bin/ingress/event_loop/request_entries.rs
@@ -4,7 +4,7 @@
 use crate::clients::ReplyHandle;
 use crate::command::Command;
 use ingress::audit::RequestAudit;
-use ingress::permissions::{self, AttemptFacts, AttemptKind, AttemptRefusal};
+use ingress::permissions::{self, AttemptContext, AttemptKind, AttemptRefusal};
 use ingress::{BackendId, Duration, Idempotency, Instant, Outcome, RequestId, Settings};
 use std::collections::hash_map::RandomState;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -89,7 +89,7 @@
     /// Whether one more attempt may be sent, judged by the attempts that were written.
     pub fn may_send(&self, limits: &AttemptLimits) -> Result<AttemptKind, AttemptRefusal> {
         let class = usize::from(self.command.request.class);
-        permissions::may_start_attempt(&AttemptFacts {
+        permissions::may_start_attempt(&AttemptContext {
             idempotency: limits.idempotency.get(class).copied().unwrap_or(Idempotency::NonIdempotent),
             hedging: limits.hedging,
             max_attempts: limits.max_attempts,
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -2,14 +2,14 @@
 //! actions.
 
 use crate::policy::admission::{
-    has_plan_mismatch, has_time_to_wait, min_queue_time, AdmissionDecision, AdmissionFacts,
+    has_plan_mismatch, has_time_to_wait, min_queue_time, AdmissionContext, AdmissionDecision,
 };
-use crate::policy::admission::{ArrivalDecision, ArrivalFacts, QueueFacts, ScreeningFacts};
+use crate::policy::admission::{ArrivalContext, ArrivalDecision, QueueContext, ScreeningContext};
 use crate::policy::quota::{grant_wait, ReportPurpose, ShortageFacts, Shortages};
 use crate::policy::quota::{
     DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
 };
-use crate::policy::{Familiarity, RejectReason, RetryAdvice, SheddingFacts};
+use crate::policy::{Familiarity, RejectReason, RetryAdvice, SheddingContext};
 use crate::state::{unit_draw, RequestState, MICROS_PER_SECOND};
 use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
 
@@ -81,19 +81,19 @@
 
     /// Whether a request can be handled at all.
     fn screen(&self, request: &Request) -> Result<(), RejectReason> {
-        let facts = ScreeningFacts {
+        let context = ScreeningContext {
             now: self.now,
             request,
             class_count: self.settings.classes.len(),
             plan_count: self.settings.plans.len(),
             min_queue_time: min_queue_time(self.settings.tick),
         };
-        facts.screen()
+        context.screen()
     }
 
     /// Whether load shedding admits a request.
     fn passes_load_shedding(&self, request: &Request, familiarity: Familiarity) -> bool {
-        self.load_shedder.admits(&SheddingFacts {
+        self.load_shedder.admits(&SheddingContext {
             now: self.now,
             customer: request.customer,
             familiarity,
@@ -105,7 +105,7 @@
     /// Whether a new request is decided now or waits for a grant.
     fn decide_arrival(&mut self, request: &Request, grant: GrantStatus) -> ArrivalDecision {
         let shortages = self.find_shortages(request);
-        let facts = ArrivalFacts {
+        let context = ArrivalContext {
             now: self.now,
             deadline: request.deadline,
             min_queue_time: min_queue_time(self.settings.tick),
@@ -114,7 +114,7 @@
             grant,
             ownership: self.quota.ownership(),
         };
-        facts.decide()
+        context.decide()
     }
 
     /// The limits of its customer's plan that do not allow a request now.
@@ -165,7 +165,7 @@
         self.queue_usage_report(customer, ReportPurpose::GrantRequest, actions);
     }
 
-    /// Carries out what [`AdmissionFacts`] decide on a request by tokens and capacity: admits it, rejects it,
+    /// Carries out what [`AdmissionContext`] decides on a request by tokens and capacity: admits it, rejects it,
     /// or has it wait for a further answer of its quota owners.
     pub(crate) fn apply_admission(
         &mut self,
@@ -177,7 +177,7 @@
         let request = state.request;
         let point = if state.awaiting_grant { DecisionPoint::GrantWait } else { DecisionPoint::Arrival };
         let shortages = self.find_shortages(&request);
-        let facts = AdmissionFacts {
+        let context = AdmissionContext {
             now: self.now,
             customer: request.customer,
             shortage: shortages.longest(),
@@ -186,14 +186,14 @@
             queue_length: self.requests.queue.len(),
             concurrency_limit: self.concurrency_limiter.limit(self.load()),
         };
-        let decision = facts.decide();
+        let decision = context.decide();
         tracing::debug!(
             target: "policy", request = id.0, customer = request.customer.0, plan = request.plan, ?point,
             quota_shortage = ?shortages.quota, hard_limit_shortage = ?shortages.hard_limit, ?answers,
             units = request.units, tokens = self.quota.tokens(request.customer),
             customer_in_flight = self.quota.in_flight_of_customer(&request),
-            gateway_in_flight = facts.in_flight, queue_length = facts.queue_length,
-            concurrency_limit = facts.concurrency_limit, ?decision, "admission decided"
+            gateway_in_flight = context.in_flight, queue_length = context.queue_length,
+            concurrency_limit = context.concurrency_limit, ?decision, "admission decided"
         );
         match decision {
             AdmissionDecision::KeepWaiting => {}
@@ -266,14 +266,14 @@
         let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else {
             return QueueCheck::NotQueued;
         };
-        let facts = QueueFacts {
+        let context = QueueContext {
             now: self.now,
             arrived_at: state.arrived_at,
             deadline: state.request.deadline,
             latency_budget: state.latency_budget(self.class_of(&state.request).latency_objective),
             min_queue_time: min_queue_time(self.settings.tick),
         };
-        if !facts.is_overdue() {
+        if !context.is_overdue() {
             return QueueCheck::StillQueued;
         }
         self.reject_or_fail(id, RejectReason::QueueTimeout, actions);
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -4,7 +4,8 @@
 use crate::policy::permissions::KeyExpired;
 use crate::policy::quota::ReportPurpose;
 use crate::policy::{
-    AttemptCheck, AttemptCheckFacts, ExecutedAttempt, RejectReason, RetryFacts, RetryScope, SilenceVerdict,
+    AttemptCheck, AttemptCheckContext, ExecutedAttempt, RejectReason, RetryContext, RetryScope,
+    SilenceVerdict,
 };
 use crate::state::RequestState;
 use crate::{Action, AttemptEnded, BackendId, CustomerId, Gateway, Outcome, RequestId};
@@ -96,7 +97,7 @@
     /// returns whether one was sent.
     pub(crate) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(state) = self.requests.get(id) else { return false };
-        let permission = self.retry_policy.may_retry(&self.retry_facts(state));
+        let permission = self.retry_policy.may_retry(&self.retry_context(state));
         tracing::debug!(target: "policy", request = id.0, ?permission, "retry considered");
         let is_sent = permission.is_ok() && self.send_attempt(id, actions);
         if is_sent {
@@ -106,9 +107,9 @@
     }
 
     /// What the retry policy is asked by for a request.
-    fn retry_facts(&self, state: &RequestState) -> RetryFacts {
+    fn retry_context(&self, state: &RequestState) -> RetryContext {
         let class = self.class_of(&state.request);
-        RetryFacts {
+        RetryContext {
             now: self.now,
             in_time_until: (state.arrived_at + class.latency_objective).min(state.request.deadline),
             idempotency: class.idempotency,
@@ -147,7 +148,7 @@
         let (backend_id, sent_at) = (attempt.endpoint.backend, attempt.sent_at);
         let Some(backend) = self.backends.get_mut(backend_id) else { return };
         let silence = backend.health.eject_if_silent(class_index, sent_at, now);
-        let check = self.retry_policy.check_attempt(&AttemptCheckFacts {
+        let check = self.retry_policy.check_attempt(&AttemptCheckContext {
             now,
             sent_at,
             latency_budget: state.latency_budget(class.latency_objective),
--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -2,7 +2,7 @@
 //! changes, and tells its peers.
 
 use crate::policy::{
-    AnswerFacts, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, Source, REJECTION_NORMAL_RATIO,
+    AnswerSample, Ejection, EndedAttempt, Evidence, HealthChange, Observation, Source, REJECTION_NORMAL_RATIO,
 };
 use crate::{AttemptEnded, BackendId, Gateway, Instant};
 
@@ -12,8 +12,8 @@
         let now = self.now;
         let Some(evidence) = Evidence::of(ended.outcome) else { return };
         let Some(backend) = self.backends.get_mut(ended.backend) else { return };
-        let facts = OutcomeFacts { now, class, zone: backend.endpoint.zone, evidence };
-        let change = self.outlier_detector.record_outcome(&mut backend.health, &facts);
+        let attempt = EndedAttempt { now, class, zone: backend.endpoint.zone, evidence };
+        let change = self.outlier_detector.record_outcome(&mut backend.health, &attempt);
         if let Some(change) = change {
             log_health_change(now, ended.backend, class, change);
         }
@@ -45,8 +45,8 @@
         let Observation { backend, class, latency_micros, source } = *observation;
         let Some(latency_micros) = latency_micros.filter(|_| self.now != self.resumed_at) else { return };
         let Some(backend) = self.backends.get_mut(backend) else { return };
-        let facts = AnswerFacts { now: self.now, class, latency_micros, source };
-        let normal_ratio = self.outlier_detector.record_answer(&mut backend.health, &facts);
+        let answer = AnswerSample { now: self.now, class, latency_micros, source };
+        let normal_ratio = self.outlier_detector.record_answer(&mut backend.health, &answer);
         self.record_pressure(normal_ratio);
     }
 
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -1,7 +1,7 @@
 //! How a gateway sends attempts: it has the load balancer choose a backend, and records what it sends.
 
 use crate::policy::permissions::KeyExpired;
-use crate::policy::{attempt_expiry, ChoiceFacts, ExpiryFacts, NoBackend, RetryPolicy};
+use crate::policy::{attempt_expiry, ChoiceContext, ExpiryContext, NoBackend, RetryPolicy};
 use crate::state::RequestState;
 use crate::{Action, BackendId, Gateway, Instant, RequestId};
 
@@ -33,7 +33,7 @@
     /// Chooses a backend for a request's next attempt.
     fn choose_backend(&self, state: &RequestState, seed: u64) -> Result<BackendId, NoBackend> {
         let scope = self.retry_scope(state).map_err(|KeyExpired| NoBackend::KeyExpired)?;
-        self.load_balancer.choose(&ChoiceFacts {
+        self.load_balancer.choose(&ChoiceContext {
             now: self.now,
             seed,
             class: state.request.class.into(),
@@ -46,7 +46,7 @@
 
     /// When an attempt of a request that is sent now is given up; none for the client's deadline.
     fn attempt_expiry(&self, state: &RequestState) -> Option<Instant> {
-        attempt_expiry(&ExpiryFacts {
+        attempt_expiry(&ExpiryContext {
             now: self.now,
             arrived_at: state.arrived_at,
             class: self.class_of(&state.request),
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -19,18 +19,18 @@
 mod start_times;
 mod wake_up;
 
-pub(crate) use attempt_expiry::{attempt_expiry, ExpiryFacts};
+pub(crate) use attempt_expiry::{attempt_expiry, ExpiryContext};
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
-pub(crate) use load_balancing::{ChoiceFacts, LoadBalancer, NoBackend, RecentSends, ReportedQueue};
-pub(crate) use load_shedding::{Familiarity, LoadShedder, SheddingFacts, StageChange};
+pub(crate) use load_balancing::{ChoiceContext, LoadBalancer, NoBackend, RecentSends, ReportedQueue};
+pub(crate) use load_shedding::{Familiarity, LoadShedder, SheddingContext, StageChange};
 pub(crate) use outlier_detection::{
-    AnswerFacts, BackendHealth, Ejection, Evidence, HealthChange, Observation, OutcomeFacts, OutlierDetector,
-    SilenceVerdict, Source, REJECTION_NORMAL_RATIO,
+    AnswerSample, BackendHealth, Ejection, EndedAttempt, Evidence, HealthChange, Observation,
+    OutlierDetector, SilenceVerdict, Source, REJECTION_NORMAL_RATIO,
 };
 pub(crate) use pressure::Pressure;
 pub(crate) use reasons::{EjectionReason, RejectReason, RetryAdvice};
 pub(crate) use retry::{
-    AttemptCheck, AttemptCheckFacts, ExecutedAttempt, FinalAnswer, RetryFacts, RetryPolicy, RetryScope,
+    AttemptCheck, AttemptCheckContext, ExecutedAttempt, FinalAnswer, RetryContext, RetryPolicy, RetryScope,
     NOT_SERVED_RETRY_AFTER,
 };
 pub use start_times::StartTimes;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: whether a request is rejected at once, waits for a quota grant, or is queued for a backend.
 //!
-//! A request is decided in three steps: [`ScreeningFacts`] when it comes, [`ArrivalFacts`] once its customer
-//! is known, and [`AdmissionFacts`] then or after its wait for a grant. [`QueueFacts`] end its time in the
+//! A request is decided in three steps: [`ScreeningContext`] when it comes, [`ArrivalContext`] once its customer
+//! is known, and [`AdmissionContext`] then or after its wait for a grant. [`QueueContext`] end its time in the
 //! queue.
 
 use super::load_shedding::epoch_draw;
@@ -33,7 +33,7 @@
 }
 
 /// What a request is screened by as it comes.
-pub(crate) struct ScreeningFacts<'a> {
+pub(crate) struct ScreeningContext<'a> {
     /// The time.
     pub now: Instant,
     /// The request.
@@ -46,7 +46,7 @@
     pub min_queue_time: Duration,
 }
 
-impl ScreeningFacts<'_> {
+impl ScreeningContext<'_> {
     /// Whether the request can be handled at all.
     pub(crate) fn screen(&self) -> Result<(), RejectReason> {
         if !self.is_valid() {
@@ -74,7 +74,7 @@
 }
 
 /// What a new request's way is chosen by.
-pub(crate) struct ArrivalFacts<'a> {
+pub(crate) struct ArrivalContext<'a> {
     /// The time.
     pub now: Instant,
     /// By when the request has to be answered.
@@ -105,7 +105,7 @@
     },
 }
 
-impl ArrivalFacts<'_> {
+impl ArrivalContext<'_> {
     /// Decides whether the request has to wait for a grant.
     pub(crate) fn decide(&self) -> ArrivalDecision {
         let needs_hard_limit = self.shortages.hard_limit.is_some();
@@ -131,7 +131,7 @@
 }
 
 /// What decides whether a request is admitted.
-pub(crate) struct AdmissionFacts {
+pub(crate) struct AdmissionContext {
     /// The time.
     pub now: Instant,
     /// Whose request it is.
@@ -164,7 +164,7 @@
     },
 }
 
-impl AdmissionFacts {
+impl AdmissionContext {
     /// Decides whether the request is admitted.
     pub(crate) fn decide(&self) -> AdmissionDecision {
         match self.shortage {
@@ -190,7 +190,7 @@
 }
 
 /// What ends a request's time in the queue.
-pub(crate) struct QueueFacts {
+pub(crate) struct QueueContext {
     /// The time.
     pub now: Instant,
     /// When the request came.
@@ -203,7 +203,7 @@
     pub min_queue_time: Duration,
 }
 
-impl QueueFacts {
+impl QueueContext {
     /// Whether the request has been queued for as long as it may be, or has no time left to wait.
     pub(crate) fn is_overdue(&self) -> bool {
         let queued_until = self.arrived_at + self.latency_budget.mul_f64(MAX_QUEUE_TIME_SHARE);
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -33,8 +33,8 @@
 }
 
 /// A request with tokens, at a gateway that owns no quota and whose last grant has this age.
-fn arrival(plan: &Plan, answer_age: Duration) -> ArrivalFacts<'_> {
-    ArrivalFacts {
+fn arrival(plan: &Plan, answer_age: Duration) -> ArrivalContext<'_> {
+    ArrivalContext {
         now: NOW,
         deadline: NOW + Duration::from_secs(1),
         min_queue_time: MIN_QUEUE_TIME,
@@ -50,8 +50,8 @@
 }
 
 /// A request with tokens, at a gateway with nothing to do.
-fn admission() -> AdmissionFacts {
-    AdmissionFacts {
+fn admission() -> AdmissionContext {
+    AdmissionContext {
         now: NOW,
         customer: CustomerId(7),
         shortage: None,
@@ -69,14 +69,14 @@
 fn what_cannot_be_handled_is_rejected_at_once() {
     let valid = Request { units: 1.0, deadline: NOW + MIN_QUEUE_TIME, ..Request::default() };
     let screen = |request: Request| {
-        let facts = ScreeningFacts {
+        let context = ScreeningContext {
             now: NOW,
             request: &request,
             class_count: 1,
             plan_count: 1,
             min_queue_time: MIN_QUEUE_TIME,
         };
-        facts.screen()
+        context.screen()
     };
     assert_eq!(screen(valid), Ok(()));
     assert_eq!(screen(Request { class: 1, ..valid }), Err(RejectReason::Invalid));
@@ -92,12 +92,12 @@
 #[test]
 fn a_request_waits_for_a_grant_unless_its_quota_is_counted_here() {
     let plan = plan(0);
-    let facts = arrival(&plan, Duration::ZERO);
+    let context = arrival(&plan, Duration::ZERO);
     let await_grant =
         ArrivalDecision::AwaitGrant { scope: GrantScope::Quota, timing: GrantTiming::WithOthers };
-    assert_eq!(facts.decide(), await_grant);
-    let owner = GrantStatus { is_quota_owner: true, ..facts.grant };
-    assert_eq!(ArrivalFacts { grant: owner, ..facts }.decide(), ArrivalDecision::DecideNow);
+    assert_eq!(context.decide(), await_grant);
+    let owner = GrantStatus { is_quota_owner: true, ..context.grant };
+    assert_eq!(ArrivalContext { grant: owner, ..context }.decide(), ArrivalDecision::DecideNow);
 }
 
 /// A request arrives with too little time left to wait for the answer of a quota owner. It is decided at once by
@@ -105,11 +105,11 @@
 #[test]
 fn a_request_without_time_does_not_wait_for_a_grant() {
     let plan = plan(0);
-    let facts = ArrivalFacts {
+    let context = ArrivalContext {
         deadline: NOW + MIN_QUEUE_TIME - Duration::MICROSECOND,
         ..arrival(&plan, Duration::MAX)
     };
-    assert_eq!(facts.decide(), ArrivalDecision::DecideNow);
+    assert_eq!(context.decide(), ArrivalDecision::DecideNow);
 }
 
 /// A customer over its quota retries again and again. A grant by which there were no tokens stands for half a
@@ -119,7 +119,7 @@
 fn retries_of_a_customer_over_its_rate_ask_for_no_new_grant() {
     let (rate, concurrency) = (plan(0), plan(2));
     let decide = |plan: &Plan, limit, answer_age| {
-        ArrivalFacts { shortages: lacks(limit), ..arrival(plan, answer_age) }.decide()
+        ArrivalContext { shortages: lacks(limit), ..arrival(plan, answer_age) }.decide()
     };
     let (recent, old) = (Duration::from_millis(499), Duration::from_millis(500));
     assert_eq!(decide(&rate, QuotaLimit::Rate, recent), ArrivalDecision::DecideNow);
@@ -134,16 +134,16 @@
 fn units_of_a_hard_limit_are_requested_from_the_gateways_that_hold_them() {
     let plan = plan(0);
     let owner = GrantStatus { is_quota_owner: true, ..arrival(&plan, Duration::ZERO).grant };
-    let facts = ArrivalFacts {
+    let context = ArrivalContext {
         shortages: lacks(QuotaLimit::HardLimit),
         grant: owner,
         ..arrival(&plan, Duration::ZERO)
     };
     let ask =
         ArrivalDecision::AwaitGrant { scope: GrantScope::QuotaAndHardLimit, timing: GrantTiming::AtOnce };
-    assert_eq!(facts.decide(), ask);
+    assert_eq!(context.decide(), ask);
     let alone = GrantStatus { hard_limit_is_elsewhere: false, ..owner };
-    assert_eq!(ArrivalFacts { grant: alone, ..facts }.decide(), ArrivalDecision::DecideNow);
+    assert_eq!(ArrivalContext { grant: alone, ..context }.decide(), ArrivalDecision::DecideNow);
 }
 
 /// A request names a plan with a hard limit, but its customer's record follows another one, under which it
@@ -162,16 +162,16 @@
 #[test]
 fn a_request_over_its_quota_is_rejected_once_all_owners_have_answered() {
     let shortage = lacks(QuotaLimit::Rate).quota;
-    let outstanding = AdmissionFacts { shortage, answers: GrantAnswers::Outstanding, ..admission() };
+    let outstanding = AdmissionContext { shortage, answers: GrantAnswers::Outstanding, ..admission() };
     assert_eq!(outstanding.decide(), AdmissionDecision::KeepWaiting);
-    let complete = AdmissionFacts { answers: GrantAnswers::Complete, ..outstanding };
+    let complete = AdmissionContext { answers: GrantAnswers::Complete, ..outstanding };
     let reason = RejectReason::OverQuota;
     let advice = RetryAdvice::After(Duration::from_millis(500));
     assert_eq!(complete.decide(), AdmissionDecision::Reject { reason, advice });
-    let presumed = AdmissionFacts { shortage: lacks(QuotaLimit::OwnersOverloaded).quota, ..complete };
+    let presumed = AdmissionContext { shortage: lacks(QuotaLimit::OwnersOverloaded).quota, ..complete };
     let unknown = AdmissionDecision::Reject { reason: RejectReason::QuotaUnknown, advice };
     assert_eq!(presumed.decide(), unknown);
-    let timed_out = AdmissionFacts { answers: GrantAnswers::TimedOut, ..outstanding };
+    let timed_out = AdmissionContext { answers: GrantAnswers::TimedOut, ..outstanding };
     assert_eq!(timed_out.decide(), complete.decide());
 }
 
@@ -181,20 +181,20 @@
 fn the_fuller_the_queue_the_fewer_customers_join_it() {
     let joining = |in_flight, queue_length| {
         let customers = (0..1000).map(CustomerId);
-        let facts = |customer| AdmissionFacts {
+        let context = |customer| AdmissionContext {
             customer,
             in_flight,
             queue_length,
             concurrency_limit: 100.0,
             ..admission()
         };
-        customers.filter(|customer| facts(*customer).decide() == AdmissionDecision::Admit).count()
+        customers.filter(|customer| context(*customer).decide() == AdmissionDecision::Admit).count()
     };
     assert_eq!(joining(99, 30), 1000, "there is capacity");
     assert_eq!(joining(100, 0), 1000);
     assert!((450..550).contains(&joining(100, 15)));
     assert_eq!(joining(100, 30), 0);
-    let full = AdmissionFacts { in_flight: 100, queue_length: 30, concurrency_limit: 100.0, ..admission() };
+    let full = AdmissionContext { in_flight: 100, queue_length: 30, concurrency_limit: 100.0, ..admission() };
     let (reason, advice) = (RejectReason::Saturated, RetryAdvice::Longest);
     assert_eq!(full.decide(), AdmissionDecision::Reject { reason, advice });
 }
@@ -203,7 +203,7 @@
 /// worth something, while it can still be retried elsewhere, or as soon as its client's time runs out.
 #[test]
 fn a_request_is_queued_for_a_part_of_its_useful_time() {
-    let facts = |queued_for, left| QueueFacts {
+    let context = |queued_for, left| QueueContext {
         now: NOW,
         arrived_at: NOW - queued_for,
         deadline: NOW + left,
@@ -211,7 +211,7 @@
         min_queue_time: MIN_QUEUE_TIME,
     };
     let enough = Duration::from_secs(1);
-    assert!(!facts(Duration::from_millis(300), enough).is_overdue());
-    assert!(facts(Duration::from_millis(301), enough).is_overdue());
-    assert!(facts(Duration::ZERO, MIN_QUEUE_TIME - Duration::MICROSECOND).is_overdue());
+    assert!(!context(Duration::from_millis(300), enough).is_overdue());
+    assert!(context(Duration::from_millis(301), enough).is_overdue());
+    assert!(context(Duration::ZERO, MIN_QUEUE_TIME - Duration::MICROSECOND).is_overdue());
 }
--- a/src/policy/attempt_expiry.rs
+++ b/src/policy/attempt_expiry.rs
@@ -4,7 +4,7 @@
 
 /// What the expiry of an attempt depends on.
 #[derive(Clone, Copy)]
-pub(crate) struct ExpiryFacts<'a> {
+pub(crate) struct ExpiryContext<'a> {
     /// The time.
     pub now: Instant,
     /// When its request arrived.
@@ -23,10 +23,10 @@
 ///
 /// Past its latency objective an attempt may be worth nothing, but still counts towards its customer's
 /// concurrency quota: giving it up makes room for another.
-pub(crate) fn attempt_expiry(facts: &ExpiryFacts<'_>) -> Option<Instant> {
-    let ExpiryFacts { now, arrived_at, class, tick, .. } = *facts;
+pub(crate) fn attempt_expiry(context: &ExpiryContext<'_>) -> Option<Instant> {
+    let ExpiryContext { now, arrived_at, class, tick, .. } = *context;
     let is_worthless_when_late = class.late_weight == 0.0 && class.latency_objective_stretch == 0.0;
-    if !facts.gives_up_worthless_attempts || !facts.has_concurrency_quota || !is_worthless_when_late {
+    if !context.gives_up_worthless_attempts || !context.has_concurrency_quota || !is_worthless_when_late {
         return None;
     }
     Some((arrived_at + class.latency_objective).max(now + tick))
--- a/src/policy/attempt_expiry/tests.rs
+++ b/src/policy/attempt_expiry/tests.rs
@@ -20,8 +20,8 @@
 }
 
 /// An attempt in a large fleet, sent at once, whose customer has a concurrency quota.
-fn facts(class: &Class) -> ExpiryFacts<'_> {
-    ExpiryFacts {
+fn context(class: &Class) -> ExpiryContext<'_> {
+    ExpiryContext {
         now: ARRIVAL,
         arrived_at: ARRIVAL,
         class,
@@ -36,7 +36,7 @@
 /// customer's next requests are rejected.
 #[test]
 fn an_attempt_that_is_worthless_when_late_ends_with_its_objective() {
-    assert_eq!(attempt_expiry(&facts(&class(0.0))), Some(ARRIVAL + OBJECTIVE));
+    assert_eq!(attempt_expiry(&context(&class(0.0))), Some(ARRIVAL + OBJECTIVE));
 }
 
 /// A retry is sent just before the latency objective, or after it. If it expired at once, the backend would execute
@@ -44,7 +44,7 @@
 #[test]
 fn an_attempt_has_a_tick_at_least() {
     let (class, late) = (class(0.0), ARRIVAL + OBJECTIVE * 2);
-    assert_eq!(attempt_expiry(&ExpiryFacts { now: late, ..facts(&class) }), Some(late + TICK));
+    assert_eq!(attempt_expiry(&ExpiryContext { now: late, ..context(&class) }), Some(late + TICK));
 }
 
 /// A late answer is worth something, or the customer has no concurrency quota whose place it would hold, or the
@@ -53,10 +53,10 @@
 #[test]
 fn other_attempts_go_on_until_the_deadline() {
     let worthless = class(0.0);
-    assert_eq!(attempt_expiry(&facts(&class(0.2))), None);
-    assert_eq!(attempt_expiry(&ExpiryFacts { has_concurrency_quota: false, ..facts(&worthless) }), None);
+    assert_eq!(attempt_expiry(&context(&class(0.2))), None);
+    assert_eq!(attempt_expiry(&ExpiryContext { has_concurrency_quota: false, ..context(&worthless) }), None);
     assert_eq!(
-        attempt_expiry(&ExpiryFacts { gives_up_worthless_attempts: false, ..facts(&worthless) }),
+        attempt_expiry(&ExpiryContext { gives_up_worthless_attempts: false, ..context(&worthless) }),
         None
     );
 }
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,7 +1,7 @@
 //! Load balancing: which backend gets an attempt.
 //!
 //! A choice goes through a [`Subset`] of the ready backends, draws candidates by their weight, and takes the
-//! one with the least cost ([`CandidateFacts`]). [`SlowStart`] says whether a backend that came up a short
+//! one with the least cost ([`Candidate`]). [`SlowStart`] says whether a backend that came up a short
 //! time ago may be sent an attempt.
 
 mod candidate;
@@ -12,7 +12,7 @@
 use super::{OutlierDetector, RetryScope};
 use crate::state::{unit_draw, Attempt, Backend, BackendTable, Salt};
 use crate::{BackendId, Instant, Settings};
-use candidate::CandidateFacts;
+use candidate::Candidate;
 pub(crate) use reported_queue::ReportedQueue;
 pub(crate) use slow_start::RecentSends;
 use slow_start::SlowStart;
@@ -41,7 +41,7 @@
 
 /// What a choice depends on.
 #[derive(Clone, Copy)]
-pub(crate) struct ChoiceFacts<'a> {
+pub(crate) struct ChoiceContext<'a> {
     /// The time.
     pub now: Instant,
     /// Another number for each choice, by which its draws are made.
@@ -90,7 +90,7 @@
     }
 
     /// Compares a candidate with the best one so far.
-    fn add(&mut self, backend: BackendId, candidate: &CandidateFacts) {
+    fn add(&mut self, backend: BackendId, candidate: &Candidate) {
         let cost = candidate.cost();
         if cost < self.best_cost {
             (self.best, self.best_cost) = (Some(backend), cost);
@@ -118,15 +118,15 @@
     }
 
     /// Chooses the backend for a request's next attempt.
-    pub(crate) fn choose(&self, facts: &ChoiceFacts<'_>) -> Result<BackendId, NoBackend> {
-        let subset = Subset::new(facts.backends.ready_count(), self.fleet_size, facts.scope);
-        let draw = unit_draw(facts.seed);
+    pub(crate) fn choose(&self, context: &ChoiceContext<'_>) -> Result<BackendId, NoBackend> {
+        let subset = Subset::new(context.backends.ready_count(), self.fleet_size, context.scope);
+        let draw = unit_draw(context.seed);
         let start = subset.start(draw);
         let mut search = Search::new();
         for step in 0..subset.steps() {
             let position = subset.position(start, step);
-            let Some(backend) = facts.backends.ready_at(position) else { continue };
-            match self.candidate(backend, facts, &subset, draw, step) {
+            let Some(backend) = context.backends.ready_at(position) else { continue };
+            match self.candidate(backend, context, &subset, draw, step) {
                 Ok(candidate) => search.add(backend.endpoint.backend, &candidate),
                 Err(reason) => search.skip(reason),
             }
@@ -141,31 +141,31 @@
     fn candidate(
         &self,
         backend: &Backend,
-        facts: &ChoiceFacts<'_>,
+        context: &ChoiceContext<'_>,
         subset: &Subset,
         draw: f64,
         step: usize,
-    ) -> Result<CandidateFacts, NoBackend> {
-        let ChoiceFacts { now, class, .. } = *facts;
+    ) -> Result<Candidate, NoBackend> {
+        let ChoiceContext { now, class, .. } = *context;
         let Backend { endpoint, health, in_flight, .. } = backend;
-        if !facts.scope.includes(endpoint) {
+        if !context.scope.includes(endpoint) {
             return Err(NoBackend::OutOfScope);
         }
-        let weight = self.weight(backend, facts, subset);
+        let weight = self.weight(backend, context, subset);
         let is_sampled = subset.is_sampled();
-        if is_sampled && unit_draw(facts.seed ^ STEP_SALT.of(step as u64)) > weight {
+        if is_sampled && unit_draw(context.seed ^ STEP_SALT.of(step as u64)) > weight {
             return Err(NoBackend::NotDrawn);
         }
-        if !self.slow_start.allows(backend, facts.backends.ready_capacity(), now) {
+        if !self.slow_start.allows(backend, context.backends.ready_capacity(), now) {
             return Err(NoBackend::SlowStart);
         }
-        Ok(CandidateFacts {
+        Ok(Candidate {
             in_flight: *in_flight,
             queue_depth: backend.reported_queue.depth_at(now),
             fleet_size: self.fleet_size,
             in_own_zone: endpoint.zone == self.zone,
-            failure_rate: facts.outlier_detector.failure_rate(health, class, endpoint.zone, now),
-            was_tried: facts.attempts.iter().any(|attempt| attempt.endpoint.backend == endpoint.backend),
+            failure_rate: context.outlier_detector.failure_rate(health, class, endpoint.zone, now),
+            was_tried: context.attempts.iter().any(|attempt| attempt.endpoint.backend == endpoint.backend),
             is_ejected: health.is_ejected(class, *in_flight, now),
             weight: if is_sampled { 1.0 } else { weight },
             draw,
@@ -175,10 +175,10 @@
 
     /// How much of the load a backend should get: its present capacity over its latency, relative to the mean
     /// capacity of the ready backends. A backend that is as large and fast as the mean has [`MEAN_WEIGHT`].
-    fn weight(&self, backend: &Backend, facts: &ChoiceFacts<'_>, subset: &Subset) -> f64 {
-        let capacity = backend.size * self.slow_start.capacity_share(backend, facts.now);
+    fn weight(&self, backend: &Backend, context: &ChoiceContext<'_>, subset: &Subset) -> f64 {
+        let capacity = backend.size * self.slow_start.capacity_share(backend, context.now);
         let throughput = capacity / backend.health.relative_latency();
-        throughput * subset.ready() as f64 / facts.backends.ready_capacity() * MEAN_WEIGHT
+        throughput * subset.ready() as f64 / context.backends.ready_capacity() * MEAN_WEIGHT
     }
 }
 
--- a/src/policy/load_balancing/candidate.rs
+++ b/src/policy/load_balancing/candidate.rs
@@ -15,7 +15,7 @@
 const TRIED_FACTOR: f64 = 8.0;
 /// Factor for an ejected backend. It is avoided, but not shut out: where most backends are ejected, the
 /// healthy ones would be overloaded by all the requests. The ejected backend is chosen before a healthy one
-/// with more than this many times its [`load`](CandidateFacts::load), other factors being equal.
+/// with more than this many times its [`load`](Candidate::load), other factors being equal.
 const EJECTED_FACTOR: f64 = 10.0;
 /// A reported queue is divided among the gateways, but among so many at most.
 const MAX_QUEUE_SHARERS: u64 = 4;
@@ -24,7 +24,7 @@
 
 /// What the cost of a candidate depends on.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct CandidateFacts {
+pub(super) struct Candidate {
     /// Attempts of this gateway in flight there.
     pub in_flight: u32,
     /// Requests of all gateways that may wait there.
@@ -47,7 +47,7 @@
     pub step: usize,
 }
 
-impl CandidateFacts {
+impl Candidate {
     /// What it would cost to send it the attempt, relative to an idle backend without a fault in the same
     /// zone, which costs between 1 and 1.1 if its weight is 1.
     pub(super) fn cost(&self) -> f64 {
--- a/src/policy/load_balancing/candidate/tests.rs
+++ b/src/policy/load_balancing/candidate/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// An idle backend without a fault in the gateway's own zone.
-const IDLE: CandidateFacts = CandidateFacts {
+const IDLE: Candidate = Candidate {
     in_flight: 0,
     queue_depth: 0.0,
     fleet_size: 2,
@@ -22,19 +22,19 @@
 #[test]
 fn each_disadvantage_raises_the_cost_by_its_factor() {
     assert_eq!(IDLE.cost(), 1.0);
-    assert_eq!(CandidateFacts { in_flight: 3, ..IDLE }.cost(), 4.0);
-    assert_eq!(CandidateFacts { in_own_zone: false, ..IDLE }.cost(), 1.05);
-    assert_eq!(CandidateFacts { failure_rate: 0.5, ..IDLE }.cost(), 6.0);
-    assert_eq!(CandidateFacts { was_tried: true, ..IDLE }.cost(), 8.0);
-    assert_eq!(CandidateFacts { is_ejected: true, ..IDLE }.cost(), 10.0);
-    assert_eq!(CandidateFacts { weight: 0.25, ..IDLE }.cost(), 4.0);
+    assert_eq!(Candidate { in_flight: 3, ..IDLE }.cost(), 4.0);
+    assert_eq!(Candidate { in_own_zone: false, ..IDLE }.cost(), 1.05);
+    assert_eq!(Candidate { failure_rate: 0.5, ..IDLE }.cost(), 6.0);
+    assert_eq!(Candidate { was_tried: true, ..IDLE }.cost(), 8.0);
+    assert_eq!(Candidate { is_ejected: true, ..IDLE }.cost(), 10.0);
+    assert_eq!(Candidate { weight: 0.25, ..IDLE }.cost(), 4.0);
 }
 
 /// Nothing else tells the candidates of a choice apart. Chance does, by a tenth at most: it never outweighs
 /// one more attempt in flight at a backend with few.
 #[test]
 fn chance_moves_the_cost_by_a_tenth_at_most() {
-    let costs = (0..1000).map(|step| CandidateFacts { draw: 0.7, step, ..IDLE }.cost());
+    let costs = (0..1000).map(|step| Candidate { draw: 0.7, step, ..IDLE }.cost());
     let (least, most) = costs.fold((f64::MAX, 0.0), |(least, most), cost| (cost.min(least), cost.max(most)));
     assert!((1.0..1.01).contains(&least) && (1.09..1.1).contains(&most), "{least} to {most}");
 }
@@ -43,16 +43,16 @@
 /// a hundred each takes a quarter, since a queue is a bad sign however many share it.
 #[test]
 fn a_reported_queue_is_divided_among_four_gateways_at_most() {
-    let queueing = CandidateFacts { queue_depth: 12.0, ..IDLE };
-    assert_eq!(CandidateFacts { fleet_size: 3, ..queueing }.cost(), 5.0);
-    assert_eq!(CandidateFacts { fleet_size: 100, ..queueing }.cost(), 4.0);
+    let queueing = Candidate { queue_depth: 12.0, ..IDLE };
+    assert_eq!(Candidate { fleet_size: 3, ..queueing }.cost(), 5.0);
+    assert_eq!(Candidate { fleet_size: 100, ..queueing }.cost(), 4.0);
 }
 
 /// A candidate that is ejected, or fails more than four times in ten, does not end the search for a healthy one. If
 /// it did, requests would go to failing backends while healthy ones stand further on in the list.
 #[test]
 fn candidates_that_are_ejected_or_fail_often_are_suspect() {
-    assert!(!CandidateFacts { failure_rate: 0.4, ..IDLE }.is_suspect());
-    assert!(CandidateFacts { failure_rate: 0.41, ..IDLE }.is_suspect());
-    assert!(CandidateFacts { is_ejected: true, ..IDLE }.is_suspect());
+    assert!(!Candidate { failure_rate: 0.4, ..IDLE }.is_suspect());
+    assert!(Candidate { failure_rate: 0.41, ..IDLE }.is_suspect());
+    assert!(Candidate { is_ejected: true, ..IDLE }.is_suspect());
 }
--- a/src/policy/load_balancing/tests.rs
+++ b/src/policy/load_balancing/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`].
 
 use super::*;
-use crate::policy::{Evidence, OutcomeFacts};
+use crate::policy::{EndedAttempt, Evidence};
 use crate::{Class, Duration, Endpoint, Idempotency, IdempotencyScope, Rules};
 use std::collections::BTreeMap;
 
@@ -52,8 +52,9 @@
     /// The choice for an attempt that may go anywhere in `scope`, by one draw.
     fn choose(&self, seed: u64, attempts: &[Attempt], scope: &RetryScope) -> Result<BackendId, NoBackend> {
         let Fixture { backends, outlier_detector, .. } = self;
-        let facts = ChoiceFacts { now: NOW, seed, class: CLASS, attempts, scope, backends, outlier_detector };
-        self.balancer.choose(&facts)
+        let context =
+            ChoiceContext { now: NOW, seed, class: CLASS, attempts, scope, backends, outlier_detector };
+        self.balancer.choose(&context)
     }
 
     /// How often each backend is chosen in a thousand choices for first attempts.
@@ -68,10 +69,10 @@
 
     /// Records two failed attempts at a backend, by which it is ejected.
     fn eject(&mut self, backend: u64) {
-        let facts = OutcomeFacts { now: NOW, class: CLASS, zone: OWN_ZONE, evidence: Evidence::Failure };
+        let attempt = EndedAttempt { now: NOW, class: CLASS, zone: OWN_ZONE, evidence: Evidence::Failure };
         let health = &mut self.backends.get_mut(BackendId(backend)).expect("it is listed").health;
         for _ in 0..2 {
-            self.outlier_detector.record_outcome(health, &facts);
+            self.outlier_detector.record_outcome(health, &attempt);
         }
         assert!(health.is_ejected(CLASS, 0, NOW));
     }
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -37,7 +37,7 @@
 
 /// What decides whether a customer's request is shed.
 #[derive(Clone, Copy)]
-pub(crate) struct SheddingFacts<'a> {
+pub(crate) struct SheddingContext<'a> {
     /// The time.
     pub now: Instant,
     /// Whose request it is.
@@ -99,21 +99,21 @@
     /// Whether a customer's request is admitted at the present stage. The customers that are shed stay the
     /// same for an epoch, at all gateways: if each request were drawn for, the retries of shed clients would
     /// be admitted, too late to be of use, and cause the next overload.
-    pub(crate) fn admits(&self, facts: &SheddingFacts<'_>) -> bool {
-        let is_exempt = facts.familiarity == Familiarity::Unseen && self.stage < FIRST_STAGE_FOR_UNSEEN;
+    pub(crate) fn admits(&self, context: &SheddingContext<'_>) -> bool {
+        let is_exempt = context.familiarity == Familiarity::Unseen && self.stage < FIRST_STAGE_FOR_UNSEEN;
         if self.stage == 0 || is_exempt {
             return true;
         }
-        let top_price = facts.plans.iter().map(|plan| plan.price).fold(f64::MIN, f64::max);
-        let prices_differ = facts.plans.iter().any(|plan| plan.price < top_price);
-        if prices_differ && facts.plan.price >= top_price {
+        let top_price = context.plans.iter().map(|plan| plan.price).fold(f64::MIN, f64::max);
+        let prices_differ = context.plans.iter().any(|plan| plan.price < top_price);
+        if prices_differ && context.plan.price >= top_price {
             return true;
         }
         if prices_differ && self.stage == LAST_STAGE {
             return false;
         }
         let admitted_share = ADMITTED_SHARES[self.stage.min(LAST_STAGE - 1)];
-        epoch_draw(facts.now, facts.customer) < admitted_share
+        epoch_draw(context.now, context.customer) < admitted_share
     }
 
     /// Records that a request inside its quota was admitted.
--- a/src/policy/load_shedding/tests.rs
+++ b/src/policy/load_shedding/tests.rs
@@ -35,7 +35,7 @@
     let customers = (0..1000).map(CustomerId);
     customers
         .filter(|customer| {
-            shedder.admits(&SheddingFacts { now: START, customer: *customer, familiarity, plan, plans })
+            shedder.admits(&SheddingContext { now: START, customer: *customer, familiarity, plan, plans })
         })
         .count()
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -30,7 +30,7 @@
 
 /// The end of an attempt of this gateway.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct OutcomeFacts {
+pub(crate) struct EndedAttempt {
     /// The time.
     pub now: Instant,
     /// The class of its request.
@@ -43,7 +43,7 @@
 
 /// The answer to an attempt, at this gateway or at a peer.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AnswerFacts {
+pub(crate) struct AnswerSample {
     /// The time.
     pub now: Instant,
     /// The class of its request.
@@ -86,20 +86,20 @@
     pub(crate) fn record_outcome(
         &mut self,
         health: &mut BackendHealth,
-        facts: &OutcomeFacts,
+        attempt: &EndedAttempt,
     ) -> Option<HealthChange> {
-        let connect_failed = facts.evidence == Evidence::ConnectFailure;
+        let connect_failed = attempt.evidence == Evidence::ConnectFailure;
         let weight = if connect_failed { ZONE_FAILURE_WEIGHT } else { ZONE_SUCCESS_WEIGHT };
-        self.zones.entry(facts.zone).or_default().record(facts.now, connect_failed, weight);
-        health.record_outcome(facts.class, facts.evidence, facts.now)
+        self.zones.entry(attempt.zone).or_default().record(attempt.now, connect_failed, weight);
+        health.record_outcome(attempt.class, attempt.evidence, attempt.now)
     }
 
     /// Records an answer's latency, and returns it as a ratio of the highest normal one.
-    pub(crate) fn record_answer(&mut self, health: &mut BackendHealth, facts: &AnswerFacts) -> f64 {
-        let baseline = &mut self.baselines[facts.class];
-        health.relative_latency.record(baseline.relative(facts.latency_micros), facts.source);
-        baseline.record(facts.now, facts.latency_micros);
-        baseline.normal_ratio(facts.latency_micros)
+    pub(crate) fn record_answer(&mut self, health: &mut BackendHealth, answer: &AnswerSample) -> f64 {
+        let baseline = &mut self.baselines[answer.class];
+        health.relative_latency.record(baseline.relative(answer.latency_micros), answer.source);
+        baseline.record(answer.now, answer.latency_micros);
+        baseline.normal_ratio(answer.latency_micros)
     }
 }
 
--- a/src/policy/outlier_detection/tests.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -39,8 +39,8 @@
 }
 
 /// An attempt of [`CLASS`] that ended.
-fn ended(evidence: Evidence, now: Instant) -> OutcomeFacts {
-    OutcomeFacts { now, class: CLASS, zone: ZONE, evidence }
+fn ended(evidence: Evidence, now: Instant) -> EndedAttempt {
+    EndedAttempt { now, class: CLASS, zone: ZONE, evidence }
 }
 
 /// Records the end of this many attempts, all with the same evidence and at the same time.
@@ -205,7 +205,7 @@
 fn latencies_are_compared_with_those_of_all_backends() {
     let (mut detector, mut usual, mut slow) = (detector(), backend(), backend());
     let answer =
-        |latency_micros| AnswerFacts { now: START, class: CLASS, latency_micros, source: Source::Own };
+        |latency_micros| AnswerSample { now: START, class: CLASS, latency_micros, source: Source::Own };
     for _ in 0..200 {
         for _ in 0..10 {
             detector.record_answer(&mut usual, &answer(40_000.0));
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -11,7 +11,7 @@
 //! | may a client's connection be closed? | the host | here |
 
 pub use super::retry::permission::{
-    may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal, KeyExpired,
+    may_repeat_key, may_start_attempt, AttemptContext, AttemptKind, AttemptRefusal, KeyExpired,
 };
 use crate::{Availability, Duration, Instant};
 use thiserror::Error;
@@ -32,7 +32,7 @@
 
 /// What is known of an attempt whose first byte could be written.
 #[derive(Clone, Copy, Debug)]
-pub struct WriteFacts {
+pub struct WriteContext {
     /// The time.
     pub now: Instant,
     /// When the attempt is given up.
@@ -49,12 +49,12 @@
 ///
 /// The first of these that holds: no answer is owed any more, the attempt has expired, or its connection came
 /// up later than the policy counted on.
-pub fn may_begin_writing(facts: &WriteFacts) -> Result<(), WriteRefusal> {
-    if facts.closed {
+pub fn may_begin_writing(context: &WriteContext) -> Result<(), WriteRefusal> {
+    if context.closed {
         Err(WriteRefusal::Closed)
-    } else if facts.now >= facts.expires_at {
+    } else if context.now >= context.expires_at {
         Err(WriteRefusal::Expired)
-    } else if facts.now > facts.begins_by {
+    } else if context.now > context.begins_by {
         Err(WriteRefusal::ConnectedTooLate)
     } else {
         Ok(())
@@ -150,7 +150,7 @@
 
 /// What is known of a client's connection.
 #[derive(Clone, Copy, Debug)]
-pub struct ClientConnectionFacts {
+pub struct ClientConnectionState {
     /// It awaits or is being sent a reply.
     pub is_busy: bool,
     /// Something was received and not parsed, or is to be read yet.
@@ -165,14 +165,14 @@
 ///
 /// The first of these that holds: replies are owed, input has come or may be waiting, or the connection is
 /// closing already.
-pub fn may_close_client(facts: ClientConnectionFacts) -> Result<(), CloseRefusal> {
-    if facts.is_busy {
+pub fn may_close_client(connection: ClientConnectionState) -> Result<(), CloseRefusal> {
+    if connection.is_busy {
         return Err(CloseRefusal::RepliesOwed);
     }
-    if facts.has_input {
+    if connection.has_input {
         return Err(CloseRefusal::InputPending);
     }
-    match facts.closing {
+    match connection.closing {
         ClientClosing::Open => Ok(()),
         ClientClosing::OverLimit => Err(CloseRefusal::OverLimit),
         ClientClosing::Closing => Err(CloseRefusal::Closing),
--- a/src/policy/permissions/tests.rs
+++ b/src/policy/permissions/tests.rs
@@ -4,7 +4,7 @@
 use crate::{Idempotency, IdempotencyScope};
 
 /// A request whose first attempt failed and was never executed.
-const FAILED_ONCE: AttemptFacts = AttemptFacts {
+const FAILED_ONCE: AttemptContext = AttemptContext {
     idempotency: Idempotency::Idempotent,
     hedging: false,
     max_attempts: 3,
@@ -22,8 +22,8 @@
 /// names the kind, and an operator reads there why a request was sent a second time.
 #[test]
 fn an_attempt_is_the_first_a_retry_or_a_hedge_by_those_before_it() {
-    let hedge = AttemptFacts { in_flight: 1, hedging: true, ..FAILED_ONCE };
-    assert_eq!(may_start_attempt(&AttemptFacts { attempts: 0, ..FAILED_ONCE }), Ok(AttemptKind::First));
+    let hedge = AttemptContext { in_flight: 1, hedging: true, ..FAILED_ONCE };
+    assert_eq!(may_start_attempt(&AttemptContext { attempts: 0, ..FAILED_ONCE }), Ok(AttemptKind::First));
     assert_eq!(may_start_attempt(&FAILED_ONCE), Ok(AttemptKind::Retry));
     assert_eq!(may_start_attempt(&hedge), Ok(AttemptKind::Hedge));
 }
@@ -36,19 +36,19 @@
 fn an_attempt_that_is_not_allowed_is_refused_with_its_reason() {
     let window = Duration::from_micros(1000);
     let keyed = Idempotency::Keyed { scope: IdempotencyScope::Fleet, window };
-    let executed = AttemptFacts { may_have_executed: true, ..FAILED_ONCE };
-    for (facts, expected) in [
-        (AttemptFacts { closed: true, ..FAILED_ONCE }, AttemptRefusal::Closed),
-        (AttemptFacts { attempts: 3, ..FAILED_ONCE }, AttemptRefusal::AttemptLimit),
-        (AttemptFacts { in_flight: 1, ..FAILED_ONCE }, AttemptRefusal::InFlight),
+    let executed = AttemptContext { may_have_executed: true, ..FAILED_ONCE };
+    for (context, expected) in [
+        (AttemptContext { closed: true, ..FAILED_ONCE }, AttemptRefusal::Closed),
+        (AttemptContext { attempts: 3, ..FAILED_ONCE }, AttemptRefusal::AttemptLimit),
+        (AttemptContext { in_flight: 1, ..FAILED_ONCE }, AttemptRefusal::InFlight),
         (
-            AttemptFacts { idempotency: Idempotency::NonIdempotent, ..executed },
+            AttemptContext { idempotency: Idempotency::NonIdempotent, ..executed },
             AttemptRefusal::MayHaveExecuted,
         ),
     ] {
-        assert_eq!(may_start_attempt(&facts), Err(expected), "{facts:?}");
+        assert_eq!(may_start_attempt(&context), Err(expected), "{context:?}");
     }
-    assert_eq!(may_start_attempt(&AttemptFacts { idempotency: keyed, ..executed }), Ok(AttemptKind::Retry));
+    assert_eq!(may_start_attempt(&AttemptContext { idempotency: keyed, ..executed }), Ok(AttemptKind::Retry));
     assert_eq!(may_repeat_key(window, at(50), at(1049)), Ok(()));
     assert_eq!(may_repeat_key(window, at(50), at(1050)), Err(KeyExpired));
 }
@@ -58,11 +58,11 @@
 /// nobody, or execute a request whose idempotency key is forgotten.
 #[test]
 fn a_command_is_written_only_while_its_client_waits_and_its_time_lasts() {
-    let facts = WriteFacts { now: at(100), expires_at: at(200), begins_by: at(150), closed: false };
-    let begin_at = |micros| may_begin_writing(&WriteFacts { now: at(micros), ..facts });
+    let context = WriteContext { now: at(100), expires_at: at(200), begins_by: at(150), closed: false };
+    let begin_at = |micros| may_begin_writing(&WriteContext { now: at(micros), ..context });
     assert_eq!((begin_at(150), begin_at(151)), (Ok(()), Err(WriteRefusal::ConnectedTooLate)));
     assert_eq!(begin_at(200), Err(WriteRefusal::Expired));
-    assert_eq!(may_begin_writing(&WriteFacts { closed: true, ..facts }), Err(WriteRefusal::Closed));
+    assert_eq!(may_begin_writing(&WriteContext { closed: true, ..context }), Err(WriteRefusal::Closed));
 }
 
 /// A backend that is draining, was removed, or was never listed is sent nothing. Its operator is shutting it down,
@@ -91,17 +91,17 @@
 /// has begun to arrive, must stay connected: it would lose a request that the ingress has accepted.
 #[test]
 fn a_client_is_closed_only_between_two_requests() {
-    let idle = ClientConnectionFacts { is_busy: false, has_input: false, closing: ClientClosing::Open };
+    let idle = ClientConnectionState { is_busy: false, has_input: false, closing: ClientClosing::Open };
     let close = may_close_client;
     assert_eq!(close(idle), Ok(()));
-    assert_eq!(close(ClientConnectionFacts { is_busy: true, ..idle }), Err(CloseRefusal::RepliesOwed));
-    assert_eq!(close(ClientConnectionFacts { has_input: true, ..idle }), Err(CloseRefusal::InputPending));
+    assert_eq!(close(ClientConnectionState { is_busy: true, ..idle }), Err(CloseRefusal::RepliesOwed));
+    assert_eq!(close(ClientConnectionState { has_input: true, ..idle }), Err(CloseRefusal::InputPending));
     assert_eq!(
-        close(ClientConnectionFacts { closing: ClientClosing::Closing, ..idle }),
+        close(ClientConnectionState { closing: ClientClosing::Closing, ..idle }),
         Err(CloseRefusal::Closing)
     );
     assert_eq!(
-        close(ClientConnectionFacts { closing: ClientClosing::OverLimit, ..idle }),
+        close(ClientConnectionState { closing: ClientClosing::OverLimit, ..idle }),
         Err(CloseRefusal::OverLimit)
     );
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -13,7 +13,9 @@
 use super::load_shedding::MIN_STAGE_TIME_UP;
 use crate::{Duration, Endpoint, Idempotency, IdempotencyScope, Instant, Limits, Settings};
 use budget::RetryBudget;
-use permission::{may_repeat_key, may_start_attempt, AttemptFacts, AttemptKind, AttemptRefusal, KeyExpired};
+use permission::{
+    may_repeat_key, may_start_attempt, AttemptContext, AttemptKind, AttemptRefusal, KeyExpired,
+};
 use thiserror::Error;
 
 /// Time from the send of an attempt, as a share of its request's latency budget, after which it is given up
@@ -28,7 +30,7 @@
 
 /// What decides on a further attempt of a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RetryFacts {
+pub(crate) struct RetryContext {
     /// The time.
     pub now: Instant,
     /// When the latency objective or the client's time ends, whichever comes first.
@@ -61,7 +63,7 @@
 
 /// What decides on an attempt that is in flight for a while.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AttemptCheckFacts {
+pub(crate) struct AttemptCheckContext {
     /// The time.
     pub now: Instant,
     /// When the attempt was sent.
@@ -140,18 +142,18 @@
     }
 
     /// Whether a request may be attempted again: safely, in time, and within the retry budget.
-    pub(crate) fn may_retry(&self, facts: &RetryFacts) -> Result<AttemptKind, RetryRefusal> {
-        if facts.now + self.tick >= facts.in_time_until {
+    pub(crate) fn may_retry(&self, context: &RetryContext) -> Result<AttemptKind, RetryRefusal> {
+        if context.now + self.tick >= context.in_time_until {
             return Err(RetryRefusal::TooLate);
         }
-        let kind = may_start_attempt(&AttemptFacts {
-            idempotency: facts.idempotency,
+        let kind = may_start_attempt(&AttemptContext {
+            idempotency: context.idempotency,
             hedging: self.limits.hedging,
             max_attempts: self.limits.max_attempts as usize,
-            attempts: facts.attempts,
-            in_flight: facts.in_flight,
-            may_have_executed: facts.may_have_executed,
-            closed: facts.closed,
+            attempts: context.attempts,
+            in_flight: context.in_flight,
+            may_have_executed: context.may_have_executed,
+            closed: context.closed,
         })?;
         if !self.budget.allows_retry() {
             return Err(RetryRefusal::BudgetExhausted);
@@ -165,21 +167,21 @@
     }
 
     /// What is done about an attempt that has no answer yet.
-    pub(crate) fn check_attempt(&self, facts: &AttemptCheckFacts) -> AttemptCheck {
-        let late_at = facts.sent_at + facts.latency_budget.mul_f64(LATE_ATTEMPT_SHARE);
-        if !facts.is_silent && facts.now < late_at {
+    pub(crate) fn check_attempt(&self, context: &AttemptCheckContext) -> AttemptCheck {
+        let late_at = context.sent_at + context.latency_budget.mul_f64(LATE_ATTEMPT_SHARE);
+        if !context.is_silent && context.now < late_at {
             return AttemptCheck::CheckAt(late_at);
         }
         // Under overload many answers are late: retries of them would add to it.
-        let is_repeated = facts.is_silent || !facts.is_shedding;
-        if facts.idempotency == Idempotency::NonIdempotent || !is_repeated {
+        let is_repeated = context.is_silent || !context.is_shedding;
+        if context.idempotency == Idempotency::NonIdempotent || !is_repeated {
             return AttemptCheck::KeepWaiting;
         }
         if self.limits.hedging {
             return AttemptCheck::Hedge;
         }
         let may_cancel = self.limits.cancellation && self.budget.allows_retry();
-        if facts.is_silent && may_cancel {
+        if context.is_silent && may_cancel {
             AttemptCheck::CancelAndRetry
         } else {
             AttemptCheck::KeepWaiting
@@ -202,7 +204,7 @@
             return Ok(RetryScope::Anywhere);
         };
         // An attempt begins once its connection is up: by then, too, the key has to be known. The host lets
-        // it begin up to the connect timeout after it was given the action (`WriteFacts::begins_by`), and may
+        // it begin up to the connect timeout after it was given the action (`WriteContext::begins_by`), and may
         // be given that a tick after this decision.
         let begins_by = now + self.tick + self.limits.connect_timeout;
         may_repeat_key(window, executed.sent_at, begins_by)?;
--- a/src/policy/retry/permission.rs
+++ b/src/policy/retry/permission.rs
@@ -41,7 +41,7 @@
 
 /// What is known of a request that wants an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptFacts {
+pub struct AttemptContext {
     /// Whether it may be executed again.
     pub idempotency: Idempotency,
     /// Whether the settings allow two attempts in flight together.
@@ -64,20 +64,20 @@
 ///
 /// The first of these that holds: no answer is owed any more, the request has had all its attempts, it is not
 /// idempotent and may have been executed, or an attempt is in flight and hedging is not permitted.
-pub fn may_start_attempt(facts: &AttemptFacts) -> Result<AttemptKind, AttemptRefusal> {
-    if facts.closed {
+pub fn may_start_attempt(context: &AttemptContext) -> Result<AttemptKind, AttemptRefusal> {
+    if context.closed {
         return Err(AttemptRefusal::Closed);
     }
-    if facts.attempts >= facts.max_attempts {
+    if context.attempts >= context.max_attempts {
         return Err(AttemptRefusal::AttemptLimit);
     }
-    if facts.idempotency == Idempotency::NonIdempotent && facts.may_have_executed {
+    if context.idempotency == Idempotency::NonIdempotent && context.may_have_executed {
         return Err(AttemptRefusal::MayHaveExecuted);
     }
-    match (facts.attempts, facts.in_flight) {
+    match (context.attempts, context.in_flight) {
         (0, _) => Ok(AttemptKind::First),
         (_, 0) => Ok(AttemptKind::Retry),
-        _ if facts.hedging => Ok(AttemptKind::Hedge),
+        _ if context.hedging => Ok(AttemptKind::Hedge),
         _ => Err(AttemptRefusal::InFlight),
     }
 }
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -20,8 +20,8 @@
 }
 
 /// An attempt of an idempotent request that has become late, at a backend that answers others.
-fn late() -> AttemptCheckFacts {
-    AttemptCheckFacts {
+fn late() -> AttemptCheckContext {
+    AttemptCheckContext {
         now: LATE_AT,
         sent_at: SENT_AT,
         latency_budget: LATENCY_BUDGET,
@@ -32,8 +32,8 @@
 }
 
 /// A request whose only attempt has failed without being executed.
-fn failed_once() -> RetryFacts {
-    RetryFacts {
+fn failed_once() -> RetryContext {
+    RetryContext {
         now: SENT_AT,
         in_time_until: SENT_AT + LATENCY_BUDGET,
         idempotency: Idempotency::Idempotent,
@@ -48,11 +48,11 @@
 /// only load the backends: the client gets its rejection at once instead.
 #[test]
 fn a_retry_that_would_come_too_late_is_refused() {
-    let (policy, facts) = (policy(limits()), failed_once());
-    let last_moment = facts.in_time_until - Duration::from_millis(4) - Duration::MICROSECOND;
-    assert_eq!(policy.may_retry(&RetryFacts { now: last_moment, ..facts }), Ok(AttemptKind::Retry));
+    let (policy, context) = (policy(limits()), failed_once());
+    let last_moment = context.in_time_until - Duration::from_millis(4) - Duration::MICROSECOND;
+    assert_eq!(policy.may_retry(&RetryContext { now: last_moment, ..context }), Ok(AttemptKind::Retry));
     let too_late = last_moment + Duration::MICROSECOND;
-    assert_eq!(policy.may_retry(&RetryFacts { now: too_late, ..facts }), Err(RetryRefusal::TooLate));
+    assert_eq!(policy.may_retry(&RetryContext { now: too_late, ..context }), Err(RetryRefusal::TooLate));
 }
 
 /// A backend reset the connection after it got the command of a payout. Another attempt might pay twice: it
@@ -60,10 +60,10 @@
 #[test]
 fn a_non_idempotent_request_that_may_have_been_executed_is_neither_retried_nor_rejected() {
     let idempotency = Idempotency::NonIdempotent;
-    let facts = RetryFacts { idempotency, may_have_executed: true, ..failed_once() };
+    let context = RetryContext { idempotency, may_have_executed: true, ..failed_once() };
     let refusal = RetryRefusal::NotPermitted(AttemptRefusal::MayHaveExecuted);
     assert_eq!(
-        policy(Limits { hedging: true, cancellation: true, ..limits() }).may_retry(&facts),
+        policy(Limits { hedging: true, cancellation: true, ..limits() }).may_retry(&context),
         Err(refusal)
     );
     assert_eq!(RetryPolicy::final_answer(idempotency, true), FinalAnswer::Failed);
@@ -92,12 +92,12 @@
 #[test]
 fn a_late_answer_is_hedged_unless_load_is_shed() {
     let policy = policy(Limits { hedging: true, cancellation: true, ..limits() });
-    let early = AttemptCheckFacts { now: LATE_AT - Duration::MICROSECOND, ..late() };
+    let early = AttemptCheckContext { now: LATE_AT - Duration::MICROSECOND, ..late() };
     assert_eq!(policy.check_attempt(&early), AttemptCheck::CheckAt(LATE_AT));
     assert_eq!(policy.check_attempt(&late()), AttemptCheck::Hedge);
-    let shedding = AttemptCheckFacts { is_shedding: true, ..late() };
+    let shedding = AttemptCheckContext { is_shedding: true, ..late() };
     assert_eq!(policy.check_attempt(&shedding), AttemptCheck::KeepWaiting);
-    let silent = AttemptCheckFacts { is_silent: true, ..shedding };
+    let silent = AttemptCheckContext { is_silent: true, ..shedding };
     assert_eq!(policy.check_attempt(&silent), AttemptCheck::Hedge);
 }
 
@@ -106,12 +106,12 @@
 /// that is late at a backend which answers others is left alone: its answer is likely on its way.
 #[test]
 fn an_attempt_at_a_silent_backend_is_cancelled_where_hedging_is_forbidden() {
-    let silent = AttemptCheckFacts { is_silent: true, ..late() };
+    let silent = AttemptCheckContext { is_silent: true, ..late() };
     let cancelling = policy(Limits { cancellation: true, ..limits() });
     assert_eq!(cancelling.check_attempt(&silent), AttemptCheck::CancelAndRetry);
     assert_eq!(cancelling.check_attempt(&late()), AttemptCheck::KeepWaiting);
     assert_eq!(policy(limits()).check_attempt(&silent), AttemptCheck::KeepWaiting);
-    let non_idempotent = AttemptCheckFacts { idempotency: Idempotency::NonIdempotent, ..silent };
+    let non_idempotent = AttemptCheckContext { idempotency: Idempotency::NonIdempotent, ..silent };
     assert_eq!(cancelling.check_attempt(&non_idempotent), AttemptCheck::KeepWaiting);
 }
 
