--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -89,7 +89,7 @@
     }
 
     /// Whether it has an attempt of whose command nothing is written.
-    pub fn is_not_yet_written(&self) -> bool {
+    pub fn has_unwritten_command(&self) -> bool {
         self.written == 0 && self.attempt.is_some()
     }
 
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -83,7 +83,7 @@
     }
 
     /// The attempt on a connection if nothing of its command is written yet.
-    pub fn not_yet_written(&self, key: usize) -> Option<AttemptId> {
+    pub fn unwritten_attempt(&self, key: usize) -> Option<AttemptId> {
         self.connections
             .get(key)
             .filter(|connection| connection.written == 0)
@@ -99,7 +99,7 @@
         encode: impl FnOnce(&mut Vec<u8>),
     ) {
         let connection = self.connections.get_mut(key);
-        if let Some(connection) = connection.filter(|connection| connection.is_not_yet_written()) {
+        if let Some(connection) = connection.filter(|connection| connection.has_unwritten_command()) {
             connection.stated_timeout = stated_timeout;
             connection.command.clear();
             encode(&mut connection.command);
@@ -166,7 +166,7 @@
     /// Writes as much of the command as possible.
     fn write(&mut self, key: usize) {
         let connection = &mut self.connections[key];
-        let was_unwritten = connection.is_not_yet_written();
+        let was_unwritten = connection.has_unwritten_command();
         let result = connection.write_command();
         if was_unwritten && connection.written > 0 {
             let BackendConnection { backend, stated_timeout, .. } = *connection;
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -142,7 +142,7 @@
     /// their connections are established, perhaps at another backend with the same address.
     fn cancel_unwritten(&mut self, closed_to_new_work: &HashSet<BackendId>) {
         let is_unwritten = |connection: &BackendConnection| {
-            connection.is_not_yet_written() && closed_to_new_work.contains(&connection.backend)
+            connection.has_unwritten_command() && closed_to_new_work.contains(&connection.backend)
         };
         for key in self.keys_where(is_unwritten) {
             self.complete(key, ExchangeResult::without_reply(Outcome::NotSent), None);
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -261,7 +261,7 @@
     /// it runs the timers that would have ended the attempt. So the exact clock decides here, before the
     /// first byte.
     pub(super) fn prepare_to_write(&mut self, key: usize) {
-        let Some(attempt_id) = self.backend_connections.not_yet_written(key) else { return };
+        let Some(attempt_id) = self.backend_connections.unwritten_attempt(key) else { return };
         let Some(request) = self.requests.get(attempt_id.request) else { return };
         let Some(attempt) = request.attempts.get(usize::from(attempt_id.number)) else { return };
         let now = self.clock.now().max(self.now);
