--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -170,9 +170,9 @@
         let result = connection.write_command();
         if was_unwritten && connection.written > 0 {
             let BackendConnection { backend, stated_timeout, .. } = *connection;
-            let begun =
+            let first_byte =
                 connection.attempt.map(|attempt| FirstByteWritten { attempt, backend, stated_timeout });
-            self.begun.extend(begun);
+            self.first_bytes_written.extend(first_byte);
         }
         if result.is_ok() {
             return;
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -58,7 +58,7 @@
     /// The ends of attempts that were not taken yet.
     pub(super) completions: Vec<ExchangeCompletion>,
     /// The begun attempts that were not taken yet.
-    pub(super) begun: Vec<FirstByteWritten>,
+    pub(super) first_bytes_written: Vec<FirstByteWritten>,
     /// The number of connections opened so far.
     pub opened_count: u64,
 }
@@ -76,7 +76,7 @@
             idle_reuse: IdleReuseTracker::default(),
             token,
             completions: Vec::new(),
-            begun: Vec::new(),
+            first_bytes_written: Vec::new(),
             opened_count: 0,
         }
     }
@@ -87,8 +87,8 @@
     }
 
     /// Takes the attempts whose first byte was written, in order.
-    pub fn take_begun(&mut self) -> Vec<FirstByteWritten> {
-        std::mem::take(&mut self.begun)
+    pub fn take_first_bytes_written(&mut self) -> Vec<FirstByteWritten> {
+        std::mem::take(&mut self.first_bytes_written)
     }
 
     /// How many connections there are.
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -22,7 +22,7 @@
 impl EventLoop {
     /// Records the attempts whose first byte was written.
     pub(super) fn record_begun_attempts(&mut self) {
-        for begun in self.backend_connections.take_begun() {
+        for begun in self.backend_connections.take_first_bytes_written() {
             let AttemptId { request: id, number } = begun.attempt;
             self.counters.attempts_begun += 1;
             let Some(request) = self.requests.get_mut(id) else { continue };
