--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -142,7 +142,7 @@
     /// A duplicate reply would be taken for the reply to the next command, since replies carry no id, and a
     /// command on a connection that the backend has closed would fail. The read detects both right before the
     /// connection is used.
-    pub fn probe_quiet(&mut self) -> bool {
+    pub fn probe_is_usable(&mut self) -> bool {
         let read = self.stream.read(&mut [0]);
         read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -199,7 +199,7 @@
             let position = self.newest_reusable(self.pools.get(&backend)?, now)?;
             let key = self.pools.get_mut(&backend)?.idle.remove(position);
             let connection = &mut self.connections[key];
-            if connection.probe_quiet() {
+            if connection.probe_is_usable() {
                 connection.idle_before = Some(now.duration_since(connection.idle_since));
                 return Some(key);
             }
