--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::closing::BackendCloseReason;
 use super::connection::{BackendConnection, ReadStep};
-use super::idle_reuse::IdleReuse;
+use super::idle_reuse::ReuseOutcome;
 use super::reply::{self, ExchangeResult};
 use super::{
     AssignedConnection, AttemptId, BackendConnections, CommandState, ExchangeCompletion, FirstByteWritten,
@@ -252,7 +252,7 @@
         let Some(attempt) = connection.attempt else { return };
         let (backend, started_at) = (connection.backend, connection.assigned_at);
         if let Some(idle_time) = connection.idle_before {
-            let reuse = idle_reuse(connection, result.outcome, ended_at);
+            let reuse = reuse_outcome(connection, result.outcome, ended_at);
             if let Some(reuse) = reuse {
                 self.idle_reuse.record(idle_time, reuse);
             }
@@ -282,14 +282,14 @@
 
 /// The result of the reuse of a connection whose attempt has ended with this outcome; none if it shows
 /// nothing about the idle time before.
-fn idle_reuse(
+fn reuse_outcome(
     connection: &BackendConnection,
     outcome: Outcome,
     ended_at: Option<Instant>,
-) -> Option<IdleReuse> {
+) -> Option<ReuseOutcome> {
     if !matches!(outcome, Outcome::Reset | Outcome::ConnectFailed) {
-        return Some(IdleReuse::Alive);
+        return Some(ReuseOutcome::Alive);
     }
     let was_immediate = ended_at.is_some_and(|at| at <= connection.assigned_at + IMMEDIATE_FAILURE);
-    (connection.received.is_empty() && was_immediate).then_some(IdleReuse::Stale)
+    (connection.received.is_empty() && was_immediate).then_some(ReuseOutcome::Stale)
 }
--- a/src/bin/ingress/backends/idle_reuse.rs
+++ b/src/bin/ingress/backends/idle_reuse.rs
@@ -14,7 +14,7 @@
 
 /// The result of the reuse of an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum IdleReuse {
+pub enum ReuseOutcome {
     /// The connection worked.
     Alive,
     /// It was dead: it was reset at once.
@@ -50,11 +50,11 @@
 
 impl IdleReuseTracker {
     /// Records the reuse of a connection that had been idle for `idle_time`.
-    pub fn record(&mut self, idle_time: Duration, reuse: IdleReuse) {
+    pub fn record(&mut self, idle_time: Duration, reuse: ReuseOutcome) {
         let index = idle_time.as_millis().max(1).ilog2() as usize;
         let bucket = &mut self.buckets[index.min(BUCKET_COUNT - 1)];
         bucket.uses += 1.0;
-        if reuse == IdleReuse::Stale {
+        if reuse == ReuseOutcome::Stale {
             bucket.stale_uses += 1.0;
         }
     }
--- a/src/bin/ingress/backends/idle_reuse/tests.rs
+++ b/src/bin/ingress/backends/idle_reuse/tests.rs
@@ -10,7 +10,7 @@
 /// A tracker that has seen so many connections dead after the idle time.
 fn tracker_after(stale_uses: usize) -> IdleReuseTracker {
     let mut tracker = IdleReuseTracker::default();
-    (0..stale_uses).for_each(|_| tracker.record(IDLE_TIME, IdleReuse::Stale));
+    (0..stale_uses).for_each(|_| tracker.record(IDLE_TIME, ReuseOutcome::Stale));
     tracker
 }
 
@@ -50,6 +50,6 @@
 #[test]
 fn a_few_dead_connections_among_many_change_nothing() {
     let mut tracker = tracker_after(1);
-    (0..4).for_each(|_| tracker.record(IDLE_TIME, IdleReuse::Alive));
+    (0..4).for_each(|_| tracker.record(IDLE_TIME, ReuseOutcome::Alive));
     assert_eq!(tracker.max_idle_time(), Duration::MAX);
 }
