--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -26,7 +26,7 @@
     /// When it became idle after its latest attempt; before the first one has ended, when it was opened.
     pub idle_since: Instant,
     /// How long it was idle before its attempt; none for the first attempt on it.
-    pub idle_before: Option<Duration>,
+    pub idle_time_before_attempt: Option<Duration>,
     /// When the first byte of the reply arrived.
     pub reply_started_at: Instant,
     /// The command of the attempt.
@@ -70,7 +70,7 @@
             attempt: None,
             assigned_at: now,
             idle_since: now,
-            idle_before: None,
+            idle_time_before_attempt: None,
             reply_started_at: Instant::ZERO,
             command: Vec::new(),
             stated_timeout: StatedTimeout::default(),
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -225,13 +225,13 @@
             .and_then(|parsed| reply::interpret(&connection.received, &parsed.reply))
             // The reply to an incomplete command can only be a rejection.
             .filter(|result| is_sent || result.outcome == Outcome::Rejected);
-        let has_nothing_behind =
+        let has_no_trailing_bytes =
             parsed.is_some_and(|ParsedReply { length, .. }| length == connection.received.len());
-        let is_clean = result.is_some() && is_sent && has_nothing_behind;
+        let is_reusable = result.is_some() && is_sent && has_no_trailing_bytes;
         let failure = connection.failure_outcome();
         let result = result.unwrap_or_else(|| ExchangeResult::without_reply(failure));
         self.complete(key, result, Some(now));
-        if is_clean {
+        if is_reusable {
             self.release(key, now)
         } else {
             Usability::Unusable
@@ -251,7 +251,7 @@
         let connection = &self.connections[key];
         let Some(attempt) = connection.attempt else { return };
         let (backend, started_at) = (connection.backend, connection.assigned_at);
-        if let Some(idle_time) = connection.idle_before {
+        if let Some(idle_time) = connection.idle_time_before_attempt {
             let reuse = reuse_outcome(connection, result.outcome, ended_at);
             if let Some(reuse) = reuse {
                 self.idle_reuse.record(idle_time, reuse);
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -100,16 +100,16 @@
     /// longer listed.
     pub fn update_endpoints(&mut self, endpoints: &EndpointList) -> Vec<BackendId> {
         let mut removed = self.missing_backends(endpoints);
-        let mut closed_to_new_work = HashSet::new();
+        let mut unavailable = HashSet::new();
         for entry in &endpoints.entries {
             let backend = entry.endpoint.backend;
             if entry.endpoint.availability == Availability::Gone {
                 removed.push(backend);
                 continue;
             }
-            if self.has_moved(entry) || entry.endpoint.availability == Availability::Draining {
+            if self.has_new_address(entry) || entry.endpoint.availability == Availability::Draining {
                 self.close_idle(backend, BackendCloseReason::BackendUnavailable);
-                closed_to_new_work.insert(backend);
+                unavailable.insert(backend);
             }
             let pool = self.pools.entry(backend).or_default();
             (pool.address, pool.availability) = (entry.address, entry.endpoint.availability);
@@ -117,9 +117,9 @@
         for backend in &removed {
             self.close_idle(*backend, BackendCloseReason::BackendUnavailable);
             self.pools.remove(backend);
-            closed_to_new_work.insert(*backend);
+            unavailable.insert(*backend);
         }
-        self.cancel_unwritten(&closed_to_new_work);
+        self.cancel_unwritten(&unavailable);
         removed
     }
 
@@ -134,15 +134,15 @@
     }
 
     /// Whether a backend has another address than before.
-    fn has_moved(&self, entry: &EndpointEntry) -> bool {
+    fn has_new_address(&self, entry: &EndpointEntry) -> bool {
         self.pools.get(&entry.endpoint.backend).is_some_and(|pool| pool.address != entry.address)
     }
 
     /// Ends attempts of which nothing is written yet at backends that take no new work: they would begin once
     /// their connections are established, perhaps at another backend with the same address.
-    fn cancel_unwritten(&mut self, closed_to_new_work: &HashSet<BackendId>) {
+    fn cancel_unwritten(&mut self, unavailable: &HashSet<BackendId>) {
         let is_unwritten = |connection: &BackendConnection| {
-            connection.has_unwritten_command() && closed_to_new_work.contains(&connection.backend)
+            connection.has_unwritten_command() && unavailable.contains(&connection.backend)
         };
         for key in self.keys_where(is_unwritten) {
             self.complete(key, ExchangeResult::without_reply(Outcome::NotSent), None);
@@ -200,7 +200,7 @@
             let key = self.pools.get_mut(&backend)?.idle.remove(position);
             let connection = &mut self.connections[key];
             if connection.probe_is_usable() {
-                connection.idle_before = Some(now.duration_since(connection.idle_since));
+                connection.idle_time_before_attempt = Some(now.duration_since(connection.idle_since));
                 return Some(key);
             }
             // Frees its descriptor for the next connection.
