--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -17,7 +17,7 @@
 /// in any case.
 const MAX_REPLY_BYTES: usize = 256 * 1024;
 /// A failure this soon after the assignment of an attempt means that the connection was dead before.
-const IMMEDIATE_FAILURE: Duration = Duration::from_millis(10);
+const IMMEDIATE_FAILURE_THRESHOLD: Duration = Duration::from_millis(10);
 
 /// Whether a connection can still be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -290,6 +290,6 @@
     if !matches!(outcome, Outcome::Reset | Outcome::ConnectFailed) {
         return Some(ReuseOutcome::Alive);
     }
-    let was_immediate = ended_at.is_some_and(|at| at <= connection.assigned_at + IMMEDIATE_FAILURE);
+    let was_immediate = ended_at.is_some_and(|at| at <= connection.assigned_at + IMMEDIATE_FAILURE_THRESHOLD);
     (connection.received.is_empty() && was_immediate).then_some(ReuseOutcome::Stale)
 }
--- a/src/bin/ingress/backends/idle_reuse.rs
+++ b/src/bin/ingress/backends/idle_reuse.rs
@@ -8,7 +8,7 @@
 const MIN_USES: f64 = 3.0;
 /// The factor on all counts at each sweep. It halves them in 23 sweeps, which with the interval of
 /// `SWEEP_INTERVAL` in `event_loop/timers.rs` take 11.5 s.
-const RETAINED_PER_SWEEP: f64 = 0.97;
+const DECAY_FACTOR_PER_SWEEP: f64 = 0.97;
 /// The number of buckets by idle time. Each is twice as long as the one before; the first one ends at 2 ms.
 const BUCKET_COUNT: usize = 16;
 
@@ -68,8 +68,8 @@
     /// Decays the counts; called at each sweep.
     pub fn decay(&mut self) {
         for bucket in &mut self.buckets {
-            bucket.uses *= RETAINED_PER_SWEEP;
-            bucket.stale_uses *= RETAINED_PER_SWEEP;
+            bucket.uses *= DECAY_FACTOR_PER_SWEEP;
+            bucket.stale_uses *= DECAY_FACTOR_PER_SWEEP;
         }
     }
 }
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -26,7 +26,7 @@
 /// The parts that the backends' keep-alive timeout is divided into; idle connections are closed one part
 /// before its end. If both ends closed them at the same time, a command could be written to a connection that
 /// the backend is closing.
-const KEEPALIVE_PARTS: u64 = 5;
+const KEEPALIVE_MARGIN_DIVISOR: u64 = 5;
 
 /// The connections to one backend that are idle.
 #[derive(Default)]
@@ -72,7 +72,8 @@
             pools: HashMap::new(),
             last_serial: 0,
             read_buffer: vec![0; BUFFER_SIZE],
-            configured_max_idle_time: keepalive_timeout / KEEPALIVE_PARTS * (KEEPALIVE_PARTS - 1),
+            configured_max_idle_time: keepalive_timeout / KEEPALIVE_MARGIN_DIVISOR
+                * (KEEPALIVE_MARGIN_DIVISOR - 1),
             idle_reuse: IdleReuseTracker::default(),
             token,
             completions: Vec::new(),
--- a/src/bin/ingress/config.rs
+++ b/src/bin/ingress/config.rs
@@ -25,7 +25,7 @@
 /// Overrides the address of discovery.
 pub const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
 /// Bytes in a megabyte of `limits.memory_mb`.
-const MEGABYTE: usize = 1 << 20;
+const BYTES_PER_MEGABYTE: usize = 1 << 20;
 
 /// The configuration of an ingress.
 pub struct Config {
@@ -113,7 +113,7 @@
             discovery_address: address(DISCOVERY_VARIABLE, "discovery")?,
             seed,
             max_descriptors: positive_number(&json, "limits", "sockets")?,
-            max_memory: positive_number(&json, "limits", "memory_mb")?.saturating_mul(MEGABYTE),
+            max_memory: positive_number(&json, "limits", "memory_mb")?.saturating_mul(BYTES_PER_MEGABYTE),
             peers,
             cached_endpoints,
             keepalive_timeout: reader.keepalive_timeout()?,
--- a/src/bin/ingress/discovery/connection.rs
+++ b/src/bin/ingress/discovery/connection.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 /// Bytes read at once.
-const READ_CHUNK: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// A connection to discovery, which carries one request at a time.
 pub struct DiscoveryConnection {
@@ -81,7 +81,7 @@
 
     /// Reads all bytes that have arrived.
     pub fn receive(&mut self, max_body_bytes: usize) -> Result<StreamState, PollError> {
-        let mut chunk = [0; READ_CHUNK];
+        let mut chunk = [0; READ_BUFFER_BYTES];
         loop {
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Ok(StreamState::Ended),
--- a/src/bin/ingress/discovery/http.rs
+++ b/src/bin/ingress/discovery/http.rs
@@ -11,17 +11,17 @@
 const MAX_HEADERS: usize = 64;
 /// A response's body may take this part of the memory, as a divisor: with the spare capacity of its buffer
 /// and the list that is built from it, it takes several times its length.
-const MEMORY_PER_BODY: usize = 8;
+const BODY_MEMORY_DIVISOR: usize = 8;
 /// The limit of a response's body where the memory is small.
-const MIN_BODY_LIMIT: usize = 4 << 20;
+const MIN_BODY_LIMIT_BYTES: usize = 4 << 20;
 /// A chunked body longer than this is decoded only once its end may have arrived, not after each read.
-const LONG_CHUNKED_BODY: usize = 64 * 1024;
+const MAX_INCREMENTAL_DECODE_BYTES: usize = 64 * 1024;
 /// Bytes of the line end that follows each chunk.
 const CHUNK_TERMINATOR_LEN: usize = 2;
 
 /// The most bytes of a response's body at an ingress with so much memory.
 pub fn max_body_bytes(memory: usize) -> usize {
-    (memory / MEMORY_PER_BODY).max(MIN_BODY_LIMIT)
+    (memory / BODY_MEMORY_DIVISOR).max(MIN_BODY_LIMIT_BYTES)
 }
 
 /// Whether more bytes may arrive on a connection.
@@ -82,7 +82,7 @@
     match head.framing {
         Framing::Chunked => {
             let may_be_complete = stream == StreamState::Ended || rest.ends_with(b"\r\n\r\n");
-            if rest.len() > LONG_CHUNKED_BODY && !may_be_complete {
+            if rest.len() > MAX_INCREMENTAL_DECODE_BYTES && !may_be_complete {
                 return Ok(None);
             }
             let bytes = decode_chunks(rest, max_body_bytes)?.map(Cow::Owned);
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -19,7 +19,7 @@
 /// 200 ms.
 const EMPTY_RESPONSE_DELAY: Duration = Duration::from_millis(50);
 /// A response faster than this did not wait for changes.
-const IMMEDIATE_RESPONSE: Duration = Duration::from_millis(20);
+const IMMEDIATE_RESPONSE_THRESHOLD: Duration = Duration::from_millis(20);
 
 /// Whether polls have begun to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -295,7 +295,7 @@
             connection.clear_received();
         }
         // Discovery that responds at once without changes must not be polled in a tight loop.
-        let was_immediate = now < started_at + IMMEDIATE_RESPONSE;
+        let was_immediate = now < started_at + IMMEDIATE_RESPONSE_THRESHOLD;
         let is_empty = response.endpoints.entries.is_empty();
         self.next_timer_at = if is_empty && was_immediate { now + EMPTY_RESPONSE_DELAY } else { now };
     }
