--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -27,7 +27,7 @@
     /// They go on as before, whether they succeed or fail.
     Unchanged,
     /// The first failure in a row has occurred.
-    BeganToFail,
+    FirstFailure,
 }
 
 /// When the next poll starts after a failed one.
@@ -156,7 +156,7 @@
         }
         let retry_in_ms = self.next_timer_at.duration_since(now).as_millis();
         tracing::info!(target: "discovery", retry_in_ms, error = %ErrorChain(error), "poll failed");
-        PollHealth::BeganToFail
+        PollHealth::FirstFailure
     }
 
     /// Starts the next poll, or times the pending one out, if that is due.
@@ -235,8 +235,8 @@
         registry: &Registry,
         on_endpoints: &mut impl FnMut(EndpointList),
     ) -> PollHealth {
-        if self.flush(now) == PollHealth::BeganToFail {
-            return PollHealth::BeganToFail;
+        if self.flush(now) == PollHealth::FirstFailure {
+            return PollHealth::FirstFailure;
         }
         let Some(connection) = &mut self.connection else { return PollHealth::Unchanged };
         // The state of the stream is needed too: a response without a length ends with the stream.
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -33,7 +33,7 @@
             let update = if list.is_snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
             self.apply_endpoints(&list, update);
         }
-        if health.contains(&PollHealth::BeganToFail) && self.discovery == Discovery::SharedService {
+        if health.contains(&PollHealth::FirstFailure) && self.discovery == Discovery::SharedService {
             self.pending_events.push_back(Event::Endpoints(EndpointUpdate::PollFailed, Vec::new()));
         }
         self.run_gateway();
