--- a/src/bin/ingress/config.rs
+++ b/src/bin/ingress/config.rs
@@ -6,7 +6,7 @@
 //! | key | term in the code |
 //! | --- | --- |
 //! | `known` | `cached_endpoints` |
-//! | `limits.sockets`, `limits.memory_mb` | `max_descriptors`, `max_memory` |
+//! | `limits.sockets`, `limits.memory_mb` | `max_descriptors`, `max_memory_bytes` |
 //! | `peer_listen`, `peers`, `peers_all` | [`PeerAddresses`]: `listen_address`, `by_gateway`, `broadcast` |
 
 mod error;
@@ -38,7 +38,7 @@
     /// The most file descriptors.
     pub max_descriptors: usize,
     /// The most bytes of memory.
-    pub max_memory: usize,
+    pub max_memory_bytes: usize,
     /// The addresses for gossip; none where the settings allow no messages between gateways.
     pub peers: Option<PeerAddresses>,
     /// The endpoint list that the process had before its restart; it may be stale.
@@ -113,7 +113,8 @@
             discovery_address: address(DISCOVERY_VARIABLE, "discovery")?,
             seed,
             max_descriptors: positive_number(&json, "limits", "sockets")?,
-            max_memory: positive_number(&json, "limits", "memory_mb")?.saturating_mul(BYTES_PER_MEGABYTE),
+            max_memory_bytes: positive_number(&json, "limits", "memory_mb")?
+                .saturating_mul(BYTES_PER_MEGABYTE),
             peers,
             cached_endpoints,
             keepalive_timeout: reader.keepalive_timeout()?,
@@ -171,7 +172,7 @@
 
 /// The text at a key.
 fn text_at<'a>(json: &'a Value, key: &'static str) -> Result<&'a str, ConfigError> {
-    json.get(key).and_then(Value::as_str).ok_or(ConfigError::NotText(key))
+    json.get(key).and_then(Value::as_str).ok_or(ConfigError::NotAString(key))
 }
 
 /// The whole number above 0 at a key of an object.
--- a/src/bin/ingress/config/error.rs
+++ b/src/bin/ingress/config/error.rs
@@ -41,7 +41,7 @@
     NotAList(&'static str),
     /// A text is missing, or the value is no text.
     #[error("{0} is missing or no text")]
-    NotText(&'static str),
+    NotAString(&'static str),
     /// A positive whole number is missing, or the value is none.
     #[error("{object}.{key} is missing or no whole number above 0")]
     NotPositive {
--- a/src/bin/ingress/discovery/endpoint_list.rs
+++ b/src/bin/ingress/discovery/endpoint_list.rs
@@ -137,16 +137,16 @@
     /// Reads an entry from a JSON object.
     fn from_json(json: &Value, location_names: &LocationNames) -> Result<EndpointEntry, EndpointListError> {
         let text = |field: &str| json.get(field).and_then(Value::as_str);
-        let name = text("name").ok_or(EndpointListError::Unnamed)?;
-        let bad = |field| EndpointListError::Field { field, backend: name.to_string() };
-        let availability = availability(text("status").ok_or_else(|| bad("status"))?);
+        let name = text("name").ok_or(EndpointListError::MissingName)?;
+        let invalid = |field| EndpointListError::InvalidField { field, backend: name.to_string() };
+        let availability = availability(text("status").ok_or_else(|| invalid("status"))?);
         let address = match text("address").map(str::parse) {
             Some(Ok(address)) => Some(address),
             None if availability == Availability::Gone => None,
-            _ => return Err(bad("address")),
+            _ => return Err(invalid("address")),
         };
         let since_ms = json.get("since_ms").map_or(Some(0), Value::as_u64);
-        let since_ms = since_ms.ok_or_else(|| bad("since_ms"))?;
+        let since_ms = since_ms.ok_or_else(|| invalid("since_ms"))?;
         // Backends without a group are in cell 0, with those that name it.
         let group = json.get("group").and_then(Value::as_u64).unwrap_or(0);
         let backend = backend_id(name);
@@ -155,7 +155,7 @@
         let endpoint = Endpoint {
             backend,
             zone: location_names.zone(text("zone")),
-            cell: u16::try_from(group).map_err(|_| bad("group"))?,
+            cell: u16::try_from(group).map_err(|_| invalid("group"))?,
             machine_type: location_names.machine_type(text("type")),
             availability,
             size: json.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
--- a/src/bin/ingress/discovery/error.rs
+++ b/src/bin/ingress/discovery/error.rs
@@ -18,10 +18,10 @@
     Endpoints,
     /// A backend has no name.
     #[error("endpoints has an entry without a name")]
-    Unnamed,
+    MissingName,
     /// A field of a backend is missing or malformed.
     #[error("endpoints: {field} of {backend} is missing or bad")]
-    Field {
+    InvalidField {
         /// The field's key.
         field: &'static str,
         /// The backend's name.
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -69,7 +69,7 @@
     fn build(config: Config, sockets: Sockets, clock: Clock, reload: Reload) -> Result<Self, EventLoopError> {
         let now = clock.now();
         let options = watch_options(&config, now);
-        let memory_share = config.max_memory / MEMORY_DIVISOR;
+        let memory_share = config.max_memory_bytes / MEMORY_DIVISOR;
         let (settings, endpoints) = (config.settings, config.cached_endpoints);
         let (token, index) = (Source::Discovery.into(), endpoints.index);
         let watch = Watch::new(config.discovery_address, config.location_names, index, token, options);
@@ -127,7 +127,7 @@
 fn watch_options(config: &Config, now: Instant) -> WatchOptions {
     WatchOptions {
         timings: poll_timings(&config.settings),
-        max_body_bytes: max_body_bytes(config.max_memory),
+        max_body_bytes: max_body_bytes(config.max_memory_bytes),
         seed: config.seed,
         now,
     }
