--- a/src/bin/ingress/backends/idle_reuse/tests.rs
+++ b/src/bin/ingress/backends/idle_reuse/tests.rs
@@ -5,10 +5,10 @@
 /// How long the connections were idle: in the bucket from 256 to 512 ms.
 const IDLE_TIME: Duration = Duration::from_millis(260);
 /// The idle times of that bucket begin here.
-const BUCKET_BEGINS_AT: Duration = Duration::from_millis(256);
+const BUCKET_START: Duration = Duration::from_millis(256);
 
 /// A tracker that has seen so many connections dead after the idle time.
-fn tracker_after(stale_uses: usize) -> IdleReuseTracker {
+fn tracker_after_stale_uses(stale_uses: usize) -> IdleReuseTracker {
     let mut tracker = IdleReuseTracker::default();
     (0..stale_uses).for_each(|_| tracker.record(IDLE_TIME, ReuseOutcome::Stale));
     tracker
@@ -28,8 +28,8 @@
 /// from then on it opens a new connection after that idle time, and still reuses those that were idle for less.
 #[test]
 fn an_idle_time_after_which_connections_are_dead_is_avoided_from_the_third_one_on() {
-    assert_eq!(tracker_after(2).max_idle_time(), Duration::MAX);
-    assert_eq!(tracker_after(3).max_idle_time(), BUCKET_BEGINS_AT);
+    assert_eq!(tracker_after_stale_uses(2).max_idle_time(), Duration::MAX);
+    assert_eq!(tracker_after_stale_uses(3).max_idle_time(), BUCKET_START);
 }
 
 /// The firewall is gone after a while. The ingress has to find that out, or it would open a new connection for each request
@@ -37,10 +37,10 @@
 /// eight sweeps. Each such try may fail one request; the test of the program allows for just these.
 #[test]
 fn an_avoided_idle_time_is_tried_again_and_not_within_four_seconds() {
-    assert!(sweeps_until_reuse(tracker_after(4)) > 8);
-    let mut tracker = tracker_after(4);
+    assert!(sweeps_until_reuse(tracker_after_stale_uses(4)) > 8);
+    let mut tracker = tracker_after_stale_uses(4);
     (0..9).for_each(|_| tracker.decay());
-    assert_eq!(tracker.max_idle_time(), BUCKET_BEGINS_AT, "avoided for four and a half seconds");
+    assert_eq!(tracker.max_idle_time(), BUCKET_START, "avoided for four and a half seconds");
     tracker.decay();
     assert_eq!(tracker.max_idle_time(), Duration::MAX);
 }
@@ -49,7 +49,7 @@
 /// have the others avoided, or each request would need a new connection.
 #[test]
 fn a_few_dead_connections_among_many_change_nothing() {
-    let mut tracker = tracker_after(1);
+    let mut tracker = tracker_after_stale_uses(1);
     (0..4).for_each(|_| tracker.record(IDLE_TIME, ReuseOutcome::Alive));
     assert_eq!(tracker.max_idle_time(), Duration::MAX);
 }
--- a/src/bin/ingress/discovery/endpoint_list/tests.rs
+++ b/src/bin/ingress/discovery/endpoint_list/tests.rs
@@ -1,14 +1,14 @@
 //! Tests of [`super`].
 
 use super::*;
-use crate::discovery::tests::{location_names, long_list};
+use crate::discovery::tests::{location_names, snapshot_json};
 
 /// Discovery sends a list with an error in one of its entries. If the valid entries were used alone, the backend
 /// with the error would count as removed and lose its requests; so the whole list is rejected, and the last good
 /// one stays in force.
 #[test]
 fn a_list_with_an_error_anywhere_is_rejected_as_a_whole() {
-    let good = long_list(3);
+    let good = snapshot_json(3);
     for bad in [
         good.replace("\"index\":43", "\"index\":-1"),
         good.replace("\"snapshot\":true", "\"snapshot\":1"),
--- a/src/bin/ingress/discovery/poll/tests.rs
+++ b/src/bin/ingress/discovery/poll/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::discovery::max_body_bytes;
-use crate::discovery::tests::{location_names, long_list, MAX_BODY_BYTES};
+use crate::discovery::tests::{location_names, snapshot_json, MAX_BODY_BYTES};
 use crate::error_chain::ErrorChain;
 use ingress::{Availability, UnixTime};
 
@@ -69,7 +69,7 @@
 #[test]
 fn a_list_may_be_as_long_as_the_memory_has_room_for() {
     assert_eq!((max_body_bytes(32 << 20), max_body_bytes(192 << 20)), (4 << 20, 24 << 20));
-    let list = long_list(60_000);
+    let list = snapshot_json(60_000);
     let size = list.len();
     assert!((4 << 20..16 << 20).contains(&size), "{size}");
     let chunk = |part: &str| format!("{:x}\r\n{part}\r\n", part.len());
--- a/src/bin/ingress/discovery/tests.rs
+++ b/src/bin/ingress/discovery/tests.rs
@@ -11,7 +11,7 @@
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// A snapshot that lists this many backends.
-pub fn long_list(backends: usize) -> String {
+pub fn snapshot_json(backends: usize) -> String {
     let entry = |number| {
         format!(
             r#"{{"name":"s-{number:08x}","address":"127.0.0.9:6379","zone":"b","type":"m2","group":3,"status":"up","weight":1.5,"since_ms":7}}"#
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -56,7 +56,7 @@
 }
 
 /// A watch and its discovery, whose clock and socket the test drives.
-struct WatchRig {
+struct WatchHarness {
     watch: Watch,
     poll: mio::Poll,
     listener: std::net::TcpListener,
@@ -64,14 +64,15 @@
     lists: Vec<u64>,
 }
 
-impl WatchRig {
-    fn new(timings: PollTimings) -> WatchRig {
+impl WatchHarness {
+    fn new(timings: PollTimings) -> WatchHarness {
         let (listener, now) = (std::net::TcpListener::bind("127.0.0.1:0").unwrap(), START);
         let options = WatchOptions { max_body_bytes: MAX_BODY_BYTES, timings, seed: 7, now };
         let watch = Watch::new(listener.local_addr().unwrap(), location_names(), 41, Token(0), options);
-        let mut rig = WatchRig { watch, poll: mio::Poll::new().unwrap(), listener, now, lists: Vec::new() };
-        rig.run_timer();
-        rig
+        let mut harness =
+            WatchHarness { watch, poll: mio::Poll::new().unwrap(), listener, now, lists: Vec::new() };
+        harness.run_timer();
+        harness
     }
 
     /// Advances the clock to the watch's next timer and runs it.
@@ -135,18 +136,18 @@
         PollTimings::shared_service(MAX_POLL_INTERVAL, 6),
         PollTimings::shared_service(Duration::from_millis(500), 300),
     ] {
-        let mut rig = WatchRig::new(timings);
-        let mut silent = rig.accept();
-        let timeout = rig.read_poll(&mut silent);
-        let delivered_at = rig.now + (timeout + Duration::from_secs(2)).max(Duration::from_secs(6));
-        rig.run_timer(); // the silence is detected
-        let mut retried = rig.accept();
-        assert_eq!(rig.read_poll(&mut retried), Duration::ZERO, "what was missed is asked for at once");
-        let left = delivered_at.duration_since(rig.now);
-        assert!(rig.now + Duration::from_secs(1) <= delivered_at, "{} us are left", left.as_micros());
-        rig.respond(&mut retried, 42);
-        rig.run_timer();
-        assert!(rig.read_poll(&mut retried) > Duration::ZERO, "from then on the watch waits for changes");
+        let mut harness = WatchHarness::new(timings);
+        let mut silent = harness.accept();
+        let timeout = harness.read_poll(&mut silent);
+        let delivered_at = harness.now + (timeout + Duration::from_secs(2)).max(Duration::from_secs(6));
+        harness.run_timer(); // the silence is detected
+        let mut retried = harness.accept();
+        assert_eq!(harness.read_poll(&mut retried), Duration::ZERO, "what was missed is asked for at once");
+        let left = delivered_at.duration_since(harness.now);
+        assert!(harness.now + Duration::from_secs(1) <= delivered_at, "{} us are left", left.as_micros());
+        harness.respond(&mut retried, 42);
+        harness.run_timer();
+        assert!(harness.read_poll(&mut retried) > Duration::ZERO, "from then on the watch waits for changes");
     }
 }
 
@@ -155,19 +156,19 @@
 /// the first.
 #[test]
 fn a_second_silence_in_a_row_is_detected_within_the_time_of_the_first() {
-    let mut rig = WatchRig::new(PollTimings::LOCAL_AGENT);
-    let started_at = rig.now;
+    let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
+    let started_at = harness.now;
     for _ in 0..2 {
-        let mut silent = rig.accept();
-        rig.read_poll(&mut silent);
-        rig.run_timer();
-        if rig.watch.poll_started_at.is_none() {
-            rig.run_timer(); // the delay before the retry
+        let mut silent = harness.accept();
+        harness.read_poll(&mut silent);
+        harness.run_timer();
+        if harness.watch.poll_started_at.is_none() {
+            harness.run_timer(); // the delay before the retry
         }
     }
-    let mut third = rig.accept();
-    rig.read_poll(&mut third);
-    let elapsed = rig.now.duration_since(started_at);
+    let mut third = harness.accept();
+    harness.read_poll(&mut third);
+    let elapsed = harness.now.duration_since(started_at);
     assert!(elapsed < Duration::from_millis(5500), "after {} us", elapsed.as_micros());
 }
 
@@ -176,15 +177,15 @@
 /// would get requests for longer than it may.
 #[test]
 fn an_agent_that_stays_away_is_retried_within_a_grace_period() {
-    let mut rig = WatchRig::new(PollTimings::LOCAL_AGENT);
+    let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
     for _ in 0..20 {
-        drop(rig.accept());
-        let failed_at = rig.now;
-        while rig.watch.connection.is_some() {
-            rig.run_ready();
+        drop(harness.accept());
+        let failed_at = harness.now;
+        while harness.watch.connection.is_some() {
+            harness.run_ready();
         }
-        rig.run_timer();
-        let delay = rig.now.duration_since(failed_at);
+        harness.run_timer();
+        let delay = harness.now.duration_since(failed_at);
         assert!(delay <= Duration::from_millis(150), "a delay of {} us", delay.as_micros());
     }
 }
@@ -194,23 +195,23 @@
 /// dropped with their connection.
 #[test]
 fn what_comes_between_two_polls_is_no_part_of_the_next_response() {
-    let mut rig = WatchRig::new(PollTimings::LOCAL_AGENT);
-    let mut first = rig.accept();
-    rig.read_poll(&mut first);
-    rig.respond(&mut first, 41);
+    let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
+    let mut first = harness.accept();
+    harness.read_poll(&mut first);
+    harness.respond(&mut first, 41);
     assert!(
-        rig.watch.poll_started_at.is_none(),
+        harness.watch.poll_started_at.is_none(),
         "an empty response came at once: the next poll comes a moment later"
     );
     first.write_all(b"HTTP/1.1 200 OK\r\nContent-Le").unwrap();
-    while rig.watch.connection.is_some() {
-        rig.run_ready();
+    while harness.watch.connection.is_some() {
+        harness.run_ready();
     }
-    rig.run_timer();
-    let mut second = rig.accept();
-    rig.read_poll(&mut second);
-    rig.respond(&mut second, 43);
-    assert_eq!(rig.lists, [41, 43]);
+    harness.run_timer();
+    let mut second = harness.accept();
+    harness.read_poll(&mut second);
+    harness.respond(&mut second, 43);
+    assert_eq!(harness.lists, [41, 43]);
 }
 
 /// A discovery that all ingresses share, with a queue in front of it. It rejects each poll that has waited for two seconds,
@@ -490,16 +491,16 @@
 fn however_polls_fail_the_next_one_comes_within_five_seconds() {
     for failure in PollFailure::ALL {
         let response = failure.response();
-        let mut rig = WatchRig::new(PollTimings::shared_service(MAX_POLL_INTERVAL, 2900));
+        let mut harness = WatchHarness::new(PollTimings::shared_service(MAX_POLL_INTERVAL, 2900));
         if failure == PollFailure::Refused {
-            rig.listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+            harness.listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             // the first one refuses from now on
         }
-        let mut last = rig.now;
+        let mut last = harness.now;
         for round in 0..12 {
-            let mut peer = response.map(|_| rig.accept());
+            let mut peer = response.map(|_| harness.accept());
             if let (Some(peer), Some(text)) = (&mut peer, response) {
-                rig.read_poll(peer);
+                harness.read_poll(peer);
                 peer.write_all(text).unwrap();
             }
             if failure == PollFailure::EndedWithoutResponse {
@@ -507,24 +508,24 @@
             }
             // Until it has failed: by what came, or by its time.
             for _ in 0..1_000_000 {
-                if rig.watch.connection.is_none() {
+                if harness.watch.connection.is_none() {
                     break;
                 }
                 if failure == PollFailure::NeverComplete {
-                    rig.now = rig.now.max(rig.watch.next_timer_at);
-                    rig.watch.on_timer(rig.now, rig.poll.registry());
+                    harness.now = harness.now.max(harness.watch.next_timer_at);
+                    harness.watch.on_timer(harness.now, harness.poll.registry());
                     break;
                 }
-                rig.run_ready();
+                harness.run_ready();
             }
-            if rig.watch.poll_started_at.is_none() {
-                rig.run_timer();
+            if harness.watch.poll_started_at.is_none() {
+                harness.run_timer();
             }
             // A poll that waited longer than a failed one may was a watch: what it misses has a time of its own.
             let was_watch = failure == PollFailure::NeverComplete && round == 0;
-            let gap = rig.now.duration_since(last);
+            let gap = harness.now.duration_since(last);
             assert!(was_watch || gap <= MAX_RETRY_GAP, "{failure:?}: {} us", gap.as_micros());
-            last = rig.now;
+            last = harness.now;
         }
     }
 }
@@ -534,16 +535,16 @@
 /// next poll needs a connection of its own.
 #[test]
 fn a_connection_with_a_request_half_written_is_not_used_again() {
-    let mut rig = WatchRig::new(PollTimings::LOCAL_AGENT);
-    let mut stream = rig.accept();
-    rig.read_poll(&mut stream);
+    let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
+    let mut stream = harness.accept();
+    harness.read_poll(&mut stream);
     // More than the socket takes while nobody reads.
-    let connection = rig.watch.connection.as_mut().unwrap();
+    let connection = harness.watch.connection.as_mut().unwrap();
     connection.set_request(vec![b'x'; 64 << 20]);
-    rig.run_ready();
-    assert!(!rig.watch.connection.as_ref().unwrap().is_request_sent());
-    rig.respond(&mut stream, 42);
-    assert!(rig.watch.connection.is_none(), "the next poll has a connection of its own");
+    harness.run_ready();
+    assert!(!harness.watch.connection.as_ref().unwrap().is_request_sent());
+    harness.respond(&mut stream, 42);
+    assert!(harness.watch.connection.is_none(), "the next poll has a connection of its own");
 }
 
 /// The configuration is reloaded several times a second, always with the same discovery, which is slow to answer.
@@ -551,19 +552,19 @@
 /// went on; a request for the whole list has to stay pending.
 #[test]
 fn a_configuration_with_the_same_address_keeps_the_snapshot_that_is_pending() {
-    let mut rig = WatchRig::new(PollTimings::LOCAL_AGENT);
-    let mut watched = rig.accept();
-    rig.read_poll(&mut watched);
-    let address = rig.listener.local_addr().unwrap();
-    rig.watch.set_address(address, rig.now);
-    rig.run_timer();
-    let mut snapshot = rig.accept();
-    assert_eq!(rig.read_poll(&mut snapshot), Duration::ZERO, "the first one asks for the whole list");
+    let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
+    let mut watched = harness.accept();
+    harness.read_poll(&mut watched);
+    let address = harness.listener.local_addr().unwrap();
+    harness.watch.set_address(address, harness.now);
+    harness.run_timer();
+    let mut snapshot = harness.accept();
+    assert_eq!(harness.read_poll(&mut snapshot), Duration::ZERO, "the first one asks for the whole list");
     for _ in 0..3 {
-        rig.now += Duration::from_millis(100);
-        rig.watch.set_address(address, rig.now);
-        rig.run_ready();
+        harness.now += Duration::from_millis(100);
+        harness.watch.set_address(address, harness.now);
+        harness.run_ready();
     }
-    rig.respond(&mut snapshot, 43);
-    assert_eq!(rig.lists, [43]);
+    harness.respond(&mut snapshot, 43);
+    assert_eq!(harness.lists, [43]);
 }
