--- a/tests/ingress/backend_connections.rs
+++ b/tests/ingress/backend_connections.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 
 /// Requests that may fail before the ingress avoids an idle time: three, and one more while these decay.
-const FAILURES_UNTIL_DETECTED: u64 = 4;
+const MAX_FAILURES_UNTIL_AVOIDED: u64 = 4;
 /// How long it then avoids it at the least.
-const LEAST_SECONDS_UNTIL_TRIED_AGAIN: u64 = 4;
+const MIN_AVOIDANCE_SECONDS: u64 = 4;
 
 /// A backend sends some replies twice, and the second copy arrives when the connection is idle again. If the next
 /// request used that connection too soon, its client would get the value that belongs to the client before.
@@ -72,8 +72,8 @@
     };
     let begun_at = Instant::now();
     let failed = (0..40).filter(|_| !is_served_after(260)).count() as u64;
-    let tried_again = begun_at.elapsed().as_secs() / LEAST_SECONDS_UNTIL_TRIED_AGAIN;
-    assert!(failed <= FAILURES_UNTIL_DETECTED + tried_again, "{failed} of 40 failed");
+    let retried_idle_times = begun_at.elapsed().as_secs() / MIN_AVOIDANCE_SECONDS;
+    assert!(failed <= MAX_FAILURES_UNTIL_AVOIDED + retried_idle_times, "{failed} of 40 failed");
     // Those that were idle for less are still reused.
     let opened_before = backend.connections_opened();
     assert!((0..10).filter(|_| is_served_after(50)).count() >= 7);
--- a/tests/ingress/discovery.rs
+++ b/tests/ingress/discovery.rs
@@ -1,6 +1,6 @@
 //! Changes of the endpoint list, and discovery that fails.
 
-use crate::requests::reply_through;
+use crate::requests::reply_from;
 use crate::support::backend::{reply_with_value, Backend};
 use crate::support::client::encode_request;
 use crate::support::discovery::DiscoveryServer;
@@ -19,8 +19,8 @@
     let mut setup = IngressSetup::with_backends(&[&one, &two]);
     setup.discovery = Some(discovery.address);
     let ingress = setup.start();
-    reply_through(&ingress, "quote", &one);
-    reply_through(&ingress, "quote", &two);
+    reply_from(&ingress, "quote", &one);
+    reply_from(&ingress, "quote", &two);
     discovery.publish_and_wait(one.endpoint_json("s-0", "draining"));
     let commands_before = one.command_count();
     let mut client = ingress.client();
@@ -33,7 +33,7 @@
     assert_eq!(one.command_count(), commands_before);
     wait_until("its idle connections are closed", || one.connections_closed() == one.connections_opened());
     discovery.publish_and_wait(one.endpoint_json("s-0", "up"));
-    reply_through(&ingress, "quote", &one);
+    reply_from(&ingress, "quote", &one);
 }
 
 /// Discovery lists a backend under its old name with another address. The ingress closes its connection to the old
@@ -71,7 +71,7 @@
     thread::sleep(Duration::from_secs(1));
     assert!(ingress.cpu_centiseconds() - cpu_before < 50, "it polls without pause");
     fail(&discovery, false);
-    reply_through(&ingress, "quote", &two);
+    reply_from(&ingress, "quote", &two);
 }
 
 /// Discovery refuses all connections for a while, and a backend is added meanwhile. Clients are still served by the
--- a/tests/ingress/peers.rs
+++ b/tests/ingress/peers.rs
@@ -57,7 +57,7 @@
 }
 
 /// Whether the ingress sends an answer to the peer after a message from a socket.
-fn brings_answer(from: &PeerSocket, message: &[u8], peer: &PeerSocket) -> bool {
+fn triggers_answer(from: &PeerSocket, message: &[u8], peer: &PeerSocket) -> bool {
     from.send(message);
     (0..5).filter_map(|_| peer.receive()).any(|answer| kind(&answer) == QUOTA_GRANTS_KIND)
 }
@@ -69,7 +69,7 @@
     report
 }
 
-/// Anybody who can reach the port may send datagrams to an ingress. If it believed those of a stranger, or cut or
+/// Anybody who can reach the port may send datagrams to an ingress. If it believed those of a unknown_sender, or cut or
 /// overlong ones, a forged usage report would use up a customer's quota; only a complete message from a peer's address
 /// is answered. What the ingress sends is 256 bytes at most, the limit of the network between peers.
 #[test]
@@ -77,7 +77,7 @@
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
     let own = unused_address();
-    let (peer, stranger) = (PeerSocket::bind(own), PeerSocket::bind(own));
+    let (peer, unknown_sender) = (PeerSocket::bind(own), PeerSocket::bind(own));
     setup.replace_setting("\"may_probe\":true,\"peers\":false", "\"may_probe\":true,\"peers\":true");
     setup.replace_setting("\"n_instances\":1", "\"n_instances\":2");
     setup.extra_keys =
@@ -99,12 +99,12 @@
     // The same message, asking for an answer, brings one if it comes from the peer, and only then.
     let message = with_answer_requested(report.unwrap());
     while peer.receive().is_some() {}
-    assert!(!brings_answer(&stranger, &message, &peer), "a stranger was believed");
-    assert!(!brings_answer(&peer, &message[..message.len() - 1], &peer), "half a message was believed");
+    assert!(!triggers_answer(&unknown_sender, &message, &peer), "a unknown_sender was believed");
+    assert!(!triggers_answer(&peer, &message[..message.len() - 1], &peer), "half a message was believed");
     assert!(
-        !brings_answer(&peer, &[&message[..], &[0; 1000]].concat(), &peer),
+        !triggers_answer(&peer, &[&message[..], &[0; 1000]].concat(), &peer),
         "a long message was believed"
     );
-    assert!(brings_answer(&peer, &message, &peer), "the peer was not heard");
+    assert!(triggers_answer(&peer, &message, &peer), "the peer was not heard");
     assert_eq!(client.round_trip(&encode_request("quote", "q2", 900)), "value of q2");
 }
--- a/tests/ingress/requests.rs
+++ b/tests/ingress/requests.rs
@@ -20,7 +20,7 @@
 
 /// Sends requests in pairs until the wanted backend gets one, and returns the reply to that one. Single requests might
 /// all go to the backend that replied first.
-pub fn reply_through(ingress: &IngressProcess, class: &str, wanted: &Backend) -> String {
+pub fn reply_from(ingress: &IngressProcess, class: &str, wanted: &Backend) -> String {
     let (mut client, commands_before) = (ingress.client(), wanted.command_count());
     for _ in 0..200 {
         let ids = [new_request_id(), new_request_id()];
--- a/tests/ingress/retry.rs
+++ b/tests/ingress/retry.rs
@@ -1,6 +1,6 @@
 //! What becomes of a request whose attempt fails: retries, hedging and final errors.
 
-use crate::requests::{is_rejected, reply_through};
+use crate::requests::{is_rejected, reply_from};
 use crate::support::address::unused_address;
 use crate::support::backend::{reply_with_value, value_reply, Backend, BackendReply, UnreachableBackend};
 use crate::support::client::{encode_request, Client};
@@ -20,7 +20,7 @@
 fn assert_not_retried(bad: Backend) -> SingleAttempt {
     let good = Backend::start(reply_with_value);
     let ingress = IngressSetup::with_backends(&[&bad, &good]).start();
-    let reply = reply_through(&ingress, "refer", &bad);
+    let reply = reply_from(&ingress, "refer", &bad);
     let id = bad.commands()[0][2].clone();
     assert!(good.commands().iter().all(|command| command[2] != id), "it was retried elsewhere");
     assert_eq!(bad.command_count(), 1, "it was retried at the same backend");
@@ -151,7 +151,7 @@
     let slow = Backend::start(|args| BackendReply::Delayed(Duration::from_secs(5), value_reply(args)));
     let good = Backend::start(reply_with_value);
     let ingress = IngressSetup::with_backends(&[&slow, &good]).start();
-    let reply = reply_through(&ingress, "quote", &slow);
+    let reply = reply_from(&ingress, "quote", &slow);
     assert!(reply.starts_with("value of"), "{reply}");
     let id = slow.commands()[0][2].clone();
     assert!(good.commands().iter().any(|command| command[2] == id));
--- a/tests/system_call_faults.rs
+++ b/tests/system_call_faults.rs
@@ -48,12 +48,12 @@
 }
 
 /// How many requests are sent at once.
-const WAVE: usize = 8;
+const BATCH_SIZE: usize = 8;
 
-/// Sends one request from each client at once, reads the replies, and repeats that for each wave.
-fn send_waves(clients: &mut [Client], waves: usize, name: &str) {
-    for wave in 0..waves {
-        let id = |number: usize| format!("{name}-{wave}-{number}");
+/// Sends one request from each client at once, reads the replies, and repeats that for each batch.
+fn send_batches(clients: &mut [Client], batches: usize, name: &str) {
+    for batch in 0..batches {
+        let id = |number: usize| format!("{name}-{batch}-{number}");
         for (number, client) in clients.iter_mut().enumerate() {
             client.send(&encode_request("quote", &id(number), 2000));
         }
@@ -65,7 +65,7 @@
 
 /// Steps the ingress's wall clock and then starts a backend, whose start time is read from the stepped clock. Returns
 /// how many requests it gets next to a backend that has run for long.
-fn requests_at_restarted_backend(step_ms: i64, waves: usize) -> usize {
+fn requests_at_restarted_backend(step_ms: i64, batches: usize) -> usize {
     let step_at = Duration::from_millis(500);
     let working =
         || Backend::start(|args| BackendReply::Delayed(Duration::from_millis(10), value_reply(args)));
@@ -77,13 +77,13 @@
     let ingress = setup.start();
     // The step comes this long after the process started, which was before it answered.
     thread::sleep(step_at);
-    let mut clients: Vec<Client> = (0..WAVE).map(|_| ingress.client()).collect();
-    send_waves(&mut clients, 4, "before");
+    let mut clients: Vec<Client> = (0..BATCH_SIZE).map(|_| ingress.client()).collect();
+    send_batches(&mut clients, 4, "before");
     let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as i64;
     let entry = restarted.endpoint_json("s-1", "up");
     let entry = entry.replace("\"since_ms\":0", &format!("\"since_ms\":{}", unix_time + step_ms));
     discovery.publish_and_wait(entry);
-    send_waves(&mut clients, waves, "after");
+    send_batches(&mut clients, batches, "after");
     restarted.command_count()
 }
 
@@ -93,7 +93,7 @@
 #[test]
 fn a_backend_is_in_slow_start_though_the_clock_was_set_back() {
     let sent = requests_at_restarted_backend(-3_600_000, 10);
-    assert!(sent <= WAVE * 10 / 4, "{sent} of {} went to the backend in slow start", WAVE * 10);
+    assert!(sent <= BATCH_SIZE * 10 / 4, "{sent} of {} went to the backend in slow start", BATCH_SIZE * 10);
 }
 
 /// A backend sends a reply of 60,000 bytes, and every read returns only a few of them. Formerly the ingress gave up on
