--- a/tests/ingress/peers.rs
+++ b/tests/ingress/peers.rs
@@ -69,7 +69,7 @@
     report
 }
 
-/// Anybody who can reach the port may send datagrams to an ingress. If it believed those of a unknown_sender, or cut or
+/// Anybody who can reach the port may send datagrams to an ingress. If it believed those of an unknown sender, or cut or
 /// overlong ones, a forged usage report would use up a customer's quota; only a complete message from a peer's address
 /// is answered. What the ingress sends is 256 bytes at most, the limit of the network between peers.
 #[test]
@@ -99,7 +99,10 @@
     // The same message, asking for an answer, brings one if it comes from the peer, and only then.
     let message = with_answer_requested(report.unwrap());
     while peer.receive().is_some() {}
-    assert!(!triggers_answer(&unknown_sender, &message, &peer), "a unknown_sender was believed");
+    assert!(
+        !triggers_answer(&unknown_sender, &message, &peer),
+        "a message from an unknown sender was accepted"
+    );
     assert!(!triggers_answer(&peer, &message[..message.len() - 1], &peer), "half a message was believed");
     assert!(
         !triggers_answer(&peer, &[&message[..], &[0; 1000]].concat(), &peer),
