--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -9,14 +9,14 @@
 
 /// The least rate of usage through this gateway, as a part of its even share, where the usage of others is
 /// known.
-const MIN_OWN_RATE: f64 = 0.1;
+const MIN_OWN_RATE_FRACTION: f64 = 0.1;
 /// The smallest divisor of a share, in units a second, for a customer that uses nothing.
 const MIN_TOTAL_RATE: f64 = 1e-9;
 /// Idle times, or refill times, for which an owner keeps a record.
-const OWNER_RECORD_LIFETIMES: u64 = 4;
+const OWNER_RECORD_LIFETIME_FACTOR: u64 = 4;
 /// The same at a gateway that is not an owner. An owner has to keep its record for longer than the gateways
 /// that report to it: what they count on would seem new to it.
-const RECORD_LIFETIMES: u64 = 2;
+const REPORTER_RECORD_LIFETIME_FACTOR: u64 = 2;
 
 /// Whether a gateway is an owner of a customer's quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -128,7 +128,7 @@
     /// never nothing.
     pub(super) fn own_share(&self, plan: &Plan) -> f64 {
         let knows_others = self.role.is_owner() || self.answered_at.is_some();
-        let floor = if knows_others { MIN_OWN_RATE } else { 1.0 };
+        let floor = if knows_others { MIN_OWN_RATE_FRACTION } else { 1.0 };
         let own_rate = self.own_rate.max(plan.rate / self.gateway_set.size.max(1.0) * floor);
         own_rate / (own_rate + self.remote.rate()).max(MIN_TOTAL_RATE)
     }
@@ -195,8 +195,8 @@
 /// How long a gateway keeps the record of a customer that no longer comes.
 pub(super) fn record_lifetime(plan: &Plan, role: Role) -> Duration {
     let lifetimes = match role {
-        Role::Owner => OWNER_RECORD_LIFETIMES,
-        Role::Reporter => RECORD_LIFETIMES,
+        Role::Owner => OWNER_RECORD_LIFETIME_FACTOR,
+        Role::Reporter => REPORTER_RECORD_LIFETIME_FACTOR,
     };
     CUSTOMER_IDLE_TIME.max(refill_time(plan)) * lifetimes
 }
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -8,7 +8,7 @@
 /// The longest wait for a grant, and the time after which one that others wait for is requested again.
 const MAX_GRANT_WAIT: Duration = Duration::from_millis(100);
 /// A request waits for a grant for a fifth of its time at most: the rest is for its attempts.
-const GRANT_WAITS_PER_REQUEST: u64 = 5;
+const GRANT_WAIT_DIVISOR: u64 = 5;
 /// Share of an owner's messages that requests for grants on one customer may be; others are skipped.
 const MAX_GRANT_REQUEST_SHARE: f64 = 0.25;
 /// Units of the hard limit that are granted later than this after the request for them lapse.
@@ -92,7 +92,7 @@
 /// or of the time until its deadline, and never longer than [`MAX_GRANT_WAIT`].
 pub(crate) fn grant_wait(from: Instant, deadline: Instant, latency_objective: Duration) -> Duration {
     let left = deadline.duration_since(from).min(latency_objective);
-    MAX_GRANT_WAIT.min(left / GRANT_WAITS_PER_REQUEST)
+    MAX_GRANT_WAIT.min(left / GRANT_WAIT_DIVISOR)
 }
 
 impl QuotaManager {
--- a/src/policy/quota/owner_assignment.rs
+++ b/src/policy/quota/owner_assignment.rs
@@ -6,7 +6,7 @@
 
 /// Part of a hard limit that two gateways hold and grant on request. The rest is spread evenly over all
 /// gateways of the customer, for when no owner answers.
-const POOLED_HARD_LIMIT: f64 = 0.5;
+const POOLED_HARD_LIMIT_FRACTION: f64 = 0.5;
 
 /// Gateways that grant a customer's quota and hold most of its hard limit: two, so that one may be down.
 pub(super) const GRANTER_COUNT: usize = 2;
@@ -40,8 +40,8 @@
         quota_owners.dedup();
         let role = Role::of(own_id, &quota_owners);
         let owned = granters.iter().filter(|granter| **granter == own_id).count() as f64;
-        let hard_limit_fraction =
-            (1.0 - POOLED_HARD_LIMIT) / set.size + owned * POOLED_HARD_LIMIT / GRANTER_COUNT as f64;
+        let hard_limit_fraction = (1.0 - POOLED_HARD_LIMIT_FRACTION) / set.size
+            + owned * POOLED_HARD_LIMIT_FRACTION / GRANTER_COUNT as f64;
         OwnerAssignment { gateway_set: set, quota_owners, role, granters, hard_limit_fraction }
     }
 }
--- a/src/policy/quota/ownership.rs
+++ b/src/policy/quota/ownership.rs
@@ -8,7 +8,7 @@
 /// The shortest report interval: more messages a second would cost bytes and tell nothing new.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// How much longer the report interval is than the one at which a receiver takes in all that its peers send.
-const REPORT_INTERVAL_MARGIN: f64 = 1.5;
+const REPORT_INTERVAL_FACTOR: f64 = 1.5;
 /// Time from a request until the owners know of it, lost reports included, in addition to the report
 /// interval.
 const REPORT_PROPAGATION_TIME: Duration = Duration::from_millis(350);
@@ -53,7 +53,7 @@
     /// The mode of a fleet of so many gateways.
     pub(crate) fn new(limits: &Limits, fleet_size: u64) -> QuotaOwnership {
         let messages_per_second = limits.peer_messages_per_second.max(1.0);
-        let seconds = REPORT_INTERVAL_MARGIN * (fleet_size as f64 - 1.0) / messages_per_second;
+        let seconds = REPORT_INTERVAL_FACTOR * (fleet_size as f64 - 1.0) / messages_per_second;
         if seconds > MAX_REPORT_INTERVAL.as_secs_f64() {
             return QuotaOwnership::Designated;
         }
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -10,7 +10,7 @@
 /// A customer seen within this time is reported to an owner that starts.
 const ACTIVE_CUSTOMER_TIME: Duration = Duration::from_secs(2);
 /// The draw up to which the second of two granters is asked for units of the hard limit.
-const SECOND_GRANTER_SHARE: f64 = 0.5;
+const SECOND_GRANTER_PROBABILITY: f64 = 0.5;
 
 /// Why a customer's usage is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
         let is_level_known = customer.role.is_owner() || was_granted_lately;
         // One of the two is drawn to grant units of the hard limit: two grants would waste one.
         let draw = unit_draw(now.as_micros() ^ id.0);
-        let drawn_granter = customer.granters[usize::from(draw < SECOND_GRANTER_SHARE)];
+        let drawn_granter = customer.granters[usize::from(draw < SECOND_GRANTER_PROBABILITY)];
         let is_granter = drawn_granter == to || customer.granters.contains(&own_id);
         let needs_hard_limit = entry.requests_grant && customer.grant_request.needs_hard_limit;
         Some(UsageReport {
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -9,7 +9,7 @@
 use crate::{Instant, Plan};
 
 /// Most units, as a part of the burst, that the first report of an older gateway may be believed to add.
-const MAX_FIRST_UNITS: f64 = 0.25;
+const MAX_FIRST_REPORT_FRACTION: f64 = 0.25;
 
 /// An owner's answer to a request for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,7 +115,7 @@
     fn new_units(&mut self, plan: &Plan, last_total: u16, scope: TotalScope, report: &UsageReport) -> f64 {
         let units = wrapping_delta(last_total, report.total_units);
         let may_predate = scope == TotalScope::MayPredateThisStart;
-        if may_predate && units.abs() > plan.burst * MAX_FIRST_UNITS {
+        if may_predate && units.abs() > plan.burst * MAX_FIRST_REPORT_FRACTION {
             // The peer's view of the bucket is all that is left to go by.
             self.bucket.deduct_withheld(units);
             if let Some(tokens) = report.tokens_level.tokens(plan.burst) {
