--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -154,7 +154,7 @@
                 with_attempts.push(*id);
             }
             if !keeps_old_totals {
-                customer.remote.forget_old(now, record_lifetime(plan, Role::Owner));
+                customer.remote.remove_expired(now, record_lifetime(plan, Role::Owner));
             }
             customer.must_be_kept(plan, now)
         });
--- a/src/policy/quota/remote_usage.rs
+++ b/src/policy/quota/remote_usage.rs
@@ -61,12 +61,12 @@
     }
 
     /// Attempts in flight from all of these gateways but the one with this usage.
-    pub(super) fn in_flight_without(&self, usage: &GatewayUsage) -> u32 {
+    pub(super) fn in_flight_excluding(&self, usage: &GatewayUsage) -> u32 {
         self.in_flight.saturating_sub(u32::from(usage.in_flight))
     }
 
     /// What a gateway reported; none if it did not.
-    pub(super) fn of_gateway(&self, gateway: u16) -> Option<GatewayUsage> {
+    pub(super) fn get(&self, gateway: u16) -> Option<GatewayUsage> {
         self.by_gateway.get(&gateway).copied()
     }
 
@@ -82,13 +82,13 @@
     }
 
     /// Adds units, or requests, to the rate.
-    pub(super) fn raise_rate(&mut self, count: f64) {
+    pub(super) fn add_to_rate(&mut self, count: f64) {
         self.rate = (self.rate + count / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
     }
 
     /// Changes the attempts in flight that count for the gateway with this usage.
     pub(super) fn set_in_flight(&mut self, usage: &mut GatewayUsage, in_flight: u8) {
-        self.in_flight = self.in_flight_without(usage) + u32::from(in_flight);
+        self.in_flight = self.in_flight_excluding(usage) + u32::from(in_flight);
         usage.in_flight = in_flight;
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Drops what gateways reported whose last report is older than `lifetime`.
-    pub(super) fn forget_old(&mut self, now: Instant, lifetime: Duration) {
+    pub(super) fn remove_expired(&mut self, now: Instant, lifetime: Duration) {
         self.by_gateway.retain(|_, usage| now.duration_since(usage.reported_at) <= lifetime);
     }
 
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -50,7 +50,7 @@
             return None;
         }
         customer.last_seen_at = customer.last_seen_at.max(Some(now));
-        let known_usage = customer.remote.of_gateway(from);
+        let known_usage = customer.remote.get(from);
         let mut usage = known_usage.unwrap_or_default();
         customer.reset_forgotten_total(plan, &mut usage, now, from, report);
         let scope = if may_predate && known_usage.is_none() {
@@ -65,10 +65,10 @@
             // The rate counts requests for grants of the whole customer, the sender's included. It goes out
             // as `remote_rate`, and the gateways ration their requests by it.
             usage.record(now, report.total_units, 0.0);
-            customer.remote.raise_rate(f64::from(u8::from(report.requests_grant)));
+            customer.remote.add_to_rate(f64::from(u8::from(report.requests_grant)));
         } else {
             usage.record(now, report.total_units, units);
-            customer.remote.raise_rate(units);
+            customer.remote.add_to_rate(units);
         }
         let grant = customer.grant(plan, &mut usage, from, report);
         customer.remote.insert(from, usage);
@@ -140,7 +140,7 @@
         from: u16,
         report: &UsageReport,
     ) -> QuotaGrant {
-        let others_in_flight = self.in_flight + self.remote.in_flight_without(usage);
+        let others_in_flight = self.in_flight + self.remote.in_flight_excluding(usage);
         let decision = self.decide_grant(plan, others_in_flight, report);
         let tokens = self.bucket.tokens();
         self.reserve(usage, report, decision);
