--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -110,7 +110,7 @@
     pub(crate) fn decide(&self) -> ArrivalDecision {
         let needs_hard_limit = self.shortages.hard_limit.is_some();
         let lacks_hard_limit_alone = needs_hard_limit && self.shortages.quota.is_none();
-        let needs_grant_request = lacks_hard_limit_alone && self.grant.hard_limit_is_elsewhere;
+        let needs_grant_request = lacks_hard_limit_alone && self.grant.has_other_granter;
         let can_wait = has_time_to_wait(self.now, self.deadline, self.min_queue_time);
         if !can_wait || (self.is_quota_known() && !needs_grant_request) {
             return ArrivalDecision::DecideNow;
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -40,11 +40,7 @@
         min_queue_time: MIN_QUEUE_TIME,
         plan,
         shortages: Shortages::default(),
-        grant: GrantStatus {
-            is_quota_owner: false,
-            answer_age: Some(answer_age),
-            hard_limit_is_elsewhere: true,
-        },
+        grant: GrantStatus { is_quota_owner: false, answer_age: Some(answer_age), has_other_granter: true },
         ownership: QuotaOwnership::Designated,
     }
 }
@@ -142,7 +138,7 @@
     let ask =
         ArrivalDecision::AwaitGrant { scope: GrantScope::QuotaAndHardLimit, timing: GrantTiming::AtOnce };
     assert_eq!(context.decide(), ask);
-    let alone = GrantStatus { hard_limit_is_elsewhere: false, ..owner };
+    let alone = GrantStatus { has_other_granter: false, ..owner };
     assert_eq!(ArrivalContext { grant: alone, ..context }.decide(), ArrivalDecision::DecideNow);
 }
 
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -144,7 +144,7 @@
             return with_attempts;
         }
         self.next_sweep_at = now + SWEEP_INTERVAL;
-        let keeps_old_totals = self.settings.ownership.keeps_old_totals();
+        let retains_old_totals = self.settings.ownership.retains_old_totals();
         self.customers.retain(|id, customer| {
             let plan = &self.settings.plans[customer.plan];
             if plan.concurrency_quota > 0 && customer.role.is_owner() {
@@ -153,7 +153,7 @@
             if plan.concurrency_quota > 0 && customer.in_flight > 0 {
                 with_attempts.push(*id);
             }
-            if !keeps_old_totals {
+            if !retains_old_totals {
                 customer.remote.remove_expired(now, record_lifetime(plan, Role::Owner));
             }
             customer.must_be_kept(plan, now)
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -136,7 +136,7 @@
         let Some(customer) = self.customers.get(&customer) else { return false };
         let has_concurrency_quota = self.settings.plans[customer.plan].concurrency_quota > 0;
         let max_request_rate = MAX_GRANT_REQUEST_SHARE * self.settings.peer_messages_per_second;
-        self.settings.ownership.rations_grant_requests()
+        self.settings.ownership.limits_grant_requests()
             && has_concurrency_quota
             && !customer.role.is_owner()
             && customer.answered_at.is_some_and(|answered_at| is_recent(now, answered_at))
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -36,7 +36,7 @@
     /// The time since an owner's last answer, a grant or a refusal; none where none came.
     pub answer_age: Option<Duration>,
     /// Whether another gateway could grant units of the hard limit.
-    pub hard_limit_is_elsewhere: bool,
+    pub has_other_granter: bool,
 }
 
 /// What is known of the customer of a request.
@@ -75,7 +75,7 @@
         let grant = GrantStatus {
             is_quota_owner: customer.role.is_owner(),
             answer_age: customer.answered_at.map(|answered_at| now.duration_since(answered_at)),
-            hard_limit_is_elsewhere: customer.granters != [own_id; GRANTER_COUNT],
+            has_other_granter: customer.granters != [own_id; GRANTER_COUNT],
         };
         ObservedCustomer { plan: customer.plan as u16, familiarity, grant }
     }
--- a/src/policy/quota/ownership.rs
+++ b/src/policy/quota/ownership.rs
@@ -117,7 +117,7 @@
 
     /// Whether requests for grants on customers far beyond their quota are skipped: all gateways ask the same
     /// owner, which would lose other messages.
-    pub(crate) fn rations_grant_requests(self) -> bool {
+    pub(crate) fn limits_grant_requests(self) -> bool {
         self == Self::Designated
     }
 
@@ -168,7 +168,7 @@
 
     /// The lowest level that reported usage may bring a bucket to. Usage beyond the quota leaves no debt at a
     /// designated owner: it decides on each request, and what it rejects is not used.
-    pub(crate) fn lowest_tokens(self, plan: &Plan, tokens: f64) -> f64 {
+    pub(crate) fn min_tokens(self, plan: &Plan, tokens: f64) -> f64 {
         match self {
             Self::AllGateways { .. } => -plan.burst,
             Self::Designated => tokens.min(0.0),
@@ -184,7 +184,7 @@
 
     /// Whether totals of gateways that no longer report are kept. In a small fleet a peer is heard again
     /// after any pause, and without its old total all that it ever forwarded would count as new.
-    pub(crate) fn keeps_old_totals(self) -> bool {
+    pub(crate) fn retains_old_totals(self) -> bool {
         self != Self::Designated
     }
 
@@ -196,7 +196,7 @@
 
     /// Whether an attempt that earns nothing past its latency objective is given up then, because it still
     /// counts towards a concurrency quota. In a small fleet the clients that come again would cost more.
-    pub(crate) fn gives_up_worthless_attempts(self) -> bool {
+    pub(crate) fn expires_attempts_at_latency_objective(self) -> bool {
         self == Self::Designated
     }
 }
--- a/src/policy/quota/ownership/tests.rs
+++ b/src/policy/quota/ownership/tests.rs
@@ -67,9 +67,9 @@
 /// designated owner leaves a debt as it is, and makes none.
 #[test]
 fn debt_arises_only_where_requests_are_admitted_before_they_are_counted() {
-    assert_eq!(shared().lowest_tokens(&plan(0.0, 0), 5.0), -20.0);
-    assert_eq!(QuotaOwnership::Designated.lowest_tokens(&plan(0.0, 0), 5.0), 0.0);
-    assert_eq!(QuotaOwnership::Designated.lowest_tokens(&plan(0.0, 0), -5.0), -5.0);
+    assert_eq!(shared().min_tokens(&plan(0.0, 0), 5.0), -20.0);
+    assert_eq!(QuotaOwnership::Designated.min_tokens(&plan(0.0, 0), 5.0), 0.0);
+    assert_eq!(QuotaOwnership::Designated.min_tokens(&plan(0.0, 0), -5.0), -5.0);
 }
 
 /// A grant of a fleet that shares the count stands for the requests of the next moments; a designated owner
@@ -98,6 +98,6 @@
 /// forwarded would count as new without it. In a large fleet so many totals would be kept for nothing.
 #[test]
 fn a_small_fleet_keeps_old_totals() {
-    assert!(shared().keeps_old_totals());
-    assert!(!QuotaOwnership::Designated.keeps_old_totals());
+    assert!(shared().retains_old_totals());
+    assert!(!QuotaOwnership::Designated.retains_old_totals());
 }
--- a/src/policy/quota/remote_usage.rs
+++ b/src/policy/quota/remote_usage.rs
@@ -98,7 +98,7 @@
     }
 
     /// Drops what a gateway reported before it restarted.
-    pub(super) fn forget(&mut self, gateway: u16) {
+    pub(super) fn remove(&mut self, gateway: u16) {
         if let Some(usage) = self.by_gateway.remove(&gateway) {
             self.in_flight -= u32::from(usage.in_flight).min(self.in_flight);
         }
--- a/src/policy/quota/remote_usage/tests.rs
+++ b/src/policy/quota/remote_usage/tests.rs
@@ -33,7 +33,7 @@
     let mut remote = RemoteUsage::default();
     reported(&mut remote, 1, 3);
     reported(&mut remote, 2, 4);
-    remote.forget(1);
+    remote.remove(1);
     assert_eq!(remote.in_flight(), 4);
     let lifetime = Duration::from_secs(1);
     remote.expire_in_flight(NOW + lifetime, lifetime);
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -123,7 +123,7 @@
         let reports_again = start == PeerStart::Restarted || ownership.reports_to_new_peers();
         let mut unreported = Vec::new();
         for (id, customer) in &mut self.customers {
-            customer.remote.forget(peer);
+            customer.remote.remove(peer);
             let is_active = customer
                 .last_seen_at
                 .is_some_and(|seen_at| now.duration_since(seen_at) < ACTIVE_CUSTOMER_TIME);
--- a/src/policy/quota/token_bucket.rs
+++ b/src/policy/quota/token_bucket.rs
@@ -45,15 +45,15 @@
     }
 
     /// Replaces a charge for units that were granted by one for those that were used. The bucket's level
-    /// stays within `lowest_tokens` and the bucket's capacity.
+    /// stays within `min_tokens` and the bucket's capacity.
     pub(super) fn settle_clamped(
         &mut self,
         plan: &Plan,
         granted_units: f64,
         used_units: f64,
-        lowest_tokens: f64,
+        min_tokens: f64,
     ) {
-        self.tokens = (self.tokens + granted_units - used_units).clamp(lowest_tokens, plan.burst);
+        self.tokens = (self.tokens + granted_units - used_units).clamp(min_tokens, plan.burst);
     }
 
     /// Sets the level to what an owner says.
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -59,8 +59,8 @@
             TotalScope::SinceLastReport
         };
         let units = customer.new_units(plan, usage.reported_total, scope, report);
-        let lowest_tokens = ownership.lowest_tokens(plan, customer.bucket.tokens());
-        customer.bucket.settle_clamped(plan, usage.granted_units, units, lowest_tokens);
+        let min_tokens = ownership.min_tokens(plan, customer.bucket.tokens());
+        customer.bucket.settle_clamped(plan, usage.granted_units, units, min_tokens);
         if ownership.counts_grant_requests(plan) {
             // The rate counts requests for grants of the whole customer, the sender's included. It goes out
             // as `remote_rate`, and the gateways ration their requests by it.
