--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -156,7 +156,7 @@
             if !retains_old_totals {
                 customer.remote.remove_expired(now, record_lifetime(plan, Role::Owner));
             }
-            customer.must_be_kept(plan, now)
+            customer.should_retain(plan, now)
         });
         with_attempts
     }
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -109,7 +109,7 @@
     }
 
     /// Whether the record has the plan and the gateways that a request or a report names.
-    pub(super) fn agrees_with(&self, claim: &IdentityClaim) -> bool {
+    pub(super) fn matches(&self, claim: &IdentityClaim) -> bool {
         self.plan == claim.plan && self.gateway_set == claim.gateway_set
     }
 
@@ -127,8 +127,8 @@
     /// A gateway that sees little of the customer counts with a floor, so that its share of the tokens is
     /// never nothing.
     pub(super) fn own_share(&self, plan: &Plan) -> f64 {
-        let knows_others = self.role.is_owner() || self.answered_at.is_some();
-        let floor = if knows_others { MIN_OWN_RATE_FRACTION } else { 1.0 };
+        let knows_remote_usage = self.role.is_owner() || self.answered_at.is_some();
+        let floor = if knows_remote_usage { MIN_OWN_RATE_FRACTION } else { 1.0 };
         let own_rate = self.own_rate.max(plan.rate / self.gateway_set.size.max(1.0) * floor);
         own_rate / (own_rate + self.remote.rate()).max(MIN_TOTAL_RATE)
     }
@@ -167,7 +167,7 @@
     }
 
     /// Whether the record has to be kept: a customer that comes again starts with full buckets.
-    pub(super) fn must_be_kept(&self, plan: &Plan, now: Instant) -> bool {
+    pub(super) fn should_retain(&self, plan: &Plan, now: Instant) -> bool {
         let in_use = self.in_flight > 0 || !self.grant_request.waiting.is_empty();
         let lifetime = record_lifetime(plan, self.role);
         in_use || self.last_seen_at.is_some_and(|seen_at| now.duration_since(seen_at) <= lifetime)
--- a/src/policy/quota/gateway_set.rs
+++ b/src/policy/quota/gateway_set.rs
@@ -14,13 +14,13 @@
 
 impl GatewaySet {
     /// The set that a request names; all gateways of the fleet where it names none that is possible.
-    pub(super) fn of(request: &Request, gateway_count: u16) -> GatewaySet {
-        let most = f64::from(gateway_count.max(1));
+    pub(super) fn from_request(request: &Request, gateway_count: u16) -> GatewaySet {
+        let max_size = f64::from(gateway_count.max(1));
         let start = request.gateway_set_start;
-        if !request.gateway_set_size.is_finite() || !(0.0..most).contains(&start) {
-            return GatewaySet { start: 0, size: most };
+        if !request.gateway_set_size.is_finite() || !(0.0..max_size).contains(&start) {
+            return GatewaySet { start: 0, size: max_size };
         }
-        GatewaySet { start: start.floor() as u16, size: request.gateway_set_size.clamp(1.0, most) }
+        GatewaySet { start: start.floor() as u16, size: request.gateway_set_size.clamp(1.0, max_size) }
     }
 
     /// The set in whole gateways, one at least and no more than the fleet has.
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -164,7 +164,7 @@
         if requested_at.is_some_and(|at| now.duration_since(at) < HARD_LIMIT_GRANT_LIFETIME) {
             customer.hard_limit.granted += grant.hard_limit_grant;
         }
-        let answers = if customer.granters_answered(own_id) {
+        let answers = if customer.all_granters_answered(own_id) {
             GrantAnswers::Complete
         } else {
             GrantAnswers::Outstanding
@@ -194,7 +194,7 @@
     }
 
     /// Whether each granter that this gateway can ask has answered its request.
-    fn granters_answered(&self, own_id: u16) -> bool {
+    fn all_granters_answered(&self, own_id: u16) -> bool {
         let has_answered = |granter: &u16| self.grant_request.answered_by.contains(granter);
         let can_be_asked = |granter: &u16| *granter != own_id && self.quota_owners.contains(granter);
         self.granters.iter().all(|granter| !can_be_asked(granter) || has_answered(granter))
--- a/src/policy/quota/hard_limit.rs
+++ b/src/policy/quota/hard_limit.rs
@@ -42,7 +42,7 @@
 
     /// Seconds until the share may have the units of a request; none if it has them now, or if there is no
     /// hard limit.
-    pub(super) fn wait_for(&self, plan: &Plan, units: f64) -> Option<f64> {
+    pub(super) fn wait_seconds(&self, plan: &Plan, units: f64) -> Option<f64> {
         let refill_rate = plan.hard_limit_rate * self.fraction.max(MIN_FRACTION);
         self.time_until(units, refill_rate).filter(|_| plan.hard_limit_rate > 0.0)
     }
--- a/src/policy/quota/hard_limit/tests.rs
+++ b/src/policy/quota/hard_limit/tests.rs
@@ -57,7 +57,7 @@
 #[test]
 fn a_wait_is_computed_with_a_hundredth_of_the_limit_at_least() {
     let share = HardLimitShare { fraction: 0.001, ..HardLimitShare::default() };
-    assert_eq!(share.wait_for(&plan(), 1.0), Some(25.0), "at 0.04 units a second");
+    assert_eq!(share.wait_seconds(&plan(), 1.0), Some(25.0), "at 0.04 units a second");
     let unlimited = Plan { hard_limit_rate: 0.0, ..plan() };
-    assert_eq!(share.wait_for(&unlimited, 1.0), None);
+    assert_eq!(share.wait_seconds(&unlimited, 1.0), None);
 }
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -54,7 +54,7 @@
     /// Records which customer a request comes from. The request has to name a plan that there is.
     pub(crate) fn observe_request(&mut self, now: Instant, request: &Request) -> ObservedCustomer {
         let plan = &self.settings.plans[usize::from(request.plan)];
-        let set = GatewaySet::of(request, self.settings.gateway_count);
+        let set = GatewaySet::from_request(request, self.settings.gateway_count);
         // This gateway's share of the burst, or one request, and what was refilled since the start.
         let share = (plan.burst / set.size).max(request.units);
         let refilled = plan.rate * self.seconds_of_known_usage(now);
@@ -98,7 +98,7 @@
             }
             Entry::Occupied(occupied) => occupied.into_mut(),
         };
-        if customer.agrees_with(claim) {
+        if customer.matches(claim) {
             customer.identity_confidence = (customer.identity_confidence + 1).min(MAX_IDENTITY_CONFIDENCE);
         } else if customer.identity_confidence > 0 {
             customer.identity_confidence -= 1;
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -66,9 +66,9 @@
     ) -> Option<UsageReport> {
         let own_id = self.settings.own_id;
         let (customer, plan) = self.refill(id, now)?;
-        let was_granted_lately =
+        let was_answered_recently =
             customer.answered_at.is_some_and(|answered_at| now.duration_since(answered_at) < LEVEL_FRESHNESS);
-        let is_level_known = customer.role.is_owner() || was_granted_lately;
+        let is_level_known = customer.role.is_owner() || was_answered_recently;
         // One of the two is drawn to grant units of the hard limit: two grants would waste one.
         let draw = unit_draw(now.as_micros() ^ id.0);
         let drawn_granter = customer.granters[usize::from(draw < SECOND_GRANTER_PROBABILITY)];
@@ -121,17 +121,17 @@
     pub(crate) fn on_peer_start(&mut self, now: Instant, peer: u16, start: PeerStart) -> Vec<CustomerId> {
         let ownership = self.settings.ownership;
         let reports_again = start == PeerStart::Restarted || ownership.reports_to_new_peers();
-        let mut unreported = Vec::new();
+        let mut to_report = Vec::new();
         for (id, customer) in &mut self.customers {
             customer.remote.remove(peer);
             let is_active = customer
                 .last_seen_at
                 .is_some_and(|seen_at| now.duration_since(seen_at) < ACTIVE_CUSTOMER_TIME);
             if reports_again && is_active && customer.quota_owners.contains(&peer) {
-                unreported.push(*id);
+                to_report.push(*id);
             }
         }
-        unreported
+        to_report
     }
 }
 
--- a/src/policy/quota/shortages.rs
+++ b/src/policy/quota/shortages.rs
@@ -77,11 +77,11 @@
 
 impl QuotaManager {
     /// Refills the token buckets of a request's customer, and returns the limits that do not allow the
-    /// request. `last_heard_at` tells when a message of a peer last came, if ever.
+    /// request. `last_message_at` tells when a message of a peer last came, if ever.
     pub(crate) fn refill_and_find_shortages(
         &mut self,
         facts: &ShortageFacts<'_>,
-        last_heard_at: impl Fn(u16) -> Option<Instant>,
+        last_message_at: impl Fn(u16) -> Option<Instant>,
     ) -> Shortages {
         let (ownership, started_at) = (self.settings.ownership, self.settings.started_at);
         let Some((customer, plan)) = self.refill(facts.request.customer, facts.now) else {
@@ -92,20 +92,20 @@
             || customer.role.is_owner()
             || customer.answered_at.is_some_and(|answered_at| is_recent(facts.now, answered_at));
         let unreported_units = customer.unreported_units(ownership);
-        let rate_wait = customer.wait_for_rate(plan, unreported_units, units).filter(|_| usage_known);
+        let rate_wait = customer.rate_wait_seconds(plan, unreported_units, units).filter(|_| usage_known);
         let reached_quota = if plan.concurrency_quota == 0 {
             None
         } else if usage_known {
             let in_flight = customer.estimated_in_flight(unreported_units, units);
             (in_flight >= plan.concurrency_quota).then_some(QuotaLimit::Concurrency)
         } else {
-            let is_presumed = customer.presumes_owners_overloaded(plan, facts, started_at, last_heard_at);
+            let is_presumed = customer.presumes_owners_overloaded(plan, facts, started_at, last_message_at);
             is_presumed.then_some(QuotaLimit::OwnersOverloaded)
         };
         let rate = rate_wait.map(|seconds| Shortage { limit: QuotaLimit::Rate, seconds });
         let concurrency = reached_quota
             .map(|limit| Shortage { limit, seconds: rate_wait.unwrap_or(0.0).max(facts.answer_seconds) });
-        let hard_limit = customer.hard_limit.wait_for(plan, units);
+        let hard_limit = customer.hard_limit.wait_seconds(plan, units);
         Shortages {
             quota: concurrency.or(rate),
             hard_limit: hard_limit.map(|seconds| Shortage { limit: QuotaLimit::HardLimit, seconds }),
@@ -134,7 +134,7 @@
 
     /// Seconds until the quota's bucket may have a request's units, where peers used some unreported; none if
     /// it has them now, or if there is no quota on the rate.
-    fn wait_for_rate(&self, plan: &Plan, unreported_units: f64, units: f64) -> Option<f64> {
+    fn rate_wait_seconds(&self, plan: &Plan, unreported_units: f64, units: f64) -> Option<f64> {
         // The usage of peers is taken off, up to their share of the tokens.
         let tokens = self.bucket.tokens();
         let peers_tokens = tokens.max(0.0) * (1.0 - self.own_share(plan));
@@ -160,15 +160,15 @@
         plan: &Plan,
         facts: &ShortageFacts<'_>,
         started_at: Instant,
-        last_heard_at: impl Fn(u16) -> Option<Instant>,
+        last_message_at: impl Fn(u16) -> Option<Instant>,
     ) -> bool {
         if self.grant_request.requested_at.is_none() {
             return false;
         }
         let draw = unit_draw(facts.request.id.0 ^ START_SALT.of(started_at.as_micros()));
-        let loses_draw = draw * (1.0 + plan.over_quota_cost) > 1.0;
-        let is_alive = |owner: &u16| last_heard_at(*owner).is_some_and(|heard| is_recent(facts.now, heard));
-        loses_draw || self.quota_owners.iter().all(is_alive)
+        let is_rejected_by_draw = draw * (1.0 + plan.over_quota_cost) > 1.0;
+        let is_alive = |owner: &u16| last_message_at(*owner).is_some_and(|at| is_recent(facts.now, at));
+        is_rejected_by_draw || self.quota_owners.iter().all(is_alive)
     }
 }
 
--- a/src/policy/quota/shortages/tests.rs
+++ b/src/policy/quota/shortages/tests.rs
@@ -32,11 +32,11 @@
         gateway_set: set,
         ..Customer::default()
     };
-    assert_eq!(shared.wait_for_rate(&plan(), 3.0, 7.0), None);
-    assert_eq!(shared.wait_for_rate(&plan(), 3.0, 8.0), Some(0.1), "one unit at 10 a second");
-    assert_eq!(shared.wait_for_rate(&plan(), 300.0, 5.0), None, "half of the tokens are this gateway's");
+    assert_eq!(shared.rate_wait_seconds(&plan(), 3.0, 7.0), None);
+    assert_eq!(shared.rate_wait_seconds(&plan(), 3.0, 8.0), Some(0.1), "one unit at 10 a second");
+    assert_eq!(shared.rate_wait_seconds(&plan(), 300.0, 5.0), None, "half of the tokens are this gateway's");
     let alone = Customer { remote: RemoteUsage::default(), ..shared };
-    assert_eq!(alone.wait_for_rate(&plan(), 300.0, 10.0), None);
+    assert_eq!(alone.rate_wait_seconds(&plan(), 300.0, 10.0), None);
 }
 
 /// An owner does not answer a request for a grant. If it sent other messages a moment ago it is overloaded
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -30,7 +30,7 @@
     /// Nothing.
     SinceLastReport,
     /// Usage of before this gateway's start: it is the first report of a gateway that has run for longer.
-    MayPredateThisStart,
+    MayPredateStart,
 }
 
 impl QuotaManager {
@@ -52,9 +52,9 @@
         customer.last_seen_at = customer.last_seen_at.max(Some(now));
         let known_usage = customer.remote.get(from);
         let mut usage = known_usage.unwrap_or_default();
-        customer.reset_forgotten_total(plan, &mut usage, now, from, report);
+        customer.reset_expired_total(plan, &mut usage, now, from, report);
         let scope = if may_predate && known_usage.is_none() {
-            TotalScope::MayPredateThisStart
+            TotalScope::MayPredateStart
         } else {
             TotalScope::SinceLastReport
         };
@@ -96,7 +96,7 @@
 impl Customer {
     /// Counts a sender's total from nothing where it is less than the last one and the sender has had the
     /// time to forget the customer: it counts anew then.
-    fn reset_forgotten_total(
+    fn reset_expired_total(
         &self,
         plan: &Plan,
         usage: &mut GatewayUsage,
@@ -104,9 +104,9 @@
         from: u16,
         report: &UsageReport,
     ) {
-        let has_fallen = wrapping_delta(usage.reported_total, report.total_units) < 0.0;
+        let has_decreased = wrapping_delta(usage.reported_total, report.total_units) < 0.0;
         let role = Role::of(from, &self.quota_owners);
-        if has_fallen && now.duration_since(usage.reported_at) > record_lifetime(plan, role) {
+        if has_decreased && now.duration_since(usage.reported_at) > record_lifetime(plan, role) {
             usage.reported_total = 0;
         }
     }
@@ -114,7 +114,7 @@
     /// The units used through a gateway since its last report.
     fn new_units(&mut self, plan: &Plan, last_total: u16, scope: TotalScope, report: &UsageReport) -> f64 {
         let units = wrapping_delta(last_total, report.total_units);
-        let may_predate = scope == TotalScope::MayPredateThisStart;
+        let may_predate = scope == TotalScope::MayPredateStart;
         if may_predate && units.abs() > plan.burst * MAX_FIRST_REPORT_FRACTION {
             // The peer's view of the bucket is all that is left to go by.
             self.bucket.deduct_withheld(units);
