--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -9,7 +9,7 @@
 use crate::policy::quota::{
     DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
 };
-use crate::policy::{Familiarity, RejectReason, RetryAdvice, SheddingContext};
+use crate::policy::{CustomerActivity, RejectReason, RetryAdvice, SheddingContext};
 use crate::state::{unit_draw, RequestState, MICROS_PER_SECOND};
 use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
 
@@ -48,7 +48,7 @@
                 actions,
             );
         }
-        if !self.passes_load_shedding(&request, observed.familiarity) {
+        if !self.passes_load_shedding(&request, observed.activity) {
             return self.push_rejection(request.id, RejectReason::Shed, RetryAdvice::Longest, actions);
         }
         self.begin_admission(request, observed.grant, actions);
@@ -92,11 +92,11 @@
     }
 
     /// Whether load shedding admits a request.
-    fn passes_load_shedding(&self, request: &Request, familiarity: Familiarity) -> bool {
+    fn passes_load_shedding(&self, request: &Request, activity: CustomerActivity) -> bool {
         self.load_shedder.admits(&SheddingContext {
             now: self.now,
             customer: request.customer,
-            familiarity,
+            activity,
             plan: self.plan_of(request),
             plans: &self.settings.plans,
         })
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -22,7 +22,7 @@
 pub(crate) use attempt_expiry::{attempt_expiry, ExpiryContext};
 pub(crate) use concurrency_limit::{ConcurrencyLimiter, GatewayLoad};
 pub(crate) use load_balancing::{ChoiceContext, LoadBalancer, NoBackend, RecentSends, ReportedQueue};
-pub(crate) use load_shedding::{Familiarity, LoadShedder, SheddingContext, StageChange};
+pub(crate) use load_shedding::{CustomerActivity, LoadShedder, SheddingContext, StageChange};
 pub(crate) use outlier_detection::{
     AnswerSample, BackendHealth, Ejection, EndedAttempt, Evidence, HealthChange, Observation,
     OutlierDetector, SilenceVerdict, Source, REJECTION_NORMAL_RATIO,
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -12,7 +12,7 @@
 /// the stage before.
 const LAST_STAGE: usize = ADMITTED_SHARES.len();
 /// The stage from which customers that were not seen of late are shed like others.
-const FIRST_STAGE_FOR_UNSEEN: usize = 2;
+const FIRST_STAGE_FOR_INACTIVE: usize = 2;
 /// The least time on a stage before a higher one: the effect of a stage has to show first.
 pub(super) const MIN_STAGE_TIME_UP: Duration = Duration::from_millis(1500);
 /// The least time on a stage before a lower one.
@@ -28,11 +28,11 @@
 
 /// Whether a customer was seen of late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Familiarity {
+pub(crate) enum CustomerActivity {
     /// It sent a request a short time ago.
-    Known,
+    Active,
     /// It sent none for long, or never one.
-    Unseen,
+    Inactive,
 }
 
 /// What decides whether a customer's request is shed.
@@ -43,7 +43,7 @@
     /// Whose request it is.
     pub customer: CustomerId,
     /// Whether the customer was seen of late.
-    pub familiarity: Familiarity,
+    pub activity: CustomerActivity,
     /// The customer's plan.
     pub plan: &'a Plan,
     /// All plans.
@@ -100,7 +100,8 @@
     /// same for an epoch, at all gateways: if each request were drawn for, the retries of shed clients would
     /// be admitted, too late to be of use, and cause the next overload.
     pub(crate) fn admits(&self, context: &SheddingContext<'_>) -> bool {
-        let is_exempt = context.familiarity == Familiarity::Unseen && self.stage < FIRST_STAGE_FOR_UNSEEN;
+        let is_exempt =
+            context.activity == CustomerActivity::Inactive && self.stage < FIRST_STAGE_FOR_INACTIVE;
         if self.stage == 0 || is_exempt {
             return true;
         }
--- a/src/policy/load_shedding/tests.rs
+++ b/src/policy/load_shedding/tests.rs
@@ -31,11 +31,11 @@
 }
 
 /// How many of a thousand customers on a plan are admitted.
-fn admitted(shedder: &LoadShedder, familiarity: Familiarity, plan: &Plan, plans: &[Plan]) -> usize {
+fn admitted(shedder: &LoadShedder, activity: CustomerActivity, plan: &Plan, plans: &[Plan]) -> usize {
     let customers = (0..1000).map(CustomerId);
     customers
         .filter(|customer| {
-            shedder.admits(&SheddingContext { now: START, customer: *customer, familiarity, plan, plans })
+            shedder.admits(&SheddingContext { now: START, customer: *customer, activity, plan, plans })
         })
         .count()
 }
@@ -47,9 +47,9 @@
     let plans = [plan(1.0), plan(3.0)];
     for (stage, share) in [1.0, 0.9, 0.7, 0.5, 0.0].into_iter().enumerate() {
         let shedder = at_stage(stage);
-        let ordinary = admitted(&shedder, Familiarity::Known, &plans[0], &plans) as f64 / 1000.0;
+        let ordinary = admitted(&shedder, CustomerActivity::Active, &plans[0], &plans) as f64 / 1000.0;
         assert!((ordinary - share).abs() < 0.05, "stage {stage}: {ordinary}");
-        assert_eq!(admitted(&shedder, Familiarity::Known, &plans[1], &plans), 1000);
+        assert_eq!(admitted(&shedder, CustomerActivity::Active, &plans[1], &plans), 1000);
     }
 }
 
@@ -58,8 +58,8 @@
 #[test]
 fn customers_unseen_of_late_are_exempt_at_the_first_stage() {
     let plans = [plan(1.0)];
-    assert_eq!(admitted(&at_stage(1), Familiarity::Unseen, &plans[0], &plans), 1000);
-    assert!(admitted(&at_stage(2), Familiarity::Unseen, &plans[0], &plans) < 800);
+    assert_eq!(admitted(&at_stage(1), CustomerActivity::Inactive, &plans[0], &plans), 1000);
+    assert!(admitted(&at_stage(2), CustomerActivity::Inactive, &plans[0], &plans) < 800);
 }
 
 /// The pressure stays high. The stage rises by one at a time, and only once the one before has had the time
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -1,7 +1,7 @@
 //! What requests and reports say of a customer's plan and gateways, and which of it is believed.
 
 use super::{Customer, GatewaySet, QuotaManager, GRANTER_COUNT};
-use crate::policy::load_shedding::Familiarity;
+use crate::policy::load_shedding::CustomerActivity;
 use crate::{CustomerId, Duration, Instant, Request};
 use std::collections::btree_map::Entry;
 
@@ -45,7 +45,7 @@
     /// Index of the plan by which the request is judged.
     pub plan: u16,
     /// Whether the customer was seen of late.
-    pub familiarity: Familiarity,
+    pub activity: CustomerActivity,
     /// What is known of the grants for it.
     pub grant: GrantStatus,
 }
@@ -68,16 +68,16 @@
         };
         let own_id = self.settings.own_id;
         let customer = self.record_identity(now, request.customer, &claim, &initial);
-        let is_unseen =
+        let is_inactive =
             customer.last_seen_at.is_none_or(|seen_at| now.duration_since(seen_at) > CUSTOMER_IDLE_TIME);
         customer.last_seen_at = Some(now);
-        let familiarity = if is_unseen { Familiarity::Unseen } else { Familiarity::Known };
+        let activity = if is_inactive { CustomerActivity::Inactive } else { CustomerActivity::Active };
         let grant = GrantStatus {
             is_quota_owner: customer.role.is_owner(),
             answer_age: customer.answered_at.map(|answered_at| now.duration_since(answered_at)),
             has_other_granter: customer.granters != [own_id; GRANTER_COUNT],
         };
-        ObservedCustomer { plan: customer.plan as u16, familiarity, grant }
+        ObservedCustomer { plan: customer.plan as u16, activity, grant }
     }
 
     /// Records the plan and the gateways that a request or a report names for a customer, and returns its
--- a/src/policy/quota/identity/tests.rs
+++ b/src/policy/quota/identity/tests.rs
@@ -19,12 +19,12 @@
 #[test]
 fn a_customer_is_familiar_for_ten_seconds() {
     let mut manager = manager(SMALL_FLEET);
-    let mut familiarity_at =
-        |now| manager.observe_request(now, &request(CustomerId(7), RATE_QUOTA, 1.0)).familiarity;
+    let mut activity_at =
+        |now| manager.observe_request(now, &request(CustomerId(7), RATE_QUOTA, 1.0)).activity;
     let at_ten_seconds = START + Duration::from_secs(10);
-    assert_eq!(familiarity_at(START), Familiarity::Unseen);
-    assert_eq!(familiarity_at(at_ten_seconds), Familiarity::Known);
-    assert_eq!(familiarity_at(at_ten_seconds + Duration::from_millis(10_001)), Familiarity::Unseen);
+    assert_eq!(activity_at(START), CustomerActivity::Inactive);
+    assert_eq!(activity_at(at_ten_seconds), CustomerActivity::Active);
+    assert_eq!(activity_at(at_ten_seconds + Duration::from_millis(10_001)), CustomerActivity::Inactive);
 }
 
 /// A customer used up its hard limit. Somebody makes its record change its plan and change it back: its
