--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -2,7 +2,8 @@
 //! changes, and tells its peers.
 
 use crate::policy::{
-    AnswerSample, Ejection, EndedAttempt, Evidence, HealthChange, Observation, Source, REJECTION_NORMAL_RATIO,
+    AnswerSample, Ejection, EndedAttempt, HealthChange, HealthSignal, Observation, Source,
+    REJECTION_NORMAL_RATIO,
 };
 use crate::{AttemptEnded, BackendId, Gateway, Instant};
 
@@ -10,18 +11,18 @@
     /// Records how an attempt of a class ended.
     pub(crate) fn record_outcome(&mut self, ended: &AttemptEnded, class: usize) {
         let now = self.now;
-        let Some(evidence) = Evidence::of(ended.outcome) else { return };
+        let Some(signal) = HealthSignal::from_outcome(ended.outcome) else { return };
         let Some(backend) = self.backends.get_mut(ended.backend) else { return };
-        let attempt = EndedAttempt { now, class, zone: backend.endpoint.zone, evidence };
+        let attempt = EndedAttempt { now, class, zone: backend.endpoint.zone, signal };
         let change = self.outlier_detector.record_outcome(&mut backend.health, &attempt);
         if let Some(change) = change {
             log_health_change(now, ended.backend, class, change);
         }
-        if evidence == Evidence::Rejection {
+        if signal == HealthSignal::Rejection {
             backend.reported_queue.record_rejection(self.fleet_size);
             return self.record_pressure(REJECTION_NORMAL_RATIO);
         }
-        let latency_micros = (evidence == Evidence::Success).then_some(ended.elapsed.as_micros_f64());
+        let latency_micros = (signal == HealthSignal::Success).then_some(ended.elapsed.as_micros_f64());
         let observation = Observation { backend: ended.backend, class, latency_micros, source: Source::Own };
         self.queue_sample(&observation);
         self.record_latency(&observation);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -24,7 +24,7 @@
 pub(crate) use load_balancing::{ChoiceContext, LoadBalancer, NoBackend, RecentSends, ReportedQueue};
 pub(crate) use load_shedding::{CustomerActivity, LoadShedder, SheddingContext, StageChange};
 pub(crate) use outlier_detection::{
-    AnswerSample, BackendHealth, Ejection, EndedAttempt, Evidence, HealthChange, Observation,
+    AnswerSample, BackendHealth, Ejection, EndedAttempt, HealthChange, HealthSignal, Observation,
     OutlierDetector, SilenceVerdict, Source, REJECTION_NORMAL_RATIO,
 };
 pub(crate) use pressure::Pressure;
--- a/src/policy/load_balancing/tests.rs
+++ b/src/policy/load_balancing/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`].
 
 use super::*;
-use crate::policy::{EndedAttempt, Evidence};
+use crate::policy::{EndedAttempt, HealthSignal};
 use crate::{Class, Duration, Endpoint, Idempotency, IdempotencyScope, Rules};
 use std::collections::BTreeMap;
 
@@ -69,7 +69,7 @@
 
     /// Records two failed attempts at a backend, by which it is ejected.
     fn eject(&mut self, backend: u64) {
-        let attempt = EndedAttempt { now: NOW, class: CLASS, zone: OWN_ZONE, evidence: Evidence::Failure };
+        let attempt = EndedAttempt { now: NOW, class: CLASS, zone: OWN_ZONE, signal: HealthSignal::Failure };
         let health = &mut self.backends.get_mut(BackendId(backend)).expect("it is listed").health;
         for _ in 0..2 {
             self.outlier_detector.record_outcome(health, &attempt);
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -4,17 +4,17 @@
 //! [`BackendHealth`] has the rules for one backend: when it is ejected and when it returns to service. Each
 //! backend's record holds its own. [`OutlierDetector`] has the rules that concern several backends.
 
-mod evidence;
 mod failure_rate;
 mod health;
+mod health_signal;
 mod latency_baseline;
 mod observation;
 mod relative_latency;
 
 use crate::{Class, Instant};
-pub(crate) use evidence::Evidence;
 use failure_rate::FailureRate;
 pub(crate) use health::{BackendHealth, Ejection, HealthChange, SilenceVerdict};
+pub(crate) use health_signal::HealthSignal;
 use latency_baseline::LatencyBaseline;
 pub(crate) use observation::{Observation, Source};
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
     /// The zone of its backend.
     pub zone: u8,
     /// What it says of the backend.
-    pub evidence: Evidence,
+    pub signal: HealthSignal,
 }
 
 /// The answer to an attempt, at this gateway or at a peer.
@@ -88,10 +88,10 @@
         health: &mut BackendHealth,
         attempt: &EndedAttempt,
     ) -> Option<HealthChange> {
-        let connect_failed = attempt.evidence == Evidence::ConnectFailure;
+        let connect_failed = attempt.signal == HealthSignal::ConnectFailure;
         let weight = if connect_failed { ZONE_FAILURE_WEIGHT } else { ZONE_SUCCESS_WEIGHT };
         self.zones.entry(attempt.zone).or_default().record(attempt.now, connect_failed, weight);
-        health.record_outcome(attempt.class, attempt.evidence, attempt.now)
+        health.record_outcome(attempt.class, attempt.signal, attempt.now)
     }
 
     /// Records an answer's latency, and returns it as a ratio of the highest normal one.
--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -4,7 +4,7 @@
 
 use super::failure_rate::FailureRate;
 use super::relative_latency::RelativeLatency;
-use super::Evidence;
+use super::HealthSignal;
 use crate::policy::EjectionReason;
 use crate::{Duration, Instant};
 
@@ -68,8 +68,8 @@
 struct ClassHealth {
     /// The share of recent attempts that failed.
     failure_rate: FailureRate,
-    /// When an attempt of the class last gave evidence: by an answer, or by a connection that failed.
-    last_evidence_at: Instant,
+    /// When an attempt of the class last gave a health signal: by an answer, or by a connection that failed.
+    last_signal_at: Instant,
     /// Until then it costs more, whatever is in flight there.
     ejected_until: Instant,
     /// Ejections since it was last in service; 0 while it is.
@@ -98,7 +98,7 @@
 
     /// Whether an attempt sent at a time is silent, which ejects the backend.
     fn eject_if_silent(&mut self, sent_at: Instant, now: Instant) -> SilenceVerdict {
-        if self.last_evidence_at >= sent_at {
+        if self.last_signal_at >= sent_at {
             return SilenceVerdict::Answering;
         }
         if now < self.ejected_until {
@@ -170,11 +170,11 @@
     pub(super) fn record_outcome(
         &mut self,
         class: usize,
-        evidence: Evidence,
+        signal: HealthSignal,
         now: Instant,
     ) -> Option<HealthChange> {
         let health = &mut self.classes[class];
-        health.last_evidence_at = now;
-        evidence.is_failure().and_then(|failed| health.record_own(now, failed))
+        health.last_signal_at = now;
+        signal.is_failure().and_then(|failed| health.record_own(now, failed))
     }
 }
--- a/src/policy/outlier_detection/evidence/tests.rs
+++ b/src/policy/outlier_detection/health_signal/tests.rs
@@ -7,7 +7,7 @@
 /// healthy backends would be ejected under load.
 #[test]
 fn outcomes_that_the_backend_did_not_determine_are_no_evidence() {
-    let is_failure = |outcome| Evidence::of(outcome).map(Evidence::is_failure);
+    let is_failure = |outcome| HealthSignal::from_outcome(outcome).map(HealthSignal::is_failure);
     assert_eq!(is_failure(Outcome::Ok), Some(Some(false)));
     assert_eq!(is_failure(Outcome::Rejected), Some(None));
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::ConnectFailed] {
--- a/src/policy/outlier_detection/tests.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -39,20 +39,20 @@
 }
 
 /// An attempt of [`CLASS`] that ended.
-fn ended(evidence: Evidence, now: Instant) -> EndedAttempt {
-    EndedAttempt { now, class: CLASS, zone: ZONE, evidence }
+fn ended(signal: HealthSignal, now: Instant) -> EndedAttempt {
+    EndedAttempt { now, class: CLASS, zone: ZONE, signal }
 }
 
-/// Records the end of this many attempts, all with the same evidence and at the same time.
+/// Records the end of this many attempts, all with the same signal and at the same time.
 fn end_attempts(
     detector: &mut OutlierDetector,
     health: &mut BackendHealth,
     count: usize,
-    evidence: Evidence,
+    signal: HealthSignal,
     now: Instant,
 ) {
     for _ in 0..count {
-        detector.record_outcome(health, &ended(evidence, now));
+        detector.record_outcome(health, &ended(signal, now));
     }
 }
 
@@ -69,8 +69,8 @@
 #[test]
 fn repeated_failures_eject_a_backend_for_their_class() {
     let (mut detector, mut health) = (detector(), backend());
-    assert_eq!(detector.record_outcome(&mut health, &ended(Evidence::Failure, START)), None);
-    let change = detector.record_outcome(&mut health, &ended(Evidence::Failure, START));
+    assert_eq!(detector.record_outcome(&mut health, &ended(HealthSignal::Failure, START)), None);
+    let change = detector.record_outcome(&mut health, &ended(HealthSignal::Failure, START));
     let Ejection { reason, failure_rate, until } = ejection(change);
     assert_eq!((reason, until), (EjectionReason::Failures, after_millis(500)));
     assert!((0.25..0.3).contains(&failure_rate), "{failure_rate}");
@@ -84,7 +84,7 @@
 fn rejections_by_a_backend_eject_nothing() {
     let (mut detector, mut health) = (detector(), backend());
     for _ in 0..20 {
-        assert_eq!(detector.record_outcome(&mut health, &ended(Evidence::Rejection, START)), None);
+        assert_eq!(detector.record_outcome(&mut health, &ended(HealthSignal::Rejection, START)), None);
     }
     assert_eq!(health.eject_if_silent(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
     assert_eq!(detector.failure_rate(&health, CLASS, ZONE, START), 0.0);
@@ -108,7 +108,7 @@
 #[test]
 fn an_answer_after_the_send_is_proof_against_silence() {
     let (mut detector, mut health) = (detector(), backend());
-    detector.record_outcome(&mut health, &ended(Evidence::Success, after_millis(50)));
+    detector.record_outcome(&mut health, &ended(HealthSignal::Success, after_millis(50)));
     assert_eq!(health.eject_if_silent(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
     assert!(health.eject_if_silent(CLASS, after_millis(60), after_millis(100)).is_silent());
 }
@@ -119,10 +119,10 @@
 #[test]
 fn the_ejection_time_doubles_up_to_a_limit() {
     let (mut detector, mut health) = (detector(), backend());
-    detector.record_outcome(&mut health, &ended(Evidence::Failure, START));
+    detector.record_outcome(&mut health, &ended(HealthSignal::Failure, START));
     let mut now = START;
     for expected_millis in [500, 1000, 2000, 4000, 4000] {
-        let change = detector.record_outcome(&mut health, &ended(Evidence::Failure, now));
+        let change = detector.record_outcome(&mut health, &ended(HealthSignal::Failure, now));
         let until = ejection(change).until;
         assert_eq!(until.duration_since(now), Duration::from_millis(expected_millis));
         assert!(health.is_ejected(CLASS, 0, until - Duration::MICROSECOND));
@@ -135,11 +135,11 @@
 #[test]
 fn a_success_after_the_ejection_time_returns_a_backend_to_service() {
     let (mut detector, mut health) = (detector(), backend());
-    end_attempts(&mut detector, &mut health, 2, Evidence::Failure, START);
+    end_attempts(&mut detector, &mut health, 2, HealthSignal::Failure, START);
     let later = after_millis(2000);
     assert!(!health.is_ejected(CLASS, 0, later), "it may be tried");
     assert!(health.is_ejected(CLASS, 1, later), "but by one attempt only");
-    let change = detector.record_outcome(&mut health, &ended(Evidence::Success, later));
+    let change = detector.record_outcome(&mut health, &ended(HealthSignal::Success, later));
     assert!(
         matches!(change, Some(HealthChange::Returned { failure_rate }) if failure_rate < 0.25),
         "{change:?}"
@@ -155,10 +155,10 @@
 #[test]
 fn a_backend_returns_only_once_its_failure_rate_is_low() {
     let (mut detector, mut health) = (detector(), backend());
-    end_attempts(&mut detector, &mut health, 10, Evidence::Failure, START);
-    assert_eq!(detector.record_outcome(&mut health, &ended(Evidence::Success, START)), None);
+    end_attempts(&mut detector, &mut health, 10, HealthSignal::Failure, START);
+    assert_eq!(detector.record_outcome(&mut health, &ended(HealthSignal::Success, START)), None);
     let successes = (1..12).find(|_| {
-        let change = detector.record_outcome(&mut health, &ended(Evidence::Success, START));
+        let change = detector.record_outcome(&mut health, &ended(HealthSignal::Success, START));
         matches!(change, Some(HealthChange::Returned { .. }))
     });
     assert!((3..12).contains(&successes.unwrap_or(0)), "{successes:?}");
@@ -181,10 +181,10 @@
 #[test]
 fn failed_connections_count_for_all_backends_of_the_zone() {
     let (mut detector, mut tried, untried) = (detector(), backend(), backend());
-    end_attempts(&mut detector, &mut tried, 3, Evidence::ConnectFailure, START);
+    end_attempts(&mut detector, &mut tried, 3, HealthSignal::ConnectFailure, START);
     assert!(detector.failure_rate(&untried, CLASS, ZONE, START) > 0.6);
     assert_eq!(detector.failure_rate(&untried, CLASS, ZONE + 1, START), 0.0);
-    detector.record_outcome(&mut tried, &ended(Evidence::Failure, START));
+    detector.record_outcome(&mut tried, &ended(HealthSignal::Failure, START));
     assert_eq!(detector.failure_rate(&untried, CLASS, ZONE, START), 0.0);
 }
 
@@ -193,7 +193,7 @@
 #[test]
 fn the_failure_rate_falls_with_time_alone() {
     let (mut detector, mut health) = (detector(), backend());
-    end_attempts(&mut detector, &mut health, 10, Evidence::Failure, START);
+    end_attempts(&mut detector, &mut health, 10, HealthSignal::Failure, START);
     let then = detector.failure_rate(&health, CLASS, ZONE, START);
     let later = detector.failure_rate(&health, CLASS, ZONE, after_millis(4000));
     assert!((later / then - (-1f64).exp()).abs() < 1e-9, "{then} fell to {later} within one time constant");
