--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -4,8 +4,7 @@
 use crate::policy::permissions::KeyExpired;
 use crate::policy::quota::ReportPurpose;
 use crate::policy::{
-    AttemptCheck, AttemptCheckContext, ExecutedAttempt, RejectReason, RetryContext, RetryScope,
-    SilenceVerdict,
+    AttemptCheck, AttemptCheckContext, ExecutedAttempt, RejectReason, RetryContext, RetryScope, SilenceCheck,
 };
 use crate::state::RequestState;
 use crate::{Action, AttemptEnded, BackendId, CustomerId, Gateway, Outcome, RequestId};
@@ -166,7 +165,7 @@
             age_ms = now.duration_since(sent_at).as_millis(), is_silent = silence.is_silent(),
             decision = ?check, "late attempt checked"
         );
-        if let SilenceVerdict::Silent { ejection: Some(ejection) } = silence {
+        if let SilenceCheck::Silent { ejection: Some(ejection) } = silence {
             self.on_silence_ejection(backend_id, class_index, ejection);
         }
         if check == AttemptCheck::Hedge {
--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -2,7 +2,7 @@
 //! changes, and tells its peers.
 
 use crate::policy::{
-    AnswerSample, Ejection, EndedAttempt, HealthChange, HealthSignal, Observation, Source,
+    AnswerSample, Ejection, EndedAttempt, HealthChange, HealthSignal, Observation, ObservationSource,
     REJECTION_NORMAL_RATIO,
 };
 use crate::{AttemptEnded, BackendId, Gateway, Instant};
@@ -23,7 +23,8 @@
             return self.record_pressure(REJECTION_NORMAL_RATIO);
         }
         let latency_micros = (signal == HealthSignal::Success).then_some(ended.elapsed.as_micros_f64());
-        let observation = Observation { backend: ended.backend, class, latency_micros, source: Source::Own };
+        let observation =
+            Observation { backend: ended.backend, class, latency_micros, source: ObservationSource::Own };
         self.queue_sample(&observation);
         self.record_latency(&observation);
     }
@@ -31,7 +32,12 @@
     /// A backend was ejected for its silence to an attempt of a class.
     pub(crate) fn on_silence_ejection(&mut self, backend: BackendId, class: usize, ejection: Ejection) {
         log_health_change(self.now, backend, class, HealthChange::Ejected(ejection));
-        self.queue_sample(&Observation { backend, class, latency_micros: None, source: Source::Own });
+        self.queue_sample(&Observation {
+            backend,
+            class,
+            latency_micros: None,
+            source: ObservationSource::Own,
+        });
     }
 
     /// Records how a peer's attempt went.
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -3,7 +3,7 @@
 
 use crate::gossip::{Body, LatencySample, PeerAge, PeerStart, QuotaGrant, UsageReport};
 use crate::policy::quota::{ReportPurpose, FLEET_START_WINDOW};
-use crate::policy::{Observation, Source};
+use crate::policy::{Observation, ObservationSource};
 use crate::{Action, CustomerId, Gateway, GatewayId};
 
 impl Gateway {
@@ -60,7 +60,7 @@
             let Some(settings) = self.settings.classes.get(class) else { continue };
             let objective_micros = settings.latency_objective.as_micros_f64();
             let latency_micros = sample.objective_ratio.map(|ratio| ratio * objective_micros);
-            let source = Source::Peer;
+            let source = ObservationSource::Peer;
             self.record_peer_observation(&Observation { backend, class, latency_micros, source });
         }
     }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -13,10 +13,10 @@
 
 use crate::{Class, Instant};
 use failure_rate::FailureRate;
-pub(crate) use health::{BackendHealth, Ejection, HealthChange, SilenceVerdict};
+pub(crate) use health::{BackendHealth, Ejection, HealthChange, SilenceCheck};
 pub(crate) use health_signal::HealthSignal;
 use latency_baseline::LatencyBaseline;
-pub(crate) use observation::{Observation, Source};
+pub(crate) use observation::{Observation, ObservationSource};
 use std::collections::BTreeMap;
 
 /// Weight of a connection that was made in the failure rate of its zone: it proves that the zone can be
@@ -51,7 +51,7 @@
     /// How long it took, in microseconds.
     pub latency_micros: f64,
     /// Who measured that.
-    pub source: Source,
+    pub source: ObservationSource,
 }
 
 /// Compares backends and zones with what is usual.
--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -46,7 +46,7 @@
 
 /// Whether a backend with an attempt in flight is silent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum SilenceVerdict {
+pub(crate) enum SilenceCheck {
     /// It has answered an attempt of the class since this one was sent.
     Answering,
     /// It has answered none.
@@ -56,10 +56,10 @@
     },
 }
 
-impl SilenceVerdict {
+impl SilenceCheck {
     /// Whether the backend has answered no attempt of the class since this one was sent.
     pub(crate) fn is_silent(&self) -> bool {
-        matches!(self, SilenceVerdict::Silent { .. })
+        matches!(self, SilenceCheck::Silent { .. })
     }
 }
 
@@ -81,7 +81,7 @@
 
 impl ClassHealth {
     /// Counts an attempt of this gateway, and ejects the backend or returns it to service where that follows.
-    fn record_own(&mut self, now: Instant, failed: bool) -> Option<HealthChange> {
+    fn record_own_attempt(&mut self, now: Instant, failed: bool) -> Option<HealthChange> {
         self.failure_rate.record(now, failed, OWN_WEIGHT);
         let failure_rate = self.failure_rate.at(now);
         let is_outlier = failure_rate > EJECTION_FAILURE_RATE;
@@ -97,15 +97,15 @@
     }
 
     /// Whether an attempt sent at a time is silent, which ejects the backend.
-    fn eject_if_silent(&mut self, sent_at: Instant, now: Instant) -> SilenceVerdict {
+    fn eject_if_silent(&mut self, sent_at: Instant, now: Instant) -> SilenceCheck {
         if self.last_signal_at >= sent_at {
-            return SilenceVerdict::Answering;
+            return SilenceCheck::Answering;
         }
         if now < self.ejected_until {
-            return SilenceVerdict::Silent { ejection: None };
+            return SilenceCheck::Silent { ejection: None };
         }
         self.failure_rate.record(now, true, OWN_WEIGHT);
-        SilenceVerdict::Silent { ejection: Some(self.eject(now, EjectionReason::Silence)) }
+        SilenceCheck::Silent { ejection: Some(self.eject(now, EjectionReason::Silence)) }
     }
 
     /// Ejects the backend for a time that doubles with each ejection in a row.
@@ -150,7 +150,7 @@
 
     /// Whether an attempt of a class that was sent at a time and has not ended is silent, which ejects the
     /// backend.
-    pub(crate) fn eject_if_silent(&mut self, class: usize, sent_at: Instant, now: Instant) -> SilenceVerdict {
+    pub(crate) fn eject_if_silent(&mut self, class: usize, sent_at: Instant, now: Instant) -> SilenceCheck {
         self.classes[class].eject_if_silent(sent_at, now)
     }
 
@@ -175,6 +175,6 @@
     ) -> Option<HealthChange> {
         let health = &mut self.classes[class];
         health.last_signal_at = now;
-        signal.is_failure().and_then(|failed| health.record_own(now, failed))
+        signal.is_failure().and_then(|failed| health.record_own_attempt(now, failed))
     }
 }
--- a/src/policy/outlier_detection/latency_baseline.rs
+++ b/src/policy/outlier_detection/latency_baseline.rs
@@ -70,13 +70,13 @@
     pub(super) fn record(&mut self, now: Instant, latency_micros: f64) {
         self.answers += 1.0;
         self.recent_micros += (latency_micros - self.recent_micros) / self.answers.min(RECENT_ANSWERS);
-        self.unloaded_micros = self.recent_micros.min(self.highest_unloaded_micros(now));
+        self.unloaded_micros = self.recent_micros.min(self.max_unloaded_micros(now));
         self.updated_at = now;
     }
 
     /// The most that the unloaded latency may be now, in microseconds. It falls at once and rises slowly: the
     /// latencies of an overload must not pass for those of unloaded backends.
-    fn highest_unloaded_micros(&self, now: Instant) -> f64 {
+    fn max_unloaded_micros(&self, now: Instant) -> f64 {
         if self.answers <= WARM_UP_ANSWERS {
             return self.objective_micros * MAX_INITIAL_UNLOADED_SHARE;
         }
--- a/src/policy/outlier_detection/observation.rs
+++ b/src/policy/outlier_detection/observation.rs
@@ -11,7 +11,7 @@
 
 /// Who saw how an attempt went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Source {
+pub(crate) enum ObservationSource {
     /// This gateway.
     Own,
     /// A peer, which reported it.
@@ -28,7 +28,7 @@
     /// How long the answer took, in microseconds; none for a failure or silence.
     pub latency_micros: Option<f64>,
     /// Who saw it.
-    pub source: Source,
+    pub source: ObservationSource,
 }
 
 impl Observation {
--- a/src/policy/outlier_detection/observation/tests.rs
+++ b/src/policy/outlier_detection/observation/tests.rs
@@ -7,7 +7,7 @@
 
 /// An attempt that this gateway saw.
 fn observation(class: usize, latency_micros: Option<f64>) -> Observation {
-    Observation { backend: BackendId(7), class, latency_micros, source: Source::Own }
+    Observation { backend: BackendId(7), class, latency_micros, source: ObservationSource::Own }
 }
 
 /// An answer took half its latency objective. Peers get that share and the tag of the backend, by which each of
--- a/src/policy/outlier_detection/relative_latency.rs
+++ b/src/policy/outlier_detection/relative_latency.rs
@@ -1,6 +1,6 @@
 //! How long a backend's answers take, compared with those of all backends.
 
-use super::Source;
+use super::ObservationSource;
 
 /// Weight of an answer to this gateway.
 const OWN_WEIGHT: f64 = 0.1;
@@ -26,10 +26,10 @@
     }
 
     /// Counts an answer, by its latency relative to what its class usually takes.
-    pub(super) fn record(&mut self, ratio: f64, source: Source) {
+    pub(super) fn record(&mut self, ratio: f64, source: ObservationSource) {
         let weight = match source {
-            Source::Own => OWN_WEIGHT,
-            Source::Peer => PEER_WEIGHT,
+            ObservationSource::Own => OWN_WEIGHT,
+            ObservationSource::Peer => PEER_WEIGHT,
         };
         let mean = self.0 + weight * (ratio - self.0);
         self.0 = mean.max(MIN_RELATIVE_LATENCY);
--- a/src/policy/outlier_detection/tests.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -86,7 +86,7 @@
     for _ in 0..20 {
         assert_eq!(detector.record_outcome(&mut health, &ended(HealthSignal::Rejection, START)), None);
     }
-    assert_eq!(health.eject_if_silent(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
+    assert_eq!(health.eject_if_silent(CLASS, START, after_millis(100)), SilenceCheck::Answering);
     assert_eq!(detector.failure_rate(&health, CLASS, ZONE, START), 0.0);
 }
 
@@ -97,10 +97,10 @@
 fn silence_ejects_a_backend_once_for_all_its_attempts() {
     let mut health = backend();
     let silence = health.eject_if_silent(CLASS, START, after_millis(100));
-    let SilenceVerdict::Silent { ejection: Some(ejection) } = silence else { panic!("{silence:?}") };
+    let SilenceCheck::Silent { ejection: Some(ejection) } = silence else { panic!("{silence:?}") };
     assert_eq!((ejection.reason, ejection.until), (EjectionReason::Silence, after_millis(600)));
     let next = health.eject_if_silent(CLASS, START, after_millis(110));
-    assert_eq!(next, SilenceVerdict::Silent { ejection: None });
+    assert_eq!(next, SilenceCheck::Silent { ejection: None });
 }
 
 /// A request is late, but its backend has answered another one since: the request is slow, and the backend is
@@ -109,7 +109,7 @@
 fn an_answer_after_the_send_is_proof_against_silence() {
     let (mut detector, mut health) = (detector(), backend());
     detector.record_outcome(&mut health, &ended(HealthSignal::Success, after_millis(50)));
-    assert_eq!(health.eject_if_silent(CLASS, START, after_millis(100)), SilenceVerdict::Answering);
+    assert_eq!(health.eject_if_silent(CLASS, START, after_millis(100)), SilenceCheck::Answering);
     assert!(health.eject_if_silent(CLASS, after_millis(60), after_millis(100)).is_silent());
 }
 
@@ -146,7 +146,7 @@
     );
     assert!(!health.is_ejected(CLASS, 1, later));
     let silence = health.eject_if_silent(CLASS, after_millis(3000), after_millis(3100));
-    let SilenceVerdict::Silent { ejection: Some(ejection) } = silence else { panic!("{silence:?}") };
+    let SilenceCheck::Silent { ejection: Some(ejection) } = silence else { panic!("{silence:?}") };
     assert_eq!(ejection.until, after_millis(3600));
 }
 
@@ -204,8 +204,12 @@
 #[test]
 fn latencies_are_compared_with_those_of_all_backends() {
     let (mut detector, mut usual, mut slow) = (detector(), backend(), backend());
-    let answer =
-        |latency_micros| AnswerSample { now: START, class: CLASS, latency_micros, source: Source::Own };
+    let answer = |latency_micros| AnswerSample {
+        now: START,
+        class: CLASS,
+        latency_micros,
+        source: ObservationSource::Own,
+    };
     for _ in 0..200 {
         for _ in 0..10 {
             detector.record_answer(&mut usual, &answer(40_000.0));
