--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -5,7 +5,7 @@
 use super::reply_queue::ReplyQueue;
 use super::Capacity;
 use crate::resp;
-use ingress::permissions::{may_close_client, ClientClosing, ClientConnectionState};
+use ingress::permissions::{may_close_client, ClientConnectionState, ClosingState};
 use ingress::{Duration, Instant};
 use mio::net::TcpStream;
 use std::net::Shutdown;
@@ -126,13 +126,13 @@
     }
 
     /// Whether this side ends it already.
-    fn closing(&self) -> ClientClosing {
+    fn closing(&self) -> ClosingState {
         if self.is_closing() {
-            ClientClosing::Closing
+            ClosingState::Closing
         } else if self.is_over_limit() {
-            ClientClosing::OverLimit
+            ClosingState::OverLimit
         } else {
-            ClientClosing::Open
+            ClosingState::Open
         }
     }
 
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -46,11 +46,11 @@
         log_endpoints(list, update, removed.len());
         for backend in removed {
             self.auditor.availability_changed(backend, Availability::Gone, self.now);
-            self.start_times.forget(backend);
+            self.start_times.remove(backend);
         }
         // A list that was cached before the restart does not show the backends of now.
         if update != EndpointUpdate::CachedSnapshot {
-            self.start_times.list_taken(self.now);
+            self.start_times.record_endpoint_update(self.now);
         }
         if update != EndpointUpdate::Delta || !endpoints.is_empty() {
             self.pending_events.push_back(Event::Endpoints(update, endpoints));
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -110,7 +110,7 @@
         let class = self.class_of(&state.request);
         RetryContext {
             now: self.now,
-            in_time_until: (state.arrived_at + class.latency_objective).min(state.request.deadline),
+            answer_due_at: (state.arrived_at + class.latency_objective).min(state.request.deadline),
             idempotency: class.idempotency,
             attempts: state.attempts.len(),
             in_flight: state.attempts_in_flight(),
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -173,7 +173,7 @@
                 reason: shortage.limit.reject_reason(),
                 advice: RetryAdvice::After(Duration::from_secs_f64(shortage.seconds)),
             },
-            None if self.is_crowded_out() => {
+            None if self.is_queue_full_for_customer() => {
                 AdmissionDecision::Reject { reason: RejectReason::Saturated, advice: RetryAdvice::Longest }
             }
             None => AdmissionDecision::Admit,
@@ -182,7 +182,7 @@
 
     /// Whether the queue has no place for the customer. The fuller it is, the fewer customers may join it;
     /// the same ones for a shedding epoch, since their retries would come too late to be of use.
-    fn is_crowded_out(&self) -> bool {
+    fn is_queue_full_for_customer(&self) -> bool {
         let queue_fill = self.queue_length as f64 / (self.concurrency_limit * MAX_QUEUE_LENGTH_SHARE);
         let is_saturated = f64::from(self.in_flight) >= self.concurrency_limit;
         is_saturated && epoch_draw(self.now, self.customer) >= 1.0 - queue_fill
--- a/src/policy/load_balancing/candidate.rs
+++ b/src/policy/load_balancing/candidate.rs
@@ -18,7 +18,7 @@
 /// with more than this many times its [`load`](Candidate::load), other factors being equal.
 const EJECTED_FACTOR: f64 = 10.0;
 /// A reported queue is divided among the gateways, but among so many at most.
-const MAX_QUEUE_SHARERS: u64 = 4;
+const MAX_QUEUE_DIVISOR: u64 = 4;
 /// Failure rate above which a backend is suspect: the choice goes on in search of healthy ones.
 const SUSPECT_FAILURE_RATE: f64 = 0.4;
 
@@ -64,8 +64,8 @@
 
     /// Requests there with this attempt, as far as they concern this gateway.
     fn load(&self) -> f64 {
-        let queue_sharers = self.fleet_size.min(MAX_QUEUE_SHARERS);
-        f64::from(self.in_flight) + 1.0 + self.queue_depth / queue_sharers as f64
+        let queue_divisor = self.fleet_size.min(MAX_QUEUE_DIVISOR);
+        f64::from(self.in_flight) + 1.0 + self.queue_depth / queue_divisor as f64
     }
 
     /// A factor from 1 to 1.1, by chance.
--- a/src/policy/load_balancing/subset.rs
+++ b/src/policy/load_balancing/subset.rs
@@ -16,7 +16,7 @@
 const MAX_CANDIDATES: usize = 8;
 /// How many times a subset is gone through before the choice ends: not every backend is drawn each time.
 const MAX_ROUNDS: usize = 4;
-/// Suspect candidates seen for each healthy one wanted, above which the choice ends.
+/// Suspect candidates seen for each target candidate, above which the choice ends.
 const MAX_SUSPECTS_PER_CANDIDATE: usize = 4;
 
 /// The part of the ready backends that one choice looks at.
@@ -28,7 +28,7 @@
     /// All backends that take work.
     ready: usize,
     /// Healthy candidates to compare.
-    wanted: usize,
+    target_candidates: usize,
     /// Backends that the candidates come from.
     size: usize,
 }
@@ -38,13 +38,13 @@
     pub(super) fn new(ready: usize, fleet_size: u64, scope: &RetryScope) -> Subset {
         let fleet_size = fleet_size as usize;
         let covering_size = GATEWAYS_PER_BACKEND * ready / fleet_size;
-        let mut wanted = MIN_CANDIDATES + CANDIDATES_PER_GATEWAY_BACKEND * ready / fleet_size;
+        let mut target_candidates = MIN_CANDIDATES + CANDIDATES_PER_GATEWAY_BACKEND * ready / fleet_size;
         if covering_size > MIN_SUBSET_SIZE {
-            wanted = wanted.min(MAX_CANDIDATES);
+            target_candidates = target_candidates.min(MAX_CANDIDATES);
         }
-        let uses_all = wanted >= ready || matches!(scope, RetryScope::Within(..));
+        let uses_all = target_candidates >= ready || matches!(scope, RetryScope::Within(..));
         let size = if uses_all { ready } else { ready.min(MIN_SUBSET_SIZE.max(covering_size)) };
-        Subset { ready, wanted, size }
+        Subset { ready, target_candidates, size }
     }
 
     /// All backends that take work.
@@ -55,7 +55,7 @@
     /// Whether candidates are drawn by their weight; otherwise all are compared, and the weight is a part of
     /// the cost.
     pub(super) fn is_sampled(&self) -> bool {
-        self.wanted < self.ready
+        self.target_candidates < self.ready
     }
 
     /// How many times a backend is looked at before the choice ends; those that are not drawn count, too.
@@ -79,7 +79,7 @@
 
     /// Whether the choice may end with so many candidates.
     pub(super) fn has_enough(&self, healthy: usize, suspect: usize) -> bool {
-        healthy >= self.wanted || suspect > MAX_SUSPECTS_PER_CANDIDATE * self.wanted
+        healthy >= self.target_candidates || suspect > MAX_SUSPECTS_PER_CANDIDATE * self.target_candidates
     }
 }
 
--- a/src/policy/load_balancing/subset/tests.rs
+++ b/src/policy/load_balancing/subset/tests.rs
@@ -8,7 +8,7 @@
 #[test]
 fn few_backends_are_all_compared() {
     let subset = Subset::new(5, 3, &RetryScope::Anywhere);
-    assert_eq!(subset, Subset { ready: 5, wanted: 7, size: 5 });
+    assert_eq!(subset, Subset { ready: 5, target_candidates: 7, size: 5 });
     assert!(!subset.is_sampled());
     assert_eq!(subset.steps(), 5);
 }
@@ -18,7 +18,7 @@
 #[test]
 fn many_gateways_use_the_smallest_subset() {
     let subset = Subset::new(100, 100, &RetryScope::Anywhere);
-    assert_eq!(subset, Subset { ready: 100, wanted: 5, size: 32 });
+    assert_eq!(subset, Subset { ready: 100, target_candidates: 5, size: 32 });
     assert!(subset.is_sampled() && subset.has_enough(5, 0) && !subset.has_enough(4, 0));
 }
 
@@ -27,7 +27,7 @@
 #[test]
 fn each_backend_of_a_long_list_is_in_eight_subsets() {
     let subset = Subset::new(2400, 40, &RetryScope::Anywhere);
-    assert_eq!(subset, Subset { ready: 2400, wanted: 8, size: 480 });
+    assert_eq!(subset, Subset { ready: 2400, target_candidates: 8, size: 480 });
     assert_eq!(subset.size * 40 / 2400, 8);
 }
 
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -22,7 +22,7 @@
 /// Mixes the number of the epoch into a customer's draw.
 const EPOCH_SALT: Salt = Salt::from_bit(33);
 /// Share of requests rejected as `Saturated` that raises an alert while the pressure is not low.
-const ALERT_SATURATION_RATE: f64 = 0.05;
+const HIGH_SATURATION_RATE: f64 = 0.05;
 /// Weight of one request in the saturation rate.
 const SATURATION_WEIGHT: f64 = 0.05;
 
@@ -144,11 +144,11 @@
 
     /// The stage from now on, one up or down at most.
     fn next_stage(&self, now: Instant, pressure: &Pressure) -> usize {
-        let on_stage_for = now.duration_since(self.stage_changed_at);
+        let time_in_stage = now.duration_since(self.stage_changed_at);
         let is_low = pressure.level() < LOW_PRESSURE;
-        if self.is_alert(pressure) && on_stage_for > MIN_STAGE_TIME_UP && self.stage < LAST_STAGE {
+        if self.is_overloaded(pressure) && time_in_stage > MIN_STAGE_TIME_UP && self.stage < LAST_STAGE {
             self.stage + 1
-        } else if is_low && on_stage_for > MIN_STAGE_TIME_DOWN && self.stage > 0 {
+        } else if is_low && time_in_stage > MIN_STAGE_TIME_DOWN && self.stage > 0 {
             self.stage - 1
         } else {
             self.stage
@@ -157,8 +157,8 @@
 
     /// Whether more has to be shed. Rejections alone raise no alert: shedding causes them, and backends may
     /// be idle meanwhile.
-    fn is_alert(&self, pressure: &Pressure) -> bool {
-        let is_rejecting = pressure.level() > LOW_PRESSURE && self.saturation_rate > ALERT_SATURATION_RATE;
+    fn is_overloaded(&self, pressure: &Pressure) -> bool {
+        let is_rejecting = pressure.level() > LOW_PRESSURE && self.saturation_rate > HIGH_SATURATION_RATE;
         pressure.is_high() || is_rejecting
     }
 }
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -139,7 +139,7 @@
 
 /// Whether this side ends the connection of a client already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClientClosing {
+pub enum ClosingState {
     /// It serves commands.
     Open,
     /// It was accepted over the limit on connections, only to reject its first request.
@@ -156,7 +156,7 @@
     /// Something was received and not parsed, or is to be read yet.
     pub has_input: bool,
     /// Whether this side ends it already.
-    pub closing: ClientClosing,
+    pub closing: ClosingState,
 }
 
 /// Whether a client's connection may be closed now without a word, as between two requests.
@@ -173,9 +173,9 @@
         return Err(CloseRefusal::InputPending);
     }
     match connection.closing {
-        ClientClosing::Open => Ok(()),
-        ClientClosing::OverLimit => Err(CloseRefusal::OverLimit),
-        ClientClosing::Closing => Err(CloseRefusal::Closing),
+        ClosingState::Open => Ok(()),
+        ClosingState::OverLimit => Err(CloseRefusal::OverLimit),
+        ClosingState::Closing => Err(CloseRefusal::Closing),
     }
 }
 
--- a/src/policy/permissions/tests.rs
+++ b/src/policy/permissions/tests.rs
@@ -91,17 +91,17 @@
 /// has begun to arrive, must stay connected: it would lose a request that the ingress has accepted.
 #[test]
 fn a_client_is_closed_only_between_two_requests() {
-    let idle = ClientConnectionState { is_busy: false, has_input: false, closing: ClientClosing::Open };
+    let idle = ClientConnectionState { is_busy: false, has_input: false, closing: ClosingState::Open };
     let close = may_close_client;
     assert_eq!(close(idle), Ok(()));
     assert_eq!(close(ClientConnectionState { is_busy: true, ..idle }), Err(CloseRefusal::RepliesOwed));
     assert_eq!(close(ClientConnectionState { has_input: true, ..idle }), Err(CloseRefusal::InputPending));
     assert_eq!(
-        close(ClientConnectionState { closing: ClientClosing::Closing, ..idle }),
+        close(ClientConnectionState { closing: ClosingState::Closing, ..idle }),
         Err(CloseRefusal::Closing)
     );
     assert_eq!(
-        close(ClientConnectionState { closing: ClientClosing::OverLimit, ..idle }),
+        close(ClientConnectionState { closing: ClosingState::OverLimit, ..idle }),
         Err(CloseRefusal::OverLimit)
     );
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -34,7 +34,7 @@
     /// The time.
     pub now: Instant,
     /// When the latency objective or the client's time ends, whichever comes first.
-    pub in_time_until: Instant,
+    pub answer_due_at: Instant,
     /// Whether the request may be executed again.
     pub idempotency: Idempotency,
     /// Its attempts so far.
@@ -143,7 +143,7 @@
 
     /// Whether a request may be attempted again: safely, in time, and within the retry budget.
     pub(crate) fn may_retry(&self, context: &RetryContext) -> Result<AttemptKind, RetryRefusal> {
-        if context.now + self.tick >= context.in_time_until {
+        if context.now + self.tick >= context.answer_due_at {
             return Err(RetryRefusal::TooLate);
         }
         let kind = may_start_attempt(&AttemptContext {
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -35,7 +35,7 @@
 fn failed_once() -> RetryContext {
     RetryContext {
         now: SENT_AT,
-        in_time_until: SENT_AT + LATENCY_BUDGET,
+        answer_due_at: SENT_AT + LATENCY_BUDGET,
         idempotency: Idempotency::Idempotent,
         attempts: 1,
         in_flight: 0,
@@ -49,7 +49,7 @@
 #[test]
 fn a_retry_that_would_come_too_late_is_refused() {
     let (policy, context) = (policy(limits()), failed_once());
-    let last_moment = context.in_time_until - Duration::from_millis(4) - Duration::MICROSECOND;
+    let last_moment = context.answer_due_at - Duration::from_millis(4) - Duration::MICROSECOND;
     assert_eq!(policy.may_retry(&RetryContext { now: last_moment, ..context }), Ok(AttemptKind::Retry));
     let too_late = last_moment + Duration::MICROSECOND;
     assert_eq!(policy.may_retry(&RetryContext { now: too_late, ..context }), Err(RetryRefusal::TooLate));
--- a/src/policy/start_times.rs
+++ b/src/policy/start_times.rs
@@ -35,7 +35,7 @@
     ///
     /// An offset of 0, with which the host's time begins, is a reading, too. It lies between the lowest and
     /// the highest, and it is listed by itself since the age by the lowest may be impossible.
-    fn least_age(&self, now: Instant, unix_start: UnixTime) -> Duration {
+    fn min_age(&self, now: Instant, unix_start: UnixTime) -> Duration {
         let offsets = [0, self.latest, self.lowest, self.highest];
         let ages = offsets.map(|offset| now.as_micros() as i64 + offset - unix_start.as_micros() as i64);
         let max_skew = MAX_CLOCK_SKEW.as_micros() as i64;
@@ -61,7 +61,7 @@
     /// The start of each listed backend.
     starts: HashMap<BackendId, Start>,
     /// When discovery last sent a list or a change.
-    last_listed_at: Option<Instant>,
+    last_update_at: Option<Instant>,
 }
 
 impl StartTimes {
@@ -71,8 +71,8 @@
     }
 
     /// Notes that a list or change of discovery has been taken in whole, even an empty one.
-    pub fn list_taken(&mut self, now: Instant) {
-        self.last_listed_at = Some(now);
+    pub fn record_endpoint_update(&mut self, now: Instant) {
+        self.last_update_at = Some(now);
     }
 
     /// When a backend started, in the host's time, by the Unix time that it is listed with; none for long
@@ -83,10 +83,10 @@
             return known.host_time;
         }
         let host_time = (unix_time != UnixTime::default()).then(|| {
-            let age = self.offsets.least_age(now, unix_time);
+            let age = self.offsets.min_age(now, unix_time);
             // It had not started anew when its earlier start was still listed.
             let most = known
-                .and(self.last_listed_at)
+                .and(self.last_update_at)
                 .map_or(Duration::MAX, |listed_at| now.duration_since(listed_at) + MAX_LISTING_DELAY);
             now - age.min(most)
         });
@@ -95,7 +95,7 @@
     }
 
     /// Forgets a backend that is no longer listed.
-    pub fn forget(&mut self, backend: BackendId) {
+    pub fn remove(&mut self, backend: BackendId) {
         self.starts.remove(&backend);
     }
 }
--- a/src/policy/start_times/tests.rs
+++ b/src/policy/start_times/tests.rs
@@ -107,9 +107,9 @@
     assert_eq!(times.host_time(BACKEND, unix_time, START), Some(started_at));
     times.observe_clock(START + SECOND, unix(START - SECOND));
     assert_eq!(times.host_time(BACKEND, unix_time, START + SECOND * 2), Some(started_at));
-    times.forget(BackendId(8));
+    times.remove(BackendId(8));
     assert_eq!(times.host_time(BACKEND, unix_time, START + SECOND * 3), Some(started_at));
-    times.forget(BACKEND);
+    times.remove(BACKEND);
     assert_ne!(times.host_time(BACKEND, unix_time, START + SECOND * 3), Some(started_at));
 }
 
@@ -120,7 +120,7 @@
 fn a_new_start_is_no_older_than_the_last_list_with_the_earlier_one() {
     let mut times = StartTimes::default();
     times.host_time(BACKEND, unix(START - HOUR * 2), START);
-    times.list_taken(START + SECOND * 10);
+    times.record_endpoint_update(START + SECOND * 10);
     let now = START + SECOND * 13;
     let started_at = times.host_time(BACKEND, unix(START - HOUR), now);
     assert_eq!(started_at, Some(now - (SECOND * 3 + MAX_LISTING_DELAY)));
