--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -175,8 +175,8 @@
 
     /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the
     /// concurrency limit.
-    pub(crate) fn record_pressure(&mut self, normal_ratio: f64) {
-        self.pressure.record(self.now, normal_ratio);
+    pub(crate) fn record_pressure(&mut self, latency_ratio: f64) {
+        self.pressure.record(self.now, latency_ratio);
         self.concurrency_limiter.on_answer(&self.pressure, self.load());
     }
 
--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -3,7 +3,7 @@
 
 use crate::policy::{
     AnswerSample, Ejection, EndedAttempt, HealthChange, HealthSignal, Observation, ObservationSource,
-    REJECTION_NORMAL_RATIO,
+    REJECTION_LATENCY_RATIO,
 };
 use crate::{AttemptEnded, BackendId, Gateway, Instant};
 
@@ -20,7 +20,7 @@
         }
         if signal == HealthSignal::Rejection {
             backend.reported_queue.record_rejection(self.fleet_size);
-            return self.record_pressure(REJECTION_NORMAL_RATIO);
+            return self.record_pressure(REJECTION_LATENCY_RATIO);
         }
         let latency_micros = (signal == HealthSignal::Success).then_some(ended.elapsed.as_micros_f64());
         let observation =
@@ -53,8 +53,8 @@
         let Some(latency_micros) = latency_micros.filter(|_| self.now != self.resumed_at) else { return };
         let Some(backend) = self.backends.get_mut(backend) else { return };
         let answer = AnswerSample { now: self.now, class, latency_micros, source };
-        let normal_ratio = self.outlier_detector.record_answer(&mut backend.health, &answer);
-        self.record_pressure(normal_ratio);
+        let latency_ratio = self.outlier_detector.record_answer(&mut backend.health, &answer);
+        self.record_pressure(latency_ratio);
     }
 
     /// Queues a sample of an observation for the peers, where gateways tell each other of them.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -25,7 +25,7 @@
 pub(crate) use load_shedding::{CustomerActivity, LoadShedder, SheddingContext, StageChange};
 pub(crate) use outlier_detection::{
     AnswerSample, BackendHealth, Ejection, EndedAttempt, HealthChange, HealthSignal, Observation,
-    ObservationSource, OutlierDetector, SilenceCheck, REJECTION_NORMAL_RATIO,
+    ObservationSource, OutlierDetector, SilenceCheck, REJECTION_LATENCY_RATIO,
 };
 pub(crate) use pressure::Pressure;
 pub(crate) use reasons::{EjectionReason, RejectReason, RetryAdvice};
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -26,7 +26,7 @@
 const ZONE_FAILURE_WEIGHT: f64 = 0.3;
 /// What a rejection by a backend counts as in the pressure: a latency of so many times the highest normal
 /// one.
-pub(crate) const REJECTION_NORMAL_RATIO: f64 = 2.0;
+pub(crate) const REJECTION_LATENCY_RATIO: f64 = 2.0;
 
 /// The end of an attempt of this gateway.
 #[derive(Clone, Copy, Debug)]
@@ -99,7 +99,7 @@
         let baseline = &mut self.baselines[answer.class];
         health.relative_latency.record(baseline.relative(answer.latency_micros), answer.source);
         baseline.record(answer.now, answer.latency_micros);
-        baseline.normal_ratio(answer.latency_micros)
+        baseline.latency_ratio(answer.latency_micros)
     }
 }
 
--- a/src/policy/outlier_detection/latency_baseline.rs
+++ b/src/policy/outlier_detection/latency_baseline.rs
@@ -60,7 +60,7 @@
     }
 
     /// A latency as a ratio of the highest normal one; above 1 backends are driven too hard.
-    pub(super) fn normal_ratio(&self, latency_micros: f64) -> f64 {
+    pub(super) fn latency_ratio(&self, latency_micros: f64) -> f64 {
         let by_unloaded = self.unloaded_micros * UNLOADED_LATENCY_MULTIPLE;
         let by_objective = self.objective_micros * OBJECTIVE_SHARE;
         latency_micros / by_unloaded.min(by_objective).max(MIN_DIVISOR_MICROS)
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -21,7 +21,7 @@
 /// The most that is kept of the mean at an answer: each one counts, however closely they follow each other.
 const MAX_RETAINED_SHARE: f64 = 0.98;
 /// The highest ratio that one answer counts with, so that a single very late one raises no alert.
-const MAX_NORMAL_RATIO: f64 = 4.0;
+const MAX_LATENCY_RATIO: f64 = 4.0;
 
 /// The mean over recent answers of their latency as a ratio of the highest normal one.
 ///
@@ -45,10 +45,10 @@
         self.level > HIGH_PRESSURE
     }
 
-    /// Records an answer, by its latency over the highest normal one, the normal ratio.
-    pub(crate) fn record(&mut self, now: Instant, normal_ratio: f64) {
+    /// Records an answer, by its latency over the highest normal one, the latency ratio.
+    pub(crate) fn record(&mut self, now: Instant, latency_ratio: f64) {
         let retained = decay(self.updated_at, now, PRESSURE_TIME_CONSTANT).min(MAX_RETAINED_SHARE);
-        self.level = self.level * retained + normal_ratio.min(MAX_NORMAL_RATIO) * (1.0 - retained);
+        self.level = self.level * retained + latency_ratio.min(MAX_LATENCY_RATIO) * (1.0 - retained);
         self.updated_at = now;
     }
 }
--- a/src/policy/pressure/tests.rs
+++ b/src/policy/pressure/tests.rs
@@ -10,7 +10,7 @@
     let second = Duration::from_secs(1);
     let (mut once, mut four) = (Pressure::default(), Pressure::default());
     once.record(Instant::ZERO + second, 30.0);
-    four.record(Instant::ZERO + second, MAX_NORMAL_RATIO);
+    four.record(Instant::ZERO + second, MAX_LATENCY_RATIO);
     assert_eq!(once.level(), four.level());
 }
 
