--- a/src/bin/ingress/error_chain.rs
+++ b/src/bin/ingress/error_chain.rs
@@ -3,7 +3,8 @@
 use std::error::Error;
 use std::fmt;
 
-/// Displays an error and its sources in one line, such as `config.json: the file is no JSON: EOF at line 1`.
+/// Displays an error and its sources on one line, such as `listen: cannot listen at 127.0.0.1:80: Permission
+/// denied (os error 13)`.
 pub struct ErrorChain<'a>(pub &'a dyn Error);
 
 impl fmt::Display for ErrorChain<'_> {
--- a/src/bin/ingress/event_loop/error.rs
+++ b/src/bin/ingress/event_loop/error.rs
@@ -1,38 +1,28 @@
-//! Why the event loop cannot start or go on.
+//! Errors that prevent the start of the event loop or end it.
 
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A fault that ends the ingress.
+/// An error of the event loop, which ends the process.
 #[derive(Debug, Error)]
 pub enum EventLoopError {
-    /// The handlers of the signals cannot be installed.
-    #[error("cannot take signals")]
+    /// The signal handlers cannot be installed.
+    #[error("cannot install the signal handlers")]
     Signals(#[source] io::Error),
     /// Creating the poll, registering a socket with it or waiting for it failed.
-    #[error("cannot poll")]
+    #[error("cannot poll the sockets")]
     Poll(#[source] io::Error),
-    /// The listener for clients cannot be opened.
+    /// The listening socket for clients cannot be opened.
     #[error("listen: cannot listen at {address}")]
-    Listen {
-        /// The address.
-        address: SocketAddr,
-        /// The system's error.
-        source: io::Error,
-    },
-    /// The address for peers' messages cannot be bound.
+    Listen { address: SocketAddr, source: io::Error },
+    /// The socket for peers' messages cannot be opened.
     #[error("peer_listen: cannot bind {address}")]
-    BindPeers {
-        /// The address.
-        address: SocketAddr,
-        /// The system's error.
-        source: io::Error,
-    },
-    /// The file descriptors do not suffice for clients and backends.
-    #[error("limits.sockets is too few: {allowed}")]
+    BindPeers { address: SocketAddr, source: io::Error },
+    /// The limit on file descriptors is too low to serve clients and backends.
+    #[error("limits.sockets is too low: {allowed} file descriptors")]
     TooFewDescriptors {
-        /// How many the configuration and the system allow.
+        /// The lower of the configured limit and the system's.
         allowed: usize,
     },
 }
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -449,17 +449,20 @@
     assert_eq!(due.iter().filter(|timer| **timer == Timer::RetryAccept).count(), 1);
 }
 
-/// An ingress cannot start because a limit is too small or an address is in use. Operators look for these texts,
-/// which name the setting at fault; so they stay as they are.
+/// Startup fails because a limit is too low or an address is in use. The error names the setting, by which
+/// operators find the cause.
 #[test]
-fn each_start_failure_has_its_text() {
+fn each_startup_failure_names_its_setting() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let datagrams = UdpSocket::bind("127.0.0.1:0").unwrap();
     let (address, peer) = (taken.local_addr().unwrap(), datagrams.local_addr().unwrap());
     let in_use = "Address already in use (os error 98)";
     let own_peers = format!("{{\"peer_listen\":\"{peer}\",\"peers\":[\"{peer}\"],");
     for (config, text) in [
-        (CONFIG.replacen("\"sockets\":256", "\"sockets\":3", 1), "limits.sockets is too few: 3".into()),
+        (
+            CONFIG.replacen("\"sockets\":256", "\"sockets\":3", 1),
+            "limits.sockets is too low: 3 file descriptors".into(),
+        ),
         (
             CONFIG.replacen("127.0.0.1:0", &address.to_string(), 1),
             format!("listen: cannot listen at {address}: {in_use}"),
