--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -1,8 +1,9 @@
-//! The event loop: passes input from the sockets to the gateway, executes the gateway's actions in their
-//! order, and owns the requests and the timers.
+//! The event loop: passes input from the sockets to the gateway, executes the gateway's actions in order, and
+//! owns the requests and the timers.
 //!
-//! It makes no decisions: it chooses no backend, starts no retry, and rejects a request by itself only where
-//! a limit is reached. The clock is read once per iteration; the gateway sees it in steps of its tick.
+//! The event loop makes no decisions: it chooses no backend and starts no retry, and it rejects a request
+//! itself only where a limit is reached. The clock is read once per iteration, and the gateway's time
+//! advances by at least a tick.
 
 mod actions;
 mod arrival_clock;
@@ -44,70 +45,59 @@
 use std::io;
 use timer_queue::TimerQueue;
 
-/// The ingress: its sockets, the gateway, the requests and the timers.
+/// The running ingress: its sockets, gateway, requests and timers.
 pub struct EventLoop {
-    /// Reports which sockets are ready.
     poll: Poll,
-    /// The exact time, for spans shorter than a tick.
+    /// The exact time, for durations shorter than a tick.
     clock: Clock,
-    /// When the input that the poll reported can have arrived.
+    /// Estimates the arrival time of the input that the poll reports.
     arrivals: ArrivalClock,
-    /// The time that the gateway sees.
+    /// The time that is passed to the gateway.
     now: Instant,
-    /// The least step of that time.
+    /// The minimum step of `now`.
     tick: Duration,
-    /// How the endpoint list is delivered: failed polls are reported to the gateway where a shared service
-    /// has it.
+    /// The source of the endpoint list. Failed polls are reported to the gateway only for a shared service.
     discovery: Discovery,
-    /// How long establishing a connection to a backend may take.
+    /// Maximum time for establishing a connection to a backend.
     connect_timeout: Duration,
-    /// The settings that limit the attempts of a request.
     attempt_limits: AttemptLimits,
-    /// Checks the invariants.
+    /// Checks the invariants of requests, attempts and connections.
     auditor: Auditor,
-    /// Numbers of requests and attempts, for the log.
     counters: Counters,
-    /// Divides the file descriptors between clients and backends.
     descriptors: DescriptorBudget,
-    /// The gateway.
     gateway: Gateway,
-    /// Events that the gateway has not handled yet, in order.
+    /// Events that the gateway has not handled yet, oldest first.
     pending_events: VecDeque<Event>,
-    /// A reused buffer for the gateway's actions.
+    /// Buffer for the gateway's actions, reused between events.
     actions: Vec<Action>,
-    /// Connections of clients, and the replies owed to them.
     clients: Clients,
-    /// Connections to backends.
     backend_connections: BackendConnections,
-    /// The watch on the endpoint list.
+    /// Receives the endpoint list from discovery.
     watch: Watch,
-    /// When the listed backends started.
+    /// The start times of the listed backends.
     start_times: StartTimes,
-    /// Reloads the configuration.
     reload: Reload,
     /// The socket for gossip; none where the settings allow no messages between gateways.
     peers: Option<PeerSocket>,
-    /// The signals to the process.
     signals: Signals,
-    /// The requests in work.
+    /// Requests that are open or have attempts in flight.
     requests: RequestEntries,
-    /// The timers that are set.
     timers: TimerQueue,
-    /// More connections may be waiting to be accepted.
+    /// Whether more connections may be waiting to be accepted.
     accept_pending: bool,
-    /// A timer is set to retry accepting after it has failed.
+    /// Whether a timer is set to retry accepting after a failure.
     accept_retry_scheduled: bool,
-    /// More messages of peers may be waiting to be received.
+    /// Whether more messages of peers may be waiting to be received.
     peer_messages_pending: bool,
-    /// The state of the graceful shutdown.
     shutdown: Shutdown,
 }
 
 impl EventLoop {
-    /// Runs until a signal to stop was received and all requests are answered, or the time for that is over.
+    /// Runs until the shutdown that a signal begins is complete: all requests are answered, or the time for
+    /// that is over.
     pub fn run(mut self) -> Result<(), EventLoopError> {
-        // All ready sockets have to fit into one iteration: a client's disconnect must not be handled after a
-        // backend's reply that arrived later.
+        // One iteration has to report all ready sockets. Otherwise a client's disconnect could be handled
+        // after a backend's reply that arrived later.
         let mut events = Events::with_capacity(self.descriptors.max_sockets());
         let mut ready = Vec::new();
         loop {
@@ -137,8 +127,8 @@
             Err(error) if error.kind() == io::ErrorKind::Interrupted => self.arrivals.poll_interrupted(),
             Err(error) => return Err(EventLoopError::Poll(error)),
         }
-        // Input within a tick of the last reading is handled at that reading's time: sleeping until the tick
-        // is over would delay every request.
+        // Input that arrives within a tick of `now` is handled at `now`: sleeping until the tick is over
+        // would delay every request.
         if clock >= self.now + self.tick {
             self.now = clock;
         }
@@ -146,28 +136,28 @@
         Ok(())
     }
 
-    /// How long the poll may wait for a socket, from `called_at` on.
+    /// Returns the maximum time that the poll may wait for a socket, from `called_at` on.
     fn poll_timeout(&self, called_at: Instant) -> Duration {
         if self.accept_pending || self.peer_messages_pending || self.clients.has_pending_work() {
             return Duration::ZERO;
         }
         if self.shutdown.is_past_reply_deadline(self.now) || self.clients.has_write_retries() {
-            // The end of the process must not be missed by more than a tick, and no socket reports a write to
-            // retry.
+            // The process has to exit at most a tick late, and no readiness event announces a write that is
+            // to be retried.
             return self.tick;
         }
         let next_timer_at =
             self.timers.next_due_at().unwrap_or(Instant::FAR_FUTURE).min(self.watch.next_timer_at);
-        // The gateway's time does not advance before a tick has passed, so no timer can be due before.
+        // The gateway's time does not advance before a tick has passed, so no timer can be due earlier.
         let wake_at = next_timer_at.max(self.now + self.tick);
         wake_at.duration_since(called_at)
     }
 
-    /// Runs one iteration. Discovery is handled first, so that the gateway knows a draining backend before it
-    /// sends anything; replies are handled before the timers that would time them out.
+    /// Runs one iteration. Discovery is handled first, so that the gateway has the change of a draining
+    /// backend before it sends an attempt; replies are handled before the timers that would time them out.
     fn process_ready(&mut self, ready: &mut [ReadySocket]) {
-        // First of all, so that no other socket or timer begins an attempt for a client that has
-        // disconnected.
+        // Disconnects are handled first, so that no other socket or timer begins an attempt for a
+        // disconnected client.
         for socket in ready.iter().filter(|socket| socket.closed) {
             if let Source::Client(key) = socket.source() {
                 self.clients.on_disconnect(key);
@@ -194,11 +184,11 @@
         self.audit_closed_clients();
     }
 
-    /// Reads from, writes to or accepts from one ready socket.
+    /// Reads from, writes to or accepts from a ready socket.
     fn process_socket(&mut self, socket: &ReadySocket) {
         let readiness = socket.readiness;
         match socket.source() {
-            Source::Discovery => {} // Was handled first.
+            Source::Discovery => {} // Already handled by `poll_discovery`.
             Source::Listener => self.accept_pending = true,
             Source::Signals => self.handle_signals(),
             Source::Peers => self.receive_peer_messages(),
@@ -206,7 +196,7 @@
                 if readiness == Readiness::Writable {
                     self.prepare_to_write(key);
                 }
-                // The exact time: the least idle time of a connection may be less than a tick.
+                // The exact time, since the minimum idle time of a connection may be less than a tick.
                 self.backend_connections.on_ready(key, self.clock.now(), readiness);
                 self.record_begun_attempts();
                 self.run_gateway();
--- a/src/bin/ingress/event_loop/actions.rs
+++ b/src/bin/ingress/event_loop/actions.rs
@@ -9,11 +9,10 @@
 use ingress::{Action, Duration, Outcome, RequestId};
 use std::io::Write;
 
-/// The most bytes of a rejection with its `Retry-After` time.
+/// Maximum length of a rejection with its `Retry-After` time, in bytes.
 const MAX_BUSY_REPLY_BYTES: usize = 40;
 
 impl EventLoop {
-    /// Executes one action.
     pub(super) fn execute(&mut self, action: Action) {
         match action {
             Action::Send { id, backend, expires_at } => self.send(id, backend, expires_at),
@@ -31,13 +30,13 @@
                     peers.send(to, &bytes);
                 }
             }
-            // The watch is always on.
+            // The watch polls at all times.
             Action::PollDiscovery => {}
             Action::Log(line) => tracing::info!(target: logging::NO_TARGET, "{line}"),
         }
     }
 
-    /// Rejects a request; a `retry_after` of zero is left out of the reply.
+    /// Rejects a request. A `retry_after` of zero is left out of the reply.
     fn reject(&mut self, id: RequestId, retry_after: Duration) {
         if retry_after.is_zero() {
             return self.reply(id, BUSY_REPLY, Answer::Rejected);
--- a/src/bin/ingress/event_loop/arrival_clock.rs
+++ b/src/bin/ingress/event_loop/arrival_clock.rs
@@ -1,37 +1,37 @@
 //! Estimates when the input that the poll reports arrived.
 //!
-//! A process that is delayed between two readings of its clock, as on an overloaded machine, would count
-//! clients' timeouts from too late a time. That shows as late answers and as attempts that state more time
-//! than the client has. The time between calls of the poll, and what a call takes beyond its timeout, bound
-//! how old the input can be.
+//! If the process is delayed between two readings of its clock, as on an overloaded machine, a client's
+//! timeout would be counted from the later reading. Answers would be late, and attempts would state more time
+//! than the client has left. The time between two calls of the poll, plus the time by which a call exceeds
+//! its timeout, bounds the age of the input.
 
 use ingress::{Duration, Instant};
 
-/// A call of the poll that took this long or longer has waited: no input was there when it began.
+/// A call of the poll that took at least this long has waited: no input was ready when it began.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// Records the calls of the poll.
+/// The calls of the poll, and the arrival time that follows from them.
 #[derive(Clone, Copy, Debug)]
 pub struct ArrivalClock {
-    /// When the last call that was not interrupted returned.
+    /// The return time of the last call that was not interrupted.
     reported_at: Instant,
-    /// The earliest time at which the input that the latest call reported can have arrived.
+    /// Returns the earliest time at which the input that the latest call reported can have arrived.
     arrived_at: Instant,
 }
 
 impl ArrivalClock {
-    /// A clock before the first call.
+    /// Creates a clock before the first call of the poll.
     pub fn new(now: Instant) -> ArrivalClock {
         ArrivalClock { reported_at: now, arrived_at: now }
     }
 
-    /// Records a call that began at `called_at` and returned at `returned_at`.
+    /// Records a call that began at `called_at`, with this timeout, and returned at `returned_at`.
     pub fn poll_returned(&mut self, called_at: Instant, timeout: Duration, returned_at: Instant) {
         let elapsed = returned_at.duration_since(called_at);
         let waited = elapsed.min(timeout);
         let overrun = elapsed - waited;
         let has_waited = waited >= MIN_WAIT;
-        // Input that was there when the call began can have arrived at any time since the call before.
+        // Input that was ready when the call began can have arrived at any time since the previous call.
         let busy = if has_waited { Duration::ZERO } else { called_at.duration_since(self.reported_at) };
         self.arrived_at = returned_at - (overrun + busy);
         self.reported_at = returned_at;
@@ -43,7 +43,7 @@
         self.arrived_at = self.reported_at;
     }
 
-    /// The earliest time at which the input that the latest call reported can have arrived.
+    /// Returns the earliest time at which the input that the latest call reported can have arrived.
     pub fn arrived_at(&self) -> Instant {
         self.arrived_at
     }
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they begin on a connection to a backend, and how they end.
+//! Starts attempts on connections to backends, and ends them.
 
 use super::client_events::Answer;
 use super::request_entries::AttemptEntry;
@@ -10,22 +10,19 @@
 
 /// The end of an attempt, as it is logged, counted, audited and reported to the gateway.
 struct AttemptEndReport {
-    /// The attempt.
     attempt: AttemptId,
-    /// The backend that it was sent to.
     backend: BackendId,
-    /// How it ended.
     outcome: Outcome,
-    /// How long it was in flight.
+    /// The time that the attempt was in flight.
     elapsed: Duration,
-    /// No reply to the request is owed any more.
+    /// Whether the request no longer needs a reply.
     request_closed: bool,
-    /// The requests that wait at the backend, where it reported them.
+    /// The number of requests queued at the backend, if it reported one.
     reported_queue_depth: Option<f64>,
 }
 
 impl AttemptEndReport {
-    /// An attempt of an open request that was not sent.
+    /// Returns the end of an attempt that was not sent, of an open request.
     fn not_sent(attempt: AttemptId, backend: BackendId) -> AttemptEndReport {
         AttemptEndReport {
             attempt,
@@ -53,8 +50,8 @@
     }
 }
 
-/// The outcome of an attempt that timed out: only a backend that has the complete command may have executed
-/// it.
+/// Returns the outcome of an attempt that timed out. Only a backend that has received the complete command
+/// may have executed it.
 fn timeout_outcome(command: CommandState) -> Outcome {
     match command {
         CommandState::Sent => Outcome::TimedOut,
@@ -63,7 +60,8 @@
 }
 
 impl EventLoop {
-    /// Begins an attempt if the request may have one, and there are time and a connection for it.
+    /// Starts an attempt if the request may have one, its time has not expired and a descriptor is available.
+    /// Otherwise the attempt ends at once as [`Outcome::NotSent`].
     pub(super) fn send(&mut self, id: RequestId, backend: BackendId, expires_at: Option<Instant>) {
         let Some(request) = self.requests.get_mut(id) else {
             return self.end_attempt_of_removed_request(id, backend);
@@ -75,8 +73,8 @@
         let refusal = request.may_send(&self.attempt_limits).err();
         let begins_by = self.now + self.connect_timeout;
         request.attempts.push(AttemptEntry::new(backend, self.now, expires_at, begins_by));
-        // The exact time: the loop may have been delayed since it read its clock, and the client have given
-        // up.
+        // The exact time: the event loop may have been delayed since it read the clock, and the client's
+        // timeout may have passed.
         let has_expired = expires_at <= self.clock.now().max(self.now);
         if refusal.is_some() || has_expired {
             let refusal = refusal.map(tracing::field::debug);
@@ -98,24 +96,26 @@
         self.assign_last_attempt(attempt);
     }
 
-    /// Ends an attempt of a request that has ended and been removed: there is nothing to log, count or audit.
+    /// Ends an attempt of a request that was already removed. Only the gateway is notified, since no entry is
+    /// left to log, count or audit.
     ///
-    /// This occurs where several requests are closed before the gateway handles the first of these events, as
-    /// at the shutdown's reply deadline, and it sends another of them meanwhile. One from its queue has had no
-    /// attempt, so that 0 is its number. For a hedged one 0 is the attempt that has just ended: the gateway
-    /// ignores this end and takes the hedge for in flight from then on, which matters little since the process
-    /// ends within `EXIT_MARGIN`.
+    /// This occurs when several requests are closed at once, as at the reply deadline of the shutdown: the
+    /// gateway handles the first of these events and sends an attempt of another request, which is closed
+    /// already. A request from the gateway's queue has had no attempt, so its number is 0. For a hedged
+    /// request, 0 is the number of the attempt that has just ended: the gateway ignores this end and counts
+    /// the hedge as in flight. The wrong count is harmless, since the process exits within `EXIT_MARGIN`.
     fn end_attempt_of_removed_request(&mut self, id: RequestId, backend: BackendId) {
         let attempt = AttemptId { request: id, number: 0 };
         let end = AttemptEndReport { request_closed: true, ..AttemptEndReport::not_sent(attempt, backend) };
         self.pending_events.push_back(end.into());
     }
 
-    /// Writes the command of a request's last attempt to a connection.
+    /// Assigns a request's last attempt to a connection and writes the command, as far as the socket accepts
+    /// it.
     fn assign_last_attempt(&mut self, attempt_id: AttemptId) {
         let Some(request) = self.requests.get_mut(attempt_id.request) else { return };
         let (command, Some(attempt)) = (&request.command, request.attempts.last_mut()) else { return };
-        // Measured by the exact clock: a reply within a tick would otherwise have taken no time at all.
+        // The exact time: by the gateway's time, a reply within the same tick would have taken no time.
         attempt.started_at = self.clock.now();
         let timeout = attempt.expires_at.duration_since(attempt.started_at);
         let stated = StatedTimeout { stated_at: attempt.started_at, timeout };
@@ -148,8 +148,8 @@
         self.record_begun_attempts();
     }
 
-    /// Whether there is a descriptor for an attempt at a backend, if need be after closing an idle
-    /// connection.
+    /// Returns whether a descriptor is available for an attempt at a backend, and closes an idle connection
+    /// if necessary.
     fn reserve_descriptor(&mut self, backend: BackendId) -> bool {
         !self.backend_connections.needs_connection(backend, self.clock.now())
             || self.descriptors.reserve_for_backend(
@@ -159,7 +159,7 @@
             )
     }
 
-    /// Records how an attempt has ended, and replies to the request if the attempt was served.
+    /// Records the end of an attempt, and replies to the request if the attempt was served.
     pub(super) fn complete(&mut self, completion: ExchangeCompletion) {
         let ExchangeCompletion { attempt, backend, outcome, started_at, reported_queue_depth, value } =
             completion;
@@ -170,7 +170,7 @@
             ended.connection = None;
         }
         if outcome == Outcome::Ok {
-            self.reply(id, &value, Answer::Served); // Only the first one becomes the final reply.
+            self.reply(id, &value, Answer::Served); // Ignored if the request is closed.
         }
         let request_closed = !self.requests.is_open(id);
         self.end_attempt(AttemptEndReport {
@@ -189,7 +189,7 @@
         self.cancel_attempt(attempt, BackendCloseReason::TimedOut, timeout_outcome);
     }
 
-    /// Ends an attempt that is in flight and closes its connection for `reason`; its outcome may depend on
+    /// Ends an attempt that is in flight and closes its connection for `reason`. The outcome may depend on
     /// how much of the command was sent.
     pub(super) fn cancel_attempt(
         &mut self,
@@ -231,9 +231,8 @@
         self.pending_events.push_back(end.into());
     }
 
-    /// Ends the attempts of a closed request whose commands are not completely written. This is done even
-    /// where the settings allow no cancellation: a backend that never received the complete command has
-    /// nothing to cancel.
+    /// Ends the attempts of a closed request whose commands are not completely written, even where the
+    /// settings forbid cancellation: a backend that did not receive the complete command does not execute it.
     pub(super) fn cancel_incomplete(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id).filter(|request| request.closed) else { return };
         let mut ended = Vec::new();
@@ -253,12 +252,12 @@
         }
     }
 
-    /// Encodes the command on a connection anew if nothing of it is written yet, or ends its attempt if it
-    /// may not begin any more.
+    /// Encodes the command on a connection again if none of it is written yet, or ends its attempt if the
+    /// first byte may no longer be written.
     ///
-    /// Without this a backend would work for a client that has given up. The timeout in the command was true
-    /// when the connection was begun, up to a connect timeout ago, and a loop that was delayed writes before
-    /// it runs the timers that would have ended the attempt. So the exact clock decides here, before the
+    /// The command's timeout was computed when the connection was started, up to a connect timeout ago. A
+    /// delayed event loop handles the writable socket before the timers that would end the attempt, and the
+    /// backend would work on a request whose client has timed out. So the exact time is checked before the
     /// first byte.
     pub(super) fn prepare_to_write(&mut self, key: usize) {
         let Some(attempt_id) = self.backend_connections.unwritten_attempt(key) else { return };
@@ -276,12 +275,12 @@
             .rewrite_command(key, stated, |buffer| request.command.encode(timeout, buffer));
     }
 
-    /// Ends an attempt whose first byte may not be written any more.
+    /// Ends an attempt whose first byte may no longer be written.
     fn refuse_to_write(&mut self, attempt: AttemptId, refusal: WriteRefusal) {
         let (request, number) = (attempt.request.0, attempt.number);
         tracing::debug!(target: "attempt", request, attempt = number, ?refusal, "not begun");
         let outcome = match refusal {
-            // That the request is closed is no failure of the backend's.
+            // A closed request is not a failure of the backend.
             WriteRefusal::Closed => Outcome::NotSent,
             WriteRefusal::Expired | WriteRefusal::ConnectedTooLate => Outcome::ConnectFailed,
         };
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -1,21 +1,18 @@
-//! Records what was done, reports it to the audit, and logs what that finds. A violation never ends the
-//! process in service; in a debug build, as in tests, it panics.
+//! Reports attempts, answers and closed connections to the audit, and logs violations of invariants. In a
+//! release build a violation does not end the process; in a debug build, as in tests, it panics.
 
 use super::EventLoop;
 use crate::backends::AttemptId;
 use ingress::audit::{AttemptBegun, Violation, ViolationKind};
 use ingress::{BackendId, Duration, Outcome, RequestId};
 
-/// What is known of a violation beside its kind and request, for the log.
+/// Details of a violation for the log, in addition to its kind and request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ViolationDetails {
-    /// The number of the attempt.
     attempt: Option<u16>,
-    /// Where the attempt went.
     backend: Option<BackendId>,
-    /// The timeout that was stated to the backend.
+    /// The timeout that the command stated to the backend.
     stated_timeout: Option<Duration>,
-    /// How the attempt ended.
     outcome: Option<Outcome>,
 }
 
@@ -62,21 +59,21 @@
         }
     }
 
-    /// Reports the connections of clients that this side closed with replies owed.
+    /// Reports the client connections that the ingress closed with replies owed.
     pub(super) fn audit_closed_clients(&mut self) {
         for id in self.clients.take_closed_with_replies_owed() {
             self.report_violation(ViolationKind::ClosedWithRepliesOwed, id, ViolationDetails::default());
         }
     }
 
-    /// Reports the requests that have no answer when the process ends.
+    /// Reports the requests that have no answer when the process exits.
     pub(super) fn audit_exit(&mut self) {
         for id in self.requests.open_ids() {
             self.report_violation(ViolationKind::NoAnswer, Some(id), ViolationDetails::default());
         }
     }
 
-    /// Counts a violation, and logs it unless one of its kind was logged a moment ago.
+    /// Counts a violation, and logs it unless one of the same kind was logged recently.
     pub(super) fn report_violation(
         &mut self,
         kind: ViolationKind,
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -1,4 +1,4 @@
-//! Handles what clients do, and replies to their requests.
+//! Handles connections, commands and disconnects of clients, and replies to requests.
 
 use super::auditing::ViolationDetails;
 use super::request_entries::{IdHash, RequestEntry};
@@ -12,45 +12,44 @@
 /// The reply to a request that may have been executed.
 pub(super) const FAILED_REPLY: &[u8] = b"-ERR failed\r\n";
 
-/// The kind of a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Answer {
-    /// The value that a backend gave.
+    /// The value of a backend.
     Served,
-    /// A rejection: retrying the request is safe.
+    /// A rejection; retrying the request is safe.
     Rejected,
-    /// A failure: the request may have been executed.
+    /// A failure; the request may have been executed.
     Failed,
 }
 
-/// Why a request is answered before it is opened: the gateway does not see it.
+/// The reason for answering a request without opening it, so that the gateway does not receive it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OpenRefusal {
-    /// A request with its id is open, or has ended a moment ago. It gets an error.
+    /// A request with the same id is open or ended recently. The reply is an error.
     DuplicateId,
-    /// The reply deadline of the shutdown has passed. It gets `-BUSY`.
+    /// The reply deadline of the shutdown has passed. The reply is `-BUSY`.
     ShuttingDown,
-    /// As many requests are open, or as much memory is taken by them, as is allowed. It gets `-BUSY`.
+    /// The limit on open requests or on their memory is reached. The reply is `-BUSY`.
     NoCapacity,
 }
 
-/// Why the program fails a request that the gateway has not answered.
+/// The reason for failing a request that the gateway has not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MissedAnswer {
-    /// The client's timeout is over.
+    /// The client's timeout has passed.
     ClientDeadline,
     /// The reply deadline of the shutdown has passed.
     ShutdownDeadline,
 }
 
-/// The longest timeout of a client that is used: the timers of answered requests would otherwise pile up for
-/// hours.
+/// Maximum timeout of a client that is applied. Longer ones would let the timers of answered requests
+/// accumulate for hours.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a reply may take to reach the client, besides two ticks.
+/// Time reserved for a reply to reach the client, in addition to two ticks.
 const REPLY_TRANSIT_TIME: Duration = Duration::from_millis(2);
-/// The greatest part of a client's timeout that is reserved for the reply, as a divisor.
+/// Maximum part of a client's timeout that is reserved for the reply, as a divisor.
 const REPLY_TIME_DIVISOR: u64 = 4;
-/// The delay before accepting is retried after it has failed.
+/// Delay before accepting is retried after a failure.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 impl EventLoop {
@@ -64,7 +63,8 @@
         match outcome {
             AcceptOutcome::QueueEmpty => {}
             AcceptOutcome::MorePending => self.accept_pending = true,
-            // The poll reports each arrival once: without a timer, these would wait for the next one.
+            // The poll reports each arrival once. Without a timer, the waiting connections would have to wait
+            // for the next one.
             AcceptOutcome::RetryLater => {
                 if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
                     self.timers.schedule(now + ACCEPT_RETRY_DELAY, Timer::RetryAccept);
@@ -75,8 +75,8 @@
         outcome
     }
 
-    /// Reports all disconnected clients to the gateway before any other event: the place that a request
-    /// leaves in the queue must not go to another disconnected client.
+    /// Reports all disconnected clients to the gateway before any other event: the gateway must not fill the
+    /// place of one closed request with the queued request of another disconnected client.
     pub(super) fn report_disconnects(&mut self) {
         let disconnected = |event: &ClientEvent| match event {
             ClientEvent::Disconnected(id) => Some(*id),
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Closes a request whose client has disconnected, and reports that to the gateway, unless it was closed
-    /// before.
+    /// Closes a request whose client has disconnected, and reports that to the gateway. Does nothing if the
+    /// request is already closed.
     fn report_disconnect(&mut self, id: RequestId) {
         if self.requests.close(id).is_none() {
             return;
@@ -102,7 +102,8 @@
         self.pending_events.push_back(Event::RequestClosed(id));
     }
 
-    /// Handles the commands and disconnects of clients, in their order.
+    /// Handles the pending commands and disconnects of clients in order, the disconnects' reports to the
+    /// gateway first.
     pub(super) fn process_client_events(&mut self) {
         self.report_disconnects();
         while let Some(event) = self.clients.next_event() {
@@ -118,7 +119,8 @@
                 self.open_request(id, reply_to, arrived_at, command);
             }
             ClientEvent::Disconnected(id) => {
-                // It may have happened after the last report, while earlier events were handled.
+                // The client may have disconnected after the last call of `report_disconnects`, while earlier
+                // events were handled.
                 self.report_disconnect(id);
                 self.cancel_incomplete(id);
                 self.requests.remove_if_finished(id, self.now);
@@ -126,8 +128,8 @@
         }
     }
 
-    /// Opens a request and passes it to the gateway, or rejects it where a limit is reached. Its timeout
-    /// counts from its arrival, which is earlier than now if the process was delayed.
+    /// Opens a request and passes it to the gateway, or refuses it where a limit is reached. The timeout
+    /// counts from the request's arrival, which is earlier than now if the process was delayed.
     fn open_request(&mut self, id: RequestId, reply_to: ReplyHandle, arrived_at: Instant, command: Command) {
         let id_hash = self.requests.hash_id(&command);
         if let Err(refusal) = self.may_open(&command, id_hash) {
@@ -137,7 +139,8 @@
         let arrived_at = arrived_at.min(self.now);
         let client_deadline = arrived_at + timeout;
         self.timers.schedule(client_deadline, Timer::ClientDeadline(id));
-        // The gateway's deadline is a little before the client's: the reply takes time to arrive.
+        // The gateway's deadline is earlier than the client's, since the reply takes time to reach the
+        // client.
         let reply_time = (self.tick * 2 + REPLY_TRANSIT_TIME).min(timeout / REPLY_TIME_DIVISOR);
         let deadline = client_deadline - reply_time;
         let request = Request { id, deadline, ..command.request };
@@ -160,9 +163,9 @@
         self.pending_events.push_back(Event::Request(request));
     }
 
-    /// Whether a request may be opened.
+    /// Returns an error if a request may not be opened.
     fn may_open(&self, command: &Command, id_hash: IdHash) -> Result<(), OpenRefusal> {
-        // Backends and clients could not tell two requests with one id apart.
+        // Backends and clients could not distinguish two requests with the same id.
         if self.requests.is_known(id_hash) {
             Err(OpenRefusal::DuplicateId)
         } else if self.shutdown.is_past_reply_deadline(self.now) {
@@ -174,8 +177,8 @@
         }
     }
 
-    /// Answers a request that is not opened. It was not sent to any backend, so that `-BUSY`, which says that
-    /// it was not executed, is safe.
+    /// Answers a request that is not opened. No backend has received it, so `-BUSY`, which states that the
+    /// request was not executed, is correct.
     fn refuse_to_open(&mut self, reply_to: ReplyHandle, command: &Command, refusal: OpenRefusal) {
         tracing::debug!(
             target: "request",
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Sends a request its final reply, unless it is closed.
+    /// Sends the final reply of a request, unless the request is closed.
     pub(super) fn reply(&mut self, id: RequestId, text: &[u8], answer: Answer) {
         if let Some(reply_to) = self.requests.close(id) {
             self.clients.reply(reply_to, text);
@@ -215,8 +218,9 @@
         }
     }
 
-    /// Fails a request that has no final reply at its client's deadline or at that of the shutdown. The
-    /// gateway answers each request before the former; if it does not, the client still gets a reply.
+    /// Fails a request that has no final reply at its client's deadline or at the reply deadline of the
+    /// shutdown. The gateway's own deadline is before the client's; if the gateway misses it, the client
+    /// still receives a reply.
     pub(super) fn fail_unanswered(&mut self, id: RequestId, reason: MissedAnswer) {
         if self.requests.is_open(id) {
             tracing::debug!(target: "request", request = id.0, ?reason, "not answered in time");
--- a/src/bin/ingress/event_loop/clock.rs
+++ b/src/bin/ingress/event_loop/clock.rs
@@ -1,15 +1,13 @@
-//! The event loop's clock.
+//! The clock of the event loop.
 
 use ingress::{Duration, Instant, UnixTime};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A monotonic clock that begins with the Unix time at its start.
+/// A monotonic clock that starts at the current Unix time.
 ///
-/// Later steps of the wall clock do not change it, so its spans are real time.
+/// Later steps of the wall clock do not affect it, so that durations are exact.
 pub struct Clock {
-    /// The start, by the system's monotonic clock.
     monotonic_start: std::time::Instant,
-    /// The start, by the wall clock.
     wall_clock_start: Instant,
 }
 
@@ -22,13 +20,13 @@
         }
     }
 
-    /// The time.
+    /// Returns the time that has passed since the start, added to the wall clock's time at the start.
     pub fn now(&self) -> Instant {
         self.wall_clock_start + Duration::from_micros(self.monotonic_start.elapsed().as_micros() as u64)
     }
 }
 
-/// The time by the wall clock, which may be stepped.
+/// Returns the wall clock's time, which may be stepped.
 pub fn unix_time() -> UnixTime {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     UnixTime::from_micros(elapsed.as_micros() as u64)
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -1,4 +1,4 @@
-//! Handles input from discovery, from peers and from the operator's signals.
+//! Handles input from discovery and peers, and signals from the operator.
 
 use super::clock::unix_time;
 use super::shutdown::MIN_ACCEPTING_TIME;
@@ -13,15 +13,15 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook_mio::v1_0::Signals;
 
-/// Installs the handlers of signals: SIGTERM and SIGINT begin the graceful shutdown, SIGHUP reloads the
+/// Installs the signal handlers: SIGTERM and SIGINT begin the graceful shutdown, SIGHUP reloads the
 /// configuration, SIGUSR1 logs the counters.
 pub fn register_signals(retry: StartRetry) -> Result<Signals, EventLoopError> {
     retry.run(|| Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR1])).map_err(EventLoopError::Signals)
 }
 
 impl EventLoop {
-    /// Applies the endpoint lists that discovery has sent, if its socket is `ready`, and runs the watch's
-    /// timer.
+    /// Applies the endpoint lists that discovery has sent, if its socket is `ready`, and runs the timer of
+    /// the watch if it is due.
     pub(super) fn poll_discovery(&mut self, ready: Option<&ReadySocket>) {
         let (now, registry, mut lists) = (self.now, self.poll.registry(), Vec::new());
         let mut health = [PollHealth::Unchanged; 2];
@@ -39,7 +39,7 @@
         self.run_gateway();
     }
 
-    /// Applies an endpoint list to the connections, and passes it to the gateway.
+    /// Applies an endpoint list to the backend connections, and passes it to the gateway.
     pub(super) fn apply_endpoints(&mut self, list: &EndpointList, update: EndpointUpdate) {
         let removed = self.backend_connections.update_endpoints(list);
         let endpoints = self.endpoints_in_host_time(list);
@@ -48,7 +48,7 @@
             self.auditor.availability_changed(backend, Availability::Gone, self.now);
             self.start_times.remove(backend);
         }
-        // A list that was cached before the restart does not show the backends of now.
+        // A list that was cached before a restart does not show which backends are running now.
         if update != EndpointUpdate::CachedSnapshot {
             self.start_times.record_endpoint_update(self.now);
         }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The backends of a list, with their start times by the event loop's clock.
+    /// Returns the endpoints of a list, with their start times by the event loop's clock.
     fn endpoints_in_host_time(&mut self, list: &EndpointList) -> Vec<Endpoint> {
         let (now, times) = (self.now, &mut self.start_times);
         times.observe_clock(self.clock.now(), unix_time());
@@ -70,7 +70,7 @@
         endpoints
     }
 
-    /// Passes a batch of peers' messages to the gateway.
+    /// Receives a batch of peers' messages and passes them to the gateway.
     pub(super) fn receive_peer_messages(&mut self) {
         let events = &mut self.pending_events;
         if let Some(peers) = &mut self.peers {
@@ -80,9 +80,8 @@
         self.run_gateway();
     }
 
-    /// Handles the signals that were received.
     pub(super) fn handle_signals(&mut self) {
-        // Several signals of one kind since the last call count as one.
+        // Several signals of the same kind since the last call count as one.
         let received: Vec<i32> = self.signals.pending().collect();
         if received.contains(&SIGHUP) {
             self.reload.request();
@@ -96,8 +95,7 @@
         }
     }
 
-    /// Reloads the configuration if that is due, and moves the watch to the address of discovery that it
-    /// names.
+    /// Reloads the configuration if that is due, and points the watch at the discovery address in it.
     pub(super) fn reload(&mut self) {
         match self.reload.attempt(self.now) {
             ReloadOutcome::Applied(discovery) => self.watch.set_address(discovery, self.now),
@@ -106,7 +104,7 @@
         }
     }
 
-    /// Begins the graceful shutdown, unless it has begun before.
+    /// Begins the graceful shutdown, unless it has already begun.
     fn begin_shutdown(&mut self) {
         let Some(reply_deadline) = self.shutdown.begin(self.now) else { return };
         let reply_time_ms = reply_deadline.duration_since(self.now).as_millis();
@@ -116,7 +114,7 @@
     }
 }
 
-/// Logs an endpoint list that is applied, and each entry of a change.
+/// Logs an applied endpoint list, and each entry if it is a delta.
 fn log_endpoints(list: &EndpointList, update: EndpointUpdate, removed: usize) {
     let (index, entries) = (list.index, list.entries.len());
     tracing::debug!(target: "discovery", index, ?update, entries, removed, "endpoint list applied");
--- a/src/bin/ingress/event_loop/counters.rs
+++ b/src/bin/ingress/event_loop/counters.rs
@@ -1,38 +1,36 @@
-//! Counters of the event loop, which SIGUSR1 logs.
+//! Counters of requests and attempts, which are logged on SIGUSR1.
 
 use super::EventLoop;
 use crate::logging;
 use ingress::Outcome;
 
-/// Counters of requests and attempts since the start.
+/// Counters of requests and attempts since the process started.
 #[derive(Default)]
 pub struct Counters {
-    /// Requests that were opened.
     pub requests_opened: u64,
     /// Requests with a final answer of any kind.
     pub requests_answered: u64,
-    /// Of these, rejected ones.
+    /// Requests whose final answer was a rejection; part of `requests_answered`.
     pub requests_rejected: u64,
-    /// Of these, failed ones.
+    /// Requests whose final answer was a failure; part of `requests_answered`.
     pub requests_failed: u64,
-    /// Requests whose client disconnected before their answer.
+    /// Requests whose client disconnected before the final answer.
     pub requests_disconnected: u64,
     /// Attempts whose first byte was written.
     pub attempts_begun: u64,
-    /// Attempts that were served.
     pub attempts_served: u64,
-    /// Attempts that were rejected by their backend.
+    /// Attempts that a backend rejected.
     pub attempts_rejected: u64,
     /// Attempts that ended with an error, a reset or a timeout.
     pub attempts_failed: u64,
-    /// Attempts that were never executed since no connection was established.
+    /// Attempts that were not executed because no connection was established.
     pub attempts_not_connected: u64,
-    /// Attempts that were cancelled, or not sent at all.
+    /// Attempts that were cancelled or not sent.
     pub attempts_not_completed: u64,
 }
 
 impl Counters {
-    /// Counts the end of an attempt.
+    /// Counts an ended attempt by its outcome.
     pub fn record_outcome(&mut self, outcome: Outcome) {
         let counter = match outcome {
             Outcome::Ok => &mut self.attempts_served,
@@ -56,7 +54,7 @@
             rejections = counters.requests_rejected,
             failures = counters.requests_failed,
             disconnected = counters.requests_disconnected,
-            // With those that are closed and still have an attempt in flight.
+            // Includes closed requests with an attempt still in flight.
             open = self.requests.len(),
             "requests"
         );
--- a/src/bin/ingress/event_loop/descriptor_budget.rs
+++ b/src/bin/ingress/event_loop/descriptor_budget.rs
@@ -1,27 +1,28 @@
-//! Divides the process's file descriptors between clients and backends.
+//! Divides the file descriptors of the process between clients and backends.
 
 use super::EventLoopError;
 use crate::backends::BackendConnections;
 use crate::clients::{Capacity, Clients};
 use ingress::Instant;
 
-/// Descriptors of neither clients nor backends: standard streams, poll, listener, signals, discovery, peers,
-/// and a reserve for descriptors that are opened before others are closed.
+/// Descriptors that are not available for connections of clients and backends: standard streams, poll,
+/// listener, signals, discovery, peers, and a reserve for descriptors that are opened before others are
+/// closed.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// Clients that are accepted beyond the budget to be sent a rejection.
+/// Maximum number of clients that are accepted beyond the budget, in order to send them a rejection.
 const MAX_OVER_LIMIT_CLIENTS: usize = 8;
-/// The fewest connections that an ingress can serve with.
+/// Minimum number of connections with which an ingress can serve requests.
 const MIN_CONNECTIONS: usize = 8;
-/// The greatest share of the budget for the clients, and for the backends, in percent.
+/// Maximum share of the budget for clients, and for backends, in percent.
 const MAX_SHARE_PERCENT: usize = 75;
 
-/// The limits on the connections of clients and backends.
+/// The limits on the number of client and backend connections.
 pub struct DescriptorBudget {
-    /// The most connections of clients and backends together.
+    /// Maximum number of client and backend connections together.
     max_connections: usize,
 }
 
-/// The descriptors that the system allows this process; none if they cannot be read.
+/// Returns the system's limit on the descriptors of this process, or `None` if it cannot be read.
 fn system_limit() -> Option<usize> {
     let limits = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = limits.lines().find_map(|line| line.strip_prefix("Max open files"))?;
@@ -29,8 +30,8 @@
 }
 
 impl DescriptorBudget {
-    /// The budget by the configuration, or by the system's limit if that is lower: connecting without a free
-    /// descriptor fails.
+    /// Creates a budget from the configured limit, or from the system's limit if that is lower: beyond it,
+    /// opening a connection would fail.
     pub fn new(configured: usize) -> Result<Self, EventLoopError> {
         let allowed = configured.min(system_limit().unwrap_or(usize::MAX));
         let max_connections = allowed.checked_sub(RESERVED_DESCRIPTORS + MAX_OVER_LIMIT_CLIENTS);
@@ -39,22 +40,22 @@
         Ok(DescriptorBudget { max_connections })
     }
 
-    /// The most sockets that can be ready at once.
+    /// Returns the maximum number of sockets that can be ready at once.
     pub fn max_sockets(&self) -> usize {
         self.max_connections + RESERVED_DESCRIPTORS + MAX_OVER_LIMIT_CLIENTS
     }
 
-    /// The most connections of either clients or backends.
+    /// Returns the maximum number of connections of clients, and of backends.
     fn max_share(&self) -> usize {
         self.max_connections * MAX_SHARE_PERCENT / 100
     }
 
-    /// Whether all connections are in use.
+    /// Returns whether the budget of connections is used up.
     fn is_exhausted(&self, clients: &Clients, backend_connections: &BackendConnections) -> bool {
         clients.len() + backend_connections.len() >= self.max_connections
     }
 
-    /// Whether one more client can be accepted, if need be by closing an idle connection.
+    /// Returns whether one more client can be accepted, and closes an idle connection if necessary.
     pub fn capacity_for_client(
         &self,
         clients: &mut Clients,
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Whether one more connection to a backend can be opened, if need be after closing an idle connection.
+    /// Returns whether one more connection to a backend can be opened, and closes an idle connection if
+    /// necessary.
     pub fn reserve_for_backend(
         &self,
         clients: &mut Clients,
--- a/src/bin/ingress/event_loop/request_entries.rs
+++ b/src/bin/ingress/event_loop/request_entries.rs
@@ -1,4 +1,4 @@
-//! The requests in work, with their attempts and the memory that they take.
+//! The requests that are open or have attempts in flight, with their attempts and memory.
 
 use crate::backends::ConnectionId;
 use crate::clients::ReplyHandle;
@@ -10,21 +10,21 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::BuildHasher;
 
-/// How long the id of a request is remembered after its end, to reject a second request with the same id.
+/// Time for which the id of an ended request is kept, to reject a second request with the same id.
 const ENDED_ID_RETENTION: Duration = Duration::from_secs(1);
 
 /// The settings that limit the attempts of a request.
 pub struct AttemptLimits {
-    /// Whether requests of a class may be executed again, by class.
+    /// Whether requests may be executed more than once, by class index.
     idempotency: Vec<Idempotency>,
-    /// Whether two attempts may be in flight together.
+    /// Whether two attempts of a request may be in flight at once.
     hedging: bool,
-    /// The most attempts of a request.
+    /// Maximum number of attempts per request.
     max_attempts: usize,
 }
 
 impl AttemptLimits {
-    /// The limits that the settings name.
+    /// Returns the limits of these settings.
     pub fn new(settings: &Settings) -> AttemptLimits {
         AttemptLimits {
             idempotency: settings.classes.iter().map(|class| class.idempotency).collect(),
@@ -34,26 +34,25 @@
     }
 }
 
-/// An attempt of a request.
+/// An attempt of a request, whether in flight or ended.
 pub struct AttemptEntry {
-    /// The backend that it is sent to.
     pub backend: BackendId,
-    /// When it was sent.
+    /// The time at which the attempt was sent.
     pub started_at: Instant,
-    /// When it times out.
+    /// The time at which the attempt times out.
     pub expires_at: Instant,
-    /// The latest time for writing its first byte, which the gateway relies on.
+    /// The latest time for writing the first byte, which the gateway relies on.
     pub begins_by: Instant,
-    /// Its connection, while it is in flight.
+    /// The attempt's connection, while the attempt is in flight.
     pub connection: Option<ConnectionId>,
-    /// Its first byte was written.
+    /// Whether the first byte was written.
     pub has_begun: bool,
-    /// It has begun, and no outcome proves that it was not executed.
+    /// Whether the first byte was written and no outcome proves that the attempt was not executed.
     pub may_have_executed: bool,
 }
 
 impl AttemptEntry {
-    /// An attempt that has no connection yet.
+    /// Creates an attempt without a connection.
     pub fn new(backend: BackendId, started_at: Instant, expires_at: Instant, begins_by: Instant) -> Self {
         AttemptEntry {
             backend,
@@ -69,24 +68,23 @@
 
 /// A request that has no final reply yet, or has attempts in flight.
 pub struct RequestEntry {
-    /// The client's command.
     pub command: Command,
-    /// Where the reply goes.
+    /// The place of the reply on the client's connection.
     pub reply_to: ReplyHandle,
-    /// When the final reply has to be known.
+    /// The latest time for the final reply, before the client's deadline by the time that a reply takes.
     pub deadline: Instant,
-    /// All attempts so far; an attempt's number is its place here.
+    /// All attempts so far; an attempt's number is its index.
     pub attempts: Vec<AttemptEntry>,
-    /// No reply is owed any more: it has its final reply, or its client has disconnected.
+    /// Whether no reply is owed: the final reply was sent, or the client has disconnected.
     pub closed: bool,
-    /// The record that the audit checks.
     pub audit: RequestAudit,
-    /// The hash of the id that its client gave it.
+    /// The hash of the request id from the client.
     pub id_hash: IdHash,
 }
 
 impl RequestEntry {
-    /// Whether one more attempt may be sent, judged by the attempts that were written.
+    /// Returns an error if no further attempt may be sent. Only attempts whose first byte was written may
+    /// have been executed.
     pub fn may_send(&self, limits: &AttemptLimits) -> Result<AttemptKind, AttemptRefusal> {
         let class = usize::from(self.command.request.class);
         permissions::may_start_attempt(&AttemptContext {
@@ -108,7 +106,8 @@
         }
     }
 
-    /// Records how an attempt has ended. One whose first byte was not written was not executed in any case.
+    /// Records the end of an attempt. An attempt whose first byte was not written was not executed, whatever
+    /// the outcome.
     pub fn record_end(&mut self, number: u16, outcome: Outcome) {
         let attempt = self.attempts.get_mut(usize::from(number));
         if let Some(attempt) = attempt.filter(|attempt| attempt.has_begun) {
@@ -116,44 +115,42 @@
         }
     }
 
-    /// Whether any attempt is in flight.
     fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.connection.is_some())
     }
 }
 
-/// The hash of the id that a client has given its request.
+/// The hash of the request id from the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct IdHash(u64);
 
-/// The id of a request that has ended.
+/// The id of an ended request.
 struct EndedId {
-    /// When the id may be used again.
+    /// The time from which the id may be used again.
     expires_at: Instant,
-    /// The hash of the id that its client gave it.
+    /// The hash of the request id from the client.
     id_hash: IdHash,
 }
 
-/// The requests of all clients that are in work.
+/// The requests of all clients that are open or have attempts in flight.
 pub struct RequestEntries {
-    /// By their ids.
     requests: HashMap<RequestId, RequestEntry>,
-    /// The ids of these requests, and of those that ended a short while ago.
+    /// The ids of `requests` and `ended_ids`.
     known_ids: HashSet<IdHash>,
-    /// The ids of requests that have ended, the oldest first.
+    /// The ids of recently ended requests, oldest first.
     ended_ids: VecDeque<EndedId>,
-    /// Hashes ids; its keys are random, so that clients cannot provoke collisions.
+    /// Hashes ids with random keys, so that clients cannot provoke collisions.
     hasher: RandomState,
-    /// The bytes that the requests take.
+    /// Memory of all requests, in bytes.
     memory: usize,
-    /// The most bytes that the requests may take.
+    /// Maximum of `memory`, in bytes.
     max_memory: usize,
-    /// The most requests in work.
+    /// Maximum number of `requests`.
     max_requests: usize,
 }
 
 impl RequestEntries {
-    /// An empty table with limits on the requests and on their bytes.
+    /// Creates an empty table with limits on the number of requests and on their memory in bytes.
     pub fn new(max_requests: usize, max_memory: usize) -> Self {
         RequestEntries {
             requests: HashMap::new(),
@@ -166,72 +163,70 @@
         }
     }
 
-    /// The hash of the id that a command gives its request.
+    /// Returns the hash of the request id in a command.
     pub fn hash_id(&self, command: &Command) -> IdHash {
         IdHash(self.hasher.hash_one(command.client_request_id()))
     }
 
-    /// Whether a request with this id is in work, or was a short while ago.
+    /// Returns whether a request with this id is in the table or ended recently.
     pub fn is_known(&self, id_hash: IdHash) -> bool {
         self.known_ids.contains(&id_hash)
     }
 
-    /// Whether the limits allow one more request.
+    /// Returns whether the limits allow one more request, made by `command`.
     pub fn has_capacity_for(&self, command: &Command) -> bool {
         self.requests.len() < self.max_requests && self.memory + command.memory_size() <= self.max_memory
     }
 
-    /// Adds a request.
     pub fn insert(&mut self, id: RequestId, request: RequestEntry) {
         self.memory += request.command.memory_size();
         self.known_ids.insert(request.id_hash);
         self.requests.insert(id, request);
     }
 
-    /// A request.
     pub fn get(&self, id: RequestId) -> Option<&RequestEntry> {
         self.requests.get(&id)
     }
 
-    /// A request, to be changed.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
         self.requests.get_mut(&id)
     }
 
-    /// The number of requests in work.
+    /// Returns the number of requests, closed ones with attempts in flight included.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// The ids of the requests in work, in no order.
+    /// Returns the ids of all requests, in arbitrary order.
     pub fn ids(&self) -> Vec<RequestId> {
         self.requests.keys().copied().collect()
     }
 
-    /// Whether a request's client is still owed a reply.
+    /// Returns whether a request is owed a reply.
     pub fn is_open(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|request| !request.closed)
     }
 
-    /// The requests whose clients are still owed a reply.
+    /// Returns the ids of the requests that are owed a reply.
     pub fn open_ids(&self) -> Vec<RequestId> {
         let open = self.requests.iter().filter(|(_, request)| !request.closed);
         open.map(|(id, _)| *id).collect()
     }
 
-    /// Whether any client is still owed a reply.
+    /// Returns whether any request is owed a reply.
     pub fn any_open(&self) -> bool {
         self.requests.values().any(|request| !request.closed)
     }
 
-    /// Closes a request and returns where its reply goes; none if it was closed before.
+    /// Closes a request and returns the place of its reply, or `None` if the request is already closed or
+    /// removed.
     pub fn close(&mut self, id: RequestId) -> Option<ReplyHandle> {
         let request = self.requests.get_mut(&id).filter(|request| !request.closed)?;
         request.closed = true;
         Some(request.reply_to)
     }
 
-    /// Removes a request that is closed and has no attempt in flight.
+    /// Removes a request if it is closed and has no attempt in flight.
     pub fn remove_if_finished(&mut self, id: RequestId, now: Instant) {
         let finished =
             self.requests.get(&id).is_some_and(|request| request.closed && !request.is_in_flight());
@@ -245,7 +240,7 @@
         }
     }
 
-    /// Removes the ids of requests whose time of retention is over.
+    /// Removes the ids of ended requests whose retention time has passed.
     pub fn expire_ended_ids(&mut self, now: Instant) {
         while let Some(ended) = self.ended_ids.front().filter(|ended| ended.expires_at <= now) {
             self.known_ids.remove(&ended.id_hash);
--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -1,76 +1,76 @@
-//! The phases of the graceful shutdown and their times.
+//! The phases of the graceful shutdown and their timing.
 
 use crate::clients::{AcceptOutcome, Clients};
 use ingress::{Duration, Instant};
 
-/// By the protocol (planned restarts), clients open new connections for at most this long after SIGTERM, in
+/// Maximum time after SIGTERM in which clients open new connections, by the protocol for planned restarts, in
 /// milliseconds.
 const CONNECTING_MILLIS: u64 = 400;
-/// By the protocol, SIGKILL comes no sooner than this after the longest deadline of a request has passed
-/// since SIGTERM, in milliseconds.
+/// Minimum time between the longest deadline of a request, counted from SIGTERM, and SIGKILL, by the
+/// protocol, in milliseconds.
 const KILL_DELAY_MILLIS: u64 = 700;
-/// The part of [`KILL_DELAY_MILLIS`] for which requests are served after the longest deadline, in
+/// The part of [`KILL_DELAY_MILLIS`] in which requests are still served after the longest deadline, in
 /// milliseconds.
 const REPLY_MARGIN_MILLIS: u64 = 400;
 
-/// How long connections are accepted at least after the signal: 100 ms longer than clients open them, since
-/// some notice the shutdown late.
+/// Minimum time after the signal in which connections are accepted: 100 ms longer than clients open them,
+/// since some clients detect the shutdown late.
 pub const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(CONNECTING_MILLIS + 100);
-/// After that, accepting ends once no connection was opened for this long.
+/// After [`MIN_ACCEPTING_TIME`], the listener is closed when no connection was accepted for this time.
 const ACCEPT_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The interval of that check.
+/// Interval at which the idle time of the listener is checked.
 pub const ACCEPTING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long before the reply deadline accepting ends at the latest: a later connection's request could hardly
-/// be served.
+/// Minimum time between closing the listener and the reply deadline: a request on a later connection could
+/// hardly be served.
 const ACCEPTING_END_MARGIN: Duration = Duration::from_millis(500);
-/// How long, while draining, the rest of an incomplete command is waited for.
+/// Maximum time, while draining, for the rest of an incomplete command to arrive.
 const INCOMPLETE_COMMAND_TIME: Duration = Duration::from_secs(1);
-/// How long, while draining, clients may take to read their replies.
+/// Maximum time, while draining, for clients to read their replies.
 pub const MAX_DRAINING_TIME: Duration = Duration::from_secs(2);
-/// The longest deadline of a request that the shutdown waits for. By the protocol, SIGKILL does not wait for
-/// a longer one.
+/// Maximum deadline of a request that the shutdown waits for. By the protocol, SIGKILL does not wait for a
+/// longer one.
 const MAX_REPLY_DEADLINE: Duration = Duration::from_secs(3);
-/// How long after that deadline the last requests are failed.
+/// Time between the longest deadline of a request and the reply deadline, at which open requests are failed.
 const REPLY_MARGIN: Duration = Duration::from_millis(REPLY_MARGIN_MILLIS);
-/// How long after the reply deadline the process ends, even if clients still send: half of the time that is
-/// left until SIGKILL.
+/// Time between the reply deadline and the exit, even if clients are still sending: half of the time that
+/// remains until SIGKILL.
 const EXIT_MARGIN: Duration = Duration::from_millis((KILL_DELAY_MILLIS - REPLY_MARGIN_MILLIS) / 2);
 
 /// The phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// No signal to stop was received.
+    /// No signal to shut down was received.
     Running,
-    /// The signal was received. Connections are still accepted, and requests served.
+    /// The signal was received. Connections are still accepted and requests served.
     Accepting {
-        /// When requests are no longer served, and the open ones are failed.
+        /// The time from which requests are not served; open ones are failed.
         reply_deadline: Instant,
     },
-    /// The listener is closed. Requests are still served; connections are closed as soon as they are idle.
+    /// The listener is closed. Requests are still served, and connections are closed when they become idle.
     Draining {
         /// As in [`Phase::Accepting`].
         reply_deadline: Instant,
-        /// When the listener was closed.
+        /// The time at which the listener was closed.
         since: Instant,
     },
 }
 
 /// The state of the graceful shutdown.
 pub struct Shutdown {
-    /// The current phase.
     pub(super) phase: Phase,
-    /// How long requests are served after the signal.
+    /// Time after the signal in which requests are served.
     reply_time: Duration,
 }
 
 impl Shutdown {
-    /// Before the shutdown; `longest_deadline` is the longest of all request classes.
+    /// Creates the state of a running process. `longest_deadline` is the maximum deadline over all request
+    /// classes.
     pub fn new(longest_deadline: Duration) -> Self {
         let reply_time = longest_deadline.min(MAX_REPLY_DEADLINE) + REPLY_MARGIN;
         Shutdown { phase: Phase::Running, reply_time }
     }
 
-    /// Begins the shutdown and returns the reply deadline; none if it has begun before.
+    /// Begins the shutdown and returns the reply deadline, or `None` if it has already begun.
     pub fn begin(&mut self, now: Instant) -> Option<Instant> {
         if self.has_begun() {
             return None;
@@ -80,17 +80,17 @@
         Some(reply_deadline)
     }
 
-    /// Whether the signal was received.
+    /// Returns whether the signal was received.
     pub fn has_begun(&self) -> bool {
         self.phase != Phase::Running
     }
 
-    /// Whether the listener is closed.
+    /// Returns whether the listener is closed.
     pub fn is_draining(&self) -> bool {
         matches!(self.phase, Phase::Draining { .. })
     }
 
-    /// When requests are no longer served; never, while running.
+    /// Returns the time from which requests are not served: [`Instant::FAR_FUTURE`] while running.
     fn reply_deadline(&self) -> Instant {
         match self.phase {
             Phase::Running => Instant::FAR_FUTURE,
@@ -98,18 +98,18 @@
         }
     }
 
-    /// Whether requests are no longer served.
+    /// Returns whether requests are no longer served.
     pub fn is_past_reply_deadline(&self, now: Instant) -> bool {
         now >= self.reply_deadline()
     }
 
-    /// Whether the process has to end, even with requests or connections open.
+    /// Returns whether the process has to exit, even with open requests or connections.
     pub fn must_exit(&self, now: Instant) -> bool {
         now >= self.reply_deadline() + EXIT_MARGIN
     }
 
-    /// Whether to go on accepting connections: more are waiting, or the latest one was opened a short while
-    /// ago.
+    /// Returns whether to continue accepting connections: time is left, and connections are waiting or the
+    /// latest one was accepted recently.
     pub fn should_keep_accepting(
         &self,
         now: Instant,
@@ -120,17 +120,16 @@
         arriving && now + ACCEPTING_END_MARGIN < self.reply_deadline()
     }
 
-    /// Begins to drain: the listener is closed.
+    /// Enters [`Phase::Draining`]; the caller closes the listener.
     pub fn start_draining(&mut self, now: Instant) {
         self.phase = Phase::Draining { reply_deadline: self.reply_deadline(), since: now };
     }
 
-    /// Whether no client is left, or none that is waited for any longer.
+    /// Returns whether no client is left that the process waits for.
     pub fn can_exit(&self, now: Instant, clients: &Clients) -> bool {
         let Phase::Draining { since, .. } = self.phase else { return false };
         let waited = now.duration_since(since);
-        // An incomplete command, or replies that are not read, would otherwise delay the process until it is
-        // killed.
+        // Without these limits, an incomplete command or unread replies would delay the exit until SIGKILL.
         clients.len() == 0
             || (waited > INCOMPLETE_COMMAND_TIME && clients.busy_count() == 0)
             || waited > MAX_DRAINING_TIME
--- a/src/bin/ingress/event_loop/source.rs
+++ b/src/bin/ingress/event_loop/source.rs
@@ -1,30 +1,27 @@
-//! The sockets that the poll watches, and their tokens.
+//! The sockets that are registered with the poll, and their tokens.
 
 use crate::readiness::Readiness;
 use mio::event::Event;
 use mio::Token;
 
-/// The token of the listener.
 const LISTENER: Token = Token(0);
-/// The token of the signals.
 const SIGNALS: Token = Token(1);
-/// The token of the connection to discovery.
 const DISCOVERY: Token = Token(2);
-/// The token of the socket for gossip.
 const PEERS: Token = Token(3);
-/// The first token of a connection; from here on, even tokens are clients and odd ones backends.
+/// The first token of a connection of a client or to a backend. From here on, even tokens belong to clients
+/// and odd ones to backends.
 const FIRST_CONNECTION: usize = 4;
 
-/// The socket behind a token.
+/// A socket that is registered with the poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The listener for clients.
+    /// The listening socket for clients.
     Listener,
-    /// The signals to the process.
+    /// The signals that the process receives.
     Signals,
     /// The connection to discovery.
     Discovery,
-    /// The socket for messages of peers.
+    /// The UDP socket for messages of peers.
     Peers,
     /// The connection of a client, by its key in `Clients`.
     Client(usize),
@@ -65,25 +62,23 @@
     }
 }
 
-/// A socket that is ready.
+/// A readiness event of a socket.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadySocket {
-    /// As the poll reported it.
+    /// The token that the poll reported.
     token: Token,
-    /// Whether it can be written to.
     pub readiness: Readiness,
-    /// The other side has closed its end, or the connection has failed.
+    /// Whether the other side has closed its end, or the connection has failed.
     pub closed: bool,
 }
 
 impl ReadySocket {
-    /// The socket.
     pub fn source(&self) -> Source {
         self.token.into()
     }
 
-    /// Its place in the order of processing: changes of the endpoint list come before attempts are sent,
-    /// replies of backends before new commands of clients.
+    /// Returns the socket's rank in the order of processing: changes of the endpoint list before attempts are
+    /// sent, replies of backends before new commands of clients.
     fn processing_order(&self) -> u8 {
         match self.source() {
             Source::Discovery => 0,
@@ -94,8 +89,8 @@
     }
 }
 
-/// Sorts sockets into the order of processing; those of one kind stay in the order in which they became
-/// ready.
+/// Sorts sockets into the order of processing. Sockets of the same rank stay in the order in which they
+/// became ready.
 pub fn sort_for_processing(ready: &mut [ReadySocket]) {
     ready.sort_by_key(ReadySocket::processing_order);
 }
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -26,25 +26,22 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Requests may take this part of the memory, and the buffers of clients' connections as much again, as a
-/// divisor.
+/// Part of the memory that requests may take, as a divisor. The buffers of client connections may take the
+/// same amount.
 const MEMORY_DIVISOR: usize = 4;
 
-/// The sockets that are open from the start on.
+/// The sockets that are opened at startup.
 struct Sockets {
-    /// Reports which sockets are ready.
     poll: Poll,
-    /// The listener for clients.
     listener: TcpListener,
     /// The socket for gossip; none where the settings allow no messages between gateways.
     peers: Option<PeerSocket>,
-    /// The signals to the process.
     signals: Signals,
 }
 
 impl EventLoop {
-    /// Opens the sockets. From then on clients can connect; they are served once [`EventLoop::run`] runs.
-    /// Calls that fail for a moment are retried.
+    /// Opens the sockets, so that clients can connect; they are served once [`EventLoop::run`] runs. System
+    /// calls that fail with a transient error are retried.
     pub fn start(
         mut config: Config,
         reload: Reload,
@@ -108,22 +105,22 @@
     }
 }
 
-/// The token of a client's connection.
+/// Returns the token of a client's connection.
 fn client_token(key: usize) -> Token {
     Source::Client(key).into()
 }
 
-/// The token of a connection to a backend.
+/// Returns the token of a connection to a backend.
 fn backend_token(key: usize) -> Token {
     Source::Backend(key).into()
 }
 
-/// The longest deadline of all request classes.
+/// Returns the maximum deadline over all request classes.
 fn longest_deadline(settings: &Settings) -> Duration {
     settings.classes.iter().map(|class| class.deadline).max().unwrap_or(Duration::ZERO)
 }
 
-/// How the watch on the endpoint list behaves.
+/// Returns the options of the watch on the endpoint list.
 fn watch_options(config: &Config, now: Instant) -> WatchOptions {
     WatchOptions {
         timings: poll_timings(&config.settings),
@@ -133,13 +130,13 @@
     }
 }
 
-/// Opens the socket at which clients connect, and registers it.
+/// Opens the listening socket for clients and registers it.
 fn listen(
     address: SocketAddr,
     registry: &Registry,
     retry: StartRetry,
 ) -> Result<TcpListener, EventLoopError> {
-    // mio takes a source whose registration failed for registered: only a new one can be registered.
+    // mio treats a source as registered even if its registration failed, so a new one is opened for a retry.
     let open = || {
         let mut listener = TcpListener::bind(address)?;
         registry.register(&mut listener, Source::Listener.into(), Interest::READABLE)?;
@@ -148,7 +145,7 @@
     retry.run(open).map_err(|source| EventLoopError::Listen { address, source })
 }
 
-/// Registers the signals, whose handlers are installed already.
+/// Registers the signals, whose handlers are already installed.
 fn register_signals(
     signals: &mut Signals,
     registry: &Registry,
@@ -164,7 +161,7 @@
     retry.run(register).map_err(EventLoopError::Poll)
 }
 
-/// Opens the socket for messages of peers, and registers it.
+/// Opens the socket for messages of peers and registers it.
 fn bind_peers(
     addresses: &PeerAddresses,
     registry: &Registry,
@@ -176,7 +173,7 @@
         .map_err(|source| EventLoopError::BindPeers { address, source })
 }
 
-/// How polls of discovery are retried: it is shared by all gateways, or an agent on this machine.
+/// Returns the timings of polls, by whether discovery is shared by all gateways or an agent on this machine.
 fn poll_timings(settings: &Settings) -> PollTimings {
     match settings.discovery {
         Discovery::SharedService => {
--- a/src/bin/ingress/event_loop/timer_queue.rs
+++ b/src/bin/ingress/event_loop/timer_queue.rs
@@ -1,61 +1,58 @@
-//! The timers of the event loop.
+//! The queue of scheduled timers of the event loop.
 
 use crate::backends::{AttemptId, ConnectionId};
 use ingress::{Instant, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What a timer is for. Of timers due at the same time, those of an earlier variant run first.
+/// The purpose of a timer. Of timers that are due at the same time, those of an earlier variant run first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// Wakes the gateway with its own token.
+    /// A timer of the gateway, with the gateway's token.
     Gateway(u32),
-    /// An attempt times out.
+    /// An attempt reaches its timeout.
     AttemptTimeout(AttemptId),
-    /// A client's timeout ends.
+    /// A request reaches its client's deadline.
     ClientDeadline(RequestId),
-    /// The time for establishing a connection and writing the command of its attempt ends.
+    /// The time for establishing a connection and writing the attempt's command is over.
     ConnectTimeout(ConnectionId, AttemptId),
-    /// Expired connections and ids are removed.
+    /// Expired connections and ids are to be removed.
     Sweep,
-    /// Accepting is retried after it has failed.
+    /// Accepting is to be retried after a failure.
     RetryAccept,
-    /// Reading the configuration is retried after it has failed.
+    /// Reading the configuration is to be retried after a failure.
     RetryReload,
-    /// During the shutdown: the listener is closed unless clients still connect.
+    /// During the shutdown: the listener is to be closed unless clients are still connecting.
     CheckAccepting,
-    /// During the shutdown: requests without a reply are failed.
+    /// During the shutdown: requests without a reply are to be failed.
     ReplyDeadline,
 }
 
-/// A timer with its time; ordered by the time, then by the timer.
+/// A timer with its due time; ordered by the time, then by the timer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledTimer {
-    /// When it is due.
     due_at: Instant,
-    /// What it is for.
     timer: Timer,
 }
 
-/// The timers that are set.
+/// The scheduled timers.
 #[derive(Default)]
 pub struct TimerQueue {
-    /// A heap with the earliest timer on top; of those due at one time, the earlier variant.
+    /// A heap with the earliest timer on top; of timers due at the same time, the earlier variant.
     heap: BinaryHeap<Reverse<ScheduledTimer>>,
 }
 
 impl TimerQueue {
-    /// Sets a timer.
     pub fn schedule(&mut self, due_at: Instant, timer: Timer) {
         self.heap.push(Reverse(ScheduledTimer { due_at, timer }));
     }
 
-    /// When the earliest timer is due; none where none is set.
+    /// Returns the due time of the earliest timer, or `None` if no timer is scheduled.
     pub fn next_due_at(&self) -> Option<Instant> {
         self.heap.peek().map(|Reverse(earliest)| earliest.due_at)
     }
 
-    /// Removes the timers that are due and returns them in order.
+    /// Removes and returns the timers that are due, in order.
     pub fn take_due(&mut self, now: Instant) -> Vec<Timer> {
         let mut due = Vec::new();
         while self.next_due_at().is_some_and(|due_at| due_at <= now) {
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -1,4 +1,4 @@
-//! Runs the timers, among them the steps of the graceful shutdown.
+//! Runs the timers, which include the steps of the graceful shutdown.
 
 use super::client_events::MissedAnswer;
 use super::clock::unix_time;
@@ -8,14 +8,13 @@
 use crate::clients::{AcceptOutcome, Accepting};
 use ingress::{Duration, Event};
 
-/// How often expired connections and ids are removed.
+/// Interval at which expired connections and ids are removed.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// The most batches of connections that are accepted before the listener is closed: more than its queue
-/// holds.
+/// Maximum number of batches that are accepted before the listener is closed: more than its queue holds.
 const MAX_FINAL_ACCEPTS: usize = 64;
 
 impl EventLoop {
-    /// Runs the timers that are due. Timers that they set run in a later iteration.
+    /// Runs the timers that are due. Timers that these schedule run in a later iteration.
     pub(super) fn run_due_timers(&mut self) {
         for timer in self.timers.take_due(self.now) {
             self.run_timer(timer);
@@ -23,7 +22,6 @@
         }
     }
 
-    /// Runs one timer.
     fn run_timer(&mut self, timer: Timer) {
         match timer {
             Timer::Gateway(token) => self.pending_events.push_back(Event::Timer(token)),
@@ -56,15 +54,16 @@
         self.timers.schedule(self.now + SWEEP_INTERVAL, Timer::Sweep);
     }
 
-    /// Accepts what waits, and goes on accepting while clients still connect; closes the listener otherwise.
+    /// Accepts waiting connections, and schedules the next check while clients are still connecting; closes
+    /// the listener otherwise.
     fn check_accepting(&mut self) {
         let mut accepted = self.accept();
         if self.shutdown.should_keep_accepting(self.now, accepted, self.clients.last_accepted_at) {
             self.clients.close_when_idle(self.now, Accepting::Continue);
             self.timers.schedule(self.now + ACCEPTING_CHECK_INTERVAL, Timer::CheckAccepting);
         } else {
-            // Closing the listener resets the connections in its queue, and their requests are lost: accept
-            // them first.
+            // Closing the listener resets the connections in its queue, and their requests would be lost, so
+            // they are accepted first.
             for _ in 0..MAX_FINAL_ACCEPTS {
                 if accepted == AcceptOutcome::QueueEmpty {
                     break;
@@ -79,13 +78,14 @@
         self.process_client_events();
     }
 
-    /// Reads and answers what clients have sent by now, once all earlier requests are answered; returns
-    /// whether the process can end: all requests are answered, and no client is left that is waited for.
+    /// Once all earlier requests are answered, handles the commands that clients have sent since; returns
+    /// whether the process can exit: all requests are answered, and no client is left that the process waits
+    /// for.
     pub(super) fn drain_and_check_finished(&mut self) -> bool {
         if !self.is_drained() {
             return false;
         }
-        // Commands that clients have sent but that were not read yet are answered before the process ends.
+        // Commands that clients have sent but that were not read yet are answered before the exit.
         self.clients.read_all(self.now);
         self.process_client_events();
         self.clients.flush(self.now);
@@ -93,14 +93,14 @@
         self.is_drained()
     }
 
-    /// Logs the end of the process: `drained`, or forced since the time for that is over.
+    /// Logs the exit of the process: `drained`, or forced because the time for the shutdown is over.
     pub(super) fn log_finished(&self, drained: bool) {
         let (open_requests, clients) = (self.requests.open_ids().len(), self.clients.len());
         tracing::info!(target: "shutdown", drained, open_requests, clients, "finished");
     }
 
-    /// Whether the listener is closed, all requests are answered that were read so far, and no client is
-    /// waited for.
+    /// Returns whether the listener is closed, all requests read so far are answered, and no client is left
+    /// that the process waits for.
     fn is_drained(&self) -> bool {
         self.shutdown.is_draining()
             && !self.requests.any_open()
--- a/src/bin/ingress/main.rs
+++ b/src/bin/ingress/main.rs
@@ -1,4 +1,4 @@
-//! The ingress: connects one gateway with the sockets of clients, backends, discovery and peers.
+//! The ingress process: connects one gateway with the sockets of clients, backends, discovery and peers.
 
 mod backends;
 mod clients;
@@ -23,27 +23,28 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The environment variable with the path of the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
 
-/// Why the ingress could not start or had to end.
+/// An error that prevents the start of the ingress or ends it.
 #[derive(Debug, Error)]
 enum IngressError {
-    /// The environment variable is not set.
+    /// [`CONFIG_VARIABLE`] is not set.
     #[error("{CONFIG_VARIABLE} is not set")]
     NoConfigFile,
     /// The configuration file cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigFileError),
-    /// The event loop could not start or go on.
+    /// The event loop failed, while starting or running.
     #[error(transparent)]
     EventLoop(#[from] EventLoopError),
 }
 
-/// Starts the ingress and runs it to its end.
+/// Starts the ingress and runs it until it has shut down.
 fn run() -> Result<(), IngressError> {
     let path = environment_variable(CONFIG_VARIABLE).ok_or(IngressError::NoConfigFile)?;
-    // From here on no signal ends the process: the event loop handles those that arrive while it starts.
+    // Registered first, so that a signal during startup does not kill the process: the event loop handles it
+    // later.
     let retry = StartRetry::new();
     let signals = event_loop::register_signals(retry)?;
     let text = retry.run(|| std::fs::read_to_string(&path));
@@ -53,7 +54,7 @@
 }
 
 fn main() -> ExitCode {
-    // Dropped last, which writes the buffered lines.
+    // Dropped last: dropping the guard writes the buffered lines.
     let _log = logging::start(environment_variable(logging::LEVEL_VARIABLE));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
