--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,19 +1,17 @@
-//! A gateway: it takes events, asks the components that decide in a fixed order, and turns their decisions
-//! into actions.
+//! Handles events: calls the policy components in a fixed order and turns their decisions into actions.
 //!
-//! Each rule stands in the file of its concern under `src/policy`, with its inputs. What is left to these
-//! files is the order: queued requests are sent first in, first out, and a stall of the host is followed by
-//! answers to what is overdue. They follow the events:
+//! The rules and their inputs are in `src/policy`. The files here define only the order of the steps: queued
+//! requests are sent first in, first out, and after a stall of the host, overdue requests are answered first.
 //!
 //! | event or duty | file |
 //! | --- | --- |
-//! | a request comes, waits for a grant, or is queued | `gateway/admission.rs` |
+//! | a request arrives, waits for a grant, or is queued | `gateway/admission.rs` |
 //! | an attempt is sent | `gateway/forwarding.rs` |
-//! | an attempt ends, is late, or is repeated | `gateway/attempts.rs` |
+//! | an attempt ends, is late, or is followed by a retry or hedge | `gateway/attempts.rs` |
 //! | a request gets its final answer, or its client disconnects | `gateway/closing.rs` |
 //! | the health of backends changes | `gateway/backend_health.rs` |
-//! | the endpoint list changes, discovery is to be polled | `gateway/endpoints.rs` |
-//! | a peer sends a message, or is to be sent one | `gateway/peers.rs` |
+//! | the endpoint list changes, or a poll of discovery is due | `gateway/endpoints.rs` |
+//! | a message is received from a peer or sent to one | `gateway/peers.rs` |
 
 mod admission;
 mod attempts;
@@ -31,50 +29,53 @@
 use crate::state::{BackendTable, RequestTable};
 use crate::{Action, Class, Event, Instant, Plan, Request, RequestId, Settings};
 
-/// The token of the one timer that a gateway uses.
+/// Token of the only timer that a gateway sets.
 const WAKE_UP_TOKEN: u32 = 0;
 
-/// One gateway's decisions. Feed it events with [`Gateway::handle`], and do what it asks.
+/// The decision logic of one gateway: handles events and returns the actions for the host to execute.
+///
+/// It has no clock, sockets or threads of its own; the host calls [`Gateway::handle`] for each event.
 #[derive(Default)]
 pub struct Gateway {
-    /// What the deployment permits and wants.
     pub(crate) settings: Settings,
-    /// How many gateways there are, at least 1.
+    /// Number of gateways in the fleet, at least 1.
     pub(crate) fleet_size: u64,
-    /// Counted up for each draw; the seed is its first value.
+    /// Incremented for each draw; starts at the seed of the gateway.
     pub(crate) seed_counter: u64,
-    /// The host's clock at the latest event; it never goes back.
+    /// Time of the latest event; never decreases.
     pub(crate) now: Instant,
-    /// When all that depends on time alone is looked at next.
+    /// Schedule of the checks that depend on time alone.
     wake_ups: WakeUpSchedule,
-    /// When the host last went on after it had stood still: latencies found with that event say nothing.
+    /// Time of the first event after the last stall of the host. Latencies reported with that event include
+    /// the stall and are ignored.
     pub(crate) resumed_at: Instant,
-    /// When discovery is polled, where the endpoint list does not come by itself.
+    /// Schedule of the polls of discovery, where changes of the endpoint list are not pushed.
     pub(crate) periodic_poll: PeriodicPoll,
-    /// Requests that are not finished, and their queue.
+    /// Unfinished requests and the queue of those that wait for a backend.
     pub(crate) requests: RequestTable,
-    /// Counts what customers use, and decides what they may use.
+    /// Counts the usage of customers and enforces their quotas.
     pub(crate) quota: QuotaManager,
-    /// Other gateways, and what waits to be sent to them.
+    /// State of the other gateways, and the messages queued for them.
     pub(crate) peers: PeerExchange,
-    /// Backends, their health and the index of the ready ones.
+    /// Backends with their health, indexed by readiness.
     pub(crate) backends: BackendTable,
-    /// Finds backends and zones that fail, and latencies that are not normal.
+    /// Detects failing backends and zones, and outlier latencies.
     pub(crate) outlier_detector: OutlierDetector,
     /// Chooses backends for attempts.
     pub(crate) load_balancer: LoadBalancer,
-    /// How far recent latencies are from the highest that pass for normal.
+    /// Mean ratio of recent latencies to the highest normal latency.
     pub(crate) pressure: Pressure,
-    /// Decides which customers are shed.
+    /// Selects the customers whose requests are shed.
     pub(crate) load_shedder: LoadShedder,
-    /// Limits the attempts in flight.
+    /// Limits the number of attempts in flight.
     pub(crate) concurrency_limiter: ConcurrencyLimiter,
-    /// Decides on further attempts.
+    /// Decides on retries and hedges.
     pub(crate) retry_policy: RetryPolicy,
 }
 
 impl Gateway {
-    /// A gateway that starts now and knows nothing yet. All that it draws at random follows from the seed.
+    /// Creates a gateway that starts at `now`, without backends or customers. All random draws are derived
+    /// from `seed`.
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Self {
         let fleet_size = u64::from(settings.gateway_count.max(1));
         let quota = QuotaManager::new(&settings, now);
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Takes one event at a time of the host's clock, and appends what the host is to do, in order.
+    /// Handles one event at the time `now` of the host's clock, and appends the actions that the host has to
+    /// execute in order.
     pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         if self.wake_ups.was_host_stalled(now) {
             self.resume(now, actions);
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Hands an event to the concern that decides on it.
+    /// Calls the handler of an event.
     fn dispatch_event(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Request(request) => self.on_request(request, actions),
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Looks at all that depends on time alone, in a fixed order.
+    /// Runs all checks that depend on time alone, in a fixed order.
     fn on_wake_up(&mut self, actions: &mut Vec<Action>) {
         self.check_due_requests(actions);
         self.expire_queued_requests(actions);
@@ -136,14 +138,14 @@
         self.poll_discovery(actions);
     }
 
-    /// Asks the host to wake this gateway again.
+    /// Requests a timer for the next wake-up.
     fn schedule_wake_up(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let delay = self.wake_ups.schedule_next(now);
         actions.push(Action::SetTimer { delay, token: WAKE_UP_TOKEN });
     }
 
-    /// Goes on after the host stood still: what is overdue is answered first, and no latency that was
-    /// measured meanwhile counts.
+    /// Resumes after a stall of the host: rejects or fails unsent requests that are overdue, and excludes
+    /// latencies that include the stall.
     fn resume(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let unsent = self.requests.iter().filter(|state| state.attempts.is_empty());
         let overdue = unsent.filter(|state| !self.can_be_queued(state, now));
@@ -154,7 +156,7 @@
         self.resumed_at = now;
     }
 
-    /// Moves the shedding stage, and reduces the concurrency limit, where the pressure asks for it.
+    /// Updates the shedding stage and reduces the concurrency limit, according to the pressure.
     fn update_shedding(&mut self, actions: &mut Vec<Action>) {
         let load = self.load();
         if let Some(from) = self.load_shedder.update_stage(self.now, &self.pressure) {
@@ -173,14 +175,14 @@
         }
     }
 
-    /// Records an answer's latency, as a ratio of the highest normal one, for load shedding and the
+    /// Records the ratio of an answer's latency to the highest normal latency, for load shedding and the
     /// concurrency limit.
     pub(crate) fn record_pressure(&mut self, latency_ratio: f64) {
         self.pressure.record(self.now, latency_ratio);
         self.concurrency_limiter.on_answer(&self.pressure, self.load());
     }
 
-    /// What is in flight, and what it may be spread over.
+    /// Returns the number of attempts in flight, and of the backends and gateways that share the load.
     pub(crate) fn load(&self) -> GatewayLoad {
         GatewayLoad {
             in_flight: self.requests.in_flight,
@@ -189,12 +191,12 @@
         }
     }
 
-    /// The class of a request that was found valid.
+    /// Returns the class of a screened request, whose class index is valid.
     pub(crate) fn class_of(&self, request: &Request) -> &Class {
         &self.settings.classes[usize::from(request.class)]
     }
 
-    /// The plan of a request that was found valid.
+    /// Returns the plan of a screened request, whose plan index is valid.
     pub(crate) fn plan_of(&self, request: &Request) -> &Plan {
         &self.settings.plans[usize::from(request.plan)]
     }
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,4 +1,4 @@
-//! Carries out admission: asks the components about a request in order, and turns what they decide into
+//! Admission of requests: calls the policy components for a request in order, and turns their decisions into
 //! actions.
 
 use crate::policy::admission::{
@@ -13,22 +13,22 @@
 use crate::state::{unit_draw, RequestState, MICROS_PER_SECOND};
 use crate::{Action, Duration, Gateway, Instant, Request, RequestId};
 
-/// What a look at an entry of the queue has found.
+/// Result of checking an entry of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum QueueCheck {
-    /// Its request waits for an attempt, and may wait longer.
+    /// The request waits for an attempt and has time left.
     StillQueued,
-    /// Its request has an attempt in flight, was closed or is forgotten.
+    /// The request has an attempt in flight, was closed, or was removed.
     NotQueued,
-    /// Its request had waited for as long as it may, and was ended.
+    /// The request exceeded its queue time and was rejected or failed.
     Expired,
 }
 
 impl Gateway {
-    /// Rejects a new request, admits it, or has it wait until its quota owners have answered.
+    /// Admits a new request, rejects it, or lets it wait for the answers of its quota owners.
     pub(crate) fn on_request(&mut self, mut request: Request, actions: &mut Vec<Action>) {
         if self.requests.contains(request.id) {
-            return; // delivered twice: the first one gets the answer
+            return; // A duplicate delivery: the first one is answered.
         }
         if let Err(reason) = self.screen(&request) {
             return self.push_rejection(request.id, reason, RetryAdvice::None, actions);
@@ -54,7 +54,7 @@
         self.begin_admission(request, observed.grant, actions);
     }
 
-    /// Decides on a request that passed load shedding, or has it wait for a grant.
+    /// Decides on a request that passed load shedding, or lets it wait for a grant.
     fn begin_admission(&mut self, request: Request, grant: GrantStatus, actions: &mut Vec<Action>) {
         let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
         match self.decide_arrival(&request, grant) {
@@ -79,7 +79,11 @@
         }
     }
 
-    /// Whether a request can be handled at all.
+    /// Checks that a request is valid and has time left.
+    ///
+    /// # Errors
+    ///
+    /// The reason for which the request is rejected.
     fn screen(&self, request: &Request) -> Result<(), RejectReason> {
         let context = ScreeningContext {
             now: self.now,
@@ -91,7 +95,7 @@
         context.screen()
     }
 
-    /// Whether load shedding admits a request.
+    /// Returns whether load shedding admits a request.
     fn passes_load_shedding(&self, request: &Request, activity: CustomerActivity) -> bool {
         self.load_shedder.admits(&SheddingContext {
             now: self.now,
@@ -102,7 +106,7 @@
         })
     }
 
-    /// Whether a new request is decided now or waits for a grant.
+    /// Returns whether to decide on a new request now or to wait for a grant.
     fn decide_arrival(&mut self, request: &Request, grant: GrantStatus) -> ArrivalDecision {
         let shortages = self.find_shortages(request);
         let context = ArrivalContext {
@@ -117,7 +121,7 @@
         context.decide()
     }
 
-    /// The limits of its customer's plan that do not allow a request now.
+    /// Returns the limits of the customer's plan that do not allow the request now.
     fn find_shortages(&mut self, request: &Request) -> Shortages {
         let unloaded_micros = self.outlier_detector.unloaded_micros(request.class.into());
         let answer_seconds = unloaded_micros / MICROS_PER_SECOND;
@@ -126,13 +130,14 @@
         self.quota.refill_and_find_shortages(&facts, |peer| peers.last_received_at(peer))
     }
 
-    /// The seed of the next draw.
+    /// Increments the seed counter and returns the seed of the next draw.
     pub(crate) fn next_seed(&mut self) -> u64 {
         self.seed_counter = self.seed_counter.wrapping_add(1);
         self.seed_counter
     }
 
-    /// Has a request wait until the quota owners have answered, or for as long as that may take.
+    /// Lets a request wait for a grant, schedules a check of the wait, and requests the grant unless the
+    /// answer to a recent request covers it.
     fn await_grant(
         &mut self,
         request: &Request,
@@ -148,12 +153,12 @@
         }
     }
 
-    /// How long a request that came at a time may wait for a grant.
+    /// Returns how long a request that arrived at `arrived_at` may wait for a grant.
     fn grant_wait(&self, request: &Request, arrived_at: Instant) -> Duration {
         grant_wait(arrived_at, request.deadline, self.class_of(request).latency_objective)
     }
 
-    /// Requests a grant once more, or decides by what is known here if the owners said nothing in time.
+    /// Requests the grant again, or decides on the local usage counts if the owners did not answer in time.
     pub(crate) fn check_awaited_grant(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get(id) else { return };
         let customer = state.request.customer;
@@ -165,8 +170,8 @@
         self.queue_usage_report(customer, ReportPurpose::GrantRequest, actions);
     }
 
-    /// Carries out what [`AdmissionContext`] decides on a request by tokens and capacity: admits it, rejects it,
-    /// or has it wait for a further answer of its quota owners.
+    /// Decides on a request by tokens and capacity with [`AdmissionContext`]: admits it, rejects it, or lets
+    /// it wait for the remaining answers of its quota owners.
     pub(crate) fn apply_admission(
         &mut self,
         id: RequestId,
@@ -204,7 +209,7 @@
         }
     }
 
-    /// Rejects a request, and tells the owners of its quota if they count on it.
+    /// Rejects a request, and reports to the quota owners that its units were not used if they charged them.
     fn reject_admission(
         &mut self,
         request: &Request,
@@ -224,7 +229,8 @@
         }
     }
 
-    /// Charges an admitted request, and sends it as soon as a backend may take it.
+    /// Charges an admitted request to its customer and queues it. It is sent as soon as a backend is
+    /// available.
     fn enqueue(&mut self, request: &Request, point: DecisionPoint, actions: &mut Vec<Action>) {
         self.load_shedder.record_admission();
         self.quota.charge(request.customer, request.units);
@@ -240,19 +246,19 @@
         self.expire_if_overdue(request.id, actions);
     }
 
-    /// Ends the wait for a grant of a request that did wait.
+    /// Removes a request from those awaiting a grant, if it was decided at [`DecisionPoint::GrantWait`].
     fn end_grant_wait(&mut self, request: &Request, point: DecisionPoint) {
         if point == DecisionPoint::GrantWait {
             self.quota.stop_awaiting_grant(request.customer, request.id);
         }
     }
 
-    /// Whether a request has the time to be queued.
+    /// Returns whether the deadline of a request leaves time for the queue.
     pub(crate) fn can_be_queued(&self, state: &RequestState, now: Instant) -> bool {
         has_time_to_wait(now, state.request.deadline, min_queue_time(self.settings.tick))
     }
 
-    /// Ends the queued requests that have waited for as long as they may.
+    /// Rejects or fails the queued requests that exceeded their queue time.
     pub(crate) fn expire_queued_requests(&mut self, actions: &mut Vec<Action>) {
         for id in std::mem::take(&mut self.requests.queue) {
             if self.expire_if_overdue(id, actions) == QueueCheck::StillQueued {
@@ -261,7 +267,7 @@
         }
     }
 
-    /// Ends a request that was queued for as long as it may be.
+    /// Rejects or fails a request that exceeded its queue time.
     fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> QueueCheck {
         let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else {
             return QueueCheck::NotQueued;
@@ -280,7 +286,7 @@
         QueueCheck::Expired
     }
 
-    /// Sends queued requests, in their order, while there is capacity.
+    /// Sends queued requests in order of arrival, while the concurrency limit and the backends permit.
     pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         while let Some(id) = self.requests.queue.front().copied() {
             let waits = self.requests.get(id).is_some_and(RequestState::awaits_attempt);
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -1,5 +1,5 @@
-//! Follows attempts from their begin to their end: has the retry policy decide on those that are late or have
-//! failed, and carries out what it decides.
+//! Tracks attempts from start to end, and carries out the decisions of the retry policy on late and failed
+//! attempts.
 
 use crate::policy::permissions::KeyExpired;
 use crate::policy::quota::ReportPurpose;
@@ -9,22 +9,20 @@
 use crate::state::RequestState;
 use crate::{Action, AttemptEnded, BackendId, CustomerId, Gateway, Outcome, RequestId};
 
-/// What the end of an attempt means for its request, its backend and its customer.
+/// Effects of an attempt's end on its request, backend and customer.
 struct SettledAttempt {
-    /// Where the attempt went.
     backend: BackendId,
-    /// Whose request it was.
     customer: CustomerId,
-    /// No answer is owed to the request any more.
+    /// Whether the request has its final answer or its client has disconnected.
     request_closed: bool,
-    /// No other attempt of the request is in flight.
+    /// Whether no other attempt of the request is in flight.
     was_last_in_flight: bool,
-    /// The owners of the customer's quota are to be told.
+    /// Whether the customer's usage has to be reported to the owners of its quota.
     usage_changed: bool,
 }
 
 impl Gateway {
-    /// Records how an attempt ended, and retries or answers a request that has none left in flight.
+    /// Records the end of an attempt, and retries or answers its request if no other attempt is in flight.
     pub(crate) fn on_attempt_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
         if let Some(class) = self.requests.get(ended.id).map(|state| usize::from(state.request.class)) {
             self.record_outcome(ended, class);
@@ -43,7 +41,8 @@
         self.dispatch(actions);
     }
 
-    /// An answer begins to stream: the request's other attempts are cancelled, and this one is the client's.
+    /// Handles the first byte of a streamed answer: cancels the other attempts of the request, since this one
+    /// serves the client.
     pub(crate) fn on_first_byte(&mut self, id: RequestId, attempt: u16, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get_mut(id) else { return };
         if self.settings.limits.cancellation {
@@ -52,7 +51,7 @@
         state.streaming = true;
     }
 
-    /// Records that an attempt of a request goes to a backend.
+    /// Records that an attempt of a request is sent to a backend.
     pub(crate) fn begin_attempt(&mut self, id: RequestId, backend: BackendId) {
         let Some(state) = self.requests.get_mut(id) else { return };
         let Some(backend) = self.backends.get_mut(backend) else { return };
@@ -62,14 +61,15 @@
         self.requests.in_flight += 1;
     }
 
-    /// Records what a backend reported of its queue with the end of an attempt.
+    /// Records the queue depth that a backend reported with the end of an attempt.
     fn record_queue_depth(&mut self, ended: &AttemptEnded) {
         let Some(depth) = ended.reported_queue_depth else { return };
         let Some(backend) = self.backends.get_mut(ended.backend) else { return };
         backend.reported_queue.report(depth, self.now);
     }
 
-    /// Records the end of an attempt with its request, backend and customer; none if it was not in flight.
+    /// Updates the records of the request, backend and customer at the end of an attempt. Returns `None` if
+    /// the attempt was not in flight.
     fn settle_attempt(&mut self, ended: &AttemptEnded) -> Option<SettledAttempt> {
         let state = self.requests.get_mut(ended.id)?;
         let endpoint = state.end_attempt(ended.attempt, ended.outcome)?;
@@ -92,8 +92,8 @@
         })
     }
 
-    /// Sends a further attempt of a request, if the retry policy allows one and a backend may take it;
-    /// returns whether one was sent.
+    /// Sends a further attempt of a request if the retry policy permits one and a backend is available.
+    /// Returns whether one was sent.
     pub(crate) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(state) = self.requests.get(id) else { return false };
         let permission = self.retry_policy.may_retry(&self.retry_context(state));
@@ -105,7 +105,7 @@
         is_sent
     }
 
-    /// What the retry policy is asked by for a request.
+    /// Collects the inputs of the retry policy for a request.
     fn retry_context(&self, state: &RequestState) -> RetryContext {
         let class = self.class_of(&state.request);
         RetryContext {
@@ -119,14 +119,14 @@
         }
     }
 
-    /// Looks again at all requests that are due to be.
+    /// Checks all requests whose scheduled check is due.
     pub(crate) fn check_due_requests(&mut self, actions: &mut Vec<Action>) {
         while let Some(id) = self.requests.pop_due(self.now) {
             self.check_request(id, actions);
         }
     }
 
-    /// Looks again at a request that awaits a grant, or whose attempt may be silent or late.
+    /// Checks a request that awaits a grant, or whose attempt may be silent or late.
     fn check_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.requests.get(id).is_some_and(|state| state.awaiting_grant) {
             self.check_awaited_grant(id, actions);
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Hedges or cancels an attempt that is late, and ejects a backend that is silent.
+    /// Hedges or cancels a late attempt, and ejects a silent backend.
     fn check_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(state) = self.requests.get_mut(id).filter(|state| !state.closed && !state.streaming) else {
@@ -173,7 +173,11 @@
         }
     }
 
-    /// Where the next attempt of a request may go.
+    /// Returns the backends that the next attempt of a request may use.
+    ///
+    /// # Errors
+    ///
+    /// If the idempotency key of an attempt that may have been executed has expired.
     pub(crate) fn retry_scope(&self, state: &RequestState) -> Result<RetryScope, KeyExpired> {
         let executed = state
             .first_possibly_executed()
--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -1,5 +1,5 @@
-//! How a gateway follows the health of its backends: it hands what it sees to the outlier detector, logs what
-//! changes, and tells its peers.
+//! Tracks the health of backends: passes outcomes and latencies to the outlier detector, logs changes, and
+//! shares latency samples with peers.
 
 use crate::policy::{
     AnswerSample, Ejection, EndedAttempt, HealthChange, HealthSignal, Observation, ObservationSource,
@@ -8,7 +8,7 @@
 use crate::{AttemptEnded, BackendId, Gateway, Instant};
 
 impl Gateway {
-    /// Records how an attempt of a class ended.
+    /// Records the outcome and latency of an attempt of a class.
     pub(crate) fn record_outcome(&mut self, ended: &AttemptEnded, class: usize) {
         let now = self.now;
         let Some(signal) = HealthSignal::from_outcome(ended.outcome) else { return };
@@ -29,7 +29,7 @@
         self.record_latency(&observation);
     }
 
-    /// A backend was ejected for its silence to an attempt of a class.
+    /// Handles the ejection of a backend that did not answer an attempt of a class.
     pub(crate) fn on_silence_ejection(&mut self, backend: BackendId, class: usize, ejection: Ejection) {
         log_health_change(self.now, backend, class, HealthChange::Ejected(ejection));
         self.queue_sample(&Observation {
@@ -40,14 +40,14 @@
         });
     }
 
-    /// Records how a peer's attempt went.
+    /// Records the outcome and latency of a peer's attempt.
     pub(crate) fn record_peer_observation(&mut self, observation: &Observation) {
         let Some(backend) = self.backends.get_mut(observation.backend) else { return };
         backend.health.record_peer_attempt(self.now, observation.is_failure());
         self.record_latency(observation);
     }
 
-    /// Records an answer's latency, unless it was measured while the host stood still.
+    /// Records an answer's latency, unless it includes a stall of the host.
     fn record_latency(&mut self, observation: &Observation) {
         let Observation { backend, class, latency_micros, source } = *observation;
         let Some(latency_micros) = latency_micros.filter(|_| self.now != self.resumed_at) else { return };
@@ -57,7 +57,7 @@
         self.record_pressure(latency_ratio);
     }
 
-    /// Queues a sample of an observation for the peers, where gateways tell each other of them.
+    /// Queues a sample of an observation for the peers, if gateways of this fleet share latency samples.
     fn queue_sample(&mut self, observation: &Observation) {
         if !self.quota.ownership().shares_latency_samples() {
             return;
@@ -69,7 +69,7 @@
     }
 }
 
-/// Logs that a backend was ejected or is back in service.
+/// Logs the ejection of a backend or its return to service.
 fn log_health_change(now: Instant, backend: BackendId, class: usize, change: HealthChange) {
     let backend = backend.0;
     match change {
--- a/src/gateway/closing.rs
+++ b/src/gateway/closing.rs
@@ -1,11 +1,12 @@
-//! Ends requests: gives them their final answer, cancels what is in flight for them, and forgets them.
+//! Closes requests: sends the final answer, cancels attempts in flight, and removes the record.
 
 use crate::policy::quota::ReportPurpose;
 use crate::policy::{FinalAnswer, RejectReason, RetryAdvice, RetryPolicy, NOT_SERVED_RETRY_AFTER};
 use crate::{Action, Duration, Gateway, Request, RequestId};
 
 impl Gateway {
-    /// Gives a request that is not served its final answer, by whether it may have been executed.
+    /// Sends the final answer of a request that is not served: rejected, or failed if it may have been
+    /// executed.
     pub(crate) fn reject_or_fail(&mut self, id: RequestId, reason: RejectReason, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get(id) else { return };
         let idempotency = self.class_of(&state.request).idempotency;
@@ -21,8 +22,8 @@
         self.close_request(id, actions);
     }
 
-    /// Asks the host to reject a request, which stays open here; the advice when to send it again is cut to
-    /// what the settings allow.
+    /// Appends the action that rejects a request, without closing its record. The advised retry time is
+    /// capped at the limit in the settings.
     pub(crate) fn push_rejection(
         &self,
         id: RequestId,
@@ -43,12 +44,12 @@
         actions.push(Action::Reject { id, retry_after });
     }
 
-    /// Closes a request that has its final answer, or whose client has disconnected. It is forgotten once
-    /// none of its attempts is in flight.
+    /// Closes a request that has its final answer, or whose client has disconnected. Its record is removed
+    /// once none of its attempts is in flight.
     pub(crate) fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get_mut(id) else { return };
         state.closed = true;
-        // The attempt that streams is the client's answer.
+        // The attempt that streams still serves the client.
         if self.settings.limits.cancellation && !state.streaming {
             state.cancel_attempts(None, actions);
         }
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Gives back the units of an admitted request of which the host was asked for no attempt, and reports
-    /// that to the owners of the quota. An attempt that the host did not send is charged nevertheless.
+    /// Refunds the units of an admitted request without a [`Action::Send`], and reports the refund to the
+    /// quota owners. A request whose attempt the host did not send stays charged.
     fn refund_unused(&mut self, request: &Request, actions: &mut Vec<Action>) {
         self.quota.charge(request.customer, -request.units);
         self.queue_usage_report(request.customer, ReportPurpose::Usage, actions);
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -1,9 +1,9 @@
-//! Carries out what follows from the endpoint list, and has discovery polled.
+//! Applies changes of the endpoint list, and polls discovery.
 
 use crate::{Action, Discovery, Endpoint, EndpointUpdate, Gateway};
 
 impl Gateway {
-    /// Applies an endpoint list or a change of it; queued requests may then find a backend.
+    /// Applies a snapshot or delta of the endpoint list, then sends queued requests that now have a backend.
     pub(crate) fn on_endpoints(
         &mut self,
         update: EndpointUpdate,
@@ -18,7 +18,7 @@
         self.dispatch(actions);
     }
 
-    /// Asks the host to poll discovery when that is due, where the list does not come by itself.
+    /// Requests a poll of discovery when one is due, if changes of the list are not pushed.
     pub(crate) fn poll_discovery(&mut self, actions: &mut Vec<Action>) {
         let max_interval = self.settings.rules.max_poll_interval;
         let is_polled = self.settings.discovery == Discovery::SharedService;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Has the next poll come sooner after one that failed.
+    /// Schedules the next poll earlier after a failed one.
     fn on_poll_failed(&mut self) {
         let max_interval = self.settings.rules.max_poll_interval;
         self.periodic_poll.on_failure(self.now, max_interval);
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -1,4 +1,4 @@
-//! How a gateway sends attempts: it has the load balancer choose a backend, and records what it sends.
+//! Sends attempts to the backends that the load balancer chooses, and records them.
 
 use crate::policy::permissions::KeyExpired;
 use crate::policy::{attempt_expiry, ChoiceContext, ExpiryContext, NoBackend, RetryPolicy};
@@ -6,7 +6,7 @@
 use crate::{Action, BackendId, Gateway, Instant, RequestId};
 
 impl Gateway {
-    /// Sends a request's next attempt; false if no backend may take it now.
+    /// Sends a request's next attempt. Returns `false` if no backend is available now.
     pub(crate) fn send_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let seed = self.next_seed();
         let Some(state) = self.requests.get(id) else { return false };
@@ -31,6 +31,10 @@
     }
 
     /// Chooses a backend for a request's next attempt.
+    ///
+    /// # Errors
+    ///
+    /// The reason why no backend is available.
     fn choose_backend(&self, state: &RequestState, seed: u64) -> Result<BackendId, NoBackend> {
         let scope = self.retry_scope(state).map_err(|KeyExpired| NoBackend::KeyExpired)?;
         self.load_balancer.choose(&ChoiceContext {
@@ -44,7 +48,7 @@
         })
     }
 
-    /// When an attempt of a request that is sent now is given up; none for the client's deadline.
+    /// Returns when an attempt that is sent now expires; `None` for the client's deadline.
     fn attempt_expiry(&self, state: &RequestState) -> Option<Instant> {
         attempt_expiry(&ExpiryContext {
             now: self.now,
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,5 +1,5 @@
-//! Carries out the exchange with peers: hands what they say to the components, and sends what those want
-//! told.
+//! Exchanges messages with peers: passes received reports, grants and samples to the policy components, and
+//! sends what these queue.
 
 use crate::gossip::{Body, LatencySample, PeerAge, PeerStart, QuotaGrant, UsageReport};
 use crate::policy::quota::{ReportPurpose, FLEET_START_WINDOW};
@@ -7,7 +7,8 @@
 use crate::{Action, CustomerId, Gateway, GatewayId};
 
 impl Gateway {
-    /// Handles a message from a peer.
+    /// Decodes a message from a peer and handles its samples and its usage reports or quota grants. Outdated
+    /// and malformed messages are ignored.
     pub(crate) fn on_peer_message(&mut self, from: GatewayId, bytes: &[u8], actions: &mut Vec<Action>) {
         let received = match self.peers.receive(self.now, from, bytes) {
             Ok(received) => received,
@@ -42,8 +43,8 @@
         }
     }
 
-    /// A peer has started: forgets what its earlier process reported, and queues one report of each active
-    /// customer whose quota the peer owns.
+    /// Handles the start of a peer's process: discards the reports of its earlier process, and queues one
+    /// report of each active customer whose quota the peer owns.
     fn on_peer_start(&mut self, peer: u16, start: PeerStart) {
         let unreported = self.quota.on_peer_start(self.now, peer, start);
         tracing::debug!(target: "policy", peer, ?start, customers = unreported.len(), "peer started");
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Records how a peer's attempts went, where the backend and the class are known here.
+    /// Records the latency samples of a peer whose backend and class this gateway knows.
     fn record_peer_samples(&mut self, samples: &[LatencySample]) {
         for sample in samples {
             let class = usize::from(sample.class);
@@ -65,13 +66,13 @@
         }
     }
 
-    /// Handles the usage reports of a peer, and returns the grants that answer them.
+    /// Records the usage reports of a peer, and returns the grants that answer them.
     fn on_usage_reports(&mut self, from: u16, age: PeerAge, reports: &[UsageReport]) -> Vec<QuotaGrant> {
         let now = self.now;
         reports.iter().filter_map(|report| self.quota.on_usage_report(now, from, age, report)).collect()
     }
 
-    /// Decides again on the requests that wait, now that an owner grants quota or says that there is none.
+    /// Decides again on the waiting requests of a customer after an owner's answer.
     fn on_quota_grant(&mut self, from: u16, grant: &QuotaGrant, actions: &mut Vec<Action>) {
         let Some(answered) = self.quota.on_grant(self.now, from, grant) else { return };
         for id in answered.waiting {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Queues a report of a customer's usage to its owners, with or without a request for a grant.
+    /// Queues a report of a customer's usage for its quota owners, with or without a grant request.
     pub(crate) fn queue_usage_report(
         &mut self,
         id: CustomerId,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Sends each peer that may be sent a message the usage reports that wait for it.
+    /// Sends the queued usage reports to each peer whose send interval has passed.
     pub(crate) fn flush_ready_outboxes(&mut self, actions: &mut Vec<Action>) {
         let ready = self.peers.ready_to_send(self.now);
         for peer in ready {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Sends a peer the usage reports that wait for it, as many as a message holds.
+    /// Sends queued usage reports to a peer, at most one message of them.
     fn flush_outbox(&mut self, to: u16, actions: &mut Vec<Action>) {
         let Some(batch) = self.peers.next_batch(to) else { return };
         let now = self.now;
@@ -118,13 +119,13 @@
         self.send_message(to, body, actions);
     }
 
-    /// Sends a peer a message.
+    /// Encodes a message with this body and appends the action that sends it.
     fn send_message(&mut self, to: u16, body: Body, actions: &mut Vec<Action>) {
         let bytes = self.peers.next_message(self.now, to, body);
         actions.push(Action::SendToPeer { to: Some(GatewayId(to)), bytes });
     }
 
-    /// Removes old records of customers, and reports those with attempts in flight again.
+    /// Removes outdated records of customers, and queues a report of each customer with attempts in flight.
     pub(crate) fn sweep_customers(&mut self, actions: &mut Vec<Action>) {
         for id in self.quota.sweep(self.now) {
             self.queue_usage_report(id, ReportPurpose::Usage, actions);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers: records and data structures. What follows from them is decided in `policy`.
+//! The state of a gateway: records and data structures. Decisions based on them are in `policy`.
 
 mod arithmetic;
 mod backend;
--- a/src/state/arithmetic.rs
+++ b/src/state/arithmetic.rs
@@ -1,12 +1,12 @@
-//! Arithmetic that the records share.
+//! Exponential decay and seeded pseudo-random draws.
 
 use crate::{time, Duration, Instant};
 
-/// Microseconds in a second, for sums with fractions.
+/// Microseconds per second, as a floating-point number.
 pub(crate) const MICROS_PER_SECOND: f64 = time::MICROS_PER_SECOND as f64;
 
-/// What is left at one time of a value of 1 at another that decays exponentially: 1/e after the time
-/// constant. Nothing has decayed where the times are in the wrong order.
+/// Returns the factor by which an exponentially decaying value has decreased between two times: 1/e after one
+/// time constant, and 1 if `to` is not later than `from`.
 pub(crate) fn decay(from: Instant, to: Instant, time_constant: Duration) -> f64 {
     if from >= to {
         1.0
@@ -15,10 +15,11 @@
     }
 }
 
-/// The odd number nearest to 2^64 over the golden ratio: multiples of it are spread evenly over 64 bits.
+/// The odd number nearest to 2^64 divided by the golden ratio. Its multiples are distributed evenly over 64
+/// bits.
 pub(crate) const GOLDEN_RATIO_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// A number from 0 to 1, less than 1, that looks random and follows from the seed (splitmix64).
+/// Returns a pseudo-random number in `0.0..1.0` that depends on the seed alone (splitmix64).
 pub(crate) fn unit_draw(seed: u64) -> f64 {
     let mut bits = seed.wrapping_mul(GOLDEN_RATIO_MULTIPLIER);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -26,64 +27,64 @@
     ((bits ^ (bits >> 31)) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Mixes a further number into the seed of a [`unit_draw`], by exclusive or: draws that differ in it are
-/// independent.
+/// Places a number in the seed of a [`unit_draw`], to be combined by exclusive or. Draws for different
+/// numbers are independent.
 #[derive(Clone, Copy)]
 pub(crate) struct Salt {
-    /// The bit of the seed at which the number begins.
+    /// Bit of the seed at which the number begins.
     first_bit: u32,
 }
 
 impl Salt {
-    /// A salt that puts the number at this bit of the seed, from 0 to 63.
+    /// Creates a salt whose number begins at this bit of the seed, from 0 to 63.
     pub(crate) const fn from_bit(first_bit: u32) -> Salt {
         Salt { first_bit }
     }
 
-    /// What is mixed into the seed for a number; bits beyond the 64th are lost.
+    /// Returns the bits to combine with the seed for a number. Bits beyond the 64th are discarded.
     pub(crate) const fn of(self, number: u64) -> u64 {
         number << self.first_bit
     }
 }
 
-/// Events a second, of which old ones count less and less.
+/// An exponentially decaying rate of events.
 #[derive(Default)]
 pub(crate) struct DecayingRate {
-    /// As of the latest event.
+    /// Rate at `updated_at`.
     per_second: f64,
-    /// When that was.
+    /// Time of the latest event.
     updated_at: Instant,
 }
 
 impl DecayingRate {
-    /// The rate now.
+    /// Returns the rate at `now`, in events per second.
     pub(crate) fn at(&self, now: Instant, time_constant: Duration) -> f64 {
         self.per_second * decay(self.updated_at, now, time_constant)
     }
 
-    /// Counts one event.
+    /// Records one event.
     pub(crate) fn record(&mut self, now: Instant, time_constant: Duration) {
         self.per_second = self.at(now, time_constant) + 1.0 / time_constant.as_secs_f64();
         self.updated_at = now;
     }
 }
 
-/// A mean in which new samples have a weight, and which falls to 0 by itself.
+/// An exponentially weighted moving average that decays to 0 without new samples.
 #[derive(Clone, Default)]
 pub(crate) struct DecayingAverage {
-    /// As of the latest sample.
+    /// Average at `updated_at`.
     value: f64,
-    /// When that was.
+    /// Time of the latest sample.
     updated_at: Instant,
 }
 
 impl DecayingAverage {
-    /// The mean now.
+    /// Returns the average at `now`.
     pub(crate) fn at(&self, now: Instant, time_constant: Duration) -> f64 {
         self.value * decay(self.updated_at, now, time_constant)
     }
 
-    /// Takes in a sample.
+    /// Adds a sample with a weight from 0 to 1.
     pub(crate) fn record(&mut self, now: Instant, sample: f64, weight: f64, time_constant: Duration) {
         let before = self.at(now, time_constant);
         self.value = before + weight * (sample - before);
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -1,35 +1,35 @@
-//! What a gateway knows of a backend.
+//! The record that a gateway keeps of each backend.
 
 use crate::policy::{BackendHealth, RecentSends, ReportedQueue};
 use crate::{Duration, Endpoint, Instant};
 
-/// A backend that is ready, or that attempts are still in flight at.
+/// A backend that is ready or has attempts in flight.
 #[derive(Default)]
 pub(crate) struct Backend {
-    /// Its latest entry of the endpoint list.
+    /// Latest entry of the endpoint list.
     pub endpoint: Endpoint,
-    /// Its capacity relative to others, 1 where the list does not say.
+    /// Capacity relative to other backends; 1 if the endpoint list gives none.
     pub size: f64,
-    /// It is listed as taking work.
+    /// Whether the endpoint list has it as [`Availability::Ready`](crate::Availability::Ready).
     pub ready: bool,
-    /// Attempts of this gateway in flight there.
+    /// Number of this gateway's attempts in flight.
     pub in_flight: u32,
-    /// Failures, ejections and latencies, by class.
+    /// Failure rates, ejections and latencies by class.
     pub(crate) health: BackendHealth,
-    /// Requests waiting there as last reported.
+    /// Number of queued requests as last reported by the backend.
     pub(crate) reported_queue: ReportedQueue,
-    /// When attempts were sent there, within the overload window.
+    /// Send times of attempts within the overload window.
     pub(crate) recent_sends: RecentSends,
 }
 
 impl Backend {
-    /// Records that an attempt is sent there; sends older than `window` are forgotten.
+    /// Records an attempt that is sent at `now`, and removes sends older than `window`.
     pub(crate) fn begin_attempt(&mut self, now: Instant, window: Duration) {
         self.in_flight += 1;
         self.recent_sends.record(now, window);
     }
 
-    /// Records that an attempt there has ended.
+    /// Records that an attempt has ended.
     pub(crate) fn end_attempt(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -1,4 +1,4 @@
-//! The backends that a gateway knows, kept up to date with the endpoint list.
+//! The table of a gateway's backends, updated from the endpoint list.
 
 use super::{unit_draw, Backend, EndpointIndex, Salt};
 use crate::gossip::backend_tag;
@@ -6,30 +6,28 @@
 use crate::{Availability, BackendId, Endpoint, GatewayId, Settings, SizeMeaning};
 use std::collections::btree_map::{BTreeMap, Entry};
 
-/// Mixes the gateway into the seed of the order of its backends.
+/// Salt of a gateway's index in the seeds that order its backends.
 const GATEWAY_SALT: Salt = Salt::from_bit(48);
 
-/// The backends of a gateway, with indexes of those that are ready.
+/// The backends of a gateway, with indexes of the ready ones.
 #[derive(Default)]
 pub(crate) struct BackendTable {
-    /// Those that are ready, and those with attempts of this gateway in flight.
+    /// Backends that are ready or have attempts of this gateway in flight.
     backends: BTreeMap<BackendId, Backend>,
-    /// The ready ones by the tags that messages between gateways use.
+    /// Ready backends by the tag that identifies them in messages between gateways.
     by_tag: BTreeMap<u32, BackendId>,
-    /// The ready ones, in this gateway's own order: gateways prefer different backends.
+    /// Ready backends in an order specific to this gateway, so that gateways prefer different backends.
     ready: EndpointIndex,
-    /// The sizes of the ready ones together.
+    /// Sum of the sizes of the ready backends.
     ready_capacity: f64,
-    /// The gateway whose table this is.
     own_id: GatewayId,
-    /// The number of request classes.
     class_count: usize,
-    /// Whether the list gives capacities as sizes; otherwise all have the size 1.
+    /// Whether sizes in the endpoint list are capacities; otherwise every backend has the size 1.
     sizes_are_capacities: bool,
 }
 
 impl BackendTable {
-    /// No backends yet.
+    /// Creates an empty table.
     pub(crate) fn new(settings: &Settings) -> Self {
         BackendTable {
             own_id: settings.own_id,
@@ -39,38 +37,35 @@
         }
     }
 
-    /// A backend's record.
     pub(crate) fn get(&self, id: BackendId) -> Option<&Backend> {
         self.backends.get(&id)
     }
 
-    /// A backend's record, to change.
     pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
         self.backends.get_mut(&id)
     }
 
-    /// The number of ready backends.
     pub(crate) fn ready_count(&self) -> usize {
         self.ready.len()
     }
 
-    /// The capacity of the ready backends together, in sizes.
+    /// Returns the sum of the sizes of the ready backends.
     pub(crate) fn ready_capacity(&self) -> f64 {
         self.ready_capacity
     }
 
-    /// The ready backend at a position in this gateway's own order, counted from 0.
+    /// Returns the ready backend at a position, from 0, in this gateway's order.
     pub(crate) fn ready_at(&self, position: usize) -> Option<&Backend> {
         self.get(self.ready.get(position)?)
     }
 
-    /// The ready backend with a tag, as messages between gateways name it.
+    /// Returns the ready backend with a tag, as used in messages between gateways.
     pub(crate) fn by_tag(&self, tag: u32) -> Option<BackendId> {
         self.by_tag.get(&tag).copied()
     }
 
-    /// Replaces the endpoint list. Backends that are not on the new one are forgotten once no attempt is in
-    /// flight there.
+    /// Replaces the endpoint list. Backends that the new list lacks are removed once they have no attempt in
+    /// flight.
     pub(crate) fn replace_all(&mut self, endpoints: Vec<Endpoint>) {
         self.backends.values_mut().for_each(|backend| backend.ready = false);
         for endpoint in endpoints {
@@ -80,7 +75,7 @@
         self.rebuild_index();
     }
 
-    /// Applies a changed entry of the endpoint list, in time that hardly grows with the list.
+    /// Applies a changed entry of the endpoint list. The cost hardly grows with the length of the list.
     pub(crate) fn apply_change(&mut self, endpoint: Endpoint) {
         let id = endpoint.backend;
         let ready_size_before = self.ready_size(id);
@@ -96,20 +91,20 @@
         }
     }
 
-    /// Forgets a backend that is not ready once no attempt is in flight there.
+    /// Removes a backend that is not ready and has no attempt in flight.
     pub(crate) fn remove_if_drained(&mut self, id: BackendId) {
         if self.backends.get(&id).is_some_and(|backend| !backend.ready && backend.in_flight == 0) {
             self.backends.remove(&id);
         }
     }
 
-    /// The size of a backend that is ready.
+    /// Returns the size of a backend, or `None` if it is not ready.
     fn ready_size(&self, id: BackendId) -> Option<f64> {
         self.backends.get(&id).filter(|backend| backend.ready).map(|backend| backend.size)
     }
 
-    /// Writes an entry of the endpoint list to the backend's record. What is known of an earlier process of
-    /// the backend is forgotten.
+    /// Updates a backend's record from its entry in the endpoint list. A new process of the backend starts
+    /// with fresh health data.
     fn upsert(&mut self, endpoint: Endpoint) {
         let backend = match self.backends.entry(endpoint.backend) {
             Entry::Occupied(known) if known.get().endpoint.started_at == endpoint.started_at => {
@@ -128,7 +123,7 @@
         backend.ready = endpoint.availability == Availability::Ready;
     }
 
-    /// Builds the indexes of the ready backends anew.
+    /// Rebuilds the indexes of the ready backends.
     fn rebuild_index(&mut self) {
         let ready = || self.backends.values().filter(|backend| backend.ready);
         let ready_ids = || ready().map(|backend| backend.endpoint.backend);
@@ -145,12 +140,12 @@
             self.by_tag.remove(&tag);
         }
         if self.ready.len() == 0 {
-            self.ready_capacity = 0.0; // without what rounding left of it
+            self.ready_capacity = 0.0; // Discards the accumulated rounding error.
         }
     }
 
-    /// The key of a backend in this gateway's own order. Floats that are not negative are ordered as their
-    /// bits are.
+    /// Returns the sort key of a backend in this gateway's order. Non-negative floats have the same order as
+    /// their bits.
     fn index_key(&self, id: BackendId) -> u64 {
         unit_draw(id.0 ^ GATEWAY_SALT.of(self.own_id.0.into())).to_bits()
     }
--- a/src/state/endpoint_index.rs
+++ b/src/state/endpoint_index.rs
@@ -1,24 +1,24 @@
-//! An index of backends by their position in a sorted list.
+//! A sorted list of backends with access by position.
 
 use crate::BackendId;
 
-/// Entries of a block above which it is split in two.
+/// Maximum number of entries in a block; a longer one is split in two.
 const MAX_BLOCK_LEN: usize = 512;
 
-/// Backends sorted by a key, in blocks of limited length.
+/// Backends sorted by a key, stored in blocks of limited length.
 ///
-/// A change moves the entries of one block only, so that its cost hardly grows with the list; a position is
-/// found by counting through the blocks.
+/// A change moves only the entries of one block, so that its cost hardly grows with the list. Access by
+/// position sums the lengths of the preceding blocks.
 #[derive(Default)]
 pub(crate) struct EndpointIndex {
-    /// Each sorted and not empty; the entries of one come before those of the next.
+    /// Sorted, non-empty blocks, in ascending order of their entries.
     blocks: Vec<Vec<(u64, BackendId)>>,
-    /// Entries of all blocks.
+    /// Number of entries in all blocks.
     len: usize,
 }
 
 impl EndpointIndex {
-    /// An index of these entries, in any order.
+    /// Builds an index of entries, which may be in any order and contain duplicates.
     pub(crate) fn from_entries(mut entries: Vec<(u64, BackendId)>) -> EndpointIndex {
         entries.sort_unstable();
         entries.dedup();
@@ -26,12 +26,11 @@
         EndpointIndex { blocks, len: entries.len() }
     }
 
-    /// The number of backends.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    /// The backend at a position, counted from 0.
+    /// Returns the backend at a position, from 0.
     pub(crate) fn get(&self, position: usize) -> Option<BackendId> {
         let mut position_in_block = position;
         for block in &self.blocks {
@@ -43,14 +42,14 @@
         None
     }
 
-    /// The number of the block that an entry is in, or belongs in.
+    /// Returns the index of the block that contains an entry or into which it has to be inserted.
     fn block_of(&self, entry: &(u64, BackendId)) -> usize {
         self.blocks
             .partition_point(|block| block.first().is_some_and(|first| first <= entry))
             .saturating_sub(1)
     }
 
-    /// Inserts a backend, if it is not there.
+    /// Inserts a backend unless the index contains it.
     pub(crate) fn insert(&mut self, key: u64, id: BackendId) {
         let entry = (key, id);
         let block_index = self.block_of(&entry);
@@ -67,7 +66,7 @@
         }
     }
 
-    /// Removes a backend, if it is there.
+    /// Removes a backend if the index contains it.
     pub(crate) fn remove(&mut self, key: u64, id: BackendId) {
         let entry = (key, id);
         let block_index = self.block_of(&entry);
--- a/src/state/endpoint_index/tests.rs
+++ b/src/state/endpoint_index/tests.rs
@@ -2,25 +2,24 @@
 
 use super::*;
 
-/// The backends of an index, by position.
+/// Returns all backends of an index in order.
 fn all(index: &EndpointIndex) -> Vec<BackendId> {
-    (0..index.len()).map(|position| index.get(position).expect("there is one at each position")).collect()
+    (0..index.len()).map(|position| index.get(position).expect("position below len")).collect()
 }
 
-/// Backends are added and removed in any order, some with equal keys, down to none. All along the index has to
-/// equal a list that is sorted anew; a backend that is missing from it would never get a request, and one left over
-/// would get requests after its removal.
+/// Backends are inserted and removed in random order, some with equal keys, until none is left. A backend
+/// missing from the index would get no requests, and a stale one would get requests after its removal.
 #[test]
-fn the_index_equals_a_sorted_list_after_any_changes() {
+fn index_equals_sorted_list_after_random_changes() {
     let mut random = fastrand::Rng::with_seed(7);
     for size in [0u64, 1, 3, 600, 5_000] {
-        let key = |number: u64| number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 52; // few keys: many are alike
+        let key = |number: u64| number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 52; // 4096 possible keys, so that many are equal
         let mut expected: std::collections::BTreeSet<(u64, BackendId)> =
             (0..size).map(|number| (key(number), BackendId(number))).collect();
         let mut index = EndpointIndex::from_entries(expected.iter().copied().collect());
         for step in 0..4_000 {
             let number = random.u64(0..size.max(1) * 2);
-            // Mostly in, then mostly out, down to none.
+            // Mostly insertions at first, then mostly removals.
             if random.u64(0..4) > u64::from(step > 1_500) * 2 {
                 index.insert(key(number), BackendId(number));
                 expected.insert((key(number), BackendId(number)));
@@ -39,10 +38,10 @@
     }
 }
 
-/// Fifty thousand backends are listed one by one. A change touches one block of the index, so blocks must stay small;
-/// if one grew with the list, each change at a large deployment would hold up all requests.
+/// Fifty thousand backends are listed one by one. The cost of a change grows with the length of a block, so
+/// with unlimited blocks each change in a large deployment would delay all requests.
 #[test]
-fn no_part_grows_with_the_list() {
+fn length_of_blocks_is_limited() {
     let mut index = EndpointIndex::default();
     for number in 0..50_000u64 {
         index.insert(number.wrapping_mul(0x9E37_79B9_7F4A_7C15), BackendId(number));
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,40 +1,39 @@
-//! Requests that are not finished, and their attempts.
+//! The records of unfinished requests and their attempts.
 
 use crate::{Action, Duration, Endpoint, Instant, Outcome, Request};
 
 /// One send of a request to a backend.
 pub(crate) struct Attempt {
-    /// The backend's entry of the endpoint list at the send.
+    /// The backend's entry in the endpoint list at the time of the send.
     pub endpoint: Endpoint,
-    /// When the host was asked to send it.
+    /// Time at which the host was asked to send it.
     pub sent_at: Instant,
-    /// Its end has not been reported.
+    /// Whether the host has not reported its end yet.
     pub in_flight: bool,
-    /// The host was asked to cancel it.
+    /// Whether the host was asked to cancel it.
     pub cancelled: bool,
-    /// The outcome proved that the backend never executed it.
+    /// Whether its outcome proves that the backend did not execute it.
     pub never_executed: bool,
 }
 
 /// A request from its arrival until its last attempt has ended.
 #[derive(Default)]
 pub(crate) struct RequestState {
-    /// As it arrived, but for the plan, which is its customer's.
+    /// The request as received, except for the plan, which is that of the customer's record.
     pub request: Request,
-    /// When it arrived.
     pub arrived_at: Instant,
-    /// Its attempts, by their number.
+    /// All attempts so far, indexed by their number.
     pub attempts: Vec<Attempt>,
-    /// It has its final answer, or its client has disconnected: no answer is owed any more.
+    /// Whether it has its final answer or its client has disconnected.
     pub closed: bool,
-    /// Its answer has begun to stream to the client.
+    /// Whether a streamed answer has begun.
     pub streaming: bool,
-    /// It waits for a grant from its customer's quota owners.
+    /// Whether it waits for a grant from its customer's quota owners.
     pub awaiting_grant: bool,
 }
 
 impl RequestState {
-    /// Asks the host to cancel the attempts in flight, but for one to keep.
+    /// Cancels all attempts in flight except `keep`.
     pub(crate) fn cancel_attempts(&mut self, keep: Option<u16>, actions: &mut Vec<Action>) {
         for (number, attempt) in (0u16..).zip(&mut self.attempts) {
             if attempt.in_flight && !attempt.cancelled && keep != Some(number) {
@@ -44,7 +43,7 @@
         }
     }
 
-    /// Adds an attempt that is sent now.
+    /// Adds an attempt that is sent at `now`.
     pub(crate) fn begin_attempt(&mut self, endpoint: Endpoint, now: Instant) {
         self.attempts.push(Attempt {
             endpoint,
@@ -55,8 +54,8 @@
         });
     }
 
-    /// Records how an attempt ended, and returns the endpoint that it was sent to; none if it is not in
-    /// flight.
+    /// Records the end of an attempt and returns the endpoint that it was sent to. Returns `None` if it was
+    /// not in flight.
     pub(crate) fn end_attempt(&mut self, number: u16, outcome: Outcome) -> Option<Endpoint> {
         let attempt = self.attempts.get_mut(usize::from(number)).filter(|attempt| attempt.in_flight)?;
         attempt.in_flight = false;
@@ -64,29 +63,28 @@
         Some(attempt.endpoint)
     }
 
-    /// How many attempts are in flight.
     pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.in_flight).count()
     }
 
-    /// The latest attempt that is in flight and not cancelled, with its number.
+    /// Returns the latest attempt that is in flight and not cancelled, with its number.
     pub(crate) fn latest_attempt_in_flight(&self) -> Option<(usize, &Attempt)> {
         let mut numbered = self.attempts.iter().enumerate().rev();
         numbered.find(|(_, attempt)| attempt.in_flight && !attempt.cancelled)
     }
 
-    /// Whether it is owed an answer and has no attempt in flight.
+    /// Returns whether the request is open and has no attempt in flight.
     pub(crate) fn awaits_attempt(&self) -> bool {
         !self.closed && self.attempts_in_flight() == 0
     }
 
-    /// The first attempt that was or may have been executed.
+    /// Returns the first attempt that was or may have been executed.
     pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| !attempt.never_executed)
     }
 
-    /// The time from the arrival within which an answer earns its full weight: the latency objective, or what
-    /// the client waits if that is less.
+    /// Returns the time from arrival within which an answer earns the full priority weight: the latency
+    /// objective, or the time until the deadline if that is shorter.
     pub(crate) fn latency_budget(&self, latency_objective: Duration) -> Duration {
         latency_objective.min(self.request.deadline.duration_since(self.arrived_at))
     }
