--- a/src/bin/ingress/backends.rs
+++ b/src/bin/ingress/backends.rs
@@ -1,6 +1,6 @@
-//! Connections to backends: a pool for each backend, and the attempts on the connections.
+//! Connections to backends: a pool per backend, and the exchange of commands and replies.
 //!
-//! A connection carries one command at a time, since cancelling an attempt means closing its connection.
+//! A connection carries one command at a time, because an attempt is cancelled by closing its connection.
 
 mod attempt;
 mod closing;
--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -1,43 +1,43 @@
-//! Closes connections to backends, and frees their descriptors.
+//! Closes connections to backends that are expired, stalled or idle when a descriptor is needed.
 
 use super::connection::BackendConnection;
 use super::BackendConnections;
 use ingress::{BackendId, Duration, Instant};
 
-/// How long a reply may take to arrive completely after its first byte.
+/// Maximum time from the first byte of a reply to its last.
 const MAX_REPLY_DURATION: Duration = Duration::from_millis(500);
 
 /// Why a connection to a backend was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendCloseReason {
-    /// The gateway cancelled its attempt.
+    /// The gateway cancelled the attempt.
     Cancelled,
-    /// Its attempt has timed out.
+    /// The attempt timed out.
     TimedOut,
-    /// The first byte of its command may not be written any more.
+    /// It became too late to write the first byte of the command, or the request was closed before that.
     WriteRefused,
-    /// The request was closed before its command was completely written.
+    /// The request was closed before the command was completely written.
     RequestClosed,
-    /// It was not established, or its command not completely written, in time.
+    /// The command was not completely written before the connect timeout expired.
     ConnectTimeout,
-    /// It failed, or the backend has closed it.
+    /// The connection failed, or the backend closed it.
     Broken,
-    /// The bytes received on it do not allow another use.
+    /// The bytes received do not allow the connection to be reused.
     Unusable,
-    /// A reply was not completed in time.
+    /// The reply was not completed in time.
     Stalled,
-    /// It was idle for too long.
+    /// The connection exceeded the maximum idle time.
     Expired,
-    /// Its descriptor was needed.
+    /// The idle connection's descriptor was needed for another socket.
     DescriptorNeeded,
-    /// Its backend is draining, was removed or has another address.
+    /// The backend is draining, was removed, or has a new address.
     BackendUnavailable,
 }
 
 impl BackendConnections {
-    /// Closes a connection.
+    /// Closes a connection without recording a completion for its attempt.
     pub(super) fn remove(&mut self, key: usize, reason: BackendCloseReason) {
-        let connection = self.connections.remove(key); // Dropping it closes and deregisters it.
+        let connection = self.connections.remove(key); // Closed and deregistered when dropped.
         tracing::debug!(
             target: "backend_connection",
             connection = connection.serial,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Closes the idle connections to a backend.
+    /// Closes all idle connections to a backend.
     pub(super) fn close_idle(&mut self, backend: BackendId, reason: BackendCloseReason) {
         let idle = self.pools.get_mut(&backend).map(|pool| std::mem::take(&mut pool.idle));
         for key in idle.into_iter().flatten() {
@@ -62,15 +62,15 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, or whose reply is not completed in time. Called
-    /// at intervals.
+    /// Closes connections that exceeded the maximum idle time, or whose reply is not completed in time.
+    /// Called periodically.
     pub fn sweep(&mut self, now: Instant) {
         self.idle_reuse.decay();
         self.close_expired(now);
         self.close_stalled(now);
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that exceeded the maximum idle time.
     fn close_expired(&mut self, now: Instant) {
         let max_idle_time = self.max_idle_time();
         let is_expired = |connection: &BackendConnection| {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Closes connections whose reply is not completed in time, such as a line or a length without an end.
+    /// Closes connections whose reply is not completed in time, for example a line without a terminator.
     fn close_stalled(&mut self, now: Instant) {
         let is_stalled = |connection: &BackendConnection| {
             !connection.received.is_empty() && now > connection.reply_started_at + MAX_REPLY_DURATION
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest, to free its descriptor. Returns false if none is
-    /// idle.
+    /// Closes the connection with the longest idle time to free its descriptor. Returns `false` if no
+    /// connection is idle.
     pub fn close_longest_idle(&mut self) -> bool {
         let idle = self.connections.iter().filter(|(_, connection)| connection.attempt.is_none());
         let longest = idle.min_by_key(|(_, connection)| (connection.idle_since, connection.serial));
--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend: its state, and single reads and writes.
+//! State of one connection to a backend, and its reads and writes.
 
 use super::{AttemptId, CommandState, StatedTimeout};
 use crate::socket_error::is_not_ready;
@@ -7,53 +7,48 @@
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
 
-/// A connection to a backend.
+/// A connection to a backend, either idle or with one attempt.
 pub struct BackendConnection {
-    /// The socket.
     pub stream: TcpStream,
-    /// Distinguishes connections that have the same key one after another.
+    /// Distinguishes this connection from earlier and later ones with the same key.
     pub serial: u64,
-    /// The backend it was opened for.
     pub backend: BackendId,
-    /// The address it was opened to; the backend may have another one by now.
+    /// Address at which the connection was opened; the backend's address may have changed since.
     pub address: SocketAddr,
-    /// Whether it is established.
     pub is_connected: bool,
-    /// The attempt that it carries; none while it is idle.
+    /// The current attempt; `None` while the connection is idle.
     pub attempt: Option<AttemptId>,
-    /// When its latest attempt was assigned; before the first one, when it was opened.
+    /// When the latest attempt was assigned; initially when the connection was opened.
     pub assigned_at: Instant,
-    /// When it became idle after its latest attempt; before the first one has ended, when it was opened.
+    /// When the connection became idle after its latest attempt; initially when it was opened.
     pub idle_since: Instant,
-    /// How long it was idle before its attempt; none for the first attempt on it.
+    /// Idle time before the current attempt; `None` for the first attempt on the connection.
     pub idle_time_before_attempt: Option<Duration>,
     /// When the first byte of the reply arrived.
     pub reply_started_at: Instant,
-    /// The command of the attempt.
     pub command: Vec<u8>,
-    /// The timeout that the command states.
     pub stated_timeout: StatedTimeout,
-    /// The bytes of the command that are written.
+    /// Number of bytes of the command that are written.
     pub written: usize,
-    /// The received bytes of the reply.
+    /// Bytes of the reply received so far.
     pub received: Vec<u8>,
 }
 
-/// The result of a single read.
+/// Result of a single read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadStep {
-    /// Bytes were received, and more may be waiting, even after a short read.
+    /// Bytes were received. More may be waiting, even after a short read.
     Received,
     /// A signal interrupted the call.
     Interrupted,
     /// No bytes are waiting.
     Blocked,
-    /// The connection has ended.
+    /// The backend closed the connection, or the read failed.
     Ended,
 }
 
 impl BackendConnection {
-    /// A connection that is being established, without an attempt.
+    /// Creates an idle connection from a stream that is still connecting.
     pub fn new(
         stream: TcpStream,
         serial: u64,
@@ -79,7 +74,7 @@
         }
     }
 
-    /// How much of the command is written.
+    /// Returns the progress of writing the command.
     pub fn command_state(&self) -> CommandState {
         if self.written == self.command.len() {
             CommandState::Sent
@@ -88,12 +83,12 @@
         }
     }
 
-    /// Whether it has an attempt of whose command nothing is written.
+    /// Returns whether the connection has an attempt and no byte of its command is written.
     pub fn has_unwritten_command(&self) -> bool {
         self.written == 0 && self.attempt.is_some()
     }
 
-    /// The outcome of its attempt if the connection ends now.
+    /// Returns the outcome of the current attempt if the connection ends now.
     pub fn failure_outcome(&self) -> Outcome {
         match self.command_state() {
             CommandState::Sent => Outcome::Reset,
@@ -101,7 +96,7 @@
         }
     }
 
-    /// Writes as much of the command as the socket takes.
+    /// Writes as much of the command as the socket accepts without blocking.
     pub fn write_command(&mut self) -> io::Result<()> {
         while self.written < self.command.len() {
             match self.stream.write(&self.command[self.written..]) {
@@ -119,7 +114,7 @@
         Ok(())
     }
 
-    /// Reads once, by way of `buffer`.
+    /// Reads once into `buffer` and appends the bytes to the reply.
     pub fn read_once(&mut self, buffer: &mut [u8], now: Instant) -> ReadStep {
         match self.stream.read(buffer) {
             Ok(0) => ReadStep::Ended,
@@ -136,12 +131,12 @@
         }
     }
 
-    /// Reads from an idle connection, and returns whether it is open and had no unread bytes. A byte that was
-    /// read is lost, so a connection that is not quiet has to be closed.
+    /// Reads from an idle connection and returns whether it is open without unread bytes. Otherwise it has to
+    /// be closed, since the byte that was read is lost.
     ///
-    /// A duplicate reply would be taken for the reply to the next command, since replies carry no id, and a
-    /// command on a connection that the backend has closed would fail. The read detects both right before the
-    /// connection is used.
+    /// Called right before reuse, to detect a connection that the backend has closed, on which the command
+    /// would fail, and a duplicate reply, which would be taken for the reply to the next command because
+    /// replies carry no id.
     pub fn probe_is_usable(&mut self) -> bool {
         let read = self.stream.read(&mut [0]);
         read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -13,24 +13,25 @@
 use ingress::{BackendId, Duration, Instant, Outcome};
 use mio::Registry;
 
-/// The most bytes of a reply. The parser rejects a reply far earlier; this limits the reads of an iteration
-/// in any case.
+/// Maximum size of a reply. The parser's own limits are far lower; this one bounds the bytes read per
+/// iteration of the event loop in any case.
 const MAX_REPLY_BYTES: usize = 256 * 1024;
-/// A failure this soon after the assignment of an attempt means that the connection was dead before.
+/// A reused connection that fails within this time after an attempt is assigned counts as stale.
 const IMMEDIATE_FAILURE_THRESHOLD: Duration = Duration::from_millis(10);
 
 /// Whether a connection can still be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Usability {
-    /// It stays open.
+    /// The connection stays open.
     Usable,
-    /// It is to be closed.
+    /// The connection has to be closed.
     Unusable,
 }
 
 impl BackendConnections {
-    /// Assigns an attempt to a connection, and writes the command that `encode` appends. Returns none if that
-    /// has failed; the end of the attempt is among the completions then.
+    /// Assigns an attempt to a connection and starts writing the command that `encode` appends.
+    ///
+    /// Returns `None` if this fails; the completions then contain the attempt's result.
     pub fn assign(
         &mut self,
         registry: &Registry,
@@ -60,7 +61,7 @@
         Some(AssignedConnection { connection: id, command })
     }
 
-    /// The key of a connection for an attempt; the error is the attempt's outcome.
+    /// Returns the key of a connection for an attempt, or the outcome of the attempt if there is none.
     fn connection_for(
         &mut self,
         registry: &Registry,
@@ -82,7 +83,7 @@
         self.acquire(registry, backend, now)
     }
 
-    /// The attempt on a connection if nothing of its command is written yet.
+    /// Returns the attempt on a connection if no byte of its command is written yet.
     pub fn unwritten_attempt(&self, key: usize) -> Option<AttemptId> {
         self.connections
             .get(key)
@@ -90,8 +91,7 @@
             .and_then(|connection| connection.attempt)
     }
 
-    /// Replaces a command of which nothing is written yet by the one that `encode` appends, with another
-    /// stated timeout.
+    /// Replaces the command on a connection by the one that `encode` appends, unless a byte of it is written.
     pub fn rewrite_command(
         &mut self,
         key: usize,
@@ -106,19 +106,20 @@
         }
     }
 
-    /// The connection with an id, if it is still open.
+    /// Returns the connection with this id if it is still open.
     fn connection(&self, id: ConnectionId) -> Option<&BackendConnection> {
         self.connections.get(id.key).filter(|connection| connection.serial == id.serial)
     }
 
-    /// Whether a connection is open and its command not completely written, so that the backend cannot have
-    /// begun to execute it.
+    /// Returns whether a connection is open with an incompletely written command, which the backend cannot
+    /// have started to execute.
     pub fn is_incomplete(&self, id: ConnectionId) -> bool {
         self.connection(id).is_some_and(|connection| connection.command_state() == CommandState::Incomplete)
     }
 
-    /// Closes a connection for `reason` if it is still open and carries this attempt, and returns how much of
-    /// the command was written. There is no completion: the caller accounts for the end of the attempt.
+    /// Closes a connection if it is still open and carries this attempt, and returns the command's progress.
+    ///
+    /// Adds no completion: the caller records the end of the attempt.
     pub fn cancel(
         &mut self,
         id: ConnectionId,
@@ -134,11 +135,11 @@
         Some(command)
     }
 
-    /// Ends an attempt whose connection is not established, or whose command is not completely written, in
-    /// time.
+    /// Ends an attempt whose command is not completely written when the connect timeout expires, whether or
+    /// not its connection is established.
     ///
-    /// A command that is written later might reach the backend after the window of its idempotency key, and
-    /// be executed twice. The gateway relies on this timeout when it judges the window.
+    /// A command written later could reach the backend after the window of its idempotency key and be
+    /// executed twice. The gateway relies on this timeout when it checks whether the window is still open.
     pub fn on_connect_timeout(&mut self, id: ConnectionId, attempt: AttemptId) {
         let carries_attempt =
             self.connection(id).is_some_and(|connection| connection.attempt == Some(attempt));
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Reads from a ready connection, and writes to it if it is writable. If it becomes idle, it does so at
-    /// `now`.
+    /// Writes to a connection if it is writable, and reads from it. A connection that becomes idle is marked
+    /// as idle since `now`.
     pub fn on_ready(&mut self, key: usize, now: Instant, readiness: Readiness) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         if readiness == Readiness::Writable {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Writes as much of the command as possible.
+    /// Writes as much of the command as possible, and records when its first byte is written.
     fn write(&mut self, key: usize) {
         let connection = &mut self.connections[key];
         let was_unwritten = connection.has_unwritten_command();
@@ -177,7 +178,7 @@
         if result.is_ok() {
             return;
         }
-        // The backend may have sent a rejection before it closed the connection, as at its connection limit.
+        // A backend at its connection limit sends a rejection before it closes the connection, so read first.
         let id = ConnectionId { key, serial: connection.serial };
         let assigned_at = connection.assigned_at;
         self.read(key, assigned_at);
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Reads until a read would block or the connection has ended, since the poll reports each arrival once.
+    /// Reads until a read would block or the connection has ended, since readiness is edge-triggered.
     fn read(&mut self, key: usize, now: Instant) {
         while self.connections[key].received.len() <= MAX_REPLY_BYTES {
             let step = self.connections[key].read_once(&mut self.read_buffer, now);
@@ -203,14 +204,15 @@
                 }
             }
         }
-        // No reply is that long: the backend sends without end.
+        // No valid reply exceeds the limit.
         self.fail(key, now, BackendCloseReason::Unusable);
     }
 
-    /// Completes the exchange if the reply is complete or malformed.
+    /// Completes the exchange if the reply is complete or malformed, and returns whether the connection can
+    /// still be used.
     fn process_received(&mut self, key: usize, now: Instant) -> Usability {
         let connection = &self.connections[key];
-        // Bytes on an idle connection are the reply to no command.
+        // Bytes on an idle connection belong to no command.
         if connection.attempt.is_none() {
             return Usability::Unusable;
         }
@@ -223,7 +225,7 @@
         let result = parsed
             .as_ref()
             .and_then(|parsed| reply::interpret(&connection.received, &parsed.reply))
-            // The reply to an incomplete command can only be a rejection.
+            // The only valid reply to an incomplete command is a rejection.
             .filter(|result| is_sent || result.outcome == Outcome::Rejected);
         let has_no_trailing_bytes =
             parsed.is_some_and(|ParsedReply { length, .. }| length == connection.received.len());
@@ -245,8 +247,9 @@
         self.remove(key, reason);
     }
 
-    /// Records the end of the attempt on a connection, if it carries one. Without `ended_at` a failure does
-    /// not count against the reuse of idle connections.
+    /// Records the end of the attempt on a connection, if it carries one.
+    ///
+    /// A failure without `ended_at` is not recorded as a stale reuse.
     pub(super) fn complete(&mut self, key: usize, result: ExchangeResult, ended_at: Option<Instant>) {
         let connection = &self.connections[key];
         let Some(attempt) = connection.attempt else { return };
@@ -260,7 +263,6 @@
         self.push_completion(attempt, backend, started_at, result);
     }
 
-    /// Adds the end of an attempt to the completions.
     fn push_completion(
         &mut self,
         attempt: AttemptId,
@@ -280,8 +282,8 @@
     }
 }
 
-/// The result of the reuse of a connection whose attempt has ended with this outcome; none if it shows
-/// nothing about the idle time before.
+/// Returns the outcome of reusing a connection whose attempt ended with `outcome`; `None` if the failure is
+/// not evidence that the connection was stale.
 fn reuse_outcome(
     connection: &BackendConnection,
     outcome: Outcome,
--- a/src/bin/ingress/backends/idle_reuse.rs
+++ b/src/bin/ingress/backends/idle_reuse.rs
@@ -1,55 +1,52 @@
-//! Determines for how long a connection may be idle and still be reused, from the results of earlier reuses.
+//! Estimates how long a connection can be idle and still be reused, from the outcomes of earlier reuses.
 
 use ingress::Duration;
 
-/// The greatest accepted fraction of reuses that find the connection dead.
+/// Maximum accepted fraction of reuses that find a stale connection.
 const MAX_STALE_FRACTION: f64 = 0.2;
-/// The fewest reuses from which the fraction is computed.
+/// Minimum number of reuses from which the fraction is computed.
 const MIN_USES: f64 = 3.0;
-/// The factor on all counts at each sweep. It halves them in 23 sweeps, which with the interval of
-/// `SWEEP_INTERVAL` in `event_loop/timers.rs` take 11.5 s.
+/// Factor applied to all counts at each sweep. Halves them in 23 sweeps, which take 11.5 s with
+/// `SWEEP_INTERVAL` of `event_loop/timers.rs`.
 const DECAY_FACTOR_PER_SWEEP: f64 = 0.97;
-/// The number of buckets by idle time. Each is twice as long as the one before; the first one ends at 2 ms.
+/// Number of buckets by idle time. The first one ends at 2 ms, and each is twice as wide as the one before.
 const BUCKET_COUNT: usize = 16;
 
-/// The result of the reuse of an idle connection.
+/// Outcome of reusing an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReuseOutcome {
-    /// The connection worked.
+    /// The connection still worked.
     Alive,
-    /// It was dead: it was reset at once.
+    /// The connection failed at once, before a byte of the reply arrived.
     Stale,
 }
 
-/// The reuses after the idle times of one bucket, with decay.
+/// Decaying counts of the reuses after a range of idle times.
 #[derive(Clone, Copy, Default)]
 struct Bucket {
-    /// All reuses.
     uses: f64,
-    /// Those that found the connection dead.
     stale_uses: f64,
 }
 
 impl Bucket {
-    /// Whether connections with such an idle time should not be reused.
+    /// Returns whether connections should not be reused after this idle time.
     fn is_stale(&self) -> bool {
         self.uses >= MIN_USES && self.stale_uses > self.uses * MAX_STALE_FRACTION
     }
 }
 
-/// Counts the results of reuses by the idle time before them.
+/// Counts the outcomes of reuses by idle time, to avoid idle times after which many reuses fail.
 ///
-/// On some networks a connection is dead after a fraction of a second without traffic. That shows only once a
-/// command is written, which then counts as possibly executed and often cannot be retried. So idle times
-/// after which many reuses fail are avoided.
+/// Some networks drop a connection after a fraction of a second without traffic. This is detected only when a
+/// command is written, which then counts as possibly executed and often cannot be retried.
 #[derive(Default)]
 pub struct IdleReuseTracker {
-    /// By the binary logarithm of the idle milliseconds.
+    /// Indexed by the binary logarithm of the idle time in milliseconds.
     buckets: [Bucket; BUCKET_COUNT],
 }
 
 impl IdleReuseTracker {
-    /// Records the reuse of a connection that had been idle for `idle_time`.
+    /// Records the outcome of reusing a connection after `idle_time`.
     pub fn record(&mut self, idle_time: Duration, reuse: ReuseOutcome) {
         let index = idle_time.as_millis().max(1).ilog2() as usize;
         let bucket = &mut self.buckets[index.min(BUCKET_COUNT - 1)];
@@ -59,13 +56,13 @@
         }
     }
 
-    /// For how long a connection may be idle and still be reused.
+    /// Returns the maximum idle time after which a connection may be reused.
     pub fn max_idle_time(&self) -> Duration {
         let shortest_stale = self.buckets.iter().position(Bucket::is_stale);
         shortest_stale.map_or(Duration::MAX, |index| Duration::from_millis(1 << index))
     }
 
-    /// Decays the counts; called at each sweep.
+    /// Decays the counts. Called at each sweep.
     pub fn decay(&mut self) {
         for bucket in &mut self.buckets {
             bucket.uses *= DECAY_FACTOR_PER_SWEEP;
--- a/src/bin/ingress/backends/idle_reuse/tests.rs
+++ b/src/bin/ingress/backends/idle_reuse/tests.rs
@@ -2,19 +2,19 @@
 
 use super::*;
 
-/// How long the connections were idle: in the bucket from 256 to 512 ms.
+/// An idle time in the bucket from 256 to 512 ms.
 const IDLE_TIME: Duration = Duration::from_millis(260);
-/// The idle times of that bucket begin here.
+/// Lower bound of that bucket.
 const BUCKET_START: Duration = Duration::from_millis(256);
 
-/// A tracker that has seen so many connections dead after the idle time.
+/// Returns a tracker with this number of stale reuses after [`IDLE_TIME`].
 fn tracker_after_stale_uses(stale_uses: usize) -> IdleReuseTracker {
     let mut tracker = IdleReuseTracker::default();
     (0..stale_uses).for_each(|_| tracker.record(IDLE_TIME, ReuseOutcome::Stale));
     tracker
 }
 
-/// The sweeps after which connections are reused again after the idle time.
+/// Returns the number of sweeps after which connections are reused after [`IDLE_TIME`] again.
 fn sweeps_until_reuse(mut tracker: IdleReuseTracker) -> usize {
     let mut sweeps = 0;
     while tracker.max_idle_time() <= IDLE_TIME {
@@ -24,31 +24,31 @@
     sweeps
 }
 
-/// A firewall drops connections that were idle for a quarter of a second. Three requests fail before the ingress knows;
-/// from then on it opens a new connection after that idle time, and still reuses those that were idle for less.
+/// A firewall drops connections that were idle for a quarter of a second. After three failed requests the
+/// ingress no longer reuses connections after that idle time, but still reuses those that were idle for less.
 #[test]
-fn an_idle_time_after_which_connections_are_dead_is_avoided_from_the_third_one_on() {
+fn an_idle_time_is_avoided_after_three_stale_reuses() {
     assert_eq!(tracker_after_stale_uses(2).max_idle_time(), Duration::MAX);
     assert_eq!(tracker_after_stale_uses(3).max_idle_time(), BUCKET_START);
 }
 
-/// The firewall is gone after a while. The ingress has to find that out, or it would open a new connection for each request
-/// for ever, so it tries the idle time again once its counts have decayed: after four failures not within 4 s, which are
-/// eight sweeps. Each such try may fail one request; the test of the program allows for just these.
+/// The firewall is removed later. Unless the ingress retried the idle time, it would open a new connection
+/// for each request permanently. Each retry may fail one request, so after four failures the counts must not
+/// have decayed within 4 s, which are eight sweeps. The test of the program allows for these failures only.
 #[test]
-fn an_avoided_idle_time_is_tried_again_and_not_within_four_seconds() {
+fn an_avoided_idle_time_is_retried_after_four_seconds_at_the_earliest() {
     assert!(sweeps_until_reuse(tracker_after_stale_uses(4)) > 8);
     let mut tracker = tracker_after_stale_uses(4);
     (0..9).for_each(|_| tracker.decay());
-    assert_eq!(tracker.max_idle_time(), BUCKET_START, "avoided for four and a half seconds");
+    assert_eq!(tracker.max_idle_time(), BUCKET_START, "avoided for nine sweeps, 4.5 s");
     tracker.decay();
     assert_eq!(tracker.max_idle_time(), Duration::MAX);
 }
 
-/// Some connections are dead after any idle time, as when a backend is restarted. One failure among many reuses must not
-/// have the others avoided, or each request would need a new connection.
+/// Some connections fail regardless of their idle time, for example when a backend restarts. If one failure
+/// among many reuses made the ingress avoid the idle time, each request would need a new connection.
 #[test]
-fn a_few_dead_connections_among_many_change_nothing() {
+fn a_small_fraction_of_stale_reuses_is_accepted() {
     let mut tracker = tracker_after_stale_uses(1);
     (0..4).for_each(|_| tracker.record(IDLE_TIME, ReuseOutcome::Alive));
     assert_eq!(tracker.max_idle_time(), Duration::MAX);
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -1,4 +1,4 @@
-//! The pools of connections, one for each backend: the backend's address, and the idle connections to it.
+//! Connection pools, one per backend, with the backend's address and its idle connections.
 
 use super::closing::BackendCloseReason;
 use super::connection::BackendConnection;
@@ -16,56 +16,52 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// Bytes of a read, and the capacity that the buffers of an idle connection keep.
+/// Size in bytes of the read buffer, and the capacity that the buffers of an idle connection keep.
 pub const BUFFER_SIZE: usize = 32 * 1024;
-/// The least time for which a connection is idle after a reply.
+/// Minimum time that a connection stays idle after a reply before it is reused.
 ///
-/// A duplicate reply would be taken for the reply to the next command, since replies carry no id. It arrives
-/// some milliseconds after the first one, so it is found before the connection is reused.
+/// Replies carry no id, so a duplicate reply would be taken for the reply to the next command. A duplicate
+/// arrives some milliseconds after the original and is detected during this time.
 pub const MIN_IDLE_TIME: Duration = Duration::from_millis(20);
-/// The parts that the backends' keep-alive timeout is divided into; idle connections are closed one part
-/// before its end. If both ends closed them at the same time, a command could be written to a connection that
+/// Divisor of the backends' keep-alive timeout. Idle connections are closed by the resulting margin before
+/// the timeout expires: if both ends closed at the same time, a command could be written to a connection that
 /// the backend is closing.
 const KEEPALIVE_MARGIN_DIVISOR: u64 = 5;
 
-/// The connections to one backend that are idle.
+/// The endpoint state of one backend and the idle connections to it.
 #[derive(Default)]
 pub struct Pool {
-    /// The backend's address.
     pub address: Option<SocketAddr>,
-    /// The backend's availability in the endpoint list.
     pub availability: Availability,
-    /// Keys of the idle connections, the newest last.
+    /// Keys of the idle connections, the most recently used last.
     pub idle: Vec<usize>,
 }
 
 /// The connections to all backends.
 pub struct BackendConnections {
-    /// Every connection by its key.
+    /// All connections, idle or not, by key.
     pub(super) connections: Slab<BackendConnection>,
-    /// A pool for each backend of the endpoint list.
+    /// The pools of all backends in the endpoint list.
     pub(super) pools: HashMap<BackendId, Pool>,
-    /// The serial number of the latest connection.
     last_serial: u64,
-    /// The buffer for reads.
     pub(super) read_buffer: Vec<u8>,
-    /// Idle connections are closed after this time, before the backend closes them.
+    /// Time after which idle connections are closed, shorter than the backends' keep-alive timeout.
     configured_max_idle_time: Duration,
-    /// Shortens that time if reused connections turn out to be dead.
+    /// Lowers the maximum idle time when reused connections turn out to be stale.
     pub(super) idle_reuse: IdleReuseTracker,
-    /// The poll's token of the connection with a key.
+    /// Returns the poll token for a connection's key.
     token: fn(usize) -> Token,
-    /// The ends of attempts that were not taken yet.
+    /// Results of attempts since the last [`BackendConnections::take_completions`].
     pub(super) completions: Vec<ExchangeCompletion>,
-    /// The begun attempts that were not taken yet.
+    /// Attempts started since the last [`BackendConnections::take_first_bytes_written`].
     pub(super) first_bytes_written: Vec<FirstByteWritten>,
-    /// The number of connections opened so far.
+    /// Number of connections opened since the process started.
     pub opened_count: u64,
 }
 
 impl BackendConnections {
-    /// Without any backend. Backends close connections that have been idle for `keepalive_timeout`; `token`
-    /// returns the poll's token of the connection with a key.
+    /// Creates an empty set of pools. Backends close connections that have been idle for `keepalive_timeout`;
+    /// `token` returns the poll token for a connection's key.
     pub fn new(keepalive_timeout: Duration, token: fn(usize) -> Token) -> Self {
         BackendConnections {
             connections: Slab::new(),
@@ -82,23 +78,22 @@
         }
     }
 
-    /// Takes the ends of attempts, in order.
+    /// Removes and returns the results of attempts, in order.
     pub fn take_completions(&mut self) -> Vec<ExchangeCompletion> {
         std::mem::take(&mut self.completions)
     }
 
-    /// Takes the attempts whose first byte was written, in order.
+    /// Removes and returns the attempts whose first byte was written, in order.
     pub fn take_first_bytes_written(&mut self) -> Vec<FirstByteWritten> {
         std::mem::take(&mut self.first_bytes_written)
     }
 
-    /// How many connections there are.
+    /// Returns the number of open connections, idle or not.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Applies the addresses and availabilities of an endpoint list, and returns the backends that are no
-    /// longer listed.
+    /// Applies the addresses and availabilities of an endpoint list, and returns the removed backends.
     pub fn update_endpoints(&mut self, endpoints: &EndpointList) -> Vec<BackendId> {
         let mut removed = self.missing_backends(endpoints);
         let mut unavailable = HashSet::new();
@@ -124,7 +119,7 @@
         removed
     }
 
-    /// The backends that a snapshot no longer lists.
+    /// Returns the backends that a snapshot no longer lists; none for a delta.
     fn missing_backends(&self, endpoints: &EndpointList) -> Vec<BackendId> {
         if !endpoints.is_snapshot {
             return Vec::new();
@@ -134,13 +129,13 @@
         self.pools.keys().filter(|backend| !listed.contains(backend)).copied().collect()
     }
 
-    /// Whether a backend has another address than before.
+    /// Returns whether the address of a known backend has changed.
     fn has_new_address(&self, entry: &EndpointEntry) -> bool {
         self.pools.get(&entry.endpoint.backend).is_some_and(|pool| pool.address != entry.address)
     }
 
-    /// Ends attempts of which nothing is written yet at backends that take no new work: they would begin once
-    /// their connections are established, perhaps at another backend with the same address.
+    /// Ends attempts at unavailable backends whose commands are still unwritten. Otherwise they would start
+    /// once their connections are established, possibly at another backend with the same address.
     fn cancel_unwritten(&mut self, unavailable: &HashSet<BackendId>) {
         let is_unwritten = |connection: &BackendConnection| {
             connection.has_unwritten_command() && unavailable.contains(&connection.backend)
@@ -151,36 +146,36 @@
         }
     }
 
-    /// The keys of all connections that fulfil a condition.
+    /// Returns the keys of all connections that satisfy a condition.
     pub(super) fn keys_where(&self, condition: impl Fn(&BackendConnection) -> bool) -> Vec<usize> {
         self.connections.iter().filter(|(_, connection)| condition(connection)).map(|(key, _)| key).collect()
     }
 
-    /// Whether a backend may be sent a new attempt.
+    /// Checks whether a new attempt may be sent to a backend.
     pub(super) fn may_assign(&self, backend: BackendId) -> Result<(), BackendRefusal> {
         may_send_to(self.pools.get(&backend).map(|pool| pool.availability))
     }
 
-    /// Whether an attempt at a backend would need a new connection. `now` is the exact time, not that of the
-    /// tick.
+    /// Returns whether an attempt at a backend would need a new connection. `now` is the exact time, not the
+    /// time of the tick.
     pub fn needs_connection(&self, backend: BackendId, now: Instant) -> bool {
         self.pools.get(&backend).is_some_and(|pool| self.newest_reusable(pool, now).is_none())
     }
 
-    /// For how long a connection may be idle.
+    /// Returns the maximum time that a connection may be idle.
     pub(super) fn max_idle_time(&self) -> Duration {
         self.configured_max_idle_time.min(self.idle_reuse.max_idle_time())
     }
 
-    /// The index in a pool of the newest idle connection that may be reused.
+    /// Returns the index in a pool of the newest idle connection that may be reused.
     fn newest_reusable(&self, pool: &Pool, now: Instant) -> Option<usize> {
         let limits = ReuseLimits { min_idle_time: MIN_IDLE_TIME, max_idle_time: self.max_idle_time() };
         let idle_time = |key: usize| now.duration_since(self.connections[key].idle_since);
         pool.idle.iter().rposition(|key| may_reuse_connection(idle_time(*key), limits).is_ok())
     }
 
-    /// Takes an idle connection to a backend or opens a new one, and returns its key; the error is the
-    /// attempt's outcome.
+    /// Takes an idle connection to a backend or opens a new one, and returns its key, or the outcome of the
+    /// attempt on failure.
     pub(super) fn acquire(
         &mut self,
         registry: &Registry,
@@ -193,8 +188,8 @@
         }
     }
 
-    /// Takes the newest idle connection to a backend that may be reused, and closes those that turn out to be
-    /// unusable.
+    /// Removes the newest reusable connection from a backend's pool and returns its key. Connections that
+    /// turn out to be unusable are closed.
     fn take_idle(&mut self, backend: BackendId, now: Instant) -> Option<usize> {
         loop {
             let position = self.newest_reusable(self.pools.get(&backend)?, now)?;
@@ -204,13 +199,13 @@
                 connection.idle_time_before_attempt = Some(now.duration_since(connection.idle_since));
                 return Some(key);
             }
-            // Frees its descriptor for the next connection.
+            // Frees the descriptor for the next connection.
             self.remove(key, BackendCloseReason::Broken);
         }
     }
 
-    /// Begins to open a connection to a backend. A shortage of sockets on this machine is no failure of the
-    /// backend's.
+    /// Starts opening a connection to a backend. A socket shortage on this machine is reported as
+    /// [`Outcome::NotSent`], so that it does not count as a failure of the backend.
     fn connect(&mut self, registry: &Registry, backend: BackendId, now: Instant) -> Result<usize, Outcome> {
         let address = self.pools.get(&backend).and_then(|pool| pool.address).ok_or(Outcome::ConnectFailed)?;
         let mut stream = TcpStream::connect(address).map_err(|error| {
@@ -225,7 +220,7 @@
         let key = slot.key();
         let interest = Interest::READABLE | Interest::WRITABLE;
         registry.register(&mut stream, (self.token)(key), interest).map_err(|_| Outcome::NotSent)?;
-        // Otherwise the second of two small writes would wait for the first one's acknowledgement.
+        // Otherwise the second of two small writes would wait for the acknowledgement of the first.
         let _ = stream.set_nodelay(true);
         self.last_serial += 1;
         self.opened_count += 1;
@@ -233,8 +228,7 @@
         Ok(key)
     }
 
-    /// Returns a connection whose attempt has ended to its backend's pool, unless the backend has another
-    /// address by now.
+    /// Returns a connection to its backend's pool after an attempt, unless the backend's address has changed.
     pub(super) fn release(&mut self, key: usize, now: Instant) -> Usability {
         let connection = &mut self.connections[key];
         let Some(pool) = self.pools.get_mut(&connection.backend) else { return Usability::Unusable };
--- a/src/bin/ingress/backends/reply.rs
+++ b/src/bin/ingress/backends/reply.rs
@@ -1,30 +1,30 @@
-//! Interprets the replies of backends.
+//! Maps RESP2 replies of backends to outcomes, values and load reports.
 
 use crate::resp::{Element, ElementKind, Reply};
 use ingress::{LoadReportField, Outcome};
 
-/// The first word of the error by which a backend rejects a command without executing it.
+/// First word of the error that a backend sends when it rejects a command without executing it.
 const REJECTION: &[u8] = b"BUSY";
 
-/// The result of an exchange.
+/// Result of sending a command: the content of the reply, or the failure.
 #[derive(Debug)]
 pub struct ExchangeResult {
-    /// How it ended.
     pub outcome: Outcome,
-    /// With [`Outcome::Ok`]: the value as encoded by the backend.
+    /// The value as encoded by the backend; empty unless the outcome is [`Outcome::Ok`].
     pub value: Vec<u8>,
-    /// The requests that wait at the backend, where it reported them.
+    /// Number of requests queued at the backend, if the backend reported it.
     pub reported_queue_depth: Option<f64>,
 }
 
 impl ExchangeResult {
-    /// A result without a reply.
+    /// Creates the result of an exchange that ended before a valid reply was received.
     pub fn without_reply(outcome: Outcome) -> ExchangeResult {
         ExchangeResult { outcome, value: Vec::new(), reported_queue_depth: None }
     }
 }
 
-/// Interprets a reply whose elements are ranges of `buffer`; none if it is no valid reply to a request.
+/// Interprets a reply whose elements are ranges of `buffer`. Returns `None` if it is not a valid reply to a
+/// request.
 pub fn interpret(buffer: &[u8], reply: &Reply) -> Option<ExchangeResult> {
     match reply {
         Reply::Array(elements) => interpret_value(buffer, elements),
@@ -35,7 +35,7 @@
     }
 }
 
-/// Interprets an array of a value, an element that is not used, and a load report.
+/// Interprets an array of a value, an unused element and a load report.
 fn interpret_value(buffer: &[u8], elements: &[Element]) -> Option<ExchangeResult> {
     let [value, _, load] = elements else { return None };
     if value.kind != ElementKind::Bulk {
@@ -47,7 +47,7 @@
     Some(ExchangeResult { outcome: Outcome::Ok, value, reported_queue_depth })
 }
 
-/// Interprets an error, whose last word may be a load report.
+/// Interprets an error reply, whose last word may be a load report.
 fn interpret_error(text: &[u8]) -> ExchangeResult {
     let is_space = |byte: &u8| *byte == b' ';
     let is_rejection = text.split(is_space).next() == Some(REJECTION);
@@ -56,7 +56,7 @@
     ExchangeResult { outcome, value: Vec::new(), reported_queue_depth }
 }
 
-/// The queue depth in a load report such as `inflight=7,queue=2`.
+/// Parses the queue depth from a load report such as `inflight=7,queue=2`.
 fn queue_depth(text: &[u8]) -> Option<f64> {
     let mut fields = std::str::from_utf8(text).ok()?.split(',').filter_map(|field| field.split_once('='));
     let (_, value) =
--- a/src/bin/ingress/backends/reply/tests.rs
+++ b/src/bin/ingress/backends/reply/tests.rs
@@ -2,11 +2,10 @@
 
 use super::*;
 
-/// A backend reports how long its queue is, among other values and some that cannot be read. The queue depth is
-/// found all the same, and nonsense is no depth; an ingress that overlooked a long queue would go on sending
-/// requests that wait there.
+/// A load report contains the queue depth among other fields, some of them malformed. An ingress that missed
+/// the depth would keep sending requests to a backend with a long queue.
 #[test]
-fn the_queue_depth_is_found_in_a_load_report() {
+fn the_queue_depth_is_parsed_from_a_load_report() {
     for (text, expected) in [
         ("queue=3", Some(3.0)),
         ("inflight=7,queue=2,util=0.61", Some(2.0)),
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -11,20 +11,20 @@
 
 const BACKEND: BackendId = BackendId(7);
 const START: Instant = Instant::from_micros(1_000_000_000);
-/// A reply whose value is `one`, with no load report.
+/// A reply with the value `one` and without a load report.
 const REPLY_ONE: &[u8] = b"*3\r\n$3\r\none\r\n$-1\r\n$-1\r\n";
 
-/// The first attempt of a request.
+/// Returns the id of the first attempt of a request.
 fn attempt(request: u64) -> AttemptId {
     AttemptId { request: RequestId(request), number: 0 }
 }
 
-/// The timeout of a command that is encoded at a time: none is left.
+/// Returns a stated timeout of zero.
 fn zero_timeout(stated_at: Instant) -> StatedTimeout {
     StatedTimeout { stated_at, timeout: Duration::ZERO }
 }
 
-/// Connections to one backend, which the test plays; its clock is the test's as well.
+/// Connections to one backend whose listener and clock the test controls.
 struct Harness {
     connections: BackendConnections,
     poll: Poll,
@@ -42,7 +42,7 @@
         Harness { connections, poll: Poll::new().unwrap(), listener }
     }
 
-    /// Begins an attempt and waits until its command is written.
+    /// Starts an attempt and waits until its command is written.
     fn assign(&mut self, request: u64, now: Instant) -> ConnectionId {
         let encode = |command: &mut Vec<u8>| command.extend_from_slice(b"*1\r\n$4\r\nCALL\r\n");
         let registry = self.poll.registry();
@@ -54,7 +54,7 @@
         assigned.connection
     }
 
-    /// Reads from a connection until an exchange has ended.
+    /// Reads from a connection until an exchange completes.
     fn completion(&mut self, connection: ConnectionId, now: Instant) -> ExchangeCompletion {
         for _ in 0..1_000_000 {
             if let Some(completion) = self.connections.completions.pop() {
@@ -62,7 +62,7 @@
             }
             self.connections.on_ready(connection.key, now, Readiness::Readable);
         }
-        panic!("nothing has ended");
+        panic!("no exchange completed");
     }
 
     /// Sends a reply on a connection and reads it.
@@ -72,11 +72,10 @@
     }
 }
 
-/// A backend sends a reply twice, some milliseconds apart, and a reply does not say which request it answers. If
-/// the next request used the connection in between, its client would get the value of another request; so it gets a
-/// connection of its own.
+/// A backend sends a reply twice, some milliseconds apart, and replies carry no request id. If the connection
+/// were reused in between, the next client would receive the value of another request.
 #[test]
-fn a_duplicate_reply_some_milliseconds_late_serves_nobody() {
+fn a_delayed_duplicate_reply_is_not_taken_for_the_next_reply() {
     for delay in [2_500, 5_000, 10_000].map(Duration::from_micros) {
         let mut harness = Harness::new(Duration::from_secs(30));
         let first = harness.assign(1, START);
@@ -92,10 +91,11 @@
     }
 }
 
-/// A connection rests for the time in which a duplicate reply may arrive, and then carries the next request. If it
-/// rested for longer, the ingress would open many more connections, each of which costs the backend work.
+/// A connection is reusable as soon as the minimum idle time, in which duplicate replies are detected, has
+/// passed. With a longer wait the ingress would open many more connections, each of which costs the backend
+/// work.
 #[test]
-fn a_connection_that_has_been_idle_long_enough_is_used_again() {
+fn a_connection_is_reused_after_the_minimum_idle_time() {
     let mut harness = Harness::new(Duration::from_secs(30));
     let first = harness.assign(1, START);
     let mut peer = harness.listener.accept().unwrap().0;
@@ -103,11 +103,11 @@
     assert_eq!(harness.assign(2, START + MIN_IDLE_TIME), first);
 }
 
-/// A connection is established, but the backend does not read, and the command cannot be written completely in
-/// time. Nothing can have been executed, so the attempt ends as one that never connected, and the request may go to
-/// another backend even if it must not be executed twice.
+/// A connection is established, but the backend does not read, so the command is not completely written in
+/// time. It cannot have been executed, so the attempt ends as a failed connect, after which even a
+/// non-idempotent request may be retried.
 #[test]
-fn a_command_that_is_not_written_in_time_has_not_begun() {
+fn a_command_not_written_in_time_ends_as_a_failed_connect() {
     let mut harness = Harness::new(Duration::from_secs(30));
     let encode = |command: &mut Vec<u8>| command.resize(64 << 20, b'x');
     let registry = harness.poll.registry();
@@ -120,17 +120,17 @@
     assert!(harness.connections.connections[connection.key].is_connected);
     assert!(harness.connections.is_incomplete(connection));
     harness.connections.on_connect_timeout(connection, attempt(1));
-    let completion = harness.connections.completions.pop().expect("it has ended");
+    let completion = harness.connections.completions.pop().expect("the attempt completes");
     assert_eq!((completion.attempt, completion.outcome), (attempt(1), Outcome::ConnectFailed));
     assert_eq!(harness.connections.len(), 0);
     drop(peer);
 }
 
-/// Backends close connections after a short idle time, and one has nearly reached it. A command written to it could
-/// cross the close, and nobody could say whether it was executed; the periodic sweep comes too seldom to close the
-/// connection first, so it is not used.
+/// A connection has nearly reached the backend's short keep-alive timeout. A command written to it could
+/// cross the close, and its execution would be unknown. The periodic sweep is too infrequent to close it
+/// first, so the idle time is checked before reuse.
 #[test]
-fn a_connection_that_the_backend_may_close_any_moment_is_not_used() {
+fn a_connection_close_to_the_keepalive_timeout_is_not_reused() {
     let mut harness = Harness::new(Duration::from_millis(400));
     let first = harness.assign(1, START);
     let mut peer = harness.listener.accept().unwrap().0;
@@ -138,17 +138,16 @@
     assert_ne!(harness.assign(2, START + Duration::from_millis(390)), first);
 }
 
-/// An attempt begins a connection and with it a timer; the attempt ends, and the connection carries the next
-/// command, partly written, when that timer is due. The timer ended the second attempt, which had time left; it
-/// must concern the first one only.
+/// An attempt opens a connection and starts its connect timer, and completes. When the timer expires, the
+/// connection carries a partly written command of the next attempt, which must not be ended by it.
 #[test]
-fn the_timer_of_an_earlier_attempt_does_not_end_a_later_one() {
+fn the_connect_timeout_of_an_attempt_does_not_end_a_later_attempt() {
     let mut harness = Harness::new(Duration::from_secs(15));
     let first = harness.assign(1, START);
     let (mut peer, _) = harness.listener.accept().unwrap();
     peer.write_all(REPLY_ONE).unwrap();
     assert_eq!(harness.completion(first, START).outcome, Outcome::Ok);
-    // More than the socket takes at once.
+    // More than the socket accepts at once.
     let long = |command: &mut Vec<u8>| command.resize(64 << 20, b'x');
     let now = START + MIN_IDLE_TIME;
     let second = harness
@@ -157,15 +156,15 @@
         .unwrap();
     assert_eq!((second.connection, second.command), (first, CommandState::Incomplete));
     harness.connections.on_connect_timeout(first, attempt(1));
-    assert!(harness.connections.is_incomplete(first), "the later attempt goes on");
+    assert!(harness.connections.is_incomplete(first), "the later attempt continues");
     harness.connections.on_connect_timeout(first, attempt(2));
     assert!(!harness.connections.is_incomplete(first));
 }
 
-/// A backend is draining or removed when an attempt is to be sent to it. The command is not sent, whoever asks for
-/// it, and the attempt ends as one that was never sent, so that the request can go to another backend.
+/// A backend is draining or removed when an attempt is assigned to it. The attempt has to end as not sent, so
+/// that the request can be sent to another backend.
 #[test]
-fn a_backend_that_is_draining_or_removed_gets_no_command() {
+fn a_draining_or_removed_backend_receives_no_command() {
     let mut harness = Harness::new(Duration::from_secs(15));
     let address = harness.listener.local_addr().ok();
     for availability in [Availability::Draining, Availability::Gone] {
