--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,8 +1,8 @@
-//! The decisions of a gateway and their constants, a file for each concern. No I/O, no clock: what is random comes
-//! from the seed alone.
+//! The decisions of a gateway and their constants, one file per concern. The policies do no I/O and read no
+//! clock; all randomness is derived from the seed.
 //!
-//! Constants of the transport stand elsewhere: those of the messages between gateways in `gossip`, those of
-//! connections and sockets in the ingress.
+//! Transport constants are defined elsewhere: those of peer messages in `gossip`, those of connections and
+//! sockets in the ingress program.
 
 pub(crate) mod admission;
 mod attempt_expiry;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,8 +1,8 @@
-//! Admission: whether a request is rejected at once, waits for a quota grant, or is queued for a backend.
+//! Admission control: rejects a request, lets it wait for a quota grant, or queues it for a backend.
 //!
-//! A request is decided in three steps: [`ScreeningContext`] when it comes, [`ArrivalContext`] once its customer
-//! is known, and [`AdmissionContext`] then or after its wait for a grant. [`QueueContext`] end its time in the
-//! queue.
+//! A request is decided in three steps: [`ScreeningContext`] on arrival, [`ArrivalContext`] once its
+//! customer is identified, and [`AdmissionContext`] either immediately afterwards or after the wait for a
+//! grant. [`QueueContext`] limits its time in the queue.
 
 use super::load_shedding::epoch_draw;
 use super::quota::{GrantAnswers, GrantScope, GrantStatus, GrantTiming, QuotaOwnership, Shortage, Shortages};
@@ -10,44 +10,44 @@
 use super::{RejectReason, RetryAdvice};
 use crate::{CustomerId, Duration, Instant, Plan, Request};
 
-/// Share of the latency budget that a request may be queued for; queued longer it would fail late.
+/// Maximum time in the queue, as a share of the latency budget. A request that is queued for longer would
+/// be answered too late.
 const MAX_QUEUE_TIME_SHARE: f64 = 0.3;
-/// Length of the queue, as a share of the concurrency limit, at which no customer may join it any more.
+/// Queue length at which no customer may join the queue, as a share of the concurrency limit.
 const MAX_QUEUE_LENGTH_SHARE: f64 = 0.3;
-/// Age up to which a grant by which there were no tokens stands for further requests. A no may rest on an
-/// older grant than a yes: otherwise the retries of a customer over its quota would request grants without
-/// end.
+/// Maximum age of a grant answer without tokens that still rejects requests. Such an answer may be older
+/// than one that admits a request: otherwise each retry of a customer over its quota would request another
+/// grant.
 const REJECTION_FRESHNESS: Duration = Duration::from_millis(500);
-/// Wake-ups that have to be left to a request that waits: with less it could not be answered in time.
+/// Minimum number of wake-ups before the deadline of a waiting request; with fewer it could not be answered
+/// in time.
 const MIN_WAKE_UPS: u64 = 2;
 
-/// The time that has to be left to a request for it to wait, at a gateway with this tick.
+/// Returns the minimum time to the deadline with which a request may wait, at a gateway with this tick.
 pub(crate) fn min_queue_time(tick: Duration) -> Duration {
     wake_up_interval(tick) * MIN_WAKE_UPS
 }
 
-/// Whether the time until a deadline is enough for a request to wait. `min_queue_time` is that of
-/// [`min_queue_time`].
+/// Returns whether enough time is left until the deadline for a request to wait. `min_queue_time` is the
+/// result of [`min_queue_time`].
 pub(crate) fn has_time_to_wait(now: Instant, deadline: Instant, min_queue_time: Duration) -> bool {
     now + min_queue_time <= deadline
 }
 
-/// What a request is screened by as it comes.
+/// Input of the checks that every request passes on arrival.
 pub(crate) struct ScreeningContext<'a> {
-    /// The time.
     pub now: Instant,
-    /// The request.
     pub request: &'a Request,
-    /// How many classes the settings name.
+    /// Number of classes in the settings.
     pub class_count: usize,
-    /// How many plans the settings name.
+    /// Number of plans in the settings.
     pub plan_count: usize,
     /// See [`min_queue_time`].
     pub min_queue_time: Duration,
 }
 
 impl ScreeningContext<'_> {
-    /// Whether the request can be handled at all.
+    /// Rejects a request that is malformed or has too little time left to be answered.
     pub(crate) fn screen(&self) -> Result<(), RejectReason> {
         if !self.is_valid() {
             return Err(RejectReason::Invalid);
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    /// Whether the request names a class and a plan that there are, and a sensible number of units.
+    /// Returns whether the class and the plan exist and the number of units is finite and not negative.
     fn is_valid(&self) -> bool {
         let known_class = usize::from(self.request.class) < self.class_count;
         let known_plan = usize::from(self.request.plan) < self.plan_count;
@@ -66,47 +66,47 @@
     }
 }
 
-/// Whether a request names a plan with a hard limit that is not the plan of its customer's record: after a
-/// change of plan that is not known here yet, or to bypass the limit.
+/// Returns whether a request names a plan with a hard limit that is not the plan in its customer's record.
+/// Either the plan has changed and the change has not reached this gateway yet, or the client tries to
+/// bypass the limit.
 pub(crate) fn has_plan_mismatch(plans: &[Plan], claimed_plan: u16, recorded_plan: u16) -> bool {
     let has_hard_limit = plans[usize::from(claimed_plan)].hard_limit_rate > 0.0;
     has_hard_limit && recorded_plan != claimed_plan
 }
 
-/// What a new request's way is chosen by.
+/// Input of the decision on a request whose customer is identified.
 pub(crate) struct ArrivalContext<'a> {
-    /// The time.
     pub now: Instant,
-    /// By when the request has to be answered.
+    /// Deadline of the request.
     pub deadline: Instant,
     /// See [`min_queue_time`].
     pub min_queue_time: Duration,
-    /// The customer's plan.
     pub plan: &'a Plan,
-    /// The limits that the request would have to wait for, as far as known here.
+    /// Limits of the customer that lack tokens for the request, by the usage recorded at this gateway.
     pub shortages: Shortages,
-    /// What is known of the grants for the customer.
+    /// Grants recorded for the customer.
     pub grant: GrantStatus,
-    /// Which gateways own the quota.
+    /// How the owners of the quota are assigned.
     pub ownership: QuotaOwnership,
 }
 
-/// The way of a new request.
+/// Decision on a request whose customer is identified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ArrivalDecision {
-    /// It is decided now: by what is known here, or because it has no time to wait for more.
+    /// Admission is decided now, from local usage alone: either that is sufficient, or the request has no
+    /// time to wait for a grant.
     DecideNow,
-    /// It waits for a grant.
+    /// The request waits for a grant.
     AwaitGrant {
-        /// What the grant has to cover.
+        /// Limits that the grant has to cover.
         scope: GrantScope,
-        /// When it is requested where others wait for one already.
+        /// When the grant is requested if other requests already wait for one.
         timing: GrantTiming,
     },
 }
 
 impl ArrivalContext<'_> {
-    /// Decides whether the request has to wait for a grant.
+    /// Returns whether the request has to wait for a grant.
     pub(crate) fn decide(&self) -> ArrivalDecision {
         let needs_hard_limit = self.shortages.hard_limit.is_some();
         let lacks_hard_limit_alone = needs_hard_limit && self.shortages.quota.is_none();
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Whether the quota is counted here, or a grant is recent enough to decide by.
+    /// Returns whether usage is counted at this gateway or a grant is recent enough to decide by.
     fn is_quota_known(&self) -> bool {
         let is_over_rate_quota = self.shortages.quota.is_some() && self.plan.concurrency_quota == 0;
         let freshness =
@@ -130,42 +130,39 @@
     }
 }
 
-/// What decides whether a request is admitted.
+/// Input of the decision to admit a request.
 pub(crate) struct AdmissionContext {
-    /// The time.
     pub now: Instant,
-    /// Whose request it is.
     pub customer: CustomerId,
-    /// The limit of the customer's plan that does not allow it now.
+    /// Limit of the customer's plan that lacks tokens for the request.
     pub shortage: Option<Shortage>,
-    /// Whether further answers to a request for a grant may come.
+    /// Whether answers to the grant request are outstanding.
     pub answers: GrantAnswers,
     /// Attempts of this gateway in flight.
     pub in_flight: u32,
     /// Requests that wait for a backend.
     pub queue_length: usize,
-    /// Attempts that this gateway may have in flight.
+    /// Maximum number of attempts that this gateway may have in flight.
     pub concurrency_limit: f64,
 }
 
-/// Whether a request is admitted.
+/// Decision to admit, delay or reject a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AdmissionDecision {
-    /// It is charged, and queued for a backend.
+    /// The request is charged to the quota and queued for a backend.
     Admit,
-    /// It waits for the answer of another owner.
+    /// The request waits for the answer of another quota owner.
     KeepWaiting,
-    /// It is rejected.
+    /// The request is rejected.
     Reject {
-        /// Why.
         reason: RejectReason,
-        /// When the client is advised to come again.
+        /// When the client is advised to retry.
         advice: RetryAdvice,
     },
 }
 
 impl AdmissionContext {
-    /// Decides whether the request is admitted.
+    /// Decides whether the request is admitted, rejected, or waits for further grant answers.
     pub(crate) fn decide(&self) -> AdmissionDecision {
         match self.shortage {
             Some(_) if self.answers == GrantAnswers::Outstanding => AdmissionDecision::KeepWaiting,
@@ -180,8 +177,10 @@
         }
     }
 
-    /// Whether the queue has no place for the customer. The fuller it is, the fewer customers may join it;
-    /// the same ones for a shedding epoch, since their retries would come too late to be of use.
+    /// Returns whether the queue accepts no further request of this customer. The share of customers that
+    /// may join falls as the queue grows. The same customers are turned away for a whole shedding epoch: if
+    /// each request were drawn separately, the retries of rejected clients would be admitted, too late to
+    /// be of use.
     fn is_queue_full_for_customer(&self) -> bool {
         let queue_fill = self.queue_length as f64 / (self.concurrency_limit * MAX_QUEUE_LENGTH_SHARE);
         let is_saturated = f64::from(self.in_flight) >= self.concurrency_limit;
@@ -189,22 +188,21 @@
     }
 }
 
-/// What ends a request's time in the queue.
+/// Input of the limit on a request's time in the queue.
 pub(crate) struct QueueContext {
-    /// The time.
     pub now: Instant,
-    /// When the request came.
     pub arrived_at: Instant,
-    /// By when the request has to be answered.
+    /// Deadline of the request.
     pub deadline: Instant,
-    /// The time from the arrival within which an answer earns its full weight.
+    /// Time from arrival within which an answer earns its full weight.
     pub latency_budget: Duration,
     /// See [`min_queue_time`].
     pub min_queue_time: Duration,
 }
 
 impl QueueContext {
-    /// Whether the request has been queued for as long as it may be, or has no time left to wait.
+    /// Returns whether the request has been queued for the maximum time or has too little time left to
+    /// wait.
     pub(crate) fn is_overdue(&self) -> bool {
         let queued_until = self.arrived_at + self.latency_budget.mul_f64(MAX_QUEUE_TIME_SHARE);
         self.now > queued_until || !has_time_to_wait(self.now, self.deadline, self.min_queue_time)
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -1,51 +1,52 @@
-//! Pressure: how far recent latencies are from the highest that pass for normal.
+//! Pressure: the ratio of recent latencies to the highest normal latency.
 //!
-//! What counts as an answer here:
+//! The pressure includes:
 //!
-//! - a successful answer to an attempt of this gateway, by its latency;
-//! - the sample of a successful answer that a peer sent, in a large fleet;
-//! - a rejection by a backend, with a constant ratio.
+//! - successful answers to attempts of this gateway, by their latency;
+//! - samples of successful answers that peers sent, in a large fleet;
+//! - rejections by a backend, with a constant ratio.
 //!
-//! Errors, broken connections, timeouts and cancellations do not count, nor do latencies that were found with
-//! the first event after the host stood still.
+//! Errors, broken connections, timeouts and cancellations are not included, nor are latencies measured at
+//! the first event after a stall of the host.
 
 use crate::state::decay;
 use crate::{Duration, Instant};
 
 /// Pressure above which load is shed and the concurrency limit is reduced.
 pub(crate) const HIGH_PRESSURE: f64 = 1.0;
-/// Pressure below which shedding is taken back. Between the two the stage never falls.
+/// Pressure below which the shedding stage falls. Between the two thresholds it never falls.
 pub(crate) const LOW_PRESSURE: f64 = 0.75;
 /// Time constant of the mean over recent answers.
 pub(crate) const PRESSURE_TIME_CONSTANT: Duration = Duration::from_secs(1);
-/// The most that is kept of the mean at an answer: each one counts, however closely they follow each other.
+/// Maximum share of the previous mean that is kept at an answer, so that each answer counts however closely
+/// they follow each other.
 const MAX_RETAINED_SHARE: f64 = 0.98;
-/// The highest ratio that one answer counts with, so that a single very late one raises no alert.
+/// Maximum ratio that one answer counts with, so that a single very late answer causes no shedding.
 const MAX_LATENCY_RATIO: f64 = 4.0;
 
-/// The mean over recent answers of their latency as a ratio of the highest normal one.
+/// Mean over recent answers of the ratio of their latency to the highest normal one.
 ///
-/// It changes with answers only: while none come, it stays as it is.
+/// The mean changes only with an answer; without answers it keeps its value.
 #[derive(Default)]
 pub(crate) struct Pressure {
-    /// The mean; 1 where answers take as long as is barely normal.
+    /// 1 where answers take exactly the highest normal latency.
     level: f64,
-    /// When the latest answer came.
+    /// Time of the latest answer.
     updated_at: Instant,
 }
 
 impl Pressure {
-    /// The mean; 1 where answers take as long as is barely normal.
+    /// Returns the mean; 1 where answers take exactly the highest normal latency.
     pub(crate) fn level(&self) -> f64 {
         self.level
     }
 
-    /// Whether load has to be taken off.
+    /// Returns whether the load has to be reduced.
     pub(crate) fn is_high(&self) -> bool {
         self.level > HIGH_PRESSURE
     }
 
-    /// Records an answer, by its latency over the highest normal one, the latency ratio.
+    /// Records an answer by the ratio of its latency to the highest normal one.
     pub(crate) fn record(&mut self, now: Instant, latency_ratio: f64) {
         let retained = decay(self.updated_at, now, PRESSURE_TIME_CONSTANT).min(MAX_RETAINED_SHARE);
         self.level = self.level * retained + latency_ratio.min(MAX_LATENCY_RATIO) * (1.0 - retained);
