--- a/src/policy/attempt_expiry.rs
+++ b/src/policy/attempt_expiry.rs
@@ -1,28 +1,26 @@
-//! When an attempt is given up before its client's deadline.
+//! Expiry of attempts before the deadline of their client.
 
 use crate::{Class, Duration, Instant};
 
-/// What the expiry of an attempt depends on.
+/// Input of [`attempt_expiry`].
 #[derive(Clone, Copy)]
 pub(crate) struct ExpiryContext<'a> {
-    /// The time.
     pub now: Instant,
-    /// When its request arrived.
+    /// Arrival time of the request.
     pub arrived_at: Instant,
-    /// The class of its request.
     pub class: &'a Class,
-    /// Whether its customer may have a limited number of attempts in flight.
+    /// Whether the customer's plan limits the number of attempts in flight.
     pub has_concurrency_quota: bool,
-    /// Whether the way in which quotas are owned wants worthless attempts given up.
+    /// Whether the quota ownership demands that attempts whose late answer has no value expire early.
     pub gives_up_worthless_attempts: bool,
-    /// The least time between two events with a new clock: an attempt has at least as long.
+    /// Minimum time between two events with different clock readings; an attempt lasts at least this long.
     pub tick: Duration,
 }
 
-/// When an attempt is given up; none for its client's deadline.
+/// Returns the time at which an attempt expires, or `None` if it lasts until its client's deadline.
 ///
-/// Past its latency objective an attempt may be worth nothing, but still counts towards its customer's
-/// concurrency quota: giving it up makes room for another.
+/// After the latency objective an attempt may have no value but still count towards its customer's
+/// concurrency quota; its expiry makes room for another attempt.
 pub(crate) fn attempt_expiry(context: &ExpiryContext<'_>) -> Option<Instant> {
     let ExpiryContext { now, arrived_at, class, tick, .. } = *context;
     let is_worthless_when_late = class.late_weight == 0.0 && class.latency_objective_stretch == 0.0;
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -1,14 +1,14 @@
-//! The rules on what may be done now, each answered with a typed reason for a no. [`crate::audit`] checks
-//! afterwards what was done.
+//! Permission checks for actions of the gateway and its host. Each refusal is a typed reason.
+//! [`crate::audit`] verifies afterwards that the actions followed these rules.
 //!
-//! | question | who asks | file |
+//! | permission | checked by | file |
 //! | --- | --- | --- |
-//! | may an attempt be started? | the retry policy and the host | `policy/retry/permission.rs` |
-//! | may an idempotency key be repeated? | the retry policy | `policy/retry/permission.rs` |
-//! | may the first byte of an attempt be written? | the host | here |
-//! | may a backend be sent something new? | the host; the load balancer chooses among ready ones | here |
-//! | may a connection be used again? | the host | here |
-//! | may a client's connection be closed? | the host | here |
+//! | start an attempt | the retry policy and the host | `policy/retry/permission.rs` |
+//! | repeat an idempotency key | the retry policy | `policy/retry/permission.rs` |
+//! | write the first byte of an attempt | the host | this file |
+//! | send new work to a backend | the host; the load balancer chooses among ready backends | this file |
+//! | reuse a backend connection | the host | this file |
+//! | close a client's connection | the host | this file |
 
 pub use super::retry::permission::{
     may_repeat_key, may_start_attempt, AttemptContext, AttemptKind, AttemptRefusal, KeyExpired,
@@ -16,39 +16,39 @@
 use crate::{Availability, Duration, Instant};
 use thiserror::Error;
 
-/// Why the first byte of an attempt may not be written.
+/// Reason why the first byte of an attempt may not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum WriteRefusal {
-    /// No answer is owed any more.
-    #[error("the request is closed: answered, or abandoned by its client")]
+    /// The request has its final answer, or its client has disconnected.
+    #[error("the request is closed: it was answered or its client disconnected")]
     Closed,
-    /// The attempt's time is over.
-    #[error("the attempt's time is over")]
+    /// The attempt has reached its expiry time.
+    #[error("the attempt has expired")]
     Expired,
-    /// The connection took longer to come up than the policy counted on.
-    #[error("the connection came up too late")]
+    /// The connection was established later than the retry policy assumed.
+    #[error("the connection was established too late")]
     ConnectedTooLate,
 }
 
-/// What is known of an attempt whose first byte could be written.
+/// Input of [`may_begin_writing`].
 #[derive(Clone, Copy, Debug)]
 pub struct WriteContext {
-    /// The time.
+    /// Current time.
     pub now: Instant,
-    /// When the attempt is given up.
+    /// Time at which the attempt expires.
     pub expires_at: Instant,
-    /// By when the policy counts on its beginning.
+    /// Latest start of the attempt that the retry policy assumed.
     pub begins_by: Instant,
-    /// No answer is owed any more: the request has its final answer, or its client has disconnected.
+    /// Whether the request has its final answer or its client has disconnected.
     pub closed: bool,
 }
 
-/// Whether the first byte of an attempt may be written now.
+/// Checks that the first byte of an attempt may be written now.
 ///
 /// # Errors
 ///
-/// The first of these that holds: no answer is owed any more, the attempt has expired, or its connection came
-/// up later than the policy counted on.
+/// Returns the first refusal that applies: the request is closed, the attempt has expired, or its
+/// connection was established later than the retry policy assumed.
 pub fn may_begin_writing(context: &WriteContext) -> Result<(), WriteRefusal> {
     if context.closed {
         Err(WriteRefusal::Closed)
@@ -61,22 +61,23 @@
     }
 }
 
-/// Why a backend may be sent nothing new.
+/// Reason why a backend may not be sent new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BackendRefusal {
-    /// It finishes its work.
+    /// The backend finishes its pending requests and accepts no new ones.
     #[error("the backend is draining")]
     Draining,
-    /// It was taken away, or was never listed.
+    /// The backend was removed from the endpoint list or was never in it.
     #[error("the backend is not listed")]
     NotListed,
 }
 
-/// Whether a backend that is listed as this, or not at all, may be sent something new.
+/// Checks that a backend with this availability may be sent new work; `None` stands for a backend that is
+/// not listed.
 ///
 /// # Errors
 ///
-/// If the backend is draining, or is not listed.
+/// Returns a refusal if the backend is draining or not listed.
 pub fn may_send_to(listed: Option<Availability>) -> Result<(), BackendRefusal> {
     match listed {
         Some(Availability::Ready) => Ok(()),
@@ -85,31 +86,31 @@
     }
 }
 
-/// Why an idle connection may not be used now.
+/// Reason why an idle connection may not be used now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReuseRefusal {
-    /// Stray bytes of the last exchange may still come.
-    #[error("it has not rested for long enough")]
+    /// Stray bytes of the previous exchange may still arrive.
+    #[error("the connection was idle for less than the minimum time")]
     TooFresh,
-    /// The backend may have closed it.
-    #[error("it was idle for too long")]
+    /// The backend may have closed the connection.
+    #[error("the connection was idle for too long")]
     TooOld,
 }
 
-/// How long a connection may be idle and be used.
+/// Range of idle times with which a connection may be reused.
 #[derive(Clone, Copy, Debug)]
 pub struct ReuseLimits {
-    /// At the least.
+    /// Minimum idle time, inclusive.
     pub min_idle_time: Duration,
-    /// Less than this.
+    /// Maximum idle time, exclusive.
     pub max_idle_time: Duration,
 }
 
-/// Whether a connection that was idle for so long may carry the next command.
+/// Checks that a connection may carry the next command after this idle time.
 ///
 /// # Errors
 ///
-/// If the connection was idle for less than the least idle time, or for the limit or longer.
+/// Returns a refusal if the idle time is below the minimum, or at or above the maximum.
 pub fn may_reuse_connection(idle_time: Duration, limits: ReuseLimits) -> Result<(), ReuseRefusal> {
     if idle_time < limits.min_idle_time {
         Err(ReuseRefusal::TooFresh)
@@ -120,51 +121,51 @@
     }
 }
 
-/// Why a client's connection has to stay open.
+/// Reason why a client's connection has to stay open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CloseRefusal {
-    /// Replies are owed, or not written yet.
-    #[error("replies are owed")]
+    /// Replies are pending or not completely written.
+    #[error("replies to the client are pending")]
     RepliesOwed,
-    /// Part of a command has come, or more may be waiting to be read.
-    #[error("a command may have come")]
+    /// Part of a command was received, or unread input may contain one.
+    #[error("the input may contain a command")]
     InputPending,
-    /// Its end has begun already.
-    #[error("it is closing")]
+    /// The connection is being closed already.
+    #[error("the connection is being closed already")]
     Closing,
-    /// It was accepted only to reject its first request.
-    #[error("it is over the limit")]
+    /// The connection was accepted only to reject its first request.
+    #[error("the connection is over the connection limit")]
     OverLimit,
 }
 
-/// Whether this side ends the connection of a client already.
+/// Phase of closing a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClosingState {
-    /// It serves commands.
+    /// The connection serves commands.
     Open,
-    /// It was accepted over the limit on connections, only to reject its first request.
+    /// The connection was accepted above the connection limit, only to reject its first request.
     OverLimit,
-    /// Its end has begun.
+    /// The connection is being closed.
     Closing,
 }
 
-/// What is known of a client's connection.
+/// State of a client's connection that decides whether it may be closed.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientConnectionState {
-    /// It awaits or is being sent a reply.
+    /// Whether a reply is pending or being written.
     pub is_busy: bool,
-    /// Something was received and not parsed, or is to be read yet.
+    /// Whether received input is not parsed yet, or unread input may be waiting.
     pub has_input: bool,
-    /// Whether this side ends it already.
+    /// Whether the ingress is closing the connection.
     pub closing: ClosingState,
 }
 
-/// Whether a client's connection may be closed now without a word, as between two requests.
+/// Checks that a client's connection may be closed now without notice, as between two requests.
 ///
 /// # Errors
 ///
-/// The first of these that holds: replies are owed, input has come or may be waiting, or the connection is
-/// closing already.
+/// Returns the first refusal that applies: replies are pending, input was received or may be waiting, or
+/// the connection is over the connection limit or being closed already.
 pub fn may_close_client(connection: ClientConnectionState) -> Result<(), CloseRefusal> {
     if connection.is_busy {
         return Err(CloseRefusal::RepliesOwed);
--- a/src/policy/reasons.rs
+++ b/src/policy/reasons.rs
@@ -1,50 +1,51 @@
-//! The reasons of rejections and ejections, as log lines spell them, and the advice that goes with a
+//! Reasons for rejections and ejections, printed in log lines under these names, and the retry advice of a
 //! rejection.
 
 use crate::Duration;
 
-/// Why a request was rejected.
+/// Reason why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RejectReason {
-    /// It names a class or a plan that does not exist, or a number of units that makes no sense.
+    /// The request has a class or a plan that does not exist, or an invalid number of units.
     Invalid,
-    /// Too little time is left for it to be answered.
+    /// Too little time is left to answer the request.
     NoTime,
-    /// Its customer is shed at the present stage of load shedding.
+    /// The customer is shed at the current shedding stage.
     Shed,
-    /// Its customer has used its quota or its hard limit.
+    /// The customer has used its quota or its hard limit.
     OverQuota,
-    /// The owners of its customer's quota granted nothing and are presumed to be overloaded by the customer.
+    /// The quota owners granted nothing and are presumed to be overloaded by the customer.
     QuotaUnknown,
-    /// Its customer is far beyond its quota, and the owners of the quota are not asked for each of its
-    /// requests.
+    /// The customer is far over its quota, and grants are not requested for each of its requests.
     GrantRequestSkipped,
-    /// It names a plan with a hard limit that is not the plan of its customer's record, by which the limit
-    /// might be exceeded. A change of plan that is not known here yet shows like this, too.
+    /// The request claims a plan with a hard limit that is not the plan in the customer's record, so the
+    /// limit could be exceeded. This also happens after a change of plan that has not reached this gateway
+    /// yet.
     PlanMismatch,
-    /// The gateway has as much in flight and queued as it may.
+    /// The gateway has as many attempts in flight and requests in the queue as it may.
     Saturated,
-    /// It was queued for as long as it may be.
+    /// The request was queued for the maximum time.
     QueueTimeout,
-    /// The host stood still, and the request had too little time left when it went on.
+    /// The host stalled, and the request had too little time left afterwards.
     HostStalled,
-    /// Its attempts did not succeed, and no other is permitted or no backend may take one.
+    /// The attempts failed, and another one is not permitted or no backend can take it.
     AttemptsExhausted,
 }
 
-/// When a rejected client is advised to send its request again.
+/// Time after which a rejected client is advised to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryAdvice {
-    /// It gets no advice.
+    /// No advice is given.
     None,
-    /// After a time, or after the longest one that the settings allow if that is less.
+    /// Retry after this time, or after the maximum of the settings if that is shorter.
     After(Duration),
-    /// After the longest time that the settings allow.
+    /// Retry after the maximum time of the settings.
     Longest,
 }
 
 impl RetryAdvice {
-    /// The time after which to retry, where the settings allow `longest` at most; zero for no advice.
+    /// Returns the time after which to retry, at most `longest`, the maximum of the settings; zero for no
+    /// advice.
     pub(crate) fn retry_after(self, longest: Duration) -> Duration {
         match self {
             RetryAdvice::None => Duration::ZERO,
@@ -54,11 +55,11 @@
     }
 }
 
-/// Why a backend was ejected.
+/// Reason why a backend was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EjectionReason {
-    /// Too many of its answers were failures.
+    /// The failure rate of its answers was too high.
     Failures,
-    /// It has answered no attempt of the class for too long.
+    /// The backend has answered no attempt of the class for too long.
     Silence,
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,8 +1,8 @@
-//! The retry policy: whether a request is attempted again, hedged or cancelled, where that may go, and how a
-//! request that is not served is answered.
+//! Retry policy: decides whether a request is retried, hedged or cancelled, which backends its next attempt
+//! may use, and whether a request that is not served is rejected or failed.
 //!
-//! What is safe is decided by [`permission`]; what is of use, and what the retry budget allows, is decided
-//! here.
+//! [`permission`] decides which attempts are safe. This module decides which of them are useful and within
+//! the retry budget.
 
 mod budget;
 pub(crate) mod permission;
@@ -18,111 +18,106 @@
 };
 use thiserror::Error;
 
-/// Time from the send of an attempt, as a share of its request's latency budget, after which it is given up
-/// on at a silent backend.
+/// Time after the send, as a share of the request's latency budget, at which an attempt at a silent backend
+/// is hedged or cancelled.
 const SILENCE_CHECK_SHARE: f64 = 0.35;
-/// The same after which an attempt is late at a backend that answers others.
+/// Time after the send, as a share of the request's latency budget, at which an attempt is late at a
+/// backend that answers other attempts.
 const LATE_ATTEMPT_SHARE: f64 = 0.6;
 
-/// How long a client whose request was not served is asked to stay away: the shedding stage may have risen by
+/// Time after which a client whose request was not served may retry; the shedding stage can have risen by
 /// then.
 pub(crate) const NOT_SERVED_RETRY_AFTER: Duration = MIN_STAGE_TIME_UP;
 
-/// What decides on a further attempt of a request.
+/// Input of the decision on a further attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryContext {
-    /// The time.
     pub now: Instant,
-    /// When the latency objective or the client's time ends, whichever comes first.
+    /// The end of the latency objective or the client's deadline, whichever is earlier.
     pub answer_due_at: Instant,
-    /// Whether the request may be executed again.
+    /// Whether and where the request may be executed again.
     pub idempotency: Idempotency,
-    /// Its attempts so far.
+    /// Number of attempts so far.
     pub attempts: usize,
-    /// Those of them that are in flight.
+    /// Attempts that are in flight.
     pub in_flight: usize,
-    /// Whether one of them was or may have been executed.
+    /// Whether an attempt was executed or may have been executed.
     pub may_have_executed: bool,
-    /// It has its final answer, or its client has disconnected.
+    /// Whether the request has its final answer or its client has disconnected.
     pub closed: bool,
 }
 
-/// Why a request is not attempted again.
+/// Reason why a request is not attempted again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum RetryRefusal {
-    /// An answer could not be in time any more.
-    #[error("an answer would come too late")]
+    /// The answer would arrive after the latency objective or the deadline.
+    #[error("the answer to a retry would be too late")]
     TooLate,
-    /// Another attempt is not safe, or not allowed.
+    /// Another attempt is unsafe or not allowed by the settings.
     #[error(transparent)]
     NotPermitted(#[from] AttemptRefusal),
-    /// The gateway has sent as many retries as it may.
-    #[error("the retry budget is used up")]
+    /// The retry budget of this gateway is exhausted.
+    #[error("the retry budget is exhausted")]
     BudgetExhausted,
 }
 
-/// What decides on an attempt that is in flight for a while.
+/// Input of the check of an attempt that is in flight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptCheckContext {
-    /// The time.
     pub now: Instant,
-    /// When the attempt was sent.
     pub sent_at: Instant,
-    /// The time from the request's arrival within which an answer is in time. The shares of it count from the
-    /// send, also for a retry.
+    /// Time from the request's arrival within which an answer is in time. Its shares are measured from the
+    /// send of the attempt, for a retry as well.
     pub latency_budget: Duration,
     /// Whether the backend has answered no attempt of the class since this one was sent.
     pub is_silent: bool,
-    /// Whether load is shed: an attempt that is merely late is then not repeated.
+    /// Whether load is shed; an attempt that is late but not silent is not repeated then.
     pub is_shedding: bool,
-    /// Whether the request may be executed again.
+    /// Whether and where the request may be executed again.
     pub idempotency: Idempotency,
 }
 
-/// What is done about an attempt that is in flight for a while.
+/// Measure taken for an attempt that is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptCheck {
-    /// It is not late yet: it is checked again at this time.
+    /// The attempt is not late yet and is checked again at this time.
     CheckAt(Instant),
-    /// Another attempt is sent beside it, if [`RetryPolicy::may_retry`] allows one.
+    /// Another attempt is sent while this one stays in flight, if [`RetryPolicy::may_retry`] allows it.
     Hedge,
-    /// It is cancelled; its end has the request attempted again.
+    /// The attempt is cancelled; its end triggers a retry.
     CancelAndRetry,
-    /// It is left alone to the end.
+    /// The attempt is not checked again and ends with its answer or its timeout.
     KeepWaiting,
 }
 
-/// How a request that is not served is answered.
+/// Answer to a request that is not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FinalAnswer {
-    /// Rejected: sending it again has no further effect.
+    /// The request is rejected: the client may send it again without a second effect.
     Rejected,
-    /// Failed: it may have been executed.
+    /// The request failed: it may have been executed.
     Failed,
 }
 
-/// The first attempt of a request that was or may have been executed.
+/// The first attempt of a request that was executed or may have been executed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExecutedAttempt {
-    /// When it was sent.
     pub sent_at: Instant,
-    /// Where it went.
     pub endpoint: Endpoint,
 }
 
-/// Decides on further attempts. It owns the retry budget.
+/// Decides on further attempts within the retry budget.
 #[derive(Default)]
 pub(crate) struct RetryPolicy {
-    /// What the deployment permits.
+    /// Limits from the settings.
     limits: Limits,
-    /// The least time between two looks at a request.
+    /// Minimum time between two checks of a request.
     tick: Duration,
-    /// Retries that may still be sent.
     budget: RetryBudget,
 }
 
 impl RetryPolicy {
-    /// The policy of one of so many gateways.
+    /// Creates the policy of one gateway in a fleet of `fleet_size`.
     pub(crate) fn new(settings: &Settings, fleet_size: u64) -> Self {
         RetryPolicy {
             limits: settings.limits.clone(),
@@ -141,7 +136,7 @@
         self.budget.withdraw();
     }
 
-    /// Whether a request may be attempted again: safely, in time, and within the retry budget.
+    /// Returns the kind of the next attempt if it is safe, in time, and within the retry budget.
     pub(crate) fn may_retry(&self, context: &RetryContext) -> Result<AttemptKind, RetryRefusal> {
         if context.now + self.tick >= context.answer_due_at {
             return Err(RetryRefusal::TooLate);
@@ -161,18 +156,18 @@
         Ok(kind)
     }
 
-    /// When an attempt that is sent now is checked for the first time.
+    /// Returns the time of the first check of an attempt sent at `sent_at`.
     pub(crate) fn first_check_at(sent_at: Instant, latency_budget: Duration) -> Instant {
         sent_at + latency_budget.mul_f64(SILENCE_CHECK_SHARE)
     }
 
-    /// What is done about an attempt that has no answer yet.
+    /// Decides on an attempt that has no answer yet.
     pub(crate) fn check_attempt(&self, context: &AttemptCheckContext) -> AttemptCheck {
         let late_at = context.sent_at + context.latency_budget.mul_f64(LATE_ATTEMPT_SHARE);
         if !context.is_silent && context.now < late_at {
             return AttemptCheck::CheckAt(late_at);
         }
-        // Under overload many answers are late: retries of them would add to it.
+        // Under overload many answers are late, and repeating them would add to the overload.
         let is_repeated = context.is_silent || !context.is_shedding;
         if context.idempotency == Idempotency::NonIdempotent || !is_repeated {
             return AttemptCheck::KeepWaiting;
@@ -188,12 +183,13 @@
         }
     }
 
-    /// Where a request's next attempt may go, if it is sent now; `executed` is its first attempt that was or
-    /// may have been executed.
+    /// Returns the backends that a request's next attempt may use if it is sent now. `executed` is its
+    /// first attempt that was executed or may have been executed.
     ///
     /// # Errors
     ///
-    /// If the backends may have forgotten the idempotency key before the attempt could begin.
+    /// Returns [`KeyExpired`] if the backends may have dropped the idempotency key before the attempt
+    /// begins.
     pub(crate) fn scope(
         &self,
         now: Instant,
@@ -203,20 +199,20 @@
         let (Idempotency::Keyed { scope, window }, Some(executed)) = (idempotency, executed) else {
             return Ok(RetryScope::Anywhere);
         };
-        // An attempt begins once its connection is up: by then, too, the key has to be known. The host lets
-        // it begin up to the connect timeout after it was given the action (`WriteContext::begins_by`), and may
-        // be given that a tick after this decision.
+        // An attempt begins once its connection is established, and the key must still be stored at that
+        // time. The host lets an attempt begin up to the connect timeout after it received the action
+        // (`WriteContext::begins_by`), which may be one tick after this decision.
         let begins_by = now + self.tick + self.limits.connect_timeout;
         may_repeat_key(window, executed.sent_at, begins_by)?;
         Ok(RetryScope::Within(scope, executed.endpoint))
     }
 
-    /// How a request that is not served is answered: rejected where its client may send it again without a
-    /// second effect, else failed.
+    /// Returns how a request that is not served is answered: rejected if its client may repeat it without a
+    /// second effect, otherwise failed.
     pub(crate) fn final_answer(idempotency: Idempotency, may_have_executed: bool) -> FinalAnswer {
         let is_safe_to_repeat = match idempotency {
             Idempotency::Idempotent => true,
-            // The next request of the client may reach any backend: each of them has to know the key.
+            // The client's next request may reach any backend, so all backends have to share the key.
             Idempotency::Keyed { scope, .. } => scope == IdempotencyScope::Fleet,
             Idempotency::NonIdempotent => false,
         };
--- a/src/policy/retry/permission.rs
+++ b/src/policy/retry/permission.rs
@@ -1,69 +1,71 @@
-//! Whether an attempt of a request may be started, and whether its idempotency key may be used again.
+//! Safety rules for attempts: when an attempt may be started, and when an idempotency key may be used
+//! again.
 //!
-//! These rules are about safety alone: what may be executed twice, and how often. Whether a retry is of any
-//! use is the matter of [`RetryPolicy`](super::RetryPolicy).
+//! These rules only cover what may be executed twice, and how often. [`RetryPolicy`](super::RetryPolicy)
+//! decides whether a retry is useful.
 
 use crate::{Duration, Idempotency, Instant};
 use thiserror::Error;
 
-/// What kind of attempt may be started.
+/// Kind of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// The request's first one.
+    /// The first attempt of a request.
     First,
-    /// A further one, with none in flight.
+    /// A further attempt, sent while none is in flight.
     Retry,
-    /// A further one beside one in flight.
+    /// A further attempt, sent while another one is in flight.
     Hedge,
 }
 
-/// Why an attempt may not be started.
+/// Reason why an attempt may not be started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AttemptRefusal {
-    /// No answer is owed any more.
-    #[error("the request is closed: answered, or abandoned by its client")]
+    /// The request has its final answer, or its client has disconnected.
+    #[error("the request is closed: it was answered or its client disconnected")]
     Closed,
-    /// The settings allow no further attempt.
-    #[error("there were as many attempts as are allowed")]
+    /// The request has reached the maximum number of attempts.
+    #[error("the request has reached its maximum number of attempts")]
     AttemptLimit,
-    /// An earlier attempt may have been executed, and the class may not be executed again.
-    #[error("an earlier attempt may have been executed")]
+    /// An earlier attempt may have been executed, and the class is not idempotent.
+    #[error("an earlier attempt of a non-idempotent request may have been executed")]
     MayHaveExecuted,
-    /// An earlier attempt is in flight, and the settings allow no second one beside it.
-    #[error("an attempt is in flight")]
+    /// An earlier attempt is in flight, and the settings don't allow hedging.
+    #[error("an attempt is in flight and hedging is not allowed")]
     InFlight,
 }
 
-/// The backends may have forgotten the idempotency key by the time the attempt begins.
+/// The backends may have dropped the idempotency key by the time the attempt begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the idempotency key may be forgotten")]
+#[error("the backends may have dropped the idempotency key")]
 pub struct KeyExpired;
 
-/// What is known of a request that wants an attempt.
+/// Input of [`may_start_attempt`].
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptContext {
-    /// Whether it may be executed again.
+    /// Whether and where the request may be executed again.
     pub idempotency: Idempotency,
-    /// Whether the settings allow two attempts in flight together.
+    /// Whether the settings allow two attempts in flight at the same time.
     pub hedging: bool,
-    /// The most attempts of a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: usize,
-    /// Its attempts so far.
+    /// Number of attempts so far.
     pub attempts: usize,
-    /// Those of them that are in flight.
+    /// Number of attempts in flight.
     pub in_flight: usize,
-    /// Whether one of them was or may have been executed.
+    /// Whether an attempt was executed or may have been executed.
     pub may_have_executed: bool,
-    /// No answer is owed any more: the request has its final answer, or its client has disconnected.
+    /// Whether the request has its final answer or its client has disconnected.
     pub closed: bool,
 }
 
-/// Whether a request may have an attempt now.
+/// Returns the kind of attempt that may be started for a request now.
 ///
 /// # Errors
 ///
-/// The first of these that holds: no answer is owed any more, the request has had all its attempts, it is not
-/// idempotent and may have been executed, or an attempt is in flight and hedging is not permitted.
+/// Returns the first refusal that applies: the request is closed, it has reached its maximum number of
+/// attempts, it is not idempotent and may have been executed, or an attempt is in flight and hedging is not
+/// allowed.
 pub fn may_start_attempt(context: &AttemptContext) -> Result<AttemptKind, AttemptRefusal> {
     if context.closed {
         return Err(AttemptRefusal::Closed);
@@ -82,12 +84,12 @@
     }
 }
 
-/// Whether an attempt that begins at `begins_by` at the latest meets backends that know the key of the
-/// attempt that was first sent, at `first_sent_at`.
+/// Checks that an attempt that begins at `begins_by` at the latest finds the idempotency key at the
+/// backends. `first_sent_at` is the time at which the first attempt with the key was sent.
 ///
 /// # Errors
 ///
-/// If the window of the key may be over when the attempt begins.
+/// Returns [`KeyExpired`] if the window of the key may be over when the attempt begins.
 pub fn may_repeat_key(
     window: Duration,
     first_sent_at: Instant,
--- a/src/policy/retry/scope.rs
+++ b/src/policy/retry/scope.rs
@@ -1,18 +1,18 @@
-//! To which backends a request may be sent again.
+//! Retry scope: the backends to which a request may be sent again.
 
 use crate::{Endpoint, IdempotencyScope};
 
-/// Where the next attempt of a request may go.
+/// Backends that the next attempt of a request may use.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum RetryScope {
-    /// To any backend.
+    /// Any backend.
     Anywhere,
-    /// Where the idempotency key is known from the attempt that went to an endpoint.
+    /// The backends that share the idempotency key with the endpoint of an earlier attempt.
     Within(IdempotencyScope, Endpoint),
 }
 
 impl RetryScope {
-    /// Whether an attempt may go to a backend.
+    /// Returns whether an attempt may be sent to a backend.
     pub(crate) fn includes(&self, endpoint: &Endpoint) -> bool {
         match self {
             RetryScope::Anywhere | RetryScope::Within(IdempotencyScope::Fleet, _) => true,
