--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -1,8 +1,8 @@
-//! The connections of clients: accepts them, parses their commands, and sends each its replies in the order
-//! of its requests.
+//! Client connections: accepts them, parses their commands, and sends the replies in the order of the
+//! requests.
 //!
-//! Memory, descriptors and time are limited for each connection and for all together, so that no client can
-//! exhaust what the others need.
+//! Memory, descriptors and time are limited per connection and over all connections, so that no client can
+//! exhaust the resources of the others.
 
 mod accepting;
 mod closing;
@@ -27,22 +27,22 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
-/// The reply to a rejected request: retrying it is safe.
+/// The reply to a rejected request, which is safe to retry.
 pub const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
 
-/// The place of a reply: a connection, and the order on it.
+/// The place of a reply: a connection, and the request's number on it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplyHandle {
-    /// The connection's key, which a later connection may reuse.
+    /// Key of the connection, which a later connection may reuse.
     key: usize,
-    /// The connection's serial number, which is never reused.
+    /// Serial number of the connection, which is never reused.
     serial: u64,
-    /// The request's number on its connection.
+    /// Sequence number of the request on its connection.
     sequence: u64,
 }
 
 impl ReplyHandle {
-    /// The serial number of the client's connection.
+    /// Returns the serial number of the client's connection.
     pub fn client(&self) -> u64 {
         self.serial
     }
@@ -52,20 +52,18 @@
 pub enum ClientEvent {
     /// A request arrived.
     Command {
-        /// The id that the request has in this process.
+        /// The id of the request within this process.
         id: RequestId,
-        /// The place of its reply.
         reply_to: ReplyHandle,
-        /// The earliest time at which it can have arrived at this machine.
+        /// The earliest time at which the request can have arrived at this machine.
         arrived_at: Instant,
-        /// The parsed command.
         command: Command,
     },
-    /// The client disconnected before this request had its reply.
+    /// The client disconnected before this request was answered.
     Disconnected(RequestId),
 }
 
-/// Whether there is a descriptor for one more connection.
+/// The availability of a descriptor for one more connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Capacity {
     /// The connection can be served.
@@ -76,81 +74,78 @@
     Exhausted,
 }
 
-/// Why accepting connections has ended for now.
+/// The reason for which a call of [`Clients::accept`] stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptOutcome {
     /// No further connection is waiting.
     QueueEmpty,
     /// Further connections may be waiting.
     MorePending,
-    /// Accepting is to be retried a little later: a descriptor or memory is lacking for a further connection.
+    /// Accepting is to be retried after a delay: a descriptor or memory for a further connection is not
+    /// available.
     RetryLater,
 }
 
-/// Whether an ingress that shuts down still accepts connections.
+/// The state of the listener during a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Accepting {
-    /// The listener is open, for clients that have not noticed the shutdown.
+    /// The listener is open, for clients that have not detected the shutdown.
     Continue,
-    /// The listener is closed.
+    /// The listener is to be closed.
     Stop,
 }
 
-/// All client connections.
+/// All client connections, with their shared limits and queues.
 pub struct Clients {
-    /// None once it is closed.
+    /// `None` once the listener is closed.
     listener: Option<TcpListener>,
-    /// By their keys, which tokens are made from.
+    /// Connections by key, from which [`Clients::token_of`] derives the token.
     connections: Slab<ClientConnection>,
-    /// The serial number of the latest connection.
     last_serial: u64,
-    /// The id of the latest request.
     last_request_id: u64,
-    /// The token under which a connection is registered, by its key.
+    /// Maps the key of a connection to the token under which it is registered.
     token_of: fn(usize) -> Token,
-    /// The classes, plans and limits that commands are checked against.
     schema: CommandSchema,
-    /// The bytes of the latest read.
+    /// Buffer for the bytes of a read.
     read_buffer: Vec<u8>,
-    /// The places of the latest command's arguments.
+    /// Ranges of the latest command's arguments.
     argument_ranges: Vec<Range<usize>>,
-    /// Connections with output to write.
+    /// Keys of the connections with output to write.
     write_queue: Vec<usize>,
-    /// Connections whose writes failed for lack of memory, to be retried in the next iteration.
+    /// Keys of the connections whose writes failed for lack of memory, to be retried in the next iteration.
     write_retries: Vec<usize>,
-    /// Connections to be read from again without a readiness event.
+    /// Keys of the connections to be read from without a readiness event.
     read_queue: Vec<usize>,
-    /// Connections are closed as soon as they are idle.
+    /// Whether connections are closed as soon as they are idle, as during a shutdown.
     closes_idle: bool,
-    /// The number of connections with a time by which they are closed.
+    /// The number of connections with a `linger_until` time.
     lingering_count: usize,
-    /// The number of connections that were accepted over the limit.
+    /// The number of open connections that were accepted over the limit.
     over_limit_count: usize,
-    /// The memory of all connections, and its limit.
     memory: MemoryBudget,
-    /// The events that were not taken yet, in order.
+    /// Events that the event loop has not taken yet, oldest first.
     events: VecDeque<ClientEvent>,
-    /// When the latest connection was accepted.
+    /// The time at which the latest connection was accepted.
     pub last_accepted_at: Instant,
-    /// An accepted connection whose registration with the poll has failed and is retried.
+    /// An accepted connection whose registration with the poll failed and is to be retried.
     unregistered: Option<TcpStream>,
     /// The earliest time at which the input of this iteration can have arrived.
     arrival_time: Instant,
-    /// Since when connections may be waiting to be accepted; none if the queue was empty when it was last
-    /// read.
+    /// The time since which connections may be waiting to be accepted, or `None` if the queue was empty when
+    /// it was last checked.
     queued_since: Option<Instant>,
-    /// Since when every attempt to accept a connection has failed.
+    /// The time since which every attempt to accept a connection has failed.
     accept_failing_since: Option<Instant>,
-    /// The number of closed connections by reason.
+    /// Counts of closed connections, indexed by [`ClientCloseReason`].
     close_counts: [u64; ClientCloseReason::ALL.len()],
-    /// Connections that this side has closed with replies owed, each with one request without a reply. Such a
-    /// close violates an invariant.
+    /// Connections that the ingress closed with replies owed, each represented by one unanswered request.
+    /// Such a close violates an invariant.
     closed_with_replies_owed: Vec<Option<RequestId>>,
 }
 
 impl Clients {
-    /// Accepts from a listener that is registered already; `memory_limit` is the most bytes of all
-    /// connections together.
+    /// Creates the state without connections, for a listener that is already registered. `memory_limit`
+    /// bounds the memory of all connections together, in bytes.
     pub fn new(
         listener: TcpListener,
         schema: CommandSchema,
@@ -184,77 +179,76 @@
         }
     }
 
-    /// The events that were not taken yet, in order.
+    /// Returns the events that were not taken yet, oldest first.
     pub fn pending_events(&self) -> impl Iterator<Item = &ClientEvent> {
         self.events.iter()
     }
 
-    /// Takes the next event.
+    /// Removes and returns the oldest event.
     pub fn next_event(&mut self) -> Option<ClientEvent> {
         self.events.pop_front()
     }
 
-    /// Sets the earliest time at which the input that is read from now on can have arrived.
+    /// Sets the earliest time at which input that is read from now on can have arrived.
     pub fn set_arrival_time(&mut self, arrival_time: Instant) {
         self.arrival_time = arrival_time;
     }
 
-    /// Whether there is work that no readiness event will report.
+    /// Returns whether there is work that no readiness event will report.
     pub fn has_pending_work(&self) -> bool {
         !(self.read_queue.is_empty() && self.write_queue.is_empty() && self.events.is_empty())
     }
 
-    /// Whether writes are to be retried, which no readiness event will report.
+    /// Returns whether writes are to be retried, which no readiness event will report.
     pub fn has_write_retries(&self) -> bool {
         !self.write_retries.is_empty()
     }
 
-    /// How many connections there are.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// How many connections were accepted so far.
+    /// Returns the number of connections accepted since the start.
     pub fn accepted_count(&self) -> u64 {
         self.last_serial
     }
 
-    /// The number of closed connections by reason; reasons that never occurred are left out.
+    /// Returns the number of closed connections by reason, without reasons that never occurred.
     pub fn close_counts(&self) -> impl Iterator<Item = (ClientCloseReason, u64)> + '_ {
         let counts = ClientCloseReason::ALL.into_iter().zip(self.close_counts);
         counts.filter(|(_, count)| *count > 0)
     }
 
-    /// Takes the connections that this side has closed with replies owed, each with one request without a
-    /// reply.
+    /// Removes and returns the connections that the ingress closed with replies owed, each represented by one
+    /// unanswered request.
     pub fn take_closed_with_replies_owed(&mut self) -> Vec<Option<RequestId>> {
         std::mem::take(&mut self.closed_with_replies_owed)
     }
 
-    /// How many connections are idle.
     #[cfg(test)]
     pub fn idle_count(&self) -> usize {
         self.connections.iter().filter(|(_, connection)| connection.is_idle()).count()
     }
 
-    /// The number of connections that were accepted over the limit.
+    /// Returns the number of open connections that were accepted over the limit.
     pub fn over_limit_count(&self) -> usize {
         self.over_limit_count
     }
 
-    /// How many connections await or are being sent a reply.
+    /// Returns the number of connections that await a reply or are being sent one.
     pub fn busy_count(&self) -> usize {
         self.connections.iter().filter(|(_, connection)| connection.is_busy()).count()
     }
 
-    /// Schedules a connection's output for the next [`Clients::flush`].
+    /// Schedules a write of the connection's output by the next [`Clients::flush`].
     fn queue_for_write(&mut self, key: usize) {
         if !std::mem::replace(&mut self.connections[key].queued_for_write, true) {
             self.write_queue.push(key);
         }
     }
 
-    /// Schedules a connection for the next [`Clients::resume_reads`].
+    /// Schedules a read from the connection by the next [`Clients::resume_reads`].
     fn queue_for_read(&mut self, key: usize) {
         if !std::mem::replace(&mut self.connections[key].queued_for_read, true) {
             self.read_queue.push(key);
--- a/src/bin/ingress/clients/accepting.rs
+++ b/src/bin/ingress/clients/accepting.rs
@@ -1,4 +1,4 @@
-//! Accepts connections.
+//! Accepts client connections from the listener.
 
 use super::connection::ClientConnection;
 use super::{AcceptOutcome, Capacity, Clients};
@@ -7,14 +7,13 @@
 use mio::{Interest, Registry};
 use std::io::{self, ErrorKind};
 
-/// The most connections accepted in an iteration.
 const MAX_ACCEPTS_PER_ITERATION: usize = 64;
-/// How long accepting has to fail before idle connections are closed: several retries, since a failure may be
-/// transient.
+/// Time for which accepting has to fail before idle connections are closed. It allows several retries, since
+/// a failure may be transient.
 const MIN_ACCEPT_FAILURE_TIME: Duration = Duration::from_millis(100);
 
-/// Whether an error of accepting concerns only the connection that was to be accepted: Linux also reports
-/// errors of the connection itself.
+/// Returns whether an error of `accept` concerns only the connection to be accepted: Linux also reports
+/// errors of that connection.
 fn concerns_one_connection(error: &io::Error) -> bool {
     use ErrorKind::{
         ConnectionAborted, HostUnreachable, Interrupted, NetworkDown, NetworkUnreachable, TimedOut,
@@ -26,14 +25,14 @@
 }
 
 impl Clients {
-    /// Accepts waiting connections while `capacity` finds a descriptor for one more.
+    /// Accepts waiting connections while `capacity` provides a descriptor for one more.
     pub fn accept(
         &mut self,
         registry: &Registry,
         now: Instant,
         mut capacity: impl FnMut(&mut Self) -> Capacity,
     ) -> AcceptOutcome {
-        // A connection in the queue may have waited as long as the first one that could not be accepted.
+        // A connection in the queue may have waited since the first one that could not be accepted.
         self.queued_since.get_or_insert(self.arrival_time);
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let capacity = capacity(self);
@@ -64,7 +63,7 @@
         AcceptOutcome::MorePending
     }
 
-    /// The connection whose registration is to be retried, or the next one in the queue.
+    /// Returns the connection whose registration is to be retried, or accepts the next one from the queue.
     fn next_connection(&mut self) -> io::Result<TcpStream> {
         if let Some(stream) = self.unregistered.take() {
             return Ok(stream);
@@ -73,8 +72,8 @@
         listener.accept().map(|(stream, _)| stream)
     }
 
-    /// Handles a lack of descriptors or memory in spite of the limits. The caller retries a little later; if
-    /// accepting goes on failing, an idle connection is closed.
+    /// Handles a shortage of descriptors or memory that occurs in spite of the limits. The caller retries
+    /// after a delay; if accepting keeps failing, an idle connection is closed.
     fn on_accept_failure(&mut self, now: Instant) {
         let failing_since = *self.accept_failing_since.get_or_insert(now);
         if now >= failing_since + MIN_ACCEPT_FAILURE_TIME {
@@ -82,7 +81,11 @@
         }
     }
 
-    /// Registers an accepted connection; returns it where that fails.
+    /// Registers an accepted connection and adds it to the table.
+    ///
+    /// # Errors
+    ///
+    /// Returns the connection if it could not be registered.
     fn add(
         &mut self,
         mut stream: TcpStream,
@@ -93,10 +96,11 @@
         let entry = self.connections.vacant_entry();
         let token = (self.token_of)(entry.key());
         if registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE).is_err() {
-            // mio takes a source whose registration failed for registered: only a new one can be registered.
+            // mio treats a source as registered even if its registration failed, so a new one is created for
+            // the retry.
             return Err(TcpStream::from_std(stream.into()));
         }
-        // A reply is one write, which must not wait for the acknowledgement of an earlier one.
+        // A reply is a single write, which must not wait for the acknowledgement of an earlier one.
         let _ = stream.set_nodelay(true);
         self.last_serial += 1;
         self.last_accepted_at = now;
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -1,35 +1,35 @@
-//! Closes connections: those that have ended, are idle or too slow, and all of them at a shutdown.
+//! Closes client connections that have failed, are idle or exceed a time limit, and all connections during a
+//! shutdown.
 
 use super::connection::{ClientConnection, ClosingCause};
 use super::error::ClientError;
 use super::{Accepting, ClientEvent, Clients};
 use ingress::Instant;
 
-/// Why a client's connection was closed.
+/// The reason for closing a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientCloseReason {
-    /// The client has closed its end.
     Disconnected,
-    /// A read or a write has failed.
+    /// A read or a write failed.
     Broken,
-    /// It was idle, and its descriptor was needed.
+    /// The connection was idle, and its descriptor was needed for another one.
     DescriptorNeeded,
-    /// It was idle during the shutdown.
+    /// The connection was idle during the shutdown.
     ShuttingDown,
-    /// No command has ever arrived on it.
+    /// No command arrived in time after the connection was accepted.
     NoCommand,
-    /// It was accepted over the limit, and no request came on it in time.
+    /// The connection was accepted over the limit, and no request arrived in time.
     OverLimitTimeout,
-    /// The time for reading the last reply is over.
+    /// The client did not close its end in time after the last reply.
     LingerTimeout,
-    /// The client does not read its replies.
+    /// The client did not read its replies in time.
     WriteTimeout,
-    /// The memory limit of all clients is reached, and this one has unread replies.
+    /// The memory limit of all clients was reached, and this client had unread replies.
     MemoryLimit,
 }
 
 impl ClientCloseReason {
-    /// All reasons.
+    /// All reasons, in the order of their declaration.
     pub const ALL: [ClientCloseReason; 9] = [
         ClientCloseReason::Disconnected,
         ClientCloseReason::Broken,
@@ -42,7 +42,7 @@
         ClientCloseReason::MemoryLimit,
     ];
 
-    /// Whether replies may be lost with the connection, since the client does not wait for them.
+    /// Returns whether replies may be dropped with the connection, because the client does not wait for them.
     fn may_drop_replies(self) -> bool {
         !matches!(
             self,
@@ -53,22 +53,22 @@
     }
 }
 
-/// The order in which idle connections are closed for their descriptors, the least first.
+/// The order in which idle connections are closed to free their descriptors, lowest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleCloseOrder {
-    /// It has sent a command, or is active in this iteration. Others are closed first.
+    /// Whether the connection has sent a command or was active in this iteration. Other connections are
+    /// closed first.
     ///
-    /// A descriptor is freed before it is known whether a client waits for it, so a connection that was
-    /// accepted in this iteration would be closed before its first command has arrived.
+    /// A descriptor is freed before the listener reports whether a client is waiting. Without this rule, a
+    /// connection that was accepted in this iteration would be closed before its first command arrives.
     has_priority: bool,
-    /// When it was last active.
     last_active_at: Instant,
     /// Of connections that were last active at the same time, the one accepted first is closed.
     serial: u64,
 }
 
 impl IdleCloseOrder {
-    /// The place of a connection in this order.
+    /// Returns the position of a connection in this order.
     fn of(connection: &ClientConnection, now: Instant) -> IdleCloseOrder {
         IdleCloseOrder {
             has_priority: connection.has_sent_command() || connection.last_active_at >= now,
@@ -79,7 +79,8 @@
 }
 
 impl Clients {
-    /// Closes the connection that has been idle for longest, to free its descriptor; false if none is idle.
+    /// Closes the connection that has been idle for the longest time, to free its descriptor. Returns `false`
+    /// if no connection is idle.
     pub fn close_longest_idle(&mut self, now: Instant) -> bool {
         loop {
             let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Closes connections as soon as they are idle, from now on. While connections are still accepted, those
-    /// that have not sent a command yet stay open.
+    /// Closes idle connections now, and others once they become idle. While connections are still accepted,
+    /// those without a command so far stay open.
     pub fn close_when_idle(&mut self, now: Instant, accepting: Accepting) {
         self.closes_idle = true;
         if accepting == Accepting::Stop {
@@ -108,15 +109,16 @@
         }
     }
 
-    /// Closes connections whose clients take too long to send, to read or to close their end.
+    /// Closes connections whose clients exceed the time to send a command, to read replies or to close their
+    /// end.
     pub fn close_expired(&mut self, now: Instant) {
         self.close_timed_out(now);
         if self.lingering_count == 0 {
             return;
         }
         for key in self.keys_of(|connection| connection.is_linger_over(now)) {
-            // A client over the limit may have sent its request by now. It is answered first, and closed by
-            // the next call.
+            // A client over the limit may have sent its request in the meantime. The request is answered
+            // first, and the next call closes the connection.
             self.read(key, now);
             let Some(connection) = self.connections.get(key) else { continue };
             if connection.is_shut_down() {
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Closes connections that send nothing, leave a command incomplete or read nothing for too long, since
-    /// they use descriptors and memory.
+    /// Closes connections that send nothing, leave a command incomplete or do not read their replies for too
+    /// long, since they use descriptors and memory.
     fn close_timed_out(&mut self, now: Instant) {
         let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
         let not_reading = self.keys_of(|connection| connection.output.is_timed_out(now));
@@ -136,7 +138,7 @@
             self.remove(key, ClientCloseReason::WriteTimeout);
         }
         for key in overdue {
-            // The rest may have arrived by now.
+            // The rest of the command may have arrived in the meantime.
             self.read(key, now);
             let connection = self.connections.get_mut(key);
             let Some(connection) = connection.filter(|connection| connection.is_command_overdue(now)) else {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Shuts down or closes a connection whose replies are all written, if it is to end.
+    /// Shuts down or closes a connection that is to be closed and whose replies are all written.
     pub(super) fn close_if_done(&mut self, key: usize, now: Instant) {
         let connection = &mut self.connections[key];
         if connection.is_ready_for_shutdown() {
@@ -162,17 +164,17 @@
         }
     }
 
-    /// Closes a connection that has become idle during the shutdown.
+    /// Closes a connection if the process shuts down and the connection is idle.
     pub(super) fn close_if_idle_at_shutdown(&mut self, key: usize, now: Instant) {
         if self.closes_idle && self.connections.get(key).is_some_and(ClientConnection::is_idle) {
             self.close_if_still_idle(key, now, ClientCloseReason::ShuttingDown);
         }
     }
 
-    /// Closes an idle connection, unless a command has arrived on it meanwhile.
+    /// Closes an idle connection, unless a command has arrived in the meantime.
     ///
-    /// A request in the socket's buffer would be lost with the connection: its client would see a close in
-    /// place of a reply. So the buffer is read to its end right before the close.
+    /// A request in the socket's buffer would be lost with the connection: the client would get a close in
+    /// place of a reply. So the buffer is read to its end just before the close.
     fn close_if_still_idle(&mut self, key: usize, now: Instant, reason: ClientCloseReason) {
         self.read(key, now);
         if self.connections.get(key).is_some_and(ClientConnection::is_idle) {
@@ -180,9 +182,9 @@
         }
     }
 
-    /// Closes and removes a connection, and reports its requests without a reply as disconnected.
+    /// Closes and removes a connection, and reports its unanswered requests as disconnected.
     pub(super) fn remove(&mut self, key: usize, reason: ClientCloseReason) {
-        let connection = self.connections.remove(key); // Dropping it closes the socket and ends its polling.
+        let connection = self.connections.remove(key); // Dropping it closes and deregisters the socket.
         let replies_owed = connection.replies.len();
         let unwritten_bytes = connection.output.unwritten();
         tracing::debug!(
@@ -201,12 +203,12 @@
         self.lingering_count -= usize::from(connection.linger_until.is_some());
         self.over_limit_count -= usize::from(connection.is_over_limit());
         self.memory.release(&connection);
-        // The latest first: otherwise the end of an earlier request would start a later one of this client,
-        // only for it to be cancelled.
+        // The latest is first: the end of an earlier request would otherwise start a later one of the same
+        // client, which would be cancelled at once.
         let pending = connection.replies.pending_latest_first();
         let disconnected: Vec<ClientEvent> = pending.map(ClientEvent::Disconnected).collect();
         if !disconnected.is_empty() {
-            // Commands that were not handled yet are dropped.
+            // Pending commands of this connection are dropped.
             let serial = connection.serial;
             self.events.retain(
                 |event| !matches!(event, ClientEvent::Command { reply_to, .. } if reply_to.serial == serial),
@@ -215,7 +217,7 @@
         }
     }
 
-    /// The keys of the connections that fulfil a condition.
+    /// Returns the keys of the connections that fulfil a condition.
     fn keys_of(&self, selected: impl Fn(&ClientConnection) -> bool) -> Vec<usize> {
         let connections = self.connections.iter().filter(|(_, connection)| selected(connection));
         connections.map(|(key, _)| key).collect()
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client's connection: its input, its replies, and how it is closed.
+//! The state of a client connection: its input, its replies, and how it is closed.
 
 use super::error::ClientError;
 use super::output::OutputBuffer;
@@ -10,21 +10,22 @@
 use mio::net::TcpStream;
 use std::net::Shutdown;
 
-/// The most replies that a connection may be owed before reading from it pauses. All clients together,
-/// sending and never reading, must fit in the memory.
+/// Maximum number of replies owed on a connection before reading from it pauses. It bounds the memory of all
+/// clients together if they send and never read.
 const MAX_PENDING_REPLIES: usize = 256;
-/// The most bytes of unread replies of a connection before reading from it pauses.
+/// Maximum size of a connection's unread replies before reading from it pauses, in bytes.
 const MAX_UNREAD_BYTES: usize = 64 * 1024;
-/// Errors in a row after which a connection is closed: each costs a reply, and some clients go on for ever.
+/// Number of consecutive errors after which a connection is closed: each costs a reply, and some clients
+/// never stop.
 const MAX_CONSECUTIVE_ERRORS: u32 = 8;
-/// How long the first command, or the rest of an incomplete one, may take to arrive.
+/// Maximum time for the first command, or for the rest of an incomplete one, to arrive.
 pub const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a client may take to read its last replies; each further input restarts it.
+/// Time for a client to read its last replies; each further input restarts it.
 pub const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a client that goes on sending may take to read its last replies.
+/// Maximum time for reading the last replies, for a client that continues to send.
 const MAX_LINGER: Duration = Duration::from_secs(5);
 
-/// The state of closing a connection.
+/// The progress of closing a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseState {
     /// Commands are accepted.
@@ -35,63 +36,60 @@
     ShutDown,
 }
 
-/// Why this side began to close a connection, or accepted it only to close it.
+/// The reason for which the ingress began to close a connection, or accepted it only to close it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClosingCause {
-    /// It was accepted over the limit.
+    /// The connection was accepted over the limit.
     OverLimit,
-    /// What the client sent is not RESP2.
+    /// The input is not valid RESP2.
     ProtocolError,
-    /// Too many commands in a row were invalid.
+    /// Too many consecutive commands were invalid.
     InvalidCommands,
     /// The rest of a command did not arrive in time.
     CommandTimeout,
-    /// The memory limit of all clients was reached, and the rest of a command was missing.
+    /// The memory limit of all clients was reached, and the connection had an incomplete command.
     MemoryLimit,
 }
 
-/// A client's connection.
+/// A client connection with its buffers and limits.
 pub struct ClientConnection {
-    /// The socket.
     pub stream: TcpStream,
     /// The number of the connection, which unlike its key is never reused.
     pub serial: u64,
-    /// Received bytes that are not parsed: at most one incomplete command, unless reading is paused.
+    /// Received bytes that are not parsed yet: at most one incomplete command, unless reading is paused.
     pub input: Vec<u8>,
-    /// The replies that are owed.
+    /// The replies that are owed, in the order of the requests.
     pub replies: ReplyQueue,
-    /// The replies that are being written.
     pub output: OutputBuffer,
-    /// The connection's part of the accounted memory.
+    /// The connection's part of the accounted memory, in bytes.
     pub accounted_memory: usize,
-    /// The latest of its acceptance, its last command, and the time when all its replies were written.
+    /// The latest of the time of acceptance, of the last command, and of the last write that left no output.
     pub last_active_at: Instant,
-    /// When the incomplete command in `input` began to arrive; before the first command, when the connection
-    /// was accepted.
+    /// The time at which the incomplete command in `input` began to arrive; before the first command, the
+    /// time of acceptance.
     command_started_at: Instant,
-    /// Invalid commands since the last valid one.
+    /// The number of invalid commands since the last valid one.
     consecutive_errors: u32,
-    /// The state of closing it.
     close_state: CloseState,
-    /// The first cause for closing it, for the log.
+    /// The first cause for closing the connection, for the log.
     pub closing_cause: Option<ClosingCause>,
-    /// When it is closed even if the client has not closed its end. A connection over the limit has this from
-    /// the start.
+    /// The time at which the connection is closed even if the client has not closed its end. A connection
+    /// over the limit has this from its acceptance.
     pub linger_until: Option<Instant>,
-    /// Whether it can be served, as of its acceptance.
+    /// The capacity at the time of acceptance.
     capacity: Capacity,
-    /// Reading is paused since too many replies are owed or unread.
+    /// Whether reading is paused because too many replies are owed or unread.
     pub reading_paused: bool,
-    /// Since when input may be unread; none if the socket was read to its end.
+    /// The time since which input may be unread, or `None` if the socket was read to its end.
     pub unread_since: Option<Instant>,
-    /// It is in the queue of connections to be written to.
+    /// Whether the connection is in the write queue or is to retry a write.
     pub queued_for_write: bool,
-    /// It is in the queue of connections to be read from.
+    /// Whether the connection is in the read queue.
     pub queued_for_read: bool,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted.
+    /// Creates the state of a connection accepted at `now`.
     pub fn new(stream: TcpStream, serial: u64, capacity: Capacity, now: Instant) -> Self {
         let is_over_limit = capacity == Capacity::OverLimit;
         ClientConnection {
@@ -115,7 +113,7 @@
         }
     }
 
-    /// Whether it is between two requests, with nothing left to be read, parsed or written.
+    /// Returns whether the connection is between two requests, with nothing to be read, parsed or written.
     pub fn is_idle(&self) -> bool {
         let state = ClientConnectionState {
             is_busy: self.is_busy(),
@@ -125,7 +123,7 @@
         may_close_client(state).is_ok()
     }
 
-    /// Whether this side ends it already.
+    /// Returns how the ingress is ending the connection, as [`may_close_client`] distinguishes it.
     fn closing(&self) -> ClosingState {
         if self.is_closing() {
             ClosingState::Closing
@@ -136,43 +134,43 @@
         }
     }
 
-    /// Whether a reply is owed or not completely written.
+    /// Returns whether a reply is owed or not completely written.
     pub fn is_busy(&self) -> bool {
         !self.replies.is_empty() || !self.output.is_empty()
     }
 
-    /// Whether so many replies are owed or unread that no further command is parsed.
+    /// Returns whether the limit on owed or unread replies is reached, so that no further command is parsed.
     pub fn is_backlogged(&self) -> bool {
         let unread_bytes = self.replies.ready_bytes() + self.output.unwritten();
         self.replies.len() >= MAX_PENDING_REPLIES || unread_bytes >= MAX_UNREAD_BYTES
     }
 
-    /// Whether it was accepted over the limit: its first request is rejected.
+    /// Returns whether the connection was accepted over the limit, so that its first request is rejected.
     pub fn is_over_limit(&self) -> bool {
         self.capacity == Capacity::OverLimit
     }
 
-    /// Whether it is being closed: further input is discarded.
+    /// Returns whether the connection is being closed, so that further input is discarded.
     pub fn is_closing(&self) -> bool {
         self.close_state != CloseState::Open
     }
 
-    /// Whether its sending side is shut down.
+    /// Returns whether the sending side is shut down.
     pub fn is_shut_down(&self) -> bool {
         self.close_state == CloseState::ShutDown
     }
 
-    /// Whether a complete command ever arrived.
+    /// Returns whether a complete command has ever arrived.
     pub fn has_sent_command(&self) -> bool {
         self.replies.was_used()
     }
 
-    /// Whether it waits for its client to send the rest of a command, or to read.
+    /// Returns whether the connection waits for the client to send the rest of a command or to read.
     pub fn awaits_client(&self) -> bool {
         !self.input.is_empty() || self.output.is_blocked()
     }
 
-    /// Whether its first command, or the rest of an incomplete one, has not arrived in time.
+    /// Returns whether the first command, or the rest of an incomplete one, has not arrived in time.
     pub fn is_command_overdue(&self, now: Instant) -> bool {
         let is_exempt = self.is_closing() || self.is_over_limit() || self.reading_paused;
         let awaits_command =
@@ -180,20 +178,20 @@
         now > self.command_started_at + COMMAND_TIMEOUT && !is_exempt && awaits_command
     }
 
-    /// Whether its time for lingering is over.
+    /// Returns whether the time of `linger_until` has passed.
     pub fn is_linger_over(&self, now: Instant) -> bool {
         self.linger_until.is_some_and(|until| until <= now)
     }
 
-    /// The memory that its buffers take.
+    /// Returns the memory that the buffers use, in bytes.
     pub fn memory_size(&self) -> usize {
         self.input.capacity() + self.replies.ready_bytes() + self.output.bytes.capacity()
     }
 
-    /// Appends received bytes to the input.
+    /// Appends received bytes to the input, or discards them if the connection is being closed.
     pub fn receive(&mut self, bytes: &[u8], now: Instant) {
         if self.is_closing() {
-            // Reading and discarding them prevents a reset by the kernel, which would lose the client's last
+            // Unread bytes would make the kernel reset the connection, and the client would lose its last
             // replies.
             return self.extend_lingering(now);
         }
@@ -203,18 +201,19 @@
         self.input.extend_from_slice(bytes);
     }
 
-    /// Records a complete command.
+    /// Records that a complete command arrived.
     pub fn record_command(&mut self, now: Instant) {
         self.last_active_at = now.max(self.last_active_at);
         self.command_started_at = now.max(self.command_started_at);
     }
 
-    /// Records a valid command.
+    /// Records a valid command, which ends a sequence of invalid ones.
     pub fn record_valid_command(&mut self) {
         self.consecutive_errors = 0;
     }
 
-    /// Records an invalid command; after too many in a row the connection is closed after its reply.
+    /// Records an invalid command. After too many consecutive ones the connection is closed once the reply is
+    /// written.
     pub fn record_invalid_command(&mut self) {
         self.consecutive_errors += 1;
         if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS {
@@ -222,25 +221,25 @@
         }
     }
 
-    /// Removes parsed input.
+    /// Removes the first `len` bytes of the input, which are parsed.
     pub fn consume_input(&mut self, len: usize) {
         self.input.drain(..len);
         if self.input.is_empty() {
-            self.input = Vec::new(); // Frees the memory: many connections are idle.
+            self.input = Vec::new(); // Frees the memory, since many connections are idle.
         }
     }
 
-    /// Replies to the command that was just parsed.
+    /// Adds the reply to the command that was just parsed.
     pub fn reply_immediately(&mut self, reply: &[u8]) {
         self.replies.push_ready(reply, &mut self.output.bytes);
     }
 
-    /// Replies with an error to the input that was just parsed.
+    /// Adds an error reply to the input that was just parsed.
     pub fn reply_error(&mut self, error: ClientError) {
         self.reply_immediately(&error_line(error));
     }
 
-    /// Closes the connection in the middle of a command, after an error reply.
+    /// Adds an error reply to an incomplete command and begins to close the connection.
     pub fn abort_command(&mut self, error: ClientError, cause: ClosingCause) {
         self.reply_error(error);
         self.start_closing(cause);
@@ -255,20 +254,22 @@
         }
     }
 
-    /// Whether it is being closed and all replies are written, so that it can be shut down.
+    /// Returns whether the connection is being closed and all replies are written, so that its sending side
+    /// can be shut down.
     pub fn is_ready_for_shutdown(&self) -> bool {
         self.close_state == CloseState::Closing && !self.is_busy()
     }
 
-    /// Shuts down the sending side and leaves the connection open for a while. If it were closed at once,
-    /// input that is still arriving would reset it, and the client would lose its last replies.
+    /// Shuts down the sending side and keeps the connection open for [`LINGER_TIMEOUT`]. If it were closed at
+    /// once, input that is still arriving would reset it, and the client would lose its last replies.
     pub fn start_lingering_close(&mut self, now: Instant) {
         let _ = self.stream.shutdown(Shutdown::Write);
         self.close_state = CloseState::ShutDown;
         self.linger_until = Some(now + LINGER_TIMEOUT);
     }
 
-    /// Gives a client that still sends more time to read its last replies.
+    /// Extends the time for reading the last replies for a client that is still sending, up to
+    /// [`MAX_LINGER`].
     fn extend_lingering(&mut self, now: Instant) {
         let latest = self.last_active_at + MAX_LINGER;
         if let Some(until) = self.linger_until.as_mut().filter(|_| self.close_state == CloseState::ShutDown) {
@@ -277,7 +278,7 @@
     }
 }
 
-/// The RESP2 error line for an error.
+/// Returns the RESP2 error line for an error.
 pub fn error_line(error: ClientError) -> Vec<u8> {
     let mut line = Vec::new();
     resp::write_error(&mut line, &error.to_string());
--- a/src/bin/ingress/clients/error.rs
+++ b/src/bin/ingress/clients/error.rs
@@ -1,28 +1,27 @@
-//! The errors that are sent to clients.
+//! Errors that are sent to clients.
 
 use crate::command::CommandError;
 use crate::resp::ProtocolError;
 use thiserror::Error;
 
-/// Why a command is refused with an error, or a connection closed; clients are sent the text.
+/// The reason for refusing a command or closing a connection. The text is sent to the client.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ClientError {
-    /// What the client sent is not RESP2.
+    /// The input is not valid RESP2.
     #[error("protocol error: {0}")]
     Protocol(ProtocolError),
-    /// The command's verb is unknown.
     #[error("unknown command")]
     UnknownCommand,
-    /// The command's arguments are not acceptable.
+    /// The command's arguments are invalid.
     #[error(transparent)]
     InvalidCommand(CommandError),
-    /// A request with the same id is in flight or has just ended.
+    /// A request with the same id is in flight or ended recently.
     #[error("the id is not new")]
     DuplicateRequestId,
-    /// The memory limit of all clients is reached, and this connection takes the most.
+    /// The memory limit of all clients is reached, and this connection uses the most memory.
     #[error("no memory for the rest of a command")]
     MemoryLimit,
-    /// A command was not completed in time.
+    /// The rest of a command did not arrive in time.
     #[error("the rest of a command did not come in time")]
     CommandTimeout,
 }
--- a/src/bin/ingress/clients/memory.rs
+++ b/src/bin/ingress/clients/memory.rs
@@ -1,48 +1,49 @@
-//! The memory of all client connections.
+//! Accounts for the memory of client connections and enforces the limit on their sum.
 
 use super::closing::ClientCloseReason;
 use super::connection::{ClientConnection, ClosingCause};
 use super::error::ClientError;
 use super::Clients;
 
-/// The memory that connections take, and its limit.
+/// Memory used by all connections, and its limit.
 pub struct MemoryBudget {
-    /// Bytes of all connections together.
+    /// Memory used by all connections together, in bytes.
     used: usize,
-    /// The most bytes of all connections together.
+    /// Maximum of `used`, in bytes.
     limit: usize,
 }
 
 impl MemoryBudget {
-    /// A budget of which nothing is used.
+    /// Creates a budget of `limit` bytes of which nothing is used.
     pub fn new(limit: usize) -> Self {
         MemoryBudget { used: 0, limit }
     }
 
-    /// Updates the accounted memory of a connection.
+    /// Updates the memory accounted for a connection to its current size.
     pub fn account(&mut self, connection: &mut ClientConnection) {
         let memory = connection.memory_size();
         self.used = self.used - connection.accounted_memory + memory;
         connection.accounted_memory = memory;
     }
 
-    /// Subtracts the memory of a connection that is removed.
+    /// Subtracts the memory of a connection that is being removed.
     pub fn release(&mut self, connection: &ClientConnection) {
         self.used -= connection.accounted_memory;
     }
 
-    /// Whether the limit is exceeded.
     fn is_exceeded(&self) -> bool {
         self.used > self.limit
     }
 }
 
 impl Clients {
-    /// Accounts for the memory of a connection, and closes connections while the limit of all is exceeded.
+    /// Accounts for the memory of a connection, and closes connections while the limit over all connections
+    /// is exceeded.
     ///
-    /// The limits of single connections do not bound their sum. The connection that takes the most is closed,
-    /// of those that wait for their clients: with an error if it has an incomplete command. A connection with
-    /// replies that the ingress has not written yet is not closed.
+    /// The limits per connection do not bound the sum over all connections. Of the connections that wait for
+    /// their clients, the one that uses the most memory is closed, with an error reply if it has an
+    /// incomplete command. A connection with replies that the ingress has not tried to write yet is not
+    /// closed.
     pub(super) fn enforce_memory_limit(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         self.memory.account(connection);
--- a/src/bin/ingress/clients/output.rs
+++ b/src/bin/ingress/clients/output.rs
@@ -1,57 +1,57 @@
-//! The output buffer of a connection.
+//! The output buffer of a client connection.
 
 use crate::socket_error::is_out_of_memory;
 use ingress::{Duration, Instant};
 use mio::net::TcpStream;
 use std::io::{self, Write};
 
-/// The capacity of its buffer that an idle connection keeps, in bytes.
+/// Maximum capacity of the buffer that an idle connection keeps, in bytes.
 const IDLE_CAPACITY: usize = 2 * 1024;
-/// How long a client may read nothing before its connection is closed.
+/// Time for which a client may read nothing before its connection is closed.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// All was written, or as much as the socket takes; a readiness event follows.
+    /// All output was written, or as much as the socket accepts; a readiness event follows.
     Written,
-    /// The system lacks memory; the write is to be retried.
+    /// The system has no memory for the write, which is to be retried.
     OutOfMemory,
 }
 
-/// Bytes that are still to be written to a connection.
+/// Bytes to be written to a connection.
 #[derive(Default)]
 pub struct OutputBuffer {
-    /// The bytes; those already written are removed once all are.
+    /// Bytes written and to be written; they are removed once all are written.
     pub bytes: Vec<u8>,
-    /// How many of the bytes are written.
+    /// The number of `bytes` that are already written.
     written: usize,
-    /// Since when the socket takes nothing.
+    /// The time since which the socket accepts no bytes.
     blocked_since: Option<Instant>,
 }
 
 impl OutputBuffer {
-    /// Whether all is written and cleared.
+    /// Returns whether all output is written and cleared.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// How many bytes are not written yet.
+    /// Returns the number of bytes not written yet.
     pub fn unwritten(&self) -> usize {
         self.bytes.len() - self.written
     }
 
-    /// Whether the socket took nothing at the latest write.
+    /// Returns whether the socket did not accept all output at the latest write.
     pub fn is_blocked(&self) -> bool {
         self.blocked_since.is_some()
     }
 
-    /// Whether the client has read nothing for too long.
+    /// Returns whether the client has read nothing for [`WRITE_TIMEOUT`].
     pub fn is_timed_out(&self, now: Instant) -> bool {
         self.blocked_since.is_some_and(|since| now > since + WRITE_TIMEOUT)
     }
 
-    /// Writes as much as the socket takes; an error means that the connection is broken.
+    /// Writes as much as the socket accepts. An error means that the connection has failed.
     pub fn write_to(&mut self, stream: &mut TcpStream, now: Instant) -> io::Result<WriteOutcome> {
         while self.unwritten() > 0 {
             match stream.write(&self.bytes[self.written..]) {
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -1,4 +1,4 @@
-//! Reads from connections and parses their commands.
+//! Reads from client connections and parses their commands.
 
 use super::closing::ClientCloseReason;
 use super::connection::ClosingCause;
@@ -12,25 +12,25 @@
 use std::io::{ErrorKind, Read};
 use std::ops::Range;
 
-/// The most bytes read at once.
+/// Maximum size of a single read, in bytes.
 pub const READ_BUFFER_LEN: usize = 16 * 1024;
-/// The most reads from one connection in an iteration, so that a fast client does not delay the others.
+/// Maximum number of reads from a connection in an iteration, so that a fast client does not delay the
+/// others.
 const MAX_READS_PER_ITERATION: usize = 4;
 
-/// The reply to a `PING`.
 const PONG_REPLY: &[u8] = b"+PONG\r\n";
 
-/// Whether further commands of a connection are parsed.
+/// The state of reading from a connection, after its commands were parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadState {
-    /// They are.
+    /// Further commands are read and parsed.
     Active,
     /// Too many replies are owed or unread.
     Paused,
 }
 
 impl Clients {
-    /// Handles a connection whose socket is ready.
+    /// Reads from a connection whose socket is ready, and schedules a write if the socket is writable.
     pub fn on_ready(&mut self, key: usize, now: Instant, readiness: Readiness) {
         let Some(connection) = self.connections.get(key) else { return };
         if readiness == Readiness::Writable && !connection.output.is_empty() {
@@ -39,14 +39,14 @@
         self.read(key, now);
     }
 
-    /// Closes a connection that the client has closed or half-closed; its unread input is dropped.
+    /// Closes a connection that the client has closed or half-closed. Unread input is dropped.
     pub fn on_disconnect(&mut self, key: usize) {
         if self.connections.contains(key) {
             self.remove(key, ClientCloseReason::Disconnected);
         }
     }
 
-    /// Continues reading from connections whose sockets were not read to the end.
+    /// Continues to read from the connections whose sockets were not read to the end.
     pub fn resume_reads(&mut self, now: Instant) {
         for key in std::mem::take(&mut self.read_queue) {
             if let Some(connection) = self.connections.get_mut(key) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Reads from all connections, without regard to readiness events.
+    /// Reads from all connections, whether or not their sockets are reported as ready.
     pub fn read_all(&mut self, now: Instant) {
         let keys: Vec<usize> = self.connections.iter().map(|(key, _)| key).collect();
         for key in keys {
@@ -73,11 +73,10 @@
         }
     }
 
-    /// Reads from a connection and parses its commands, up to the limit of an iteration.
+    /// Reads from a connection and parses its commands, up to the limit per iteration.
     ///
-    /// A request would be lost if reading ended after a short read: the poll reports each arrival once, and a
-    /// short read does not mean that the socket is empty. Only a read that would block ends the loop before
-    /// its limit.
+    /// The loop ends before the limit only if a read would block. The poll reports each arrival once, and a
+    /// short read does not mean that the socket is empty: ending there would leave a request unread.
     fn read_and_parse(&mut self, key: usize, now: Instant) {
         for _ in 0..MAX_READS_PER_ITERATION {
             if self.parse_commands(key, now) == ReadState::Paused {
@@ -104,8 +103,8 @@
         }
     }
 
-    /// Leaves unread input for the next iteration. The timeouts of its commands count from the earliest time
-    /// at which it can have arrived.
+    /// Schedules a read in the next iteration. The timeouts of unread commands count from the earliest time
+    /// at which they can have arrived.
     fn read_later(&mut self, key: usize) {
         let connection = &mut self.connections[key];
         connection.reading_paused = false;
@@ -121,13 +120,13 @@
         connection.unread_since.get_or_insert(self.arrival_time);
     }
 
-    /// Parses the complete commands that a connection has sent.
+    /// Parses and handles the complete commands in a connection's input.
     fn parse_commands(&mut self, key: usize, now: Instant) -> ReadState {
         let mut parsed = 0;
         loop {
             let connection = &mut self.connections[key];
             if connection.is_closing() {
-                // Input after the last command that gets a reply is discarded.
+                // Input after the last command with a reply is discarded.
                 parsed = connection.input.len();
             }
             if connection.is_backlogged() || parsed >= connection.input.len() {
@@ -175,7 +174,7 @@
         }
     }
 
-    /// Passes a request to the event loop.
+    /// Adds a request to the events for the event loop.
     fn accept_command(&mut self, key: usize, command: Command) {
         self.last_request_id += 1;
         let id = RequestId(self.last_request_id);
--- a/src/bin/ingress/clients/reply_queue.rs
+++ b/src/bin/ingress/clients/reply_queue.rs
@@ -1,56 +1,56 @@
-//! Sends the replies of a connection in the order of its requests, in whatever order they become known.
+//! Orders the replies of a connection by their requests, whatever the order in which they become available.
 
 use ingress::RequestId;
 use std::collections::VecDeque;
 
-/// The place of a reply.
+/// The place of a reply in the queue.
 enum ReplySlot {
-    /// The reply is not known yet.
+    /// The request is not answered yet.
     Pending(RequestId),
-    /// The reply is known and waits for those before it.
+    /// The reply is available and waits for those before it.
     Ready(Vec<u8>),
 }
 
-/// The replies that a connection is owed, from its oldest pending request on.
+/// The replies that are owed on a connection, from the oldest pending request on.
 #[derive(Default)]
 pub struct ReplyQueue {
     /// The places of the replies, in the order of their requests.
     slots: VecDeque<ReplySlot>,
-    /// The sequence number of the first slot: how many replies have left the queue.
+    /// The sequence number of the first slot, which equals the number of replies that have left the queue.
     first_sequence: u64,
-    /// The bytes of all replies in the queue.
+    /// Total size of the available replies in the queue, in bytes.
     ready_bytes: usize,
 }
 
 impl ReplyQueue {
-    /// Whether no reply is owed.
+    /// Returns whether no reply is owed.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// How many replies are owed.
+    /// Returns the number of replies owed.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// The bytes of the replies that wait for those before them.
+    /// Returns the total size of the replies that wait for those before them, in bytes.
     pub fn ready_bytes(&self) -> usize {
         self.ready_bytes
     }
 
-    /// Whether any reply was ever owed.
+    /// Returns whether any reply was ever owed.
     pub fn was_used(&self) -> bool {
         self.first_sequence > 0 || !self.slots.is_empty()
     }
 
-    /// Adds the place of a request's reply and returns its sequence number.
+    /// Adds a place for a request's reply and returns its sequence number.
     pub fn push_pending(&mut self, id: RequestId) -> u64 {
         let sequence = self.first_sequence + self.slots.len() as u64;
         self.slots.push_back(ReplySlot::Pending(id));
         sequence
     }
 
-    /// Adds a reply that is known at once.
+    /// Adds a reply that is available at once, and moves it to `out` if no reply is owed before it.
     pub fn push_ready(&mut self, reply: &[u8], out: &mut Vec<u8>) {
         if self.slots.is_empty() {
             out.extend_from_slice(reply);
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Sets the reply at a sequence number, and moves the replies that wait for no earlier one to `out`;
-    /// false if the reply has left the queue before.
+    /// Sets the reply at a sequence number, and moves the replies that wait for no earlier one to `out`.
+    /// Returns `false` if that reply has already left the queue.
     pub fn complete(&mut self, sequence: u64, reply: &[u8], out: &mut Vec<u8>) -> bool {
         let Some(index) = sequence.checked_sub(self.first_sequence) else { return false };
         let index = index as usize;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The requests without a reply, the latest first.
+    /// Returns the requests without a reply, the latest first.
     pub fn pending_latest_first(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.slots.iter().rev().filter_map(|slot| match slot {
             ReplySlot::Pending(id) => Some(*id),
--- a/src/bin/ingress/clients/writing.rs
+++ b/src/bin/ingress/clients/writing.rs
@@ -1,4 +1,4 @@
-//! Replies to requests and writes to connections.
+//! Replies to requests and writes the output of client connections.
 
 use super::closing::ClientCloseReason;
 use super::connection::error_line;
@@ -8,7 +8,7 @@
 use ingress::Instant;
 
 impl Clients {
-    /// Replies with an error to an invalid request; too many in a row close the connection.
+    /// Replies with an error to an invalid request. Too many consecutive ones close the connection.
     pub fn refuse_invalid(&mut self, reply_to: ReplyHandle, error: ClientError) {
         let connection = self.connections.get_mut(reply_to.key);
         if let Some(connection) = connection.filter(|connection| connection.serial == reply_to.serial) {
@@ -17,7 +17,7 @@
         self.reply(reply_to, &error_line(error));
     }
 
-    /// Sends a request its final reply, a complete RESP2 value.
+    /// Sends the final reply to a request, a complete RESP2 value. Does nothing if the connection is closed.
     pub fn reply(&mut self, reply_to: ReplyHandle, reply: &[u8]) {
         let connection = self.connections.get_mut(reply_to.key);
         let Some(connection) = connection.filter(|connection| connection.serial == reply_to.serial) else {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Writes the output of all connections, with one write for all replies of a connection in an iteration.
+    /// Writes the output of all connections. All replies of a connection in an iteration are written at once.
     pub fn flush(&mut self, now: Instant) {
         let mut queue = std::mem::take(&mut self.write_retries);
         queue.append(&mut self.write_queue);
@@ -53,7 +53,7 @@
                 connection.output.clear();
                 self.memory.account(connection);
             }
-            // Commands that waited for the backlog of replies are parsed now.
+            // Commands that waited for the backlog of replies to shrink are parsed now.
             if connection.reading_paused && !connection.is_backlogged() {
                 connection.reading_paused = false;
                 self.queue_for_read(key);
