--- a/src/bin/ingress/command.rs
+++ b/src/bin/ingress/command.rs
@@ -1,5 +1,5 @@
-//! The `CALL` commands: strictly parsed as clients send them, and encoded again for a backend with the
-//! attempt's own timeout.
+//! The `CALL` commands: parsed strictly as clients send them, and encoded again for a backend with the
+//! timeout of the attempt.
 
 mod error;
 mod options;
@@ -11,27 +11,26 @@
 use std::ops::Range;
 use template::CommandTemplate;
 
-/// A class of requests, as commands name it.
+/// A class of requests, as named in commands.
 pub struct ClassSchema {
-    /// The class's name in commands.
     pub name: String,
     /// Whether a request of this class may be executed more than once.
     pub idempotency: Idempotency,
 }
 
-/// What the settings say about commands: the names they may use and the bounds of their numbers.
+/// The constraints on commands from the settings: the names of classes and plans, and the bounds of numbers.
 pub struct CommandSchema {
-    /// The classes of requests; a request's class is its place here.
+    /// The classes of requests; a request's class is an index of this list.
     pub classes: Vec<ClassSchema>,
-    /// The names of the plans; a request's plan is its place here.
+    /// The names of the plans; a request's plan is an index of this list.
     pub plans: Vec<String>,
-    /// The most units that a request may take.
+    /// Maximum number of units of a request.
     pub max_units: f64,
-    /// How many gateways there are.
+    /// The number of gateways in the fleet.
     pub gateway_count: u64,
 }
 
-/// The verbs of the commands.
+/// The verb of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Verb {
     /// A request of an idempotent class, without a body.
@@ -41,7 +40,7 @@
 }
 
 impl Verb {
-    /// The verb of this name.
+    /// Returns the verb with this name.
     fn parse(text: &[u8]) -> Option<Verb> {
         match text {
             b"CALL.GET" => Some(Verb::Get),
@@ -50,7 +49,7 @@
         }
     }
 
-    /// How many arguments a command with this verb has, the verb included.
+    /// Returns the number of arguments of a command with this verb, the verb included.
     fn argument_count(self) -> usize {
         match self {
             Verb::Get => 4,
@@ -58,26 +57,26 @@
         }
     }
 
-    /// Whether the verb is the one for a class of this idempotency.
+    /// Returns whether the verb is used for classes of this idempotency.
     fn matches_idempotency(self, idempotency: Idempotency) -> bool {
         (self == Verb::Get) == (idempotency == Idempotency::Idempotent)
     }
 }
 
-/// A client's request.
+/// A client's request, with the encoded command for the backend.
 #[derive(Debug)]
 pub struct Command {
-    /// The request for the gateway; the caller fills in its id and deadline.
+    /// The request for the gateway, whose id and deadline the caller sets.
     pub request: Request,
-    /// How long the client waits for the reply.
+    /// The time for which the client waits for the reply.
     pub timeout: Duration,
-    /// The command as it was sent, less its timeout.
+    /// The command as it was received, without its timeout.
     template: CommandTemplate,
 }
 
 impl Command {
-    /// Parses a command from its arguments' places in `buffer`, the verb first; `None` if the verb is another
-    /// one.
+    /// Parses a command from the ranges of its arguments in `buffer`, the verb first. Returns `None` if the
+    /// verb is unknown.
     pub fn parse(
         buffer: &[u8],
         arguments: &[Range<usize>],
@@ -92,7 +91,7 @@
         Some(Command::parse_arguments(verb, &arguments, schema))
     }
 
-    /// Parses as many arguments as the verb has.
+    /// Parses the arguments of a command with this verb.
     fn parse_arguments(
         verb: Verb,
         arguments: &[&[u8]],
@@ -124,17 +123,17 @@
         Ok(Command { request, timeout: timeout.duration, template })
     }
 
-    /// The id that the client gave the request.
+    /// Returns the request id from the client.
     pub fn client_request_id(&self) -> &[u8] {
         self.template.request_id()
     }
 
-    /// Appends the command as a backend gets it, with the time that is left for the attempt.
+    /// Appends the command for a backend, with the time that is left for the attempt.
     pub fn encode(&self, timeout: Duration, out: &mut Vec<u8>) {
         self.template.encode(timeout, out);
     }
 
-    /// Roughly how much memory the command takes.
+    /// Returns the approximate memory size of the command, in bytes.
     pub fn memory_size(&self) -> usize {
         self.template.allocated() + std::mem::size_of::<Command>()
     }
--- a/src/bin/ingress/command/options.rs
+++ b/src/bin/ingress/command/options.rs
@@ -1,7 +1,7 @@
-//! Parsing a command's customer, id and options.
+//! Parses the customer, id and options of a command.
 //!
-//! This is the one place that knows the names of the options. Options that are not listed are the backend's
-//! concern.
+//! No other module uses the names of the options. Options that are not listed are passed to the backend
+//! unchecked.
 //!
 //! | option | term in the code |
 //! | --- | --- |
@@ -18,79 +18,67 @@
 use ingress::{Duration, Idempotency};
 use std::ops::Range;
 
-/// The names of the options.
+/// Names of the options on the wire.
 mod name {
-    /// The class of the request.
     pub const CLASS: &str = "c";
-    /// The plan of the customer.
     pub const PLAN: &str = "t";
-    /// The timeout.
     pub const TIMEOUT: &str = "d";
-    /// The idempotency key.
     pub const IDEMPOTENCY_KEY: &str = "k";
-    /// The units of the request.
     pub const UNITS: &str = "units";
-    /// The size of the gateway set.
     pub const GATEWAY_SET_SIZE: &str = "spread";
-    /// The first gateway of the set.
     pub const GATEWAY_SET_START: &str = "first";
 }
 
-/// The longest timeout that a client may set, in milliseconds.
+/// Maximum timeout that a client may set, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
-/// The highest size or start of a gateway set that is parsed.
+/// Maximum size or start of a gateway set that is accepted by the parser.
 const MAX_GATEWAY_NUMBER: u64 = 65_535;
-/// The most bytes of an id or idempotency key.
+/// Maximum length of an id or idempotency key, in bytes.
 const MAX_TOKEN_LEN: usize = 64;
-/// The most digits of an integer.
+/// Maximum number of digits of an integer.
 const MAX_INTEGER_DIGITS: usize = 10;
-/// The most characters of a decimal number.
+/// Maximum number of characters of a decimal number.
 const MAX_NUMBER_LEN: usize = 20;
-/// The number of hex digits of a customer.
+/// Number of hex digits of a customer.
 const CUSTOMER_DIGITS: usize = 16;
-/// The number above all customers.
+/// Exclusive upper bound of customer numbers.
 const CUSTOMER_LIMIT: u64 = 1 << 33;
 
-/// The option with the client's timeout.
+/// The timeout option of a command.
 #[derive(Clone, Debug)]
 pub struct TimeoutOption {
-    /// How long the client waits.
+    /// The time for which the client waits for the reply.
     pub duration: Duration,
-    /// The range of the option's value in the options' text.
+    /// The range of the value in the text of the options.
     pub position: Range<usize>,
 }
 
-/// How much a request takes from its customer's quota, and which gateways share that quota.
+/// The units that a request takes from its customer's quota, and the gateways that share that quota.
 pub struct QuotaParameters {
-    /// The units that it takes.
+    /// The units that the request takes.
     pub units: f64,
-    /// How many gateways the customer's requests are spread over.
+    /// The number of gateways that share the customer's requests.
     pub gateway_set_size: u64,
-    /// The first of these gateways.
+    /// The first gateway of the set.
     pub gateway_set_start: u64,
 }
 
-/// A command's options as they were sent, each `None` if it is missing.
+/// The options of a command as received, each `None` if it is missing.
 #[derive(Default)]
 pub struct Options<'a> {
-    /// The name of the request's class.
     class: Option<&'a [u8]>,
-    /// The name of the customer's plan.
     plan: Option<&'a [u8]>,
-    /// How long the client waits.
     timeout: Option<TimeoutOption>,
-    /// The idempotency key.
     idempotency_key: Option<&'a [u8]>,
-    /// The units that the request takes from the quota.
     units: Option<f64>,
-    /// How many gateways the customer's requests are spread over.
+    /// The number of gateways that share the customer's requests.
     gateway_set_size: Option<u64>,
-    /// The first of these gateways.
+    /// The first gateway of the set.
     gateway_set_start: Option<u64>,
 }
 
 impl<'a> Options<'a> {
-    /// Parses options separated by commas.
+    /// Parses options that are separated by commas.
     pub fn parse(text: &'a [u8]) -> Result<Self, CommandError> {
         let mut options = Options::default();
         let mut start = 0;
@@ -101,11 +89,11 @@
         Ok(options)
     }
 
-    /// Parses the option that begins at `start` in the options' text.
+    /// Parses the option that begins at `start` in the text of the options.
     fn add(&mut self, option: &'a [u8], start: usize) -> Result<(), CommandError> {
         let equals = option.iter().position(|byte| *byte == b'=').ok_or(CommandError::OptionWithoutValue)?;
         let (name, value) = (&option[..equals], &option[equals + 1..]);
-        // A name that is no text is none of those known here.
+        // A name that is not UTF-8 is none of the listed names.
         match std::str::from_utf8(name).unwrap_or_default() {
             name::CLASS => set_once(&mut self.class, value, name::CLASS),
             name::PLAN => set_once(&mut self.plan, value, name::PLAN),
@@ -128,26 +116,27 @@
         }
     }
 
-    /// The index of the request's class in the schema.
+    /// Returns the index of the request's class in the schema.
     pub fn class_index(&self, schema: &CommandSchema) -> Result<usize, CommandError> {
         let class_name = self.class.ok_or(CommandError::MissingOption(name::CLASS))?;
         let index = schema.classes.iter().position(|class| class.name.as_bytes() == class_name);
         index.ok_or(CommandError::UnknownClass)
     }
 
-    /// The index of the customer's plan in the schema.
+    /// Returns the index of the customer's plan in the schema.
     pub fn plan_index(&self, schema: &CommandSchema) -> Result<usize, CommandError> {
         let plan_name = self.plan.ok_or(CommandError::MissingOption(name::PLAN))?;
         let index = schema.plans.iter().position(|plan| plan.as_bytes() == plan_name);
         index.ok_or(CommandError::UnknownPlan)
     }
 
-    /// The client's timeout.
+    /// Returns the timeout option.
     pub fn timeout(&self) -> Result<TimeoutOption, CommandError> {
         self.timeout.clone().ok_or(CommandError::MissingOption(name::TIMEOUT))
     }
 
-    /// Checks that the verb is the one for the class, and that a key is given where the class needs one.
+    /// Checks that the verb matches the idempotency of the class, and that a key is given if the class
+    /// requires one.
     pub fn check_idempotency(&self, verb: Verb, idempotency: Idempotency) -> Result<(), CommandError> {
         if !verb.matches_idempotency(idempotency) {
             return Err(CommandError::VerbMismatch);
@@ -159,7 +148,7 @@
         Ok(())
     }
 
-    /// The request's units and gateway set, checked against the settings: a number out of range must reach
+    /// Returns the units and gateway set, checked against the settings: a number out of range must reach
     /// neither the customer's record in the gateway nor a backend.
     pub fn quota_parameters(&self, schema: &CommandSchema) -> Result<QuotaParameters, CommandError> {
         let units = self.units.ok_or(CommandError::MissingOption(name::UNITS))?;
@@ -174,7 +163,7 @@
     }
 }
 
-/// Sets an option's value; a second one is an error.
+/// Sets the value of an option. A second value is an error.
 fn set_once<T>(option: &mut Option<T>, value: T, name: &'static str) -> Result<(), CommandError> {
     match option.replace(value) {
         None => Ok(()),
@@ -182,12 +171,12 @@
     }
 }
 
-/// Returns an error unless an option's value is within its range.
+/// Returns an error unless the option is `within` its range.
 fn check_range(within: bool, option: &'static str) -> Result<(), CommandError> {
     within.then_some(()).ok_or(CommandError::OutOfRange(option))
 }
 
-/// Parses a customer's number.
+/// Parses a customer number of [`CUSTOMER_DIGITS`] hex digits.
 pub fn parse_customer(text: &[u8]) -> Result<u64, CommandError> {
     let is_hex = text.len() == CUSTOMER_DIGITS && text.iter().all(u8::is_ascii_hexdigit);
     let digits = std::str::from_utf8(text).ok().filter(|_| is_hex);
@@ -195,12 +184,13 @@
     number.filter(|number| *number < CUSTOMER_LIMIT).ok_or(CommandError::InvalidCustomer)
 }
 
-/// Whether the text is short, not empty and made of printable ASCII characters without spaces.
+/// Returns whether the text has 1 to [`MAX_TOKEN_LEN`] bytes, all of them printable ASCII characters other
+/// than the space.
 pub fn is_token(text: &[u8]) -> bool {
     !text.is_empty() && text.len() <= MAX_TOKEN_LEN && text.iter().all(u8::is_ascii_graphic)
 }
 
-/// Parses an integer of plain digits, at most `max`.
+/// Parses an integer of decimal digits, at most `max`.
 fn parse_integer(text: &[u8], max: u64, option: &'static str) -> Result<u64, CommandError> {
     let is_plain =
         !text.is_empty() && text.len() <= MAX_INTEGER_DIGITS && text.iter().all(u8::is_ascii_digit);
@@ -209,7 +199,7 @@
     number.filter(|number| *number <= max).ok_or(CommandError::InvalidInteger { option, max })
 }
 
-/// Parses a number from zero up, in plain digits with or without a fraction.
+/// Parses a non-negative decimal number without sign or exponent.
 fn parse_number(text: &[u8], option: &'static str) -> Result<f64, CommandError> {
     let is_digit_or_point = |byte: &u8| byte.is_ascii_digit() || *byte == b'.';
     let is_plain = !text.is_empty() && text.len() <= MAX_NUMBER_LEN && text.iter().all(is_digit_or_point);
--- a/src/bin/ingress/command/template.rs
+++ b/src/bin/ingress/command/template.rs
@@ -1,34 +1,34 @@
-//! A command's encoded bytes, which are sent with the timeout of each attempt.
+//! Encoded commands into which the timeout of each attempt is inserted.
 
 use crate::resp;
 use ingress::Duration;
 use std::ops::Range;
 
-/// The expected bytes of an encoded command besides its options and body.
+/// Expected size of an encoded command without its options and body, in bytes.
 const EXPECTED_OVERHEAD: usize = 96;
-/// The expected bytes of an encoded body besides the body itself.
+/// Expected size of an encoded body without the body itself, in bytes.
 const EXPECTED_BODY_OVERHEAD: usize = 16;
-/// The number of arguments before the options.
+/// Number of arguments before the options.
 const ARGUMENTS_BEFORE_OPTIONS: usize = 3;
 
 /// An encoded command without the two parts that depend on the timeout: the length of the options, and the
-/// timeout.
+/// timeout itself.
 #[derive(Debug)]
 pub struct CommandTemplate {
-    /// The range of the request's id.
+    /// The range of the request id in `bytes`.
     request_id: Range<usize>,
-    /// The encoded arguments, the options without their length and timeout.
+    /// The encoded arguments, of which the options lack their length and timeout.
     bytes: Vec<u8>,
-    /// The position of the options.
+    /// The position of the options in `bytes`.
     options_start: usize,
-    /// The position of the timeout.
+    /// The position in `bytes` at which the timeout is inserted.
     timeout_position: usize,
-    /// The position after the options.
+    /// The position after the options in `bytes`.
     options_end: usize,
 }
 
 impl CommandTemplate {
-    /// Encodes the arguments of a command, whose options have the timeout's value at `timeout`.
+    /// Encodes the arguments of a command. `timeout` is the range of the timeout's value in the options.
     pub fn new(arguments: &[&[u8]], timeout: Range<usize>) -> Self {
         let (before_options, rest) = arguments.split_at(ARGUMENTS_BEFORE_OPTIONS);
         let (options, bodies) = (rest[0], &rest[1..]);
@@ -52,12 +52,12 @@
         CommandTemplate { request_id, bytes, options_start, timeout_position, options_end }
     }
 
-    /// The id that the client gave the request.
+    /// Returns the request id from the client.
     pub fn request_id(&self) -> &[u8] {
         &self.bytes[self.request_id.clone()]
     }
 
-    /// Appends the command with this timeout.
+    /// Appends the command with this timeout, at least 1 ms.
     pub fn encode(&self, timeout: Duration, out: &mut Vec<u8>) {
         let timeout_ms = timeout.as_millis().max(1).to_string();
         let before_timeout = &self.bytes[self.options_start..self.timeout_position];
@@ -67,7 +67,7 @@
         out.extend_from_slice(&self.bytes[self.options_end..]);
     }
 
-    /// How many bytes are allocated for it.
+    /// Returns the allocated memory, in bytes.
     pub fn allocated(&self) -> usize {
         self.bytes.capacity()
     }
--- a/src/bin/ingress/resp.rs
+++ b/src/bin/ingress/resp.rs
@@ -1,12 +1,12 @@
 //! A strict, bounded codec for RESP2, the wire format of commands and replies.
 //!
-//! Parsing is stateless: each call parses the bytes received so far and finds them incomplete, complete or
-//! malformed. Lengths are checked as soon as they are parsed, so that a connection never waits for bytes that
-//! would be rejected, and a body is skipped by its length, so that parsing an incomplete value again is
+//! Parsing is stateless: each call parses the bytes received so far and reports them as incomplete, complete
+//! or malformed. Lengths are checked as soon as they are parsed, so that a connection never waits for bytes
+//! that would be rejected. A body is skipped by its length, so that parsing an incomplete value again is
 //! cheap.
 //!
-//! The crate `redis-protocol` does not fit: it accepts any two bytes as the end of a bulk string, waits for
-//! bodies of whatever length is announced, and overflows the stack on deep nesting.
+//! The crate `redis-protocol` is not used because it accepts any two bytes as the end of a bulk string, waits
+//! for bodies of any announced length, and overflows the stack on deep nesting.
 
 mod decode;
 mod encode;
@@ -16,15 +16,15 @@
 pub use encode::{write_array_header, write_bulk_string, write_error};
 pub use error::ProtocolError;
 
-/// The most bytes of a value.
+/// Maximum size of a value, in bytes.
 pub const MAX_VALUE_LEN: usize = 64 * 1024;
-/// The most arguments of a command, and elements of a reply.
+/// Maximum number of arguments of a command, and of elements of a reply.
 const MAX_ELEMENTS: usize = 8;
-/// The most bytes of all arguments of a command, or of all elements of a reply, together.
+/// Maximum total size of the arguments of a command, or of the elements of a reply, in bytes.
 const MAX_TOTAL_LEN: usize = MAX_VALUE_LEN + 4096;
-/// The most bytes of a status or error line.
+/// Maximum length of a status or error line, in bytes.
 const MAX_LINE_LEN: usize = 1024;
-/// The most digits of a length.
+/// Maximum number of digits of a length.
 const MAX_LENGTH_DIGITS: usize = 10;
 
 #[cfg(test)]
--- a/src/bin/ingress/resp/decode.rs
+++ b/src/bin/ingress/resp/decode.rs
@@ -1,59 +1,52 @@
-//! Parsing commands and replies.
+//! Parses commands and replies from a buffer.
 
 use super::error::{Parsed, ProtocolError};
 use super::{MAX_ELEMENTS, MAX_LENGTH_DIGITS, MAX_LINE_LEN, MAX_TOTAL_LEN, MAX_VALUE_LEN};
 use std::ops::Range;
 
-/// The bytes of the CR LF that ends a line or a bulk string.
+/// Length of the CR LF that ends a line or a bulk string, in bytes.
 const TERMINATOR_LEN: usize = 2;
 
-/// The type of a reply's element.
+/// The RESP2 type of an element.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElementKind {
-    /// A status line.
     Simple,
-    /// An error line.
     Error,
-    /// An integer line.
     Integer,
-    /// A bulk string.
     Bulk,
-    /// A null bulk string or null array.
+    /// A null bulk string or a null array.
     Null,
 }
 
-/// An element of a reply, by ranges of the buffer.
+/// An element of a reply or command, as ranges of the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Element {
-    /// The element's type.
     pub kind: ElementKind,
-    /// The text or body alone.
+    /// The text or body without header and terminator.
     pub payload: Range<usize>,
-    /// The complete encoded element, with its header and terminator.
+    /// The complete encoded element, with header and terminator.
     pub span: Range<usize>,
 }
 
-/// A reply of a backend.
+/// A reply from a backend.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// One value that is not an array, or a null array.
+    /// A value that is not an array, or a null array.
     Single(Element),
     /// An array of values.
     Array(Vec<Element>),
 }
 
-/// A reply, and its place in the buffer.
+/// A reply and its encoded length.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ParsedReply {
-    /// The reply.
     pub reply: Reply,
-    /// The bytes that it takes from the beginning of the buffer.
+    /// The number of bytes from the beginning of the buffer to the end of the reply.
     pub length: usize,
 }
 
-/// A line of text.
 struct Line {
-    /// The range of the text, without the line's terminator.
+    /// The range of the text, without the terminator.
     text: Range<usize>,
     /// The position after the line.
     end: usize,
@@ -61,7 +54,7 @@
 
 /// The header of a bulk string or array.
 struct LengthHeader {
-    /// The number of bytes or elements that follow; none for a null.
+    /// The number of bytes or elements that follow, or `None` for a null.
     length: Option<usize>,
     /// The position after the header.
     end: usize,
@@ -81,7 +74,7 @@
     }
 }
 
-/// Parses the digits of a length of at most `max`; none for the -1 of a null.
+/// Parses the digits of a length of at most `max`. Returns `None` for the -1 of a null.
 fn parse_length(digits: &[u8], max: usize) -> Parsed<usize> {
     if digits == b"-1" {
         return Ok(None);
@@ -104,7 +97,7 @@
     Ok(Some(LengthHeader { length: parse_length(&buffer[line.text], max)?, end: line.end }))
 }
 
-/// The position after the bulk string whose body is `body`, terminator included.
+/// Returns the position after the terminator of the bulk string with this `body`.
 fn bulk_string_end(buffer: &[u8], body: &Range<usize>) -> Parsed<usize> {
     match buffer.get(body.end..).unwrap_or_default() {
         [b'\r', b'\n', ..] => Ok(Some(body.end + TERMINATOR_LEN)),
@@ -113,8 +106,8 @@
     }
 }
 
-/// Parses the command at the beginning of `buffer`, an array of bulk strings. Replaces `arguments` by their
-/// ranges and returns the command's length.
+/// Parses the command at the beginning of `buffer`, an array of bulk strings. Replaces `arguments` by the
+/// ranges of the arguments and returns the command's length.
 pub fn parse_command(buffer: &[u8], arguments: &mut Vec<Range<usize>>) -> Parsed<usize> {
     arguments.clear();
     match buffer.first() {
@@ -150,7 +143,7 @@
     }
 }
 
-/// Parses the bulk string of at most `max_len` bytes that begins at `start`; it may be null.
+/// Parses the bulk string of at most `max_len` bytes that begins at `start`, which may be null.
 fn parse_bulk_string(buffer: &[u8], start: usize, max_len: usize) -> Parsed<Element> {
     let Some(header) = parse_length_header(buffer, start, max_len)? else { return Ok(None) };
     let Some(length) = header.length else {
@@ -161,7 +154,7 @@
     Ok(Some(Element { kind: ElementKind::Bulk, payload, span: start..end }))
 }
 
-/// A null between these positions.
+/// Returns a null element that spans these positions.
 fn null_element(start: usize, end: usize) -> Element {
     Element { kind: ElementKind::Null, payload: end..end, span: start..end }
 }
@@ -181,7 +174,7 @@
     Ok(Some(Element { kind, payload: line.text, span: start..line.end }))
 }
 
-/// Parses the array that begins at `start` inside another one: only the null array is accepted there.
+/// Parses the array that begins at `start` inside another one, where only the null array is accepted.
 fn parse_null_array(buffer: &[u8], start: usize, max_len: usize) -> Parsed<Element> {
     let Some(header) = parse_length_header(buffer, start, max_len)? else { return Ok(None) };
     match header.length {
@@ -213,7 +206,7 @@
     Ok(Some(ParsedReply { reply: Reply::Array(elements), length: position }))
 }
 
-/// The reply that consists of one element.
+/// Returns the reply that consists of one element.
 fn single_reply(element: Element) -> ParsedReply {
     let length = element.span.end;
     ParsedReply { reply: Reply::Single(element), length }
--- a/src/bin/ingress/resp/encode.rs
+++ b/src/bin/ingress/resp/encode.rs
@@ -1,9 +1,9 @@
-//! Writing RESP2 values to a buffer.
+//! Writes RESP2 values to a buffer.
 
 use super::MAX_LINE_LEN;
 use std::io::Write;
 
-/// The bytes of an error line besides its message, rounded up: `-ERR ` and the line's end.
+/// Length of an error line without its message, rounded up: `-ERR ` and the terminator.
 const ERROR_LINE_OVERHEAD: usize = 8;
 
 /// Appends the header of an array of `count` elements.
@@ -21,8 +21,8 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends an error line. Control characters of the message become spaces and it is cut to the longest line,
-/// since either would break the line.
+/// Appends an error line. Control characters of the message become spaces, and the message is cut to the
+/// maximum length of a line, since either would make the line invalid.
 pub fn write_error(out: &mut Vec<u8>, message: &str) {
     let printable = message.bytes().map(|byte| if byte.is_ascii_control() { b' ' } else { byte });
     out.extend_from_slice(b"-ERR ");
--- a/src/bin/ingress/resp/error.rs
+++ b/src/bin/ingress/resp/error.rs
@@ -1,44 +1,41 @@
-//! Why bytes are rejected as RESP2.
+//! Errors of parsing RESP2.
 
 use thiserror::Error;
 
-/// Why bytes are rejected as RESP2.
+/// The reason for rejecting bytes as RESP2. The text of an invalid command is sent to its client.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ProtocolError {
-    /// A line feed without a carriage return before it.
+    /// A line feed does not follow a carriage return.
     #[error("a line does not end with CR LF")]
     UnterminatedLine,
-    /// A status, error or length line over its limit.
+    /// A status, error or length line exceeds its limit.
     #[error("a line is too long")]
     LineTooLong,
-    /// A length that is not written in digits.
+    /// A length does not consist of digits.
     #[error("a length is no number")]
     InvalidLength,
-    /// A length over the limit.
+    /// A length exceeds its limit.
     #[error("a length is over the limit")]
     LengthOverLimit,
-    /// A bulk string without a terminator after its length.
+    /// A bulk string has no terminator after its length.
     #[error("a bulk string does not end with CR LF")]
     UnterminatedBulkString,
-    /// A command that is not an array.
     #[error("a command is no array")]
     CommandNotArray,
-    /// A command without a verb.
+    /// A command has no verb.
     #[error("a command is empty")]
     EmptyCommand,
-    /// An argument that is not a bulk string.
     #[error("an argument is no bulk string")]
     ArgumentNotBulkString,
-    /// A null argument.
     #[error("an argument is null")]
     NullArgument,
-    /// A reply that starts with none of the type markers.
-    #[error("an answer begins with no mark of RESP2")]
+    /// An element of a reply starts with an unknown type marker.
+    #[error("a reply begins with an unknown type marker")]
     UnknownTypeMarker,
-    /// An array as an element of another array.
-    #[error("an array stands inside an array")]
+    /// An array that is not null is an element of another array.
+    #[error("an array is nested in an array")]
     NestedArray,
 }
 
-/// The result of parsing bytes received so far: `None` while they are incomplete.
+/// The result of parsing the bytes received so far: `None` while they are incomplete.
 pub type Parsed<T> = Result<Option<T>, ProtocolError>;
