--- a/src/bin/ingress/logging.rs
+++ b/src/bin/ingress/logging.rs
@@ -1,7 +1,7 @@
-//! The log: events of `tracing`, written to standard error by a thread of its own.
+//! The log: events of `tracing`, which a separate thread writes to standard error.
 //!
-//! A standard error that is full or closed must not block the event loop, which would show as late answers.
-//! Events go through a bounded buffer, and lines that do not fit are dropped and counted.
+//! A full or closed standard error must not block the event loop, which would delay answers. Events pass
+//! through a bounded buffer; lines that do not fit are dropped and counted.
 
 use std::fmt::{self, Write};
 use std::io;
@@ -14,20 +14,20 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The environment variable with the least severe level that is logged: `error`, `warn`, `info`, `debug`,
-/// `trace` or `off`.
+/// Environment variable with the least severe level that is logged: `error`, `warn`, `info`, `debug`, `trace`
+/// or `off`.
 pub const LEVEL_VARIABLE: &str = "LB_LOG";
-/// The target of an event whose message names its origin itself.
+/// Target of an event whose message names its origin; the line is written without a target.
 pub const NO_TARGET: &str = "";
-/// The level if the variable is not set or not valid.
+/// The level that applies if [`LEVEL_VARIABLE`] is not set or invalid.
 const DEFAULT_LEVEL: LevelFilter = LevelFilter::INFO;
-/// The most lines in the buffer; further ones are dropped.
+/// Maximum number of lines in the buffer; further ones are dropped.
 const MAX_BUFFERED_LINES: usize = 4096;
 
-/// Counts the dropped lines, once the log is started.
+/// Counter of dropped lines; set when the log is started.
 static DROPPED_LINES: OnceLock<ErrorCounter> = OnceLock::new();
 
-/// Starts the log at the level of this name. Dropping the guard writes the buffered lines.
+/// Starts the log at the level with this name. Dropping the guard writes the buffered lines.
 pub fn start(level: Option<String>) -> WorkerGuard {
     let (writer, guard) = buffered_writer(io::stderr());
     let _ = DROPPED_LINES.set(writer.error_counter());
@@ -42,12 +42,12 @@
     guard
 }
 
-/// How many lines were dropped so far, since the buffer was full.
+/// Returns the number of lines dropped so far because the buffer was full.
 pub fn dropped_lines() -> usize {
     DROPPED_LINES.get().map_or(0, ErrorCounter::dropped_lines)
 }
 
-/// A writer that never blocks: it drops lines when its buffer is full.
+/// Creates a writer that never blocks: it drops lines when its buffer is full.
 fn buffered_writer(log: impl io::Write + Send + 'static) -> (NonBlocking, WorkerGuard) {
     NonBlockingBuilder::default()
         .lossy(true)
@@ -81,12 +81,11 @@
     }
 }
 
-/// The parts of a line.
+/// The message and the formatted fields of a line.
 #[derive(Default)]
 struct Line {
-    /// The message.
     message: String,
-    /// The fields, after a comma.
+    /// The fields with their separators, `, key=value key=value`.
     fields: String,
 }
 
@@ -101,10 +100,10 @@
 }
 
 impl Line {
-    /// Adds a field or the message.
+    /// Adds a field, or sets the message.
     fn record(&mut self, field: &Field, value: fmt::Arguments) {
         let separator = if self.fields.is_empty() { ", " } else { " " };
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = match field.name() {
             "message" => write!(self.message, "{value}"),
             name => write!(self.fields, "{separator}{name}={value}"),
--- a/src/bin/ingress/reload.rs
+++ b/src/bin/ingress/reload.rs
@@ -1,52 +1,52 @@
 //! Reloads the configuration file on SIGHUP. Only the address of discovery takes effect; all other values are
-//! fixed from the start on.
+//! fixed at startup.
 
 use crate::config::{environment_variable, Config, ConfigFileError, DISCOVERY_VARIABLE};
 use crate::error_chain::ErrorChain;
 use ingress::{Duration, Instant};
 use std::net::SocketAddr;
 
-/// The delay before a file that cannot be used is read again: it may be incomplete yet.
+/// Delay before the first retry after a failure: the file may be only partly written.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The delay doubles with each failure up to this.
+/// Maximum delay between retries; the delay doubles with each failure.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// The state of reloads.
+/// The state of reloading the configuration.
 pub struct Reload {
-    /// The configuration file.
+    /// Path of the configuration file.
     path: String,
-    /// The delay after the next failure; none if no reload is pending.
+    /// The delay that follows the next failure, or `None` if no reload is pending.
     retry_delay: Option<Duration>,
-    /// When the next attempt is due.
     next_attempt_at: Instant,
-    /// The first failure of the pending reload was logged; further ones are not.
+    /// Whether a failure of the pending reload was logged; further ones are not.
     failure_logged: bool,
 }
 
 /// The result of an attempt to reload.
 pub enum ReloadOutcome {
-    /// The file was read; this is the address of discovery in it.
+    /// The file was read and contains this address of discovery.
     Applied(SocketAddr),
-    /// The file cannot be used; the next attempt is due at this time.
+    /// The file cannot be used. The next attempt is due at this time.
     RetryAt(Instant),
-    /// No reload is due, as when that of a later signal has succeeded.
+    /// No reload is due, for example because the reload of a later signal succeeded.
     NotDue,
 }
 
 impl Reload {
-    /// A state without a pending reload.
+    /// Creates the state without a pending reload.
     pub fn new(path: String) -> Self {
         Reload { path, retry_delay: None, next_attempt_at: Instant::ZERO, failure_logged: false }
     }
 
-    /// Requests a reload, which is due at once and retried until it succeeds.
+    /// Requests a reload, which is due immediately and retried until it succeeds.
     pub fn request(&mut self) {
         self.retry_delay = Some(INITIAL_RETRY_DELAY);
         self.next_attempt_at = Instant::ZERO;
         self.failure_logged = false;
     }
 
-    /// Reads the file if that is due. Its address of discovery takes precedence over the environment's.
+    /// Reads the file if a reload is due. The address of discovery in the file takes precedence over the
+    /// environment variable.
     pub fn attempt(&mut self, now: Instant) -> ReloadOutcome {
         let Some(retry_delay) = self.retry_delay.filter(|_| now >= self.next_attempt_at) else {
             return ReloadOutcome::NotDue;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Logs a failure, unless one of the pending reload was logged.
+    /// Logs a failure, unless one of the pending reload was already logged.
     fn log_failure(&mut self, retry_delay: Duration, error: &ConfigFileError) {
         if std::mem::replace(&mut self.failure_logged, true) {
             return;
