--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -5,7 +5,7 @@
     has_plan_mismatch, has_time_to_wait, min_queue_time, AdmissionContext, AdmissionDecision,
 };
 use crate::policy::admission::{ArrivalContext, ArrivalDecision, QueueContext, ScreeningContext};
-use crate::policy::quota::{grant_wait, ReportPurpose, ShortageFacts, Shortages};
+use crate::policy::quota::{grant_wait, ReportPurpose, ShortageContext, Shortages};
 use crate::policy::quota::{
     DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
 };
@@ -125,7 +125,7 @@
     fn find_shortages(&mut self, request: &Request) -> Shortages {
         let unloaded_micros = self.outlier_detector.unloaded_micros(request.class.into());
         let answer_seconds = unloaded_micros / MICROS_PER_SECOND;
-        let facts = ShortageFacts { now: self.now, request, answer_seconds };
+        let facts = ShortageContext { now: self.now, request, answer_seconds };
         let peers = &self.peers;
         self.quota.refill_and_find_shortages(&facts, |peer| peers.last_received_at(peer))
     }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -47,7 +47,7 @@
 pub(crate) use identity::GrantStatus;
 pub(crate) use ownership::QuotaOwnership;
 pub(crate) use reporting::{DecisionPoint, ReportPurpose};
-pub(crate) use shortages::{Shortage, ShortageFacts, Shortages};
+pub(crate) use shortages::{Shortage, ShortageContext, Shortages};
 
 use crate::{CustomerId, Duration, Instant, Plan, Settings};
 use customer::{record_lifetime, Customer, Role};
--- a/src/policy/quota/shortages.rs
+++ b/src/policy/quota/shortages.rs
@@ -66,7 +66,7 @@
 
 /// What the shortages of a request depend on, besides its customer's record.
 #[derive(Clone, Copy)]
-pub(crate) struct ShortageFacts<'a> {
+pub(crate) struct ShortageContext<'a> {
     /// The time.
     pub now: Instant,
     /// The request, under its customer's plan.
@@ -80,7 +80,7 @@
     /// request. `last_message_at` tells when a message of a peer last came, if ever.
     pub(crate) fn refill_and_find_shortages(
         &mut self,
-        facts: &ShortageFacts<'_>,
+        facts: &ShortageContext<'_>,
         last_message_at: impl Fn(u16) -> Option<Instant>,
     ) -> Shortages {
         let (ownership, started_at) = (self.settings.ownership, self.settings.started_at);
@@ -158,7 +158,7 @@
     fn presumes_owners_overloaded(
         &self,
         plan: &Plan,
-        facts: &ShortageFacts<'_>,
+        facts: &ShortageContext<'_>,
         started_at: Instant,
         last_message_at: impl Fn(u16) -> Option<Instant>,
     ) -> bool {
