--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -125,9 +125,9 @@
     fn find_shortages(&mut self, request: &Request) -> Shortages {
         let unloaded_micros = self.outlier_detector.unloaded_micros(request.class.into());
         let answer_seconds = unloaded_micros / MICROS_PER_SECOND;
-        let facts = ShortageContext { now: self.now, request, answer_seconds };
+        let context = ShortageContext { now: self.now, request, answer_seconds };
         let peers = &self.peers;
-        self.quota.refill_and_find_shortages(&facts, |peer| peers.last_received_at(peer))
+        self.quota.refill_and_find_shortages(&context, |peer| peers.last_received_at(peer))
     }
 
     /// Increments the seed counter and returns the seed of the next draw.
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -82,7 +82,7 @@
 
 /// Counts what customers use, and decides what they may use.
 ///
-/// It is told of requests, attempts, reports and grants, and asked by their facts. What is to be sent to
+/// It is told of requests, attempts, reports and grants, and asked by their context. What is to be sent to
 /// peers it returns.
 #[derive(Default)]
 pub(crate) struct QuotaManager {
--- a/src/policy/quota/shortages.rs
+++ b/src/policy/quota/shortages.rs
@@ -77,20 +77,20 @@
 
 impl QuotaManager {
     /// Refills the token buckets of a request's customer, and returns the limits that do not allow the
-    /// request. `last_message_at` tells when a message of a peer last came, if ever.
+    /// request. `last_received_at` tells when a message of a peer last came, if ever.
     pub(crate) fn refill_and_find_shortages(
         &mut self,
-        facts: &ShortageContext<'_>,
-        last_message_at: impl Fn(u16) -> Option<Instant>,
+        context: &ShortageContext<'_>,
+        last_received_at: impl Fn(u16) -> Option<Instant>,
     ) -> Shortages {
         let (ownership, started_at) = (self.settings.ownership, self.settings.started_at);
-        let Some((customer, plan)) = self.refill(facts.request.customer, facts.now) else {
+        let Some((customer, plan)) = self.refill(context.request.customer, context.now) else {
             return Shortages::default();
         };
-        let units = facts.request.units;
+        let units = context.request.units;
         let usage_known = ownership.knows_usage_without_grant()
             || customer.role.is_owner()
-            || customer.answered_at.is_some_and(|answered_at| is_recent(facts.now, answered_at));
+            || customer.answered_at.is_some_and(|answered_at| is_recent(context.now, answered_at));
         let unreported_units = customer.unreported_units(ownership);
         let rate_wait = customer.rate_wait_seconds(plan, unreported_units, units).filter(|_| usage_known);
         let reached_quota = if plan.concurrency_quota == 0 {
@@ -99,12 +99,13 @@
             let in_flight = customer.estimated_in_flight(unreported_units, units);
             (in_flight >= plan.concurrency_quota).then_some(QuotaLimit::Concurrency)
         } else {
-            let is_presumed = customer.presumes_owners_overloaded(plan, facts, started_at, last_message_at);
+            let is_presumed =
+                customer.presumes_owners_overloaded(plan, context, started_at, last_received_at);
             is_presumed.then_some(QuotaLimit::OwnersOverloaded)
         };
         let rate = rate_wait.map(|seconds| Shortage { limit: QuotaLimit::Rate, seconds });
         let concurrency = reached_quota
-            .map(|limit| Shortage { limit, seconds: rate_wait.unwrap_or(0.0).max(facts.answer_seconds) });
+            .map(|limit| Shortage { limit, seconds: rate_wait.unwrap_or(0.0).max(context.answer_seconds) });
         let hard_limit = customer.hard_limit.wait_seconds(plan, units);
         Shortages {
             quota: concurrency.or(rate),
@@ -158,16 +159,16 @@
     fn presumes_owners_overloaded(
         &self,
         plan: &Plan,
-        facts: &ShortageContext<'_>,
+        context: &ShortageContext<'_>,
         started_at: Instant,
-        last_message_at: impl Fn(u16) -> Option<Instant>,
+        last_received_at: impl Fn(u16) -> Option<Instant>,
     ) -> bool {
         if self.grant_request.requested_at.is_none() {
             return false;
         }
-        let draw = unit_draw(facts.request.id.0 ^ START_SALT.of(started_at.as_micros()));
+        let draw = unit_draw(context.request.id.0 ^ START_SALT.of(started_at.as_micros()));
         let is_rejected_by_draw = draw * (1.0 + plan.over_quota_cost) > 1.0;
-        let is_alive = |owner: &u16| last_message_at(*owner).is_some_and(|at| is_recent(facts.now, at));
+        let is_alive = |owner: &u16| last_received_at(*owner).is_some_and(|at| is_recent(context.now, at));
         is_rejected_by_draw || self.quota_owners.iter().all(is_alive)
     }
 }
--- a/src/policy/quota/shortages/tests.rs
+++ b/src/policy/quota/shortages/tests.rs
@@ -52,8 +52,8 @@
         let ids = (0..1000).map(RequestId);
         let presumes = |id: &RequestId| {
             let request = Request { id: *id, ..Request::default() };
-            let facts = ShortageContext { now: NOW, request: &request, answer_seconds: 0.0 };
-            customer.presumes_owners_overloaded(&costly, &facts, Instant::ZERO, |_| heard)
+            let context = ShortageContext { now: NOW, request: &request, answer_seconds: 0.0 };
+            customer.presumes_owners_overloaded(&costly, &context, Instant::ZERO, |_| heard)
         };
         ids.filter(presumes).count()
     };
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -60,8 +60,8 @@
 
 /// The shortage of tokens for a request, at a gateway that has never heard of a peer.
 pub(super) fn shortage(manager: &mut QuotaManager, now: Instant, request: &Request) -> Option<Shortage> {
-    let facts = ShortageContext { now, request, answer_seconds: 0.25 };
-    manager.refill_and_find_shortages(&facts, |_| None).longest()
+    let context = ShortageContext { now, request, answer_seconds: 0.25 };
+    manager.refill_and_find_shortages(&context, |_| None).longest()
 }
 
 /// A report of a peer that requests a grant.
