--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -1,33 +1,32 @@
-//! Quotas: how much each customer may use, counted over all gateways together.
+//! Customer quotas and hard limits, enforced over all gateways of a fleet together.
 //!
-//! A plan has a quota, beyond which a request is not worth serving, and may have a hard limit, beyond which
-//! it is not allowed. Both are token buckets in units; the quota may also be one of attempts in flight.
-//! Gateways count together: which of them own a customer's quota, and what that means, is told by
-//! [`QuotaOwnership`].
+//! Each plan has a quota, beyond which a request is not worth serving, and may have a hard limit, which must
+//! not be exceeded. Both are token buckets counted in units; a quota may also limit the attempts in flight.
+//! [`QuotaOwnership`] describes which gateways add up a customer's usage.
 //!
-//! | question | file |
+//! | topic | file |
 //! | --- | --- |
-//! | may this request be served, and if not, which limit says so? | `shortages.rs` |
-//! | who counts a customer's usage? | `ownership.rs`, `owner_assignment.rs` |
-//! | which plan does a customer have? | `identity.rs` |
-//! | when are owners asked for a grant, and what does their answer mean? | `grant_request.rs` |
-//! | what do owners make of a report, and what do they grant? | `usage_report.rs` |
-//! | what is reported, and to whom? | `reporting.rs` |
-//! | how are buckets refilled and charged? | `customer.rs`, `hard_limit.rs`, `token_bucket.rs` |
-//! | what do other gateways use? | `remote_usage.rs` |
+//! | limits that do not allow a request | `shortages.rs` |
+//! | gateways that own a customer's quota | `ownership.rs`, `owner_assignment.rs` |
+//! | plan and gateway set of a customer | `identity.rs` |
+//! | requests for grants, and the owners' answers | `grant_request.rs` |
+//! | handling of usage reports and grants at an owner | `usage_report.rs` |
+//! | content and recipients of usage reports | `reporting.rs` |
+//! | refilling and charging of token buckets | `customer.rs`, `hard_limit.rs`, `token_bucket.rs` |
+//! | usage through other gateways | `remote_usage.rs` |
 //!
-//! How long an answer of an owner counts, from the shortest time to the longest:
+//! An owner's answer is valid for a time that depends on its use, here in ascending order:
 //!
-//! - `SHARED_GRANT_FRESHNESS` in `ownership.rs`: the age of a grant that stands for a further request, where
+//! - `SHARED_GRANT_FRESHNESS` in `ownership.rs`: the age up to which a grant admits further requests where
 //!   all gateways are owners.
-//! - `MAX_GRANT_WAIT` in `grant_request.rs`: the wait of a request for a grant, and the age of a request for
-//!   one that others share.
-//! - `HARD_LIMIT_GRANT_LIFETIME` in `grant_request.rs`: the time from a request for units of the hard limit
-//!   to their grant.
-//! - `REJECTION_FRESHNESS` in `policy/admission.rs`: the age of a grant by which a customer without tokens is
-//!   rejected at once.
-//! - `LEVEL_FRESHNESS` in `reporting.rs`: the age of a grant by which a reporter knows the level of a bucket.
-//! - `GRANT_LIFETIME` in `shortages.rs`: the age of a grant by which the usage of others is known at all.
+//! - `MAX_GRANT_WAIT` in `grant_request.rs`: the longest wait of a request for a grant, and the age up to
+//!   which later requests share one request for a grant.
+//! - `HARD_LIMIT_GRANT_LIFETIME` in `grant_request.rs`: the longest time between a request for units of the
+//!   hard limit and their grant.
+//! - `REJECTION_FRESHNESS` in `policy/admission.rs`: the age up to which a grant without tokens rejects
+//!   requests on arrival.
+//! - `LEVEL_FRESHNESS` in `reporting.rs`: the age up to which a grant gives a reporter the level of a bucket.
+//! - `GRANT_LIFETIME` in `shortages.rs`: the age up to which a grant gives the usage of other gateways.
 
 mod customer;
 mod gateway_set;
@@ -61,43 +60,42 @@
 use std::collections::BTreeMap;
 use token_bucket::{refill_time, time_to_refill, QuotaBucket};
 
-/// Time constant of rates of usage: longer than pauses, shorter than shifts of load.
+/// Time constant of the decay of usage rates: longer than pauses between requests, shorter than shifts of
+/// load.
 pub(crate) const USAGE_RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
-/// Gateways that start within this time of each other have started together, as a fleet.
+/// Maximum difference between the start times of gateways that count as started together, as a fleet.
 pub(crate) const FLEET_START_WINDOW: Duration = Duration::from_millis(1500);
-/// How often old records are looked for.
+/// Interval between removals of expired records.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Attempts of a peer that reports nothing count as in flight for so long.
+/// Time after a peer's last report at which its attempts no longer count as in flight.
 const REPORTED_IN_FLIGHT_LIFETIME: Duration = Duration::from_millis(1500);
 
-/// From when on this gateway knows what customers used.
+/// The period for which this gateway's records include the usage of all gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum KnownUsage {
-    /// From the beginning: all gateways started with this one, with nothing used before.
+    /// All usage: the gateways started together, and none had forwarded a request before.
     #[default]
     Complete,
-    /// From this gateway's start: others may have forwarded requests before.
+    /// Usage since this gateway's start; other gateways may have forwarded requests earlier.
     Since(Instant),
 }
 
-/// Counts what customers use, and decides what they may use.
+/// Counts the usage of customers, and decides which requests their quotas and hard limits allow.
 ///
-/// It is told of requests, attempts, reports and grants, and asked by their context. What is to be sent to
-/// peers it returns.
+/// The gateway notifies the manager of requests, attempts, usage reports and grants. Methods return the
+/// reports and grants to send; the caller sends them to the peers.
 #[derive(Default)]
 pub(crate) struct QuotaManager {
-    /// The plans, and this gateway's place in the fleet.
     settings: QuotaSettings,
-    /// The record of each customer seen lately.
+    /// Records of the customers that recent requests or reports named.
     customers: BTreeMap<CustomerId, Customer>,
-    /// From when on all usage of customers is known.
     known_usage: KnownUsage,
-    /// When old records are next removed.
+    /// When expired records are next removed.
     next_sweep_at: Instant,
 }
 
 impl QuotaManager {
-    /// The quotas of a gateway that starts now, and knows no customer yet.
+    /// Returns the manager of a gateway that starts now, without customer records.
     pub(crate) fn new(settings: &Settings, now: Instant) -> QuotaManager {
         QuotaManager {
             settings: QuotaSettings::new(settings, now),
@@ -106,12 +104,12 @@
         }
     }
 
-    /// Which gateways own the quota of a customer.
+    /// Returns the mode in which the fleet assigns quota owners.
     pub(crate) fn ownership(&self) -> QuotaOwnership {
         self.settings.ownership
     }
 
-    /// Draws units from a customer's token buckets; negative units are given back.
+    /// Takes units from a customer's token buckets; negative units are returned to them.
     pub(crate) fn charge(&mut self, id: CustomerId, units: f64) {
         if let Some(customer) = self.customers.get_mut(&id) {
             customer.charge(&self.settings.plans[customer.plan], units);
@@ -125,8 +123,8 @@
         }
     }
 
-    /// Records the end of an attempt, and by how many units it took more than was charged. Returns whether
-    /// the owners are to be told.
+    /// Records the end of an attempt. `correction_units` is the difference between the units that it used
+    /// and those charged at admission. Returns whether the change has to be reported to the owners.
     pub(crate) fn end_attempt(&mut self, id: CustomerId, correction_units: f64) -> bool {
         let mut usage_changed = correction_units != 0.0;
         if let Some(customer) = self.customers.get_mut(&id) {
@@ -136,8 +134,8 @@
         usage_changed
     }
 
-    /// Once a second: forgets what is old, and returns the customers with attempts in flight, to be reported
-    /// again.
+    /// Removes expired records once per [`SWEEP_INTERVAL`]. Returns the customers under a concurrency quota
+    /// with attempts in flight, which are reported again in case an earlier report was lost.
     pub(crate) fn sweep(&mut self, now: Instant) -> Vec<CustomerId> {
         let mut with_attempts = Vec::new();
         if now < self.next_sweep_at {
@@ -161,13 +159,14 @@
         with_attempts
     }
 
-    /// Whether tokens are withheld in case gateways forwarded requests before this start.
+    /// Returns whether new customers' tokens are withheld, because gateways may have forwarded requests
+    /// before this gateway's start.
     pub(crate) fn withholds_tokens(&self) -> bool {
         self.known_usage != KnownUsage::Complete
     }
 
-    /// Adds the withheld tokens to all buckets, where all gateways started together and all buckets were full
-    /// then. A customer that is always beyond its quota would never get them otherwise.
+    /// Adds the withheld tokens to all buckets, once it is known that all gateways started together, with
+    /// full buckets. Without this a customer that is always over its quota would never receive them.
     pub(crate) fn release_withheld_tokens(&mut self) {
         tracing::debug!(target: "policy", customers = self.customers.len(), "withheld tokens released");
         self.known_usage = KnownUsage::Complete;
@@ -176,8 +175,8 @@
         }
     }
 
-    /// Seconds for which all usage has been known here; the highest number where it was from the beginning,
-    /// so that every bucket with a rate is full.
+    /// Returns the number of seconds for which all usage is known; `f64::MAX` for [`KnownUsage::Complete`],
+    /// which fills every bucket with a refill rate.
     fn seconds_of_known_usage(&self, now: Instant) -> f64 {
         match self.known_usage {
             KnownUsage::Complete => f64::MAX,
@@ -185,13 +184,14 @@
         }
     }
 
-    /// Whether the whole fleet started a short time ago. Later a peer may have forgotten customers.
+    /// Returns whether the whole fleet started within [`CUSTOMER_IDLE_TIME`]. Later, a peer may already have
+    /// removed records of customers.
     fn fleet_just_started(&self, now: Instant) -> bool {
         let age = now.duration_since(self.settings.started_at);
         self.known_usage == KnownUsage::Complete && age < CUSTOMER_IDLE_TIME
     }
 
-    /// Refills a customer's token buckets up to now, and returns its record and its plan.
+    /// Refills a customer's token buckets up to `now`, and returns its record and plan.
     fn refill(&mut self, id: CustomerId, now: Instant) -> Option<(&mut Customer, &Plan)> {
         let customer = self.customers.get_mut(&id)?;
         let plan = &self.settings.plans[customer.plan];
--- a/src/policy/quota/shortages.rs
+++ b/src/policy/quota/shortages.rs
@@ -1,35 +1,37 @@
-//! Shortages: which limits of its customer's plan do not allow a request now, and for how long.
+//! Checks of requests against the limits of their customer's plan.
+//!
+//! A [`Shortage`] names a limit that does not allow a request now, and the time until it may.
 
 use super::{time_to_refill, Customer, QuotaManager, QuotaOwnership};
 use crate::policy::RejectReason;
 use crate::state::{unit_draw, Salt, MICROS_PER_SECOND};
 use crate::{CustomerId, Duration, Instant, Plan, Request};
 
-/// How long a grant holds where no newer one comes. After that a customer is admitted: most are inside their
-/// quota, and a large fleet whose messages are lost would otherwise reject them all.
+/// Time for which a grant is valid unless a newer one replaces it. Afterwards the customer is admitted: most
+/// customers are within their quotas, and a large fleet that loses messages would otherwise reject them all.
 pub(super) const GRANT_LIFETIME: Duration = Duration::from_secs(2);
-/// The fewest units of a request by which the attempts of peers are estimated from the units that they used.
+/// Minimum units per attempt in the estimate of peers' attempts from their unreported units.
 const MIN_UNITS_PER_ATTEMPT: f64 = 0.1;
-/// Mixes the start of a gateway, in microseconds, into the draws for its requests: each gateway draws by
-/// itself.
+/// Salt with which a gateway's start time, in microseconds, enters the draws for its requests, so that the
+/// draws of different gateways are independent.
 const START_SALT: Salt = Salt::from_bit(24);
 
-/// What does not allow a request now: a limit of its customer's plan, or that the usage is not known.
+/// The cause of a shortage: a limit of the customer's plan, or unknown usage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaLimit {
     /// The quota on the rate of units.
     Rate,
     /// The quota on attempts in flight.
     Concurrency,
-    /// No limit that is known to be reached: there is a quota on attempts in flight, its owners granted
-    /// nothing, and they are presumed to be overloaded by the customer.
+    /// The usage under a quota on attempts in flight is unknown: the owners have not answered, presumably
+    /// because this customer's requests overload them.
     OwnersOverloaded,
     /// The hard limit on the rate of units.
     HardLimit,
 }
 
 impl QuotaLimit {
-    /// The reason of a rejection for it.
+    /// Returns the reason with which requests over this limit are rejected.
     pub(crate) fn reject_reason(self) -> RejectReason {
         match self {
             QuotaLimit::OwnersOverloaded => RejectReason::QuotaUnknown,
@@ -41,43 +43,41 @@
 /// A limit that does not allow a request now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Shortage {
-    /// The limit.
+    /// The limit that is reached.
     pub limit: QuotaLimit,
-    /// Seconds until it may allow the request.
+    /// Time until the limit may allow the request, in seconds.
     pub seconds: f64,
 }
 
-/// The limits of a plan that do not allow a request now; none of them where the limit allows it.
+/// The limits of a plan that do not allow a request now; `None` for a limit that allows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Shortages {
-    /// The quota, on the rate or on attempts in flight.
+    /// The shortage under the quota, on the rate or on attempts in flight.
     pub quota: Option<Shortage>,
-    /// The hard limit.
     pub hard_limit: Option<Shortage>,
 }
 
 impl Shortages {
-    /// The limit that takes longest.
+    /// Returns the shortage that lasts longest.
     pub(crate) fn longest(self) -> Option<Shortage> {
         let longer = |one: Shortage, other: Shortage| if other.seconds > one.seconds { other } else { one };
         self.quota.into_iter().chain(self.hard_limit).reduce(longer)
     }
 }
 
-/// What the shortages of a request depend on, besides its customer's record.
+/// Inputs of the check of a request against its limits, besides the customer's record.
 #[derive(Clone, Copy)]
 pub(crate) struct ShortageContext<'a> {
-    /// The time.
     pub now: Instant,
-    /// The request, under its customer's plan.
+    /// The request, with the plan from its customer's record.
     pub request: &'a Request,
-    /// Seconds that an answer of the request's class takes on unloaded backends.
+    /// Response time of the request's class on unloaded backends, in seconds.
     pub answer_seconds: f64,
 }
 
 impl QuotaManager {
     /// Refills the token buckets of a request's customer, and returns the limits that do not allow the
-    /// request. `last_received_at` tells when a message of a peer last came, if ever.
+    /// request. `last_received_at` returns when a peer's last message was received, if any.
     pub(crate) fn refill_and_find_shortages(
         &mut self,
         context: &ShortageContext<'_>,
@@ -113,13 +113,14 @@
         }
     }
 
-    /// Units in the bucket of a customer's quota, as of its last refill; none for an unknown customer.
+    /// Returns the units in the bucket of a customer's quota as of its last refill; `None` for an unknown
+    /// customer.
     pub(crate) fn tokens(&self, id: CustomerId) -> Option<f64> {
         self.customers.get(&id).map(|customer| customer.bucket.tokens())
     }
 
-    /// Attempts of a request's customer in flight from all gateways, as its concurrency quota counts them;
-    /// none for an unknown customer.
+    /// Returns the attempts in flight from all gateways that count against the concurrency quota of a
+    /// request's customer; `None` for an unknown customer.
     pub(crate) fn in_flight_of_customer(&self, request: &Request) -> Option<u32> {
         let customer = self.customers.get(&request.customer)?;
         let unreported_units = customer.unreported_units(self.settings.ownership);
@@ -128,34 +129,34 @@
 }
 
 impl Customer {
-    /// Units that peers have likely used since their last reports.
+    /// Estimates the units that peers have used since their last reports.
     fn unreported_units(&self, ownership: QuotaOwnership) -> f64 {
         self.remote.rate() * ownership.unreported_time().as_micros_f64() / MICROS_PER_SECOND
     }
 
-    /// Seconds until the quota's bucket may have a request's units, where peers used some unreported; none if
-    /// it has them now, or if there is no quota on the rate.
+    /// Returns the seconds until the quota's bucket may hold a request's units, after peers' unreported usage
+    /// is deducted; `None` if it holds them now, or if the plan has no quota on the rate.
     fn rate_wait_seconds(&self, plan: &Plan, unreported_units: f64, units: f64) -> Option<f64> {
-        // The usage of peers is taken off, up to their share of the tokens.
+        // Unreported usage is deducted up to the peers' share of the tokens.
         let tokens = self.bucket.tokens();
         let peers_tokens = tokens.max(0.0) * (1.0 - self.own_share(plan));
         let available = tokens - unreported_units.min(peers_tokens);
         time_to_refill(available, units, plan.rate).filter(|_| plan.rate > 0.0)
     }
 
-    /// Attempts in flight from all gateways, with those that peers have likely begun since their last
-    /// reports. Without the latter the gateways of a heavy user would all wait for the same attempt to end,
-    /// and begin one each.
+    /// Returns the attempts in flight from all gateways, including those that peers have probably begun since
+    /// their last reports. Without the estimate, all gateways of a busy customer would observe the end of the
+    /// same attempt, and begin one each.
     fn estimated_in_flight(&self, unreported_units: f64, units: f64) -> u32 {
         let unreported_attempts = (unreported_units / units.max(MIN_UNITS_PER_ATTEMPT)) as u32;
         self.in_flight + self.remote.in_flight() + unreported_attempts
     }
 
-    /// Whether owners that sent no grant are taken to be overloaded by a customer far beyond its concurrency
-    /// quota.
+    /// Returns whether owners that sent no grant are presumed to be overloaded by this customer, which is
+    /// then far over its concurrency quota.
     ///
-    /// Owners that send other messages are overloaded. One that is silent may be down, so that a draw
-    /// decides: the more a wrong admission costs, the fewer requests are admitted.
+    /// Owners that send other messages but no grant are overloaded. A silent owner may be down, so a random
+    /// draw decides: the more an admission over the quota costs, the fewer requests are admitted.
     fn presumes_owners_overloaded(
         &self,
         plan: &Plan,
@@ -173,7 +174,7 @@
     }
 }
 
-/// Whether a time is within the lifetime of a grant.
+/// Returns whether less than [`GRANT_LIFETIME`] has passed since a time.
 pub(super) fn is_recent(now: Instant, time: Instant) -> bool {
     now.duration_since(time) < GRANT_LIFETIME
 }
