--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of a customer: its token buckets, its owners and the usage that gateways reported.
+//! A gateway's record of a customer: token buckets, quota owners and reported usage.
 
 use super::identity::CUSTOMER_IDLE_TIME;
 use super::{refill_time, GatewaySet, GrantRequest, HardLimitShare, IdentityClaim, InitialUsage};
@@ -7,29 +7,29 @@
 use crate::state::decay;
 use crate::{CustomerId, Duration, Instant, Plan};
 
-/// The least rate of usage through this gateway, as a part of its even share, where the usage of others is
-/// known.
+/// Minimum usage rate assumed for this gateway, as a fraction of its even share, if the usage of other
+/// gateways is known.
 const MIN_OWN_RATE_FRACTION: f64 = 0.1;
-/// The smallest divisor of a share, in units a second, for a customer that uses nothing.
+/// Minimum total usage rate, in units per second. Prevents a division by zero for an idle customer.
 const MIN_TOTAL_RATE: f64 = 1e-9;
-/// Idle times, or refill times, for which an owner keeps a record.
+/// Ratio of a record's lifetime at an owner to the longer of the idle time and the plan's refill time.
 const OWNER_RECORD_LIFETIME_FACTOR: u64 = 4;
-/// The same at a gateway that is not an owner. An owner has to keep its record for longer than the gateways
-/// that report to it: what they count on would seem new to it.
+/// The same ratio at a reporter. It is lower, because an owner that removes its record before the reporters
+/// do would count their continuing totals as new usage.
 const REPORTER_RECORD_LIFETIME_FACTOR: u64 = 2;
 
-/// Whether a gateway is an owner of a customer's quota.
+/// The role of a gateway in counting a customer's usage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Role {
-    /// It adds up the customer's usage.
+    /// Adds up the usage through all gateways.
     Owner,
-    /// It reports usage to the owners.
+    /// Reports its usage to the owners.
     #[default]
     Reporter,
 }
 
 impl Role {
-    /// The role of a gateway among these owners.
+    /// Returns the role of a gateway for a customer with these owners.
     pub(super) fn of(gateway: u16, quota_owners: &[u16]) -> Role {
         if quota_owners.contains(&gateway) {
             Role::Owner
@@ -38,20 +38,19 @@
         }
     }
 
-    /// Whether the gateway adds up the customer's usage.
     pub(super) fn is_owner(self) -> bool {
         self == Role::Owner
     }
 }
 
-/// A customer's record at one gateway.
+/// One gateway's record of a customer.
 #[derive(Default)]
 pub(super) struct Customer {
-    /// Index of the plan.
+    /// Index into the plans of the settings.
     pub plan: usize,
-    /// The gateways that serve the customer.
+    /// The gateways that receive the customer's requests.
     pub gateway_set: GatewaySet,
-    /// How many more requests and reports have agreed with the plan and the set than not, of late.
+    /// Number of recent requests and reports that match the plan and the set, less those that do not.
     pub identity_confidence: u8,
     /// The token bucket of the quota.
     pub bucket: QuotaBucket,
@@ -61,29 +60,29 @@
     pub hard_limit: HardLimitShare,
     /// Units forwarded by this gateway since its start.
     pub total_units: f64,
-    /// Units a second through this gateway, decaying with [`USAGE_RATE_TIME_CONSTANT`].
+    /// Units per second through this gateway, decaying with [`USAGE_RATE_TIME_CONSTANT`].
     pub own_rate: f64,
     /// Attempts in flight from this gateway.
     pub in_flight: u32,
-    /// When a request or a report last named the customer.
+    /// When the last request or report for the customer was received.
     pub last_seen_at: Option<Instant>,
     /// The gateways that add up the customer's usage.
     pub quota_owners: Vec<u16>,
-    /// The two gateways that grant units of the hard limit, and of the quota as far as they own it; the same
-    /// one twice where it is alone.
+    /// The two gateways that grant units of the hard limit, and of the quota if they own it; the same one
+    /// twice in a set of one gateway.
     pub granters: [u16; GRANTER_COUNT],
-    /// Whether this gateway is one of the owners.
+    /// This gateway's role.
     pub role: Role,
     /// The usage through all other gateways.
     pub remote: RemoteUsage,
-    /// When an owner last answered, whether it granted or refused, to a gateway that is not an owner.
+    /// When an owner's last answer, a grant or a refusal, was received; `None` at an owner.
     pub answered_at: Option<Instant>,
     /// The last request for a grant, and the requests that wait for it.
     pub grant_request: GrantRequest,
 }
 
 impl Customer {
-    /// A customer that was not known until now. What its bucket lacks to be full is withheld.
+    /// Creates the record of a new customer. The tokens that its bucket lacks to be full are withheld.
     pub(super) fn new(
         now: Instant,
         claim: &IdentityClaim,
@@ -108,12 +107,13 @@
         }
     }
 
-    /// Whether the record has the plan and the gateways that a request or a report names.
+    /// Returns whether the record has the plan and gateway set that a request or report states.
     pub(super) fn matches(&self, claim: &IdentityClaim) -> bool {
         self.plan == claim.plan && self.gateway_set == claim.gateway_set
     }
 
-    /// Changes to another plan and set of gateways. Requests that wait or are in flight and the total go on.
+    /// Replaces the record by one with another plan and gateway set. Keeps the waiting requests, the attempts
+    /// in flight and the total.
     pub(super) fn replace_identity(&mut self, new: Customer) {
         let old = std::mem::replace(self, new);
         self.grant_request.waiting = old.grant_request.waiting;
@@ -121,11 +121,11 @@
         self.total_units = old.total_units;
     }
 
-    /// This gateway's share of the customer's usage, from 0 to 1. Where the remote rate is one of requests
-    /// for grants, it is taken for units.
+    /// Returns this gateway's share of the customer's usage, from 0 to 1. A remote rate of requests for
+    /// grants is treated as one of units.
     ///
-    /// A gateway that sees little of the customer counts with a floor, so that its share of the tokens is
-    /// never nothing.
+    /// A minimum rate is assumed for this gateway, so that it has a share of the tokens even if it has
+    /// forwarded few of the customer's requests.
     pub(super) fn own_share(&self, plan: &Plan) -> f64 {
         let knows_remote_usage = self.role.is_owner() || self.answered_at.is_some();
         let floor = if knows_remote_usage { MIN_OWN_RATE_FRACTION } else { 1.0 };
@@ -133,7 +133,7 @@
         own_rate / (own_rate + self.remote.rate()).max(MIN_TOTAL_RATE)
     }
 
-    /// Refills both token buckets up to now.
+    /// Refills both token buckets up to `now`.
     pub(super) fn refill(&mut self, plan: &Plan, now: Instant) {
         let remaining = decay(self.refilled_at, now, USAGE_RATE_TIME_CONSTANT);
         self.own_rate *= remaining;
@@ -141,7 +141,7 @@
             self.remote.decay_rate(remaining);
             plan.rate
         } else {
-            // Between two grants the usage of other gateways goes on unreported: it is taken off the refill.
+            // Other gateways' usage continues between two grants without a report, so it reduces the refill.
             (plan.rate - self.remote.rate()).max(plan.rate * self.own_share(plan))
         };
         let elapsed_seconds = now.duration_since(self.refilled_at).as_secs_f64();
@@ -150,7 +150,7 @@
         self.refilled_at = now;
     }
 
-    /// Draws units from both buckets; negative units are given back.
+    /// Takes units from both buckets; negative units are returned to them.
     pub(super) fn charge(&mut self, plan: &Plan, units: f64) {
         self.bucket.charge_clamped(plan, units);
         self.hard_limit.charge(plan, units);
@@ -158,23 +158,24 @@
         self.own_rate = (self.own_rate + units / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
     }
 
-    /// Records the end of an attempt, and by how many units it took more than was charged. The quota is
-    /// corrected by them; the hard limit stays as it was charged at admission.
+    /// Records the end of an attempt. `correction_units` is the difference between the units that it used
+    /// and those charged at admission. It corrects the quota; the charge to the hard limit remains.
     pub(super) fn end_attempt(&mut self, correction_units: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.bucket.deduct_unclamped(correction_units);
         self.total_units += correction_units;
     }
 
-    /// Whether the record has to be kept: a customer that comes again starts with full buckets.
+    /// Returns whether the record is in use or has not expired. After its removal the customer's next request
+    /// starts with full buckets.
     pub(super) fn should_retain(&self, plan: &Plan, now: Instant) -> bool {
         let in_use = self.in_flight > 0 || !self.grant_request.waiting.is_empty();
         let lifetime = record_lifetime(plan, self.role);
         in_use || self.last_seen_at.is_some_and(|seen_at| now.duration_since(seen_at) <= lifetime)
     }
 
-    /// A report of the usage, without a request for a grant. The level of the quota's bucket is included
-    /// where it is known, as a part of the plan's `burst`.
+    /// Returns a report of the usage, without a request for a grant. The report includes the level of the
+    /// quota's bucket, relative to the plan's `burst`, if that is given.
     pub(super) fn usage_report(&self, id: CustomerId, burst: Option<f64>) -> UsageReport {
         UsageReport {
             customer: id,
@@ -192,7 +193,7 @@
     }
 }
 
-/// How long a gateway keeps the record of a customer that no longer comes.
+/// Returns the time after the last request or report at which a gateway removes a customer's record.
 pub(super) fn record_lifetime(plan: &Plan, role: Role) -> Duration {
     let lifetimes = match role {
         Role::Owner => OWNER_RECORD_LIFETIME_FACTOR,
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -1,85 +1,86 @@
-//! Requests for grants: who waits for one, when it is asked for, and what a grant means to those that wait.
+//! The requesting side of grants: requests that wait for one, and the handling of the owners' answers.
 
 use super::shortages::is_recent;
 use super::{Customer, QuotaManager};
 use crate::gossip::{wrap_total, wrapping_delta, QuotaGrant};
 use crate::{CustomerId, Duration, Instant, Plan, Request, RequestId};
 
-/// The longest wait for a grant, and the time after which one that others wait for is requested again.
+/// Maximum time that a request waits for a grant, and the age at which a request for a grant is repeated for
+/// the next request that waits.
 const MAX_GRANT_WAIT: Duration = Duration::from_millis(100);
-/// A request waits for a grant for a fifth of its time at most: the rest is for its attempts.
+/// Divisor of a request's time that gives its longest wait for a grant; the rest is left for its attempts.
 const GRANT_WAIT_DIVISOR: u64 = 5;
-/// Share of an owner's messages that requests for grants on one customer may be; others are skipped.
+/// Maximum fraction of the messages that an owner can receive that are requests for grants for one customer;
+/// further ones are skipped.
 const MAX_GRANT_REQUEST_SHARE: f64 = 0.25;
-/// Units of the hard limit that are granted later than this after the request for them lapse.
+/// Maximum time between a request for units of the hard limit and their grant; a later grant is ignored.
 const HARD_LIMIT_GRANT_LIFETIME: Duration = Duration::from_millis(250);
 
-/// What a request for a grant has to cover.
+/// The limits for which a grant is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantScope {
-    /// The quota alone.
+    /// Only the quota.
     Quota,
-    /// Units of the hard limit, too: this gateway's share lacks them.
+    /// The quota, and units of the hard limit that this gateway's share lacks.
     QuotaAndHardLimit,
 }
 
-/// When a grant is requested where others wait for one already.
+/// The time at which a grant is requested if other requests already wait for one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantTiming {
-    /// At once: what was requested for the others is not enough.
+    /// Immediately, because the grant requested for the others is insufficient.
     AtOnce,
-    /// Only if the last request for one is old.
+    /// Only if the last request for a grant is older than [`MAX_GRANT_WAIT`].
     WithOthers,
 }
 
-/// Whether a request that waits needs a new request for a grant.
+/// The next step for a request that waits for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantRequestStep {
-    /// A grant is to be requested now.
+    /// Request a grant now.
     RequestGrant,
-    /// One was requested a short time ago, and the answer stands for this request, too.
+    /// Wait for the answer to a recent request for a grant, which applies to this request, too.
     AwaitAnswer,
 }
 
-/// Whether further answers to a request for a grant may come.
+/// The progress of a request for a grant, by the answers of the granters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantAnswers {
-    /// All have come, or none was requested.
+    /// All granters have answered, or no grant was requested.
     Complete,
-    /// None is waited for any longer. It decides like [`GrantAnswers::Complete`].
+    /// The wait timed out. The decision is the same as for [`GrantAnswers::Complete`].
     TimedOut,
-    /// Another owner may still grant what this one did not have.
+    /// Another granter may still grant what the first ones refused.
     Outstanding,
 }
 
-/// The requests that an answer of an owner is for.
+/// The requests to which an owner's answer applies.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct AnsweredRequests {
-    /// The requests that wait.
+    /// Requests that wait for the grant.
     pub waiting: Vec<RequestId>,
-    /// Whether further answers may come.
     pub answers: GrantAnswers,
 }
 
-/// What was last asked of a customer's owners, and which requests wait for the answer.
+/// The last request for a grant that was sent to a customer's owners, and the requests that wait for it.
 #[derive(Default)]
 pub(super) struct GrantRequest {
     /// When the grant was requested.
     pub requested_at: Option<Instant>,
-    /// The units that it is requested for.
+    /// Requested units.
     pub units: f64,
-    /// Whether this gateway's share of the hard limit lacks them, too.
+    /// Whether units of the hard limit are requested, too.
     pub needs_hard_limit: bool,
-    /// The owners that have answered.
+    /// Owners that have answered.
     pub answered_by: Vec<u16>,
-    /// Whether an owner has charged the units already.
+    /// Whether an owner has already charged the units.
     pub charged_by_owner: bool,
-    /// The requests that wait for the grant.
+    /// Requests that wait for the grant.
     pub waiting: Vec<RequestId>,
 }
 
 impl GrantRequest {
-    /// Begins a new request for a grant, which nobody has answered.
+    /// Starts a new request for a grant, without answers. The waiting requests remain.
     fn start(&mut self, now: Instant, units: f64, scope: GrantScope) {
         self.requested_at = Some(now);
         self.units = units;
@@ -88,15 +89,15 @@
     }
 }
 
-/// How long a request may wait for a grant from a time on: as long as a fifth of its latency objective,
-/// or of the time until its deadline, and never longer than [`MAX_GRANT_WAIT`].
+/// Returns the time that a request may wait for a grant, starting at `from`: a fifth of its latency objective
+/// or of the time until its deadline, whichever is shorter, and at most [`MAX_GRANT_WAIT`].
 pub(crate) fn grant_wait(from: Instant, deadline: Instant, latency_objective: Duration) -> Duration {
     let left = deadline.duration_since(from).min(latency_objective);
     MAX_GRANT_WAIT.min(left / GRANT_WAIT_DIVISOR)
 }
 
 impl QuotaManager {
-    /// Has a request wait for a grant, and tells whether one has to be requested now.
+    /// Adds a request to those that wait for a grant, and returns whether a grant has to be requested now.
     pub(crate) fn await_grant(
         &mut self,
         now: Instant,
@@ -120,7 +121,8 @@
         GrantRequestStep::RequestGrant
     }
 
-    /// Ends the wait of a request for a grant. What was granted of the hard limit lapses with the last one.
+    /// Removes a request from those that wait for a grant. When none is left, granted units of the hard limit
+    /// expire.
     pub(crate) fn stop_awaiting_grant(&mut self, customer: CustomerId, id: RequestId) {
         let Some(customer) = self.customers.get_mut(&customer) else { return };
         customer.grant_request.waiting.retain(|waiting| *waiting != id);
@@ -129,9 +131,9 @@
         }
     }
 
-    /// Whether a request is rejected without asking for a grant, because requests for grants on its customer
-    /// are so many that its owner would lose other messages. `draw`, from 0 to 1, chooses which of them are
-    /// skipped.
+    /// Returns whether a request is rejected without a request for a grant, because the rate of such requests
+    /// for its customer would make the owner lose other messages. `draw`, from 0 to 1, selects the requests
+    /// that are skipped.
     pub(crate) fn skips_grant_request(&self, now: Instant, customer: CustomerId, draw: f64) -> bool {
         let Some(customer) = self.customers.get(&customer) else { return false };
         let has_concurrency_quota = self.settings.plans[customer.plan].concurrency_quota > 0;
@@ -143,7 +145,8 @@
             && draw * customer.remote.rate() > max_request_rate
     }
 
-    /// Handles an owner's answer, which grants or refuses; none if the sender is no owner of the quota.
+    /// Applies an owner's answer, a grant or a refusal. Returns the requests that wait for it, or `None` if
+    /// the sender does not own the customer's quota.
     pub(crate) fn on_grant(
         &mut self,
         now: Instant,
@@ -159,7 +162,7 @@
             customer.apply_grant(plan, grant, now);
         }
         customer.grant_request.answered_by.push(from);
-        // Units of the hard limit are for a request that waits: kept longer, they would overfill the bucket.
+        // Granted units are for the waiting requests: accepting them later would exceed the hard limit.
         let requested_at = customer.grant_request.requested_at;
         if requested_at.is_some_and(|at| now.duration_since(at) < HARD_LIMIT_GRANT_LIFETIME) {
             customer.hard_limit.granted += grant.hard_limit_grant;
@@ -180,20 +183,20 @@
 }
 
 impl Customer {
-    /// Sets the bucket to what an owner says, less the usage that the owner cannot know of yet.
+    /// Sets the bucket to the owner's level, less the usage that has not been reported to the owner yet.
     fn apply_grant(&mut self, plan: &Plan, grant: &QuotaGrant, now: Instant) {
         self.remote.replace(grant.remote_rate, u32::from(grant.remote_in_flight));
         self.answered_at = Some(now);
         let unreported_units = wrapping_delta(grant.receiver_total, wrap_total(self.total_units));
         self.bucket.set(grant.tokens - unreported_units);
-        // What the owner granted it has charged, too: it need not be reported again.
+        // An owner charges units when it grants them, so that they need not be reported again.
         let had_tokens = plan.burst <= 0.0 || grant.tokens >= self.grant_request.units;
         let in_flight = self.remote.in_flight() + self.in_flight;
         let had_concurrency = plan.concurrency_quota == 0 || in_flight < plan.concurrency_quota;
         self.grant_request.charged_by_owner = had_tokens && had_concurrency;
     }
 
-    /// Whether each granter that this gateway can ask has answered its request.
+    /// Returns whether every granter to which this gateway can send a request has answered.
     fn all_granters_answered(&self, own_id: u16) -> bool {
         let has_answered = |granter: &u16| self.grant_request.answered_by.contains(granter);
         let can_be_asked = |granter: &u16| *granter != own_id && self.quota_owners.contains(granter);
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -1,61 +1,61 @@
-//! What requests and reports say of a customer's plan and gateways, and which of it is believed.
+//! The plan and gateway set in a customer's record, as most requests and reports state them.
 
 use super::{Customer, GatewaySet, QuotaManager, GRANTER_COUNT};
 use crate::policy::load_shedding::CustomerActivity;
 use crate::{CustomerId, Duration, Instant, Request};
 use std::collections::btree_map::Entry;
 
-/// Requests under another plan or set of gateways that a customer's record outlasts.
+/// Maximum number of consecutive requests or reports with another plan or gateway set after which a
+/// customer's record is still unchanged.
 const MAX_IDENTITY_CONFIDENCE: u8 = 8;
-/// A customer unseen for so long is as good as unknown.
+/// Time without a request or report after which a customer counts as unseen.
 pub(super) const CUSTOMER_IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// What one request or report says of its customer.
+/// The plan and gateway set that one request or report states for its customer.
 #[derive(Clone, Copy)]
 pub(super) struct IdentityClaim {
-    /// Index of the plan.
+    /// Index into the plans of the settings.
     pub plan: usize,
-    /// The gateways that serve the customer, in whole gateways.
+    /// The gateways that receive the customer's requests, a whole number of them.
     pub gateway_set: GatewaySet,
 }
 
-/// The usage that a new record of a customer begins with.
+/// The usage in a customer's new record.
 #[derive(Clone, Copy)]
 pub(super) struct InitialUsage {
     /// Units in the quota's token bucket.
     pub tokens: f64,
-    /// Units a second through all other gateways.
+    /// Units per second through all other gateways.
     pub remote_rate: f64,
 }
 
-/// What a gateway knows of the grants for a customer.
+/// The grants for a customer, from the view of one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GrantStatus {
     /// Whether this gateway owns the customer's quota, and needs no grant.
     pub is_quota_owner: bool,
-    /// The time since an owner's last answer, a grant or a refusal; none where none came.
+    /// Time since the last answer of an owner, a grant or a refusal; `None` before the first answer.
     pub answer_age: Option<Duration>,
-    /// Whether another gateway could grant units of the hard limit.
+    /// Whether another gateway can grant units of the hard limit.
     pub has_other_granter: bool,
 }
 
-/// What is known of the customer of a request.
+/// The customer of a request, according to its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ObservedCustomer {
-    /// Index of the plan by which the request is judged.
+    /// Index of the plan whose limits apply to the request.
     pub plan: u16,
-    /// Whether the customer was seen of late.
+    /// Whether the customer sent a request recently.
     pub activity: CustomerActivity,
-    /// What is known of the grants for it.
     pub grant: GrantStatus,
 }
 
 impl QuotaManager {
-    /// Records which customer a request comes from. The request has to name a plan that there is.
+    /// Updates the record of a request's customer, or creates one. The plan of the request must exist.
     pub(crate) fn observe_request(&mut self, now: Instant, request: &Request) -> ObservedCustomer {
         let plan = &self.settings.plans[usize::from(request.plan)];
         let set = GatewaySet::from_request(request, self.settings.gateway_count);
-        // This gateway's share of the burst, or one request, and what was refilled since the start.
+        // This gateway's share of the burst, or one request, plus the tokens refilled since the start.
         let share = (plan.burst / set.size).max(request.units);
         let refilled = plan.rate * self.seconds_of_known_usage(now);
         let claim = IdentityClaim {
@@ -80,11 +80,11 @@
         ObservedCustomer { plan: customer.plan as u16, activity, grant }
     }
 
-    /// Records the plan and the gateways that a request or a report names for a customer, and returns its
-    /// record; a new one begins with the initial usage.
+    /// Records the plan and gateway set that a request or report states for a customer, and returns the
+    /// customer's record. A new record begins with the `initial` usage.
     ///
-    /// Whoever sends a request may name any plan. The record follows what most requests and reports say, so
-    /// that neither the first nor a single one decides.
+    /// The sender of a request may state any plan. The record follows the majority of requests and reports,
+    /// so that a single one, even the first, does not determine it.
     pub(super) fn record_identity(
         &mut self,
         now: Instant,
@@ -109,7 +109,8 @@
                 to_set_start = claim.gateway_set.start, to_set_size = claim.gateway_set.size,
                 "identity replaced"
             );
-            // The bucket must not begin full again each time that somebody makes the record change.
+            // Limits the new bucket to the old level: if each change filled it, requests that alternate
+            // between plans could exceed the hard limit.
             let max_hard_limit_tokens = customer.hard_limit.tokens;
             let new = self.settings.new_customer(now, id, claim, initial, max_hard_limit_tokens);
             customer.replace_identity(new);
--- a/src/policy/quota/owner_assignment.rs
+++ b/src/policy/quota/owner_assignment.rs
@@ -4,30 +4,32 @@
 use crate::state::unit_draw;
 use crate::{CustomerId, Plan};
 
-/// Part of a hard limit that two gateways hold and grant on request. The rest is spread evenly over all
-/// gateways of the customer, for when no owner answers.
+/// Fraction of a hard limit that two gateways hold and grant on request. The rest is divided evenly among all
+/// gateways of the customer, for requests for which no owner answers.
 const POOLED_HARD_LIMIT_FRACTION: f64 = 0.5;
 
-/// Gateways that grant a customer's quota and hold most of its hard limit: two, so that one may be down.
+/// Number of gateways that grant a customer's quota and hold most of its hard limit: two, so that one may
+/// fail.
 pub(super) const GRANTER_COUNT: usize = 2;
 
-/// Who owns the quota of a customer. All gateways come to the same result, each by itself.
+/// The assignment of a customer's quota and hard limit to gateways. Each gateway computes it from the
+/// customer's identifier, with the same result.
 pub(super) struct OwnerAssignment {
-    /// The gateways that the customer's requests come to.
+    /// The gateways that receive the customer's requests.
     pub gateway_set: GatewaySet,
-    /// The gateways that add up its usage.
+    /// The gateways that add up the customer's usage.
     pub quota_owners: Vec<u16>,
-    /// Whether this gateway is one of them.
+    /// This gateway's role.
     pub role: Role,
-    /// The two gateways that grant units of the hard limit, and of the quota as far as they own it; the same
-    /// one twice where it is alone.
+    /// The two gateways that grant units of the hard limit, and of the quota if they own it; the same one
+    /// twice in a set of one gateway.
     pub granters: [u16; GRANTER_COUNT],
-    /// The share of the hard limit that is this gateway's own.
+    /// Fraction of the hard limit that this gateway holds.
     pub hard_limit_fraction: f64,
 }
 
 impl OwnerAssignment {
-    /// Assigns a customer's owners by its identifier and its set of gateways, in whole gateways.
+    /// Assigns the owners of a customer. The size of `set` must be a whole number.
     pub(super) fn new(
         settings: &QuotaSettings,
         id: CustomerId,
@@ -46,8 +48,8 @@
     }
 }
 
-/// The positions of two different members of a set of so many gateways, drawn by the customer's identifier.
-/// They are the same where the set has but one.
+/// Returns two positions in a set of `set_size` gateways, drawn by the customer's identifier. They denote
+/// different gateways unless the set has only one.
 fn granter_positions(id: CustomerId, set_size: f64) -> [u64; GRANTER_COUNT] {
     let first = (unit_draw(id.0) * set_size) as u64;
     let distance = 1 + (unit_draw(!id.0) * (set_size - 1.0)) as u64;
--- a/src/policy/quota/ownership.rs
+++ b/src/policy/quota/ownership.rs
@@ -1,47 +1,47 @@
-//! Which gateways own the quota of a customer, and all that follows from it.
+//! The modes in which a fleet assigns quota owners, and the rules that differ between the modes.
 
 use super::{GatewaySet, GRANTER_COUNT};
 use crate::{Duration, Limits, Plan};
 
-/// Report interval up to which all gateways of a customer own its quota.
+/// Longest report interval with which all gateways of a customer own its quota.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(350);
-/// The shortest report interval: more messages a second would cost bytes and tell nothing new.
+/// Shortest report interval. More frequent messages would cost bandwidth without new information.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
-/// How much longer the report interval is than the one at which a receiver takes in all that its peers send.
+/// Ratio of the report interval to the shortest one at which a gateway can process the reports of all peers.
 const REPORT_INTERVAL_FACTOR: f64 = 1.5;
-/// Time from a request until the owners know of it, lost reports included, in addition to the report
+/// Time until a request's usage reaches the owners, including lost reports, in addition to the report
 /// interval.
 const REPORT_PROPAGATION_TIME: Duration = Duration::from_millis(350);
-/// Age up to which a grant stands for a further request, where all gateways own the quota.
+/// Age up to which a grant admits further requests, where all gateways own the quota.
 const SHARED_GRANT_FRESHNESS: Duration = Duration::from_millis(100);
-/// Messages that carry a usage report where all gateways own the quota: a report that is lost would leave an
-/// attempt counted as in flight for long.
+/// Number of messages that carry each usage report where all gateways own the quota. After the loss of a
+/// single copy, an attempt that has ended would count as in flight for a long time.
 const SHARED_REPORT_COPIES: u8 = 2;
-/// Times that a grant is requested of a designated owner for a request that waits.
+/// Number of times that a waiting request's grant is requested from a designated owner.
 const DESIGNATED_GRANT_ATTEMPTS: u64 = 2;
 
-/// The two ways in which a fleet counts the usage of a customer against its quota.
+/// The modes in which a fleet counts the usage of a customer against its quota.
 ///
-/// A quota holds for all gateways together, and no gateway sees the requests of the others. A *quota owner*
-/// is a gateway that adds up what all of them report. How many owners there are depends on how many messages
-/// a gateway can take in:
+/// A quota applies to all gateways together, but a gateway receives only its own requests. A *quota owner* is
+/// a gateway that adds up the usage reports of all gateways. The number of owners depends on the rate of
+/// messages that a gateway can process:
 ///
-/// - [`AllGateways`](Self::AllGateways), in a small fleet. Each gateway sends usage reports to all others, at
-///   an interval at which they can take them in. Each decides by its own count, which lags behind by the
-///   interval, so a customer that uses many gateways at once may exceed its quota for that long. It costs one
-///   message for each pair of gateways and interval.
-/// - [`Designated`](Self::Designated), in a large fleet, where so many messages would exceed what a gateway
-///   takes in. One gateway is the owner of a customer's quota, two where the plan has a hard limit. The
-///   others request a grant before they admit, which delays a request by a round trip; where no grant comes
-///   they admit. It costs two messages for each request to a customer whose quota has to be asked for.
+/// - [`AllGateways`](Self::AllGateways), in a small fleet: each gateway sends usage reports to all others, at
+///   an interval that allows them to process the reports, and decides by its own sum. The sum lags by the
+///   interval, so a customer that uses many gateways at once may exceed its quota for that time. The cost is
+///   one message per pair of gateways and interval.
+/// - [`Designated`](Self::Designated), in a large fleet, where that number of messages would exceed what a
+///   gateway can process: one gateway owns a customer's quota, two where the plan has a hard limit. The
+///   others request a grant before they admit a request, which delays it by a round trip; without an answer
+///   they admit it. The cost is two messages per request that needs a grant.
 ///
-/// The mode follows from the settings and stays the same while a gateway runs. Nothing outside this file asks
-/// which one it is: each difference between them is a method.
+/// The settings determine the mode, which does not change while a gateway runs. Each difference between the
+/// modes is a method, so that no other module depends on the mode itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum QuotaOwnership {
-    /// Every gateway of a customer owns its quota.
+    /// All gateways in a customer's gateway set own its quota.
     AllGateways {
-        /// The time between two messages to the same peer.
+        /// Minimum time between two messages to the same peer.
         report_interval: Duration,
     },
     /// One or two gateways own the quota of a customer.
@@ -50,7 +50,7 @@
 }
 
 impl QuotaOwnership {
-    /// The mode of a fleet of so many gateways.
+    /// Selects the mode for a fleet of `fleet_size` gateways.
     pub(crate) fn new(limits: &Limits, fleet_size: u64) -> QuotaOwnership {
         let messages_per_second = limits.peer_messages_per_second.max(1.0);
         let seconds = REPORT_INTERVAL_FACTOR * (fleet_size as f64 - 1.0) / messages_per_second;
@@ -61,8 +61,8 @@
         QuotaOwnership::AllGateways { report_interval }
     }
 
-    /// The least time between two messages to a peer. Designated owners are sent each request for a grant at
-    /// once.
+    /// Returns the minimum time between two messages to a peer. Requests for grants to designated owners are
+    /// sent without delay.
     pub(crate) fn report_interval(self) -> Duration {
         match self {
             Self::AllGateways { report_interval } => report_interval,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The owners of a customer's quota, of which `granters` are asked for grants.
+    /// Returns the owners of a customer's quota. `granters` are the gateways that grant its units.
     pub(super) fn owners(
         self,
         set: GatewaySet,
@@ -80,16 +80,16 @@
     ) -> Vec<u16> {
         match self {
             Self::AllGateways { .. } => set.members(gateway_count),
-            // Two owners of a quota would each have to be told of all usage: it is worth it for a hard limit
-            // alone.
+            // All usage would have to be reported to a second owner; only a hard limit justifies the cost.
             Self::Designated if plan.hard_limit_rate > 0.0 => granters.to_vec(),
             Self::Designated => vec![granters[0]],
         }
     }
 
-    /// Tokens of a customer that was not known here, where this gateway can vouch for `counted_tokens`.
+    /// Returns the initial tokens of a customer without a record. `counted_tokens` is the part that does not
+    /// depend on usage before this gateway's start.
     ///
-    /// Among designated owners a start says little of what customers used: most have all but full buckets.
+    /// With designated owners the bucket begins full: most customers' buckets are nearly full at any time.
     pub(crate) fn initial_tokens(self, plan: &Plan, counted_tokens: f64) -> f64 {
         match self {
             Self::AllGateways { .. } => counted_tokens.min(plan.burst),
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Age up to which a grant for one request allows another. A designated owner counts single requests, so
-    /// that each one needs its own grant.
+    /// Returns the age up to which a grant for one request admits another. Designated owners count each
+    /// request, so that each one needs its own grant.
     pub(crate) fn grant_freshness(self) -> Duration {
         match self {
             Self::AllGateways { .. } => SHARED_GRANT_FRESHNESS,
@@ -106,8 +106,8 @@
         }
     }
 
-    /// How often a grant is requested for a request that waits. A designated owner is asked again, because
-    /// one lost message must not admit what is beyond the quota.
+    /// Returns the number of times that a grant is requested for a waiting request. The request to a
+    /// designated owner is repeated, so that one lost message does not admit a request over the quota.
     pub(crate) fn grant_attempts(self) -> u64 {
         match self {
             Self::AllGateways { .. } => 1,
@@ -115,30 +115,31 @@
         }
     }
 
-    /// Whether requests for grants on customers far beyond their quota are skipped: all gateways ask the same
-    /// owner, which would lose other messages.
+    /// Returns whether some requests for grants are skipped for customers far over their quota. All gateways
+    /// send them to the same owner, whose other messages they would displace.
     pub(crate) fn limits_grant_requests(self) -> bool {
         self == Self::Designated
     }
 
-    /// Whether a request for a grant leaves at once, whenever the last message was sent. There are few where
-    /// all gateways own the quota, and none may wait for a whole interval.
+    /// Returns whether a request for a grant is sent at once, regardless of the report interval. Such
+    /// requests are rare where all gateways own the quota, and must not wait for a whole interval.
     pub(crate) fn sends_grant_requests_at_once(self) -> bool {
         self != Self::Designated
     }
 
-    /// Whether a gateway that admitted a request by an old grant asks for a new one for the next.
+    /// Returns whether a gateway that admitted a request on arrival, by an earlier grant, requests a new
+    /// grant for the next request.
     pub(crate) fn renews_grants_after_admission(self) -> bool {
         self != Self::Designated
     }
 
-    /// Whether the usage of other gateways is known without a recent grant: they report it by themselves.
+    /// Returns whether the usage of other gateways is known without a recent grant, from their reports.
     pub(crate) fn knows_usage_without_grant(self) -> bool {
         self != Self::Designated
     }
 
-    /// The time for which the usage of other gateways is not reported yet. Designated owners are asked
-    /// instead.
+    /// Returns the time until the usage of other gateways is reported here. It is zero for designated owners,
+    /// whose grants include that usage.
     pub(crate) fn unreported_time(self) -> Duration {
         match self {
             Self::AllGateways { report_interval } => report_interval + REPORT_PROPAGATION_TIME,
@@ -146,7 +147,8 @@
         }
     }
 
-    /// Messages that carry each usage report. A large fleet cannot afford a second one.
+    /// Returns the number of messages that carry each usage report. In a large fleet a second copy would
+    /// exceed the rate of messages that gateways can process.
     pub(crate) fn report_copies(self) -> u8 {
         match self {
             Self::AllGateways { .. } => SHARED_REPORT_COPIES,
@@ -154,20 +156,20 @@
         }
     }
 
-    /// Whether a decision that an owner has charged already is reported nevertheless: of several owners the
-    /// others did not charge it.
+    /// Returns whether units that an owner has charged with its grant are reported nevertheless, because the
+    /// other owners have not charged them.
     pub(crate) fn reports_granted_units(self) -> bool {
         self != Self::Designated
     }
 
-    /// Whether a peer that is heard for the first time is sent reports. In a large fleet each one is unknown
-    /// to begin with, and only one that restarted has forgotten anything.
+    /// Returns whether reports are sent to a peer after its first message. In a large fleet every peer is new
+    /// at first, and only a restarted one has lost its records.
     pub(crate) fn reports_to_new_peers(self) -> bool {
         self != Self::Designated
     }
 
-    /// The lowest level that reported usage may bring a bucket to. Usage beyond the quota leaves no debt at a
-    /// designated owner: it decides on each request, and what it rejects is not used.
+    /// Returns the lowest level to which reported usage may reduce a bucket with `tokens`. A designated owner
+    /// incurs no further debt: it decides on each request, and rejected requests use no units.
     pub(crate) fn min_tokens(self, plan: &Plan, tokens: f64) -> f64 {
         match self {
             Self::AllGateways { .. } => -plan.burst,
@@ -175,27 +177,27 @@
         }
     }
 
-    /// Whether the rate that an owner keeps for a customer is one of requests for grants rather than of
-    /// units: those of a customer that is limited by its attempts in flight, so that the gateways can ration
-    /// them.
+    /// Returns whether an owner measures a customer's rate in requests for grants rather than in units. It
+    /// does so under a concurrency quota, and the gateways limit their requests for grants by that rate.
     pub(crate) fn counts_grant_requests(self, plan: &Plan) -> bool {
         self == Self::Designated && plan.concurrency_quota > 0
     }
 
-    /// Whether totals of gateways that no longer report are kept. In a small fleet a peer is heard again
-    /// after any pause, and without its old total all that it ever forwarded would count as new.
+    /// Returns whether the totals of gateways that no longer report are retained. In a small fleet a peer may
+    /// report again after any pause, and without its old total all its past usage would count as new.
     pub(crate) fn retains_old_totals(self) -> bool {
         self != Self::Designated
     }
 
-    /// Whether gateways tell each other how their attempts went: in a large fleet many know of a failure
-    /// before they meet it.
+    /// Returns whether gateways exchange latency samples of their attempts. In a large fleet this informs
+    /// many gateways of a failing backend before their own attempts fail.
     pub(crate) fn shares_latency_samples(self) -> bool {
         self == Self::Designated
     }
 
-    /// Whether an attempt that earns nothing past its latency objective is given up then, because it still
-    /// counts towards a concurrency quota. In a small fleet the clients that come again would cost more.
+    /// Returns whether an attempt under a concurrency quota expires at its latency objective if a later
+    /// answer has no value, since the attempt would still count against the quota. In a small fleet the
+    /// requests that clients then repeat would cost more.
     pub(crate) fn expires_attempts_at_latency_objective(self) -> bool {
         self == Self::Designated
     }
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -1,47 +1,46 @@
-//! The reporting side of usage reports: to whom a customer's usage is reported, when, and what a report says.
+//! The sender's side of usage reports: their recipients, occasions and content.
 
 use super::QuotaManager;
 use crate::gossip::{OutboxEntry, PeerStart, UsageReport};
 use crate::state::unit_draw;
 use crate::{CustomerId, Duration, Instant};
 
-/// How long after a grant a gateway reports the level of a bucket.
+/// Age of an owner's last answer up to which a reporter includes the level of a bucket in its reports.
 const LEVEL_FRESHNESS: Duration = Duration::from_secs(1);
-/// A customer seen within this time is reported to an owner that starts.
+/// Time since a customer's last request or report within which its usage is reported to a starting owner.
 const ACTIVE_CUSTOMER_TIME: Duration = Duration::from_secs(2);
-/// The draw up to which the second of two granters is asked for units of the hard limit.
+/// Probability that units of the hard limit are requested from the second of two granters.
 const SECOND_GRANTER_PROBABILITY: f64 = 0.5;
 
-/// Why a customer's usage is reported.
+/// The reason for a usage report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportPurpose {
-    /// The owners are to know of it.
+    /// Updates the owners' records.
     Usage,
-    /// A grant is requested with it.
+    /// Requests a grant along with the update.
     GrantRequest,
 }
 
-/// How a request came to be decided.
+/// The point at which a request is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DecisionPoint {
-    /// As it came, by what was known.
+    /// On arrival, by the customer's record.
     Arrival,
-    /// After it waited for a grant.
+    /// After a wait for a grant.
     GrantWait,
 }
 
-/// A report to one owner.
+/// An owner to which a usage report is sent.
 #[derive(Clone, Copy)]
 pub(crate) struct ReportRecipient {
-    /// The owner.
+    /// Index of the owner.
     pub gateway: u16,
-    /// What its outbox is to hold.
+    /// The entry to add to the owner's outbox.
     pub entry: OutboxEntry,
 }
 
 impl QuotaManager {
-    /// The owners that are to be told of a customer's usage. A grant is requested of those that are
-    /// granters.
+    /// Returns the owners to which a customer's usage is reported. Only reports to granters request a grant.
     pub(crate) fn report_recipients(&self, id: CustomerId, purpose: ReportPurpose) -> Vec<ReportRecipient> {
         let Some(customer) = self.customers.get(&id) else { return Vec::new() };
         let copies_left = self.settings.ownership.report_copies();
@@ -56,7 +55,7 @@
         recipients
     }
 
-    /// The report of a customer's usage to a peer that owns its quota.
+    /// Returns the report of a customer's usage to an owner of its quota; `None` for an unknown customer.
     pub(crate) fn usage_report(
         &mut self,
         now: Instant,
@@ -69,7 +68,8 @@
         let was_answered_recently =
             customer.answered_at.is_some_and(|answered_at| now.duration_since(answered_at) < LEVEL_FRESHNESS);
         let is_level_known = customer.role.is_owner() || was_answered_recently;
-        // One of the two is drawn to grant units of the hard limit: two grants would waste one.
+        // Units of the hard limit are requested from one granter, drawn at random: of two grants one would
+        // be wasted.
         let draw = unit_draw(now.as_micros() ^ id.0);
         let drawn_granter = customer.granters[usize::from(draw < SECOND_GRANTER_PROBABILITY)];
         let is_granter = drawn_granter == to || customer.granters.contains(&own_id);
@@ -81,7 +81,8 @@
         })
     }
 
-    /// What is reported of a request that was admitted, if anything.
+    /// Returns the purpose of the report that follows an admitted request; `None` if the owner has charged
+    /// the units and no other owner needs a report.
     pub(crate) fn report_after_admission(
         &mut self,
         id: CustomerId,
@@ -102,8 +103,8 @@
         }
     }
 
-    /// What is reported of a request that was rejected, if anything: an owner that has charged it is told
-    /// that the units were not used.
+    /// Returns the purpose of the report that follows a rejected request, if any. It notifies an owner that
+    /// has charged the units that they were not used.
     pub(crate) fn report_after_rejection(
         &mut self,
         id: CustomerId,
@@ -116,8 +117,8 @@
         (point == DecisionPoint::GrantWait && is_charged).then_some(ReportPurpose::Usage)
     }
 
-    /// Forgets what a peer reported before it started, and returns the customers to report to it: it counts
-    /// its usage anew, and knows nothing as an owner.
+    /// Removes the usage that a peer reported before its start, since its totals restart at zero. Returns the
+    /// customers to report to the peer, which as an owner has no records of their usage.
     pub(crate) fn on_peer_start(&mut self, now: Instant, peer: u16, start: PeerStart) -> Vec<CustomerId> {
         let ownership = self.settings.ownership;
         let reports_again = start == PeerStart::Restarted || ownership.reports_to_new_peers();
--- a/src/policy/quota/settings.rs
+++ b/src/policy/quota/settings.rs
@@ -1,27 +1,26 @@
-//! What the rules of quotas are given when a gateway starts.
+//! The settings that the quota rules use, fixed at the gateway's start.
 
 use super::{Customer, IdentityClaim, InitialUsage, OwnerAssignment, QuotaOwnership};
 use crate::{CustomerId, Instant, Plan, Settings};
 
-/// The plans, and this gateway's place in the fleet.
+/// The plans, and the gateway's position in the fleet.
 #[derive(Default)]
 pub(super) struct QuotaSettings {
-    /// The index of this gateway.
+    /// Index of this gateway.
     pub own_id: u16,
-    /// How many gateways there are, as the settings say.
+    /// Number of gateways in the fleet.
     pub gateway_count: u16,
-    /// Messages that a gateway takes in, in a second.
+    /// Messages per second that a gateway can receive from its peers.
     pub peer_messages_per_second: f64,
-    /// The plans, by index.
     pub plans: Vec<Plan>,
-    /// Which gateways own the quota of a customer.
+    /// The mode in which the fleet assigns quota owners.
     pub ownership: QuotaOwnership,
-    /// When this gateway started.
+    /// Start time of this gateway.
     pub started_at: Instant,
 }
 
 impl QuotaSettings {
-    /// Takes from the settings what the rules of quotas need.
+    /// Selects the settings that the quota rules use.
     pub(super) fn new(settings: &Settings, started_at: Instant) -> QuotaSettings {
         let fleet_size = u64::from(settings.gateway_count.max(1));
         QuotaSettings {
@@ -34,8 +33,8 @@
         }
     }
 
-    /// A record with its owners, for a customer of which nothing else is known. The bucket of its hard limit
-    /// holds no more than `max_hard_limit_tokens`.
+    /// Creates a customer's record and assigns its owners. The bucket of its hard limit holds at most
+    /// `max_hard_limit_tokens`.
     pub(super) fn new_customer(
         &self,
         now: Instant,
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -1,5 +1,4 @@
-//! The owner's side of usage reports: what a report adds to a customer's usage, and the grant that answers
-//! it.
+//! The owner's side of usage reports: adding reported usage to a customer's record, and granting units.
 
 use super::customer::{record_lifetime, Role};
 use super::{Customer, GatewaySet, GatewayUsage, IdentityClaim, InitialUsage, QuotaManager};
@@ -8,33 +7,34 @@
 };
 use crate::{Instant, Plan};
 
-/// Most units, as a part of the burst, that the first report of an older gateway may be believed to add.
+/// Fraction of the burst above which the total in an older gateway's first report is not charged: it may
+/// include usage from before this gateway's start.
 const MAX_FIRST_REPORT_FRACTION: f64 = 0.25;
 
-/// An owner's answer to a request for a grant.
+/// An owner's decision on a usage report that may request a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum GrantDecision {
     /// The units are charged, and one more attempt counts as in flight.
     Granted,
     /// The report requested no grant.
     NotRequested,
-    /// The quota's bucket has too few tokens.
+    /// The quota's bucket holds fewer tokens than requested.
     NoTokens,
-    /// As many attempts are in flight as the quota allows.
+    /// The attempts in flight have reached the quota.
     AtConcurrencyQuota,
 }
 
-/// What the total in a usage report may count, besides usage since the report before.
+/// The period that the difference between the total in a usage report and the last one covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TotalScope {
-    /// Nothing.
+    /// The time since the sender's last report.
     SinceLastReport,
-    /// Usage of before this gateway's start: it is the first report of a gateway that has run for longer.
+    /// Possibly time before this gateway's start: the report is the first one of an older gateway.
     MayPredateStart,
 }
 
 impl QuotaManager {
-    /// Records the usage report of a peer; the answer if it requests a grant.
+    /// Records a peer's usage report. Returns the answer if the report requests a grant.
     pub(crate) fn on_usage_report(
         &mut self,
         now: Instant,
@@ -62,8 +62,8 @@
         let min_tokens = ownership.min_tokens(plan, customer.bucket.tokens());
         customer.bucket.settle_clamped(plan, usage.granted_units, units, min_tokens);
         if ownership.counts_grant_requests(plan) {
-            // The rate counts requests for grants of the whole customer, the sender's included. It goes out
-            // as `remote_rate`, and the gateways ration their requests by it.
+            // The rate counts all requests for grants on the customer, including the sender's. Answers carry
+            // it as `remote_rate`, by which the gateways limit their requests.
             usage.record(now, report.total_units, 0.0);
             customer.remote.add_to_rate(f64::from(u8::from(report.requests_grant)));
         } else {
@@ -75,8 +75,8 @@
         report.requests_grant.then_some(grant)
     }
 
-    /// Records the customer of a report; none if its plan is unknown. One that never came here has the tokens
-    /// that the peer says, or what was refilled since this start.
+    /// Updates the record of a report's customer, or creates one; `None` if the plan is unknown. A new record
+    /// begins with the reported level of the bucket, or with the tokens refilled since this gateway's start.
     fn observe_reported_customer(&mut self, now: Instant, report: &UsageReport) -> Option<()> {
         let plan = self.settings.plans.get(usize::from(report.plan))?;
         let refilled = plan.rate * self.seconds_of_known_usage(now);
@@ -94,8 +94,8 @@
 }
 
 impl Customer {
-    /// Counts a sender's total from nothing where it is less than the last one and the sender has had the
-    /// time to forget the customer: it counts anew then.
+    /// Resets a sender's last total to zero if the new one is lower and the sender's record of the customer
+    /// has expired since: the sender's total then restarted at zero.
     fn reset_expired_total(
         &self,
         plan: &Plan,
@@ -111,19 +111,19 @@
         }
     }
 
-    /// The units used through a gateway since its last report.
+    /// Returns the units used through a gateway since its last report.
     fn new_units(&mut self, plan: &Plan, last_total: u16, scope: TotalScope, report: &UsageReport) -> f64 {
         let units = wrapping_delta(last_total, report.total_units);
         let may_predate = scope == TotalScope::MayPredateStart;
         if may_predate && units.abs() > plan.burst * MAX_FIRST_REPORT_FRACTION {
-            // The peer's view of the bucket is all that is left to go by.
+            // The total does not show when units were used, so the level that the peer reported is applied.
             self.bucket.deduct_withheld(units);
             if let Some(tokens) = report.tokens_level.tokens(plan.burst) {
                 self.bucket.lower_to((tokens - self.total_units).max(0.0));
             }
             return 0.0;
         }
-        // A total that fell by more than can be given back was counted anew.
+        // A decrease by more than the burst, the most that can be returned, means that the total restarted.
         if units >= -plan.burst {
             units
         } else {
@@ -131,8 +131,8 @@
         }
     }
 
-    /// The answer to a usage report. What is granted is charged at once, since other gateways may ask before
-    /// the next report comes.
+    /// Returns the answer to a usage report. Granted units are charged immediately, since other gateways may
+    /// request a grant before the next report.
     fn grant(
         &mut self,
         plan: &Plan,
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Whether what a report requests is granted, where so many attempts are in flight from gateways but the
-    /// sender.
+    /// Decides whether to grant the units that a report requests. `others_in_flight` are the attempts in
+    /// flight from all gateways except the sender.
     fn decide_grant(&self, plan: &Plan, others_in_flight: u32, report: &UsageReport) -> GrantDecision {
         let has_tokens = plan.burst == 0.0 || self.bucket.tokens() >= report.requested_units;
         let in_flight = others_in_flight + u32::from(report.in_flight);
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Records the attempts in flight that a gateway reports. What it is granted counts already: one more
-    /// attempt, and the units that it requests.
+    /// Records the attempts in flight that a gateway reports. A grant counts immediately, as one more attempt
+    /// and a charge of the requested units.
     fn reserve(&mut self, usage: &mut GatewayUsage, report: &UsageReport, decision: GrantDecision) {
         let is_granted = decision == GrantDecision::Granted;
         let is_countable = report.in_flight < MAX_REPORTED_IN_FLIGHT;
@@ -186,7 +186,8 @@
         self.bucket.deduct_unclamped(usage.granted_units);
     }
 
-    /// Units of the hard limit for a gateway, deducted here first: a lost message loses them.
+    /// Returns the units of the hard limit that a gateway is granted, and deducts them from this gateway's
+    /// share. The loss of the message loses the units.
     fn grant_hard_limit(&mut self, report: &UsageReport) -> f64 {
         let is_requested = report.requests_grant && report.needs_hard_limit_grant;
         let is_granted = is_requested && self.hard_limit.tokens >= report.requested_units;
