--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,6 +1,7 @@
-//! Gossip: the messages that gateways send each other about the usage of customers and the latency of
-//! backends, and their bytes. [`PeerExchange`] keeps what waits for each peer and tells what
-//! of theirs is outdated. What a gateway reports and how it acts on a message is decided in `policy`.
+//! Gossip: messages between gateways about the usage of customers and the latency of backends.
+//!
+//! [`PeerExchange`] holds the outbox of each peer and rejects outdated messages. The content of reports and
+//! the handling of received messages are decided in `policy`.
 
 mod bytes;
 mod encoding;
--- a/src/gossip/encoding.rs
+++ b/src/gossip/encoding.rs
@@ -1,4 +1,4 @@
-//! The byte layout of messages. Integers are little-endian.
+//! Encoding of messages as bytes. Integers are little-endian.
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -11,64 +11,58 @@
 //! | 4 | receiver's incarnation, before quota grants only |
 //! | 14 or 12 each | entries: usage reports or quota grants |
 //!
-//! A usage report has the customer and the attempts in flight (5 bytes), the total (2), the token level (1),
-//! the flags and the plan (1), the requested units (1), the start (2) and the size (2) of the gateway set. A
-//! quota grant has the customer and the attempts in flight (5), the receiver's total (2), the tokens (2), the
-//! rate (2) and the units of the hard limit (1).
+//! A usage report consists of the customer and the attempts in flight (5 bytes), the total (2), the token
+//! level (1), the flags and the plan (1), the requested units (1), the start (2) and the size (2) of the
+//! gateway set.
+//!
+//! A quota grant consists of the customer and the attempts in flight (5 bytes), the receiver's total (2), the
+//! tokens (2), the rate (2) and the units of the hard limit (1).
 
 use super::bytes::{ByteReader, ByteWriter};
 use super::units::{from_wire_units, latency_of_step, latency_step, to_wire_units};
 use super::{Body, LatencySample, Message, QuotaGrant, TokenLevel, UsageReport};
 
-/// The layout's number: a message with another one is ignored.
+/// Version of the layout; messages of other versions are ignored.
 const VERSION: u8 = 0xA2;
-/// The kind of a body of usage reports.
 const USAGE_REPORTS_KIND: u8 = 0;
-/// The kind of a body of quota grants.
 const QUOTA_GRANTS_KIND: u8 = 1;
-/// Low bits of the byte that holds the kind and the count of samples.
+/// Number of low bits that hold the kind, below the count of samples.
 const KIND_BITS: u32 = 2;
-/// Selects the kind.
 const KIND_MASK: u8 = (1 << KIND_BITS) - 1;
-/// Low bits of the byte that holds a sample's latency step and class.
+/// Number of low bits that hold the latency step of a sample, below its class.
 const LATENCY_STEP_BITS: u32 = 5;
-/// Selects the latency step.
 const LATENCY_STEP_MASK: u8 = (1 << LATENCY_STEP_BITS) - 1;
-/// The flag of a usage report that requests units of the hard limit.
+/// Flag of a usage report that requests units of the hard limit.
 const HARD_LIMIT_FLAG: u8 = 1;
-/// The flag of a usage report that requests a grant.
+/// Flag of a usage report that requests a grant.
 const GRANT_FLAG: u8 = 2;
-/// Low bits of the byte that holds a usage report's flags and plan.
+/// Number of low bits that hold the flags of a usage report, below its plan.
 const FLAG_BITS: u32 = 2;
 
-/// Bytes before the samples.
+/// Number of bytes before the samples.
 const HEADER_BYTES: usize = 9;
-/// Bytes of a sample.
 const SAMPLE_BYTES: usize = 4;
-/// Bytes of the receiver's incarnation.
 const INCARNATION_BYTES: usize = 4;
-/// Bytes of a usage report.
 const USAGE_REPORT_BYTES: usize = 14;
-/// Bytes of a quota grant.
 const QUOTA_GRANT_BYTES: usize = 12;
-/// The most bytes that a message may have.
+/// Maximum length of an encoded message between gateways.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// Bytes that are left for the body beside all samples.
+/// Maximum length of the body, next to the maximum number of samples.
 const MAX_BODY_BYTES: usize = MAX_MESSAGE_BYTES - HEADER_BYTES - MAX_SAMPLES * SAMPLE_BYTES;
 
-/// The most [`LatencySample`]s that a message carries.
+/// Maximum number of [`LatencySample`]s in a message.
 pub(crate) const MAX_SAMPLES: usize = 6;
-/// The most [`UsageReport`]s that fit in a message.
+/// Maximum number of [`UsageReport`]s in a message.
 pub(crate) const MAX_USAGE_REPORTS: usize = MAX_BODY_BYTES / USAGE_REPORT_BYTES;
-/// The most [`QuotaGrant`]s that fit in a message.
+/// Maximum number of [`QuotaGrant`]s in a message.
 const MAX_QUOTA_GRANTS: usize = (MAX_BODY_BYTES - INCARNATION_BYTES) / QUOTA_GRANT_BYTES;
-/// The highest plan that a [`UsageReport`] can name.
+/// Highest plan index that a [`UsageReport`] can hold.
 pub(crate) const MAX_PLAN: usize = 63;
-/// The highest class that a [`LatencySample`] can name.
+/// Highest class index that a [`LatencySample`] can hold.
 pub(crate) const MAX_CLASS: usize = 7;
 
 impl Message {
-    /// The message's bytes. What is too much for one message is left out.
+    /// Encodes the message. Samples and entries beyond the maximum numbers are omitted.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let (kind, entry_count) = match &self.body {
             Body::UsageReports(reports) => (USAGE_REPORTS_KIND, reports.len().min(MAX_USAGE_REPORTS)),
@@ -94,7 +88,7 @@
         writer.finish()
     }
 
-    /// Reads a message; none for anything that [`Message::encode`] cannot have made.
+    /// Decodes a message. Returns `None` for bytes that [`Message::encode`] cannot produce.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Message> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return None;
@@ -126,20 +120,19 @@
     }
 }
 
-/// Reads so many items of one kind; none if one of them is cut off.
+/// Reads `count` items. Returns `None` if one of them is truncated.
 fn read_all<T>(reader: &mut ByteReader, count: u8, read: fn(&mut ByteReader) -> Option<T>) -> Option<Vec<T>> {
     (0..count).map(|_| read(reader)).collect()
 }
 
 impl LatencySample {
-    /// Appends the bytes.
     fn encode(&self, writer: &mut ByteWriter) {
         writer.u24(self.backend_tag);
         let class = self.class.min(MAX_CLASS as u8);
         writer.u8(class << LATENCY_STEP_BITS | latency_step(self.objective_ratio));
     }
 
-    /// Reads what [`Self::encode`] wrote; none if it is cut off.
+    /// Decodes the bytes of [`Self::encode`]. Returns `None` if they are truncated.
     fn decode(reader: &mut ByteReader) -> Option<LatencySample> {
         let backend_tag = reader.u24()?;
         let class_and_step = reader.u8()?;
@@ -150,7 +143,6 @@
 }
 
 impl UsageReport {
-    /// Appends the bytes.
     fn encode(&self, writer: &mut ByteWriter) {
         let grant_flag = if self.requests_grant { GRANT_FLAG } else { 0 };
         let hard_limit_flag = if self.needs_hard_limit_grant { HARD_LIMIT_FLAG } else { 0 };
@@ -163,7 +155,7 @@
         writer.u16(self.gateway_set_size);
     }
 
-    /// Reads what [`Self::encode`] wrote; none if it is cut off.
+    /// Decodes the bytes of [`Self::encode`]. Returns `None` if they are truncated.
     fn decode(reader: &mut ByteReader) -> Option<UsageReport> {
         let (customer, in_flight) = reader.customer_and_count()?;
         let total_units = reader.u16()?;
@@ -185,7 +177,6 @@
 }
 
 impl QuotaGrant {
-    /// Appends the bytes.
     fn encode(&self, writer: &mut ByteWriter) {
         writer.customer_and_count(self.customer, self.remote_in_flight);
         writer.u16(self.receiver_total);
@@ -194,7 +185,7 @@
         writer.u8(to_wire_units(self.hard_limit_grant) as u8);
     }
 
-    /// Reads what [`Self::encode`] wrote; none if it is cut off.
+    /// Decodes the bytes of [`Self::encode`]. Returns `None` if they are truncated.
     fn decode(reader: &mut ByteReader) -> Option<QuotaGrant> {
         let (customer, remote_in_flight) = reader.customer_and_count()?;
         Some(QuotaGrant {
--- a/src/gossip/encoding/tests.rs
+++ b/src/gossip/encoding/tests.rs
@@ -4,11 +4,10 @@
 use crate::gossip::backend_tag;
 use crate::CustomerId;
 
-/// A message is encoded and decoded again, with any number of samples, and no field changes; it fits into the 256
-/// bytes that the network carries. A datagram that was cut anywhere is ignored, as half of a usage report would
-/// charge a customer a wrong amount.
+/// A message has to survive encoding and decoding, within the limit of 256 bytes. A truncated datagram has to
+/// be rejected, since part of a usage report would charge a customer a wrong amount.
 #[test]
-fn a_message_decodes_to_itself_and_a_cut_one_to_none() {
+fn decoding_restores_a_message_and_rejects_a_truncated_one() {
     let customer = CustomerId((1 << 33) - 7);
     let report = UsageReport {
         customer,
@@ -55,11 +54,10 @@
     }
 }
 
-/// Gateways of two versions talk to each other during a rolling upgrade. A usage report with another layout would
-/// be read as other customers and other amounts, and customers would be rejected or served wrongly until the
-/// upgrade is over.
+/// Gateways of two versions exchange messages during a rolling upgrade. With a different layout of usage
+/// reports, they would decode wrong customers and amounts until the upgrade is complete.
 #[test]
-fn a_usage_report_has_these_bytes() {
+fn layout_of_usage_reports_is_fixed() {
     let report = UsageReport {
         customer: CustomerId(0x1_2345_6789),
         plan: 5,
@@ -102,10 +100,10 @@
     assert_eq!(message.encode(), expected);
 }
 
-/// Gateways of two versions talk to each other during a rolling upgrade. A quota grant with another layout would
-/// let a customer exceed its quota, or lock it out, until the upgrade is over.
+/// Gateways of two versions exchange messages during a rolling upgrade. With a different layout of quota
+/// grants, a customer could exceed its quota or be locked out until the upgrade is complete.
 #[test]
-fn a_quota_grant_has_these_bytes() {
+fn layout_of_quota_grants_is_fixed() {
     let grant = QuotaGrant {
         customer: CustomerId(0x1_2345_6789),
         receiver_total: 0xABCD,
@@ -133,16 +131,15 @@
         0xe2, 0xff, 0xb0, 0x04, 0x09, // tokens, rate, hard limit units
         0x89, 0x67, 0x45, 0x23, 0x19, // customer, attempts in flight
         0xcd, 0xab, // receiver's total
-        0xff, 0x7f, 0xff, 0xff, 0xff, // the same at their most
+        0xff, 0x7f, 0xff, 0xff, 0xff, // tokens, rate and hard limit units at their maximum
     ];
     assert_eq!(message.encode(), expected);
 }
 
-/// A latency is sent in five bits, as one of 31 steps or as a failure. Latencies past both ends are cut to the
-/// nearest step; one that wrapped round would make the slowest backend look like the fastest, or like one that
-/// fails.
+/// A latency is encoded in five bits, as one of 31 steps or as a failure. Without clamping, a latency out of
+/// range would wrap, and the slowest backend would appear as the fastest or as a failing one.
 #[test]
-fn relative_latencies_have_these_bytes() {
+fn latencies_are_clamped_to_the_encoded_steps() {
     let byte = |objective_ratio| {
         let mut writer = ByteWriter::default();
         LatencySample { backend_tag: 0, class: 0, objective_ratio }.encode(&mut writer);
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -1,5 +1,5 @@
-//! A gateway's exchange of messages with its peers: what waits for each of them, and the form and order of
-//! what comes.
+//! The exchange of messages with peers: outboxes, encoding, and the order and incarnation of received
+//! messages.
 
 use super::peer::{MessageStatus, OutboxEntry, Peer, PeerAge, PeerStart};
 use super::{incarnation_of, Body, LatencySample, Message, MAX_SAMPLES, MAX_USAGE_REPORTS};
@@ -7,60 +7,56 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use thiserror::Error;
 
-/// A message of a peer that is to be handled.
+/// A valid, current message of a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ReceivedMessage {
-    /// The message.
     pub message: Message,
-    /// Set with the first message of a process.
+    /// Set with the first message of a peer's process.
     pub start: Option<PeerStart>,
-    /// Whether the sender has run for longer than this gateway.
+    /// Age of the sender's process compared with this one.
     pub sender_age: PeerAge,
 }
 
-/// Why a message of a peer is ignored.
+/// The reason for which a received message is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum IgnoredMessage {
-    /// It cannot be decoded.
-    #[error("malformed")]
+    /// The bytes cannot be decoded.
+    #[error("message is malformed")]
     Malformed,
-    /// The sender is this gateway, or none of the fleet.
-    #[error("from no peer of the fleet")]
+    /// The sender is this gateway, or not a gateway of the fleet.
+    #[error("sender is not a peer of this gateway")]
     UnknownSender,
-    /// It is from before the peer's restart, a repeat, or overtaken by a later one.
-    #[error("outdated")]
+    /// The message was sent before the peer's restart, is a duplicate, or was overtaken by a later one.
+    #[error("message is outdated")]
     Outdated,
 }
 
-/// A latency sample on its way to the peers.
+/// A latency sample queued for the next messages to any peers.
 struct QueuedSample {
-    /// How many messages carry it from now on, the next one included.
+    /// Number of further messages that include it.
     copies_left: u8,
-    /// The sample.
     sample: LatencySample,
 }
 
-/// The peers of a gateway, their outboxes, and the latency samples that go along with any message.
+/// The records of a gateway's peers with their outboxes, and the latency samples for the next messages.
 #[derive(Default)]
 pub(crate) struct PeerExchange {
-    /// The index of this gateway.
     own_id: GatewayId,
-    /// How many gateways there are.
+    /// Number of gateways in the fleet, including this one.
     gateway_count: u16,
-    /// The number that tells this process from earlier ones of this gateway.
+    /// Identifies this process among the successive processes of this gateway, see [`incarnation_of`].
     incarnation: u32,
-    /// The least time between two messages to a peer.
+    /// Minimum time between two messages to a peer.
     send_interval: Duration,
-    /// The record of each peer.
     peers: BTreeMap<u16, Peer>,
-    /// Peers with something in their outbox.
+    /// Peers whose outbox is not empty.
     nonempty_outboxes: BTreeSet<u16>,
-    /// Samples for the next messages, failures first, and the latest before older ones.
+    /// Samples for the next messages: failures first, then the latest first.
     latency_samples: VecDeque<QueuedSample>,
 }
 
 impl PeerExchange {
-    /// The exchange of a gateway that started at a time, and was not heard by any peer yet.
+    /// Creates the exchange of a gateway that starts at `started_at`.
     pub(crate) fn new(settings: &Settings, started_at: Instant, send_interval: Duration) -> PeerExchange {
         PeerExchange {
             own_id: settings.own_id,
@@ -75,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// Why the message has to be ignored.
+    /// The reason for which the message has to be ignored.
     pub(crate) fn receive(
         &mut self,
         now: Instant,
@@ -97,7 +93,7 @@
         Ok(ReceivedMessage { message, start, sender_age })
     }
 
-    /// The bytes of the next message to a peer, with the latest latency samples.
+    /// Encodes the next message to a peer, with the queued latency samples.
     pub(crate) fn next_message(&mut self, now: Instant, to: u16, body: Body) -> Vec<u8> {
         let samples = self.take_samples();
         let (incarnation, send_interval) = (self.incarnation, self.send_interval);
@@ -107,24 +103,26 @@
         Message { incarnation, sequence: peer.sent_messages, samples, body }.encode()
     }
 
-    /// Whether an answer is for this process. One for an earlier process of this gateway would count twice.
+    /// Returns whether an answer is addressed to this process. An answer to an earlier process of this
+    /// gateway would be counted twice.
     pub(crate) fn is_for_this_process(&self, receiver_incarnation: u32) -> bool {
         receiver_incarnation == self.incarnation
     }
 
-    /// When a message of a peer last came.
+    /// Returns when the last message of a peer was received.
     pub(crate) fn last_received_at(&self, peer: u16) -> Option<Instant> {
         self.peers.get(&peer).and_then(|peer| peer.last_received_at)
     }
 
-    /// Whether all other gateways are known, and started within a time of this one.
+    /// Returns whether a message of every other gateway was received, and all started within `window` of this
+    /// one.
     pub(crate) fn whole_fleet_started_within(&self, window: Duration) -> bool {
         let fleet_size = usize::from(self.gateway_count.max(1));
         let started_together = |peer: &Peer| peer.started_within(window, self.incarnation);
         self.peers.len() + 1 == fleet_size && self.peers.values().all(started_together)
     }
 
-    /// Puts a customer into a peer's outbox. A request for a grant that waits there already still goes.
+    /// Adds a customer to a peer's outbox. A grant request that is already queued there is kept.
     pub(crate) fn queue(&mut self, peer: u16, customer: CustomerId, entry: OutboxEntry) {
         let queued = self.peer_mut(peer).outbox.entry(customer).or_default();
         queued.copies_left = entry.copies_left;
@@ -132,14 +130,15 @@
         self.nonempty_outboxes.insert(peer);
     }
 
-    /// Puts a customer into a peer's outbox for one message, in place of what waits there.
+    /// Adds a customer to a peer's outbox for one message, in place of an entry that is already queued.
     pub(crate) fn queue_single_report(&mut self, peer: u16, customer: CustomerId) {
         let entry = OutboxEntry { copies_left: 1, requests_grant: false };
         self.peer_mut(peer).outbox.insert(customer, entry);
         self.nonempty_outboxes.insert(peer);
     }
 
-    /// Takes from a peer's outbox what the next message carries; none for a peer that has no record.
+    /// Takes the entries of the next message from a peer's outbox. Returns `None` for a peer without a
+    /// record.
     pub(crate) fn next_batch(&mut self, peer: u16) -> Option<Vec<(CustomerId, OutboxEntry)>> {
         let record = self.peers.get_mut(&peer)?;
         let batch = record.next_batch(MAX_USAGE_REPORTS);
@@ -149,18 +148,19 @@
         Some(batch)
     }
 
-    /// Whether the interval since the last message to a peer has passed.
+    /// Returns whether the send interval since the last message to a peer has passed.
     pub(crate) fn may_send(&self, now: Instant, peer: u16) -> bool {
         self.peers.get(&peer).is_none_or(|peer| peer.next_send_at <= now)
     }
 
-    /// Peers with something in their outbox that may be sent a message now.
+    /// Returns the peers with a non-empty outbox whose send interval has passed.
     pub(crate) fn ready_to_send(&self, now: Instant) -> Vec<u16> {
         let is_ready = |peer: &u16| self.peers.get(peer).is_some_and(|peer| peer.next_send_at <= now);
         self.nonempty_outboxes.iter().copied().filter(is_ready).collect()
     }
 
-    /// Puts a sample before older ones, failures before others; the last ones go where there are too many.
+    /// Queues a sample before older ones, and failures before other samples. The last ones beyond
+    /// [`MAX_SAMPLES`] are dropped.
     pub(crate) fn queue_sample(&mut self, sample: LatencySample, copies_left: u8) {
         let is_failure = |queued: &&QueuedSample| queued.sample.objective_ratio.is_none();
         let failures = self.latency_samples.iter().filter(is_failure).count();
@@ -169,7 +169,7 @@
         self.latency_samples.truncate(MAX_SAMPLES);
     }
 
-    /// The latency samples that the next message carries. Each goes with several messages.
+    /// Returns the latency samples for the next message, and removes those without copies left.
     fn take_samples(&mut self) -> Vec<LatencySample> {
         let samples = self.latency_samples.iter().map(|queued| queued.sample).collect();
         self.latency_samples.iter_mut().for_each(|queued| queued.copies_left -= 1);
@@ -177,7 +177,7 @@
         samples
     }
 
-    /// The record of a peer, a new one if there was none.
+    /// Returns the record of a peer, creating it if necessary.
     fn peer_mut(&mut self, peer: u16) -> &mut Peer {
         self.peers.entry(peer).or_default()
     }
--- a/src/gossip/exchange/tests.rs
+++ b/src/gossip/exchange/tests.rs
@@ -2,18 +2,18 @@
 
 use super::*;
 
-/// When the gateways under test start.
+/// Start time of the gateways under test.
 const START: Instant = Instant::from_micros(1_000_000_000);
-/// The least time between two messages to a peer.
+/// Minimum time between two messages to a peer.
 const INTERVAL: Duration = Duration::from_millis(50);
 
-/// The exchange of a gateway of a fleet of three.
+/// Returns the exchange of a gateway in a fleet of three.
 fn exchange(own_id: u16, started_at: Instant) -> PeerExchange {
     let settings = Settings { gateway_count: 3, own_id: GatewayId(own_id), ..Settings::default() };
     PeerExchange::new(&settings, started_at, INTERVAL)
 }
 
-/// A message without any content.
+/// Returns the body of a message without entries.
 fn empty() -> Body {
     Body::UsageReports(Vec::new())
 }
@@ -22,87 +22,90 @@
     LatencySample { backend_tag: 1, class: 0, objective_ratio }
 }
 
-/// A peer's messages are handled once each, in their order. A repeat, what is not a message, and what comes
-/// from this gateway's own index or from none of the fleet is ignored, each for its own reason.
+/// Each message of a peer is handled once. Duplicates, malformed messages, and messages from this gateway's
+/// own index or from outside the fleet are ignored, each with its own reason.
 #[test]
-fn messages_that_are_not_a_peers_next_one_are_ignored() {
-    let (mut here, mut peer) = (exchange(0, START), exchange(1, START));
+fn duplicate_malformed_and_foreign_messages_are_ignored() {
+    let (mut local, mut peer) = (exchange(0, START), exchange(1, START));
     let bytes = peer.next_message(START, 0, empty());
-    let received = here.receive(START, GatewayId(1), &bytes).expect("a peer's first message");
+    let received = local.receive(START, GatewayId(1), &bytes).expect("first message of the peer");
     assert_eq!((received.start, received.sender_age), (Some(PeerStart::FirstHeard), PeerAge::NotOlder));
-    assert_eq!(here.receive(START, GatewayId(1), &bytes), Err(IgnoredMessage::Outdated));
-    assert_eq!(here.receive(START, GatewayId(1), b"?"), Err(IgnoredMessage::Malformed));
+    assert_eq!(local.receive(START, GatewayId(1), &bytes), Err(IgnoredMessage::Outdated));
+    assert_eq!(local.receive(START, GatewayId(1), b"?"), Err(IgnoredMessage::Malformed));
     for sender in [0, 3] {
-        assert_eq!(here.receive(START, GatewayId(sender), &bytes), Err(IgnoredMessage::UnknownSender));
+        assert_eq!(local.receive(START, GatewayId(sender), &bytes), Err(IgnoredMessage::UnknownSender));
     }
     let next = peer.next_message(START, 0, empty());
-    let received = here.receive(START, GatewayId(1), &next).expect("its second message");
+    let received = local.receive(START, GatewayId(1), &next).expect("second message of the peer");
     assert_eq!(received.start, None);
 }
 
-/// A peer restarts, and its messages count from one again under another incarnation. An answer to the process
-/// before is not for the new one.
+/// A peer restarts with a new incarnation. Answers to its previous process must not be used by the new one.
 #[test]
-fn a_restart_is_known_by_the_incarnation() {
-    let (mut here, mut before) = (exchange(0, START), exchange(1, START));
+fn restart_is_detected_by_the_incarnation() {
+    let (mut local, mut before) = (exchange(0, START), exchange(1, START));
     let restarted_at = START + Duration::from_secs(60);
     let mut after = exchange(1, restarted_at);
-    here.receive(START, GatewayId(1), &before.next_message(START, 0, empty())).expect("its first message");
+    local
+        .receive(START, GatewayId(1), &before.next_message(START, 0, empty()))
+        .expect("first message of the previous process");
     let bytes = after.next_message(restarted_at, 0, empty());
-    let received = here.receive(restarted_at, GatewayId(1), &bytes).expect("its first after the restart");
+    let received =
+        local.receive(restarted_at, GatewayId(1), &bytes).expect("first message after the restart");
     assert_eq!(received.start, Some(PeerStart::Restarted));
     let previous_incarnation = incarnation_of(START);
     assert!(before.is_for_this_process(previous_incarnation));
     assert!(!after.is_for_this_process(previous_incarnation));
 }
 
-/// The gateways of a fleet start within a second and a half. That all did is known only once all were heard.
+/// The gateways of a fleet start within 1.5 s. Without a message from each of them, a gateway cannot assume
+/// that all started together.
 #[test]
-fn a_fleet_started_together_once_all_of_it_were_heard() {
-    let mut here = exchange(0, START);
+fn fleet_start_needs_a_message_from_every_peer() {
+    let mut local = exchange(0, START);
     let window = Duration::from_millis(1500);
-    let mut hear = |own_id: u16, started_after| {
+    let mut receive_first_message = |own_id: u16, started_after| {
         let mut peer = exchange(own_id, START + Duration::from_millis(started_after));
         let bytes = peer.next_message(START, 0, empty());
-        here.receive(START, GatewayId(own_id), &bytes).expect("a peer's first message");
-        here.whole_fleet_started_within(window)
+        local.receive(START, GatewayId(own_id), &bytes).expect("first message of the process");
+        local.whole_fleet_started_within(window)
     };
-    assert!(!hear(1, 1500), "one was not heard yet");
-    assert!(hear(2, 0));
-    assert!(!hear(2, 1501), "it restarted");
+    assert!(!receive_first_message(1, 1500), "no message from gateway 2 yet");
+    assert!(receive_first_message(2, 0));
+    assert!(!receive_first_message(2, 1501), "gateway 2 restarted too late");
 }
 
-/// A customer's usage changes several times while a message to an owner has to wait. The report goes once,
-/// with the request for a grant that one of the changes needed, and not before the interval since the last
-/// message has passed.
+/// A customer's usage changes several times within the send interval. The report has to be sent once, after
+/// the interval, and with the grant request of one of the changes.
 #[test]
-fn an_outbox_holds_one_entry_for_each_customer() {
-    let mut here = exchange(0, START);
-    here.next_message(START, 1, empty());
+fn outbox_merges_the_entries_of_a_customer() {
+    let mut local = exchange(0, START);
+    local.next_message(START, 1, empty());
     let usage = OutboxEntry { copies_left: 1, requests_grant: false };
     let grant_request = OutboxEntry { copies_left: 1, requests_grant: true };
     for entry in [usage, grant_request, usage] {
-        here.queue(1, CustomerId(7), entry);
+        local.queue(1, CustomerId(7), entry);
     }
-    assert_eq!((here.ready_to_send(START), here.may_send(START, 1)), (vec![], false));
-    assert_eq!((here.ready_to_send(START + INTERVAL), here.may_send(START + INTERVAL, 1)), (vec![1], true));
-    let batch = here.next_batch(1).expect("a peer with a record");
+    assert_eq!((local.ready_to_send(START), local.may_send(START, 1)), (vec![], false));
+    assert_eq!((local.ready_to_send(START + INTERVAL), local.may_send(START + INTERVAL, 1)), (vec![1], true));
+    let batch = local.next_batch(1).expect("gateway 1 has a record");
     assert_eq!(
         batch.iter().map(|(id, entry)| (*id, entry.requests_grant)).collect::<Vec<_>>(),
         [(CustomerId(7), true)]
     );
-    assert!(here.ready_to_send(START + INTERVAL).is_empty());
+    assert!(local.ready_to_send(START + INTERVAL).is_empty());
 }
 
-/// Failures are what peers have to know first. They stand before other samples, and each sample goes with as
-/// many messages as it was queued for.
+/// Peers need failures first, to avoid the backend. Each sample is sent with as many messages as it was
+/// queued for.
 #[test]
 fn failures_are_sent_before_other_samples() {
-    let mut here = exchange(0, START);
-    here.queue_sample(sample(Some(1.0)), 2);
-    here.queue_sample(sample(None), 1);
+    let mut local = exchange(0, START);
+    local.queue_sample(sample(Some(1.0)), 2);
+    local.queue_sample(sample(None), 1);
     let mut latencies_sent = || {
-        let message = Message::decode(&here.next_message(START, 1, empty())).expect("a message");
+        let message =
+            Message::decode(&local.next_message(START, 1, empty())).expect("message can be decoded");
         message.samples.iter().map(|sample| sample.objective_ratio).collect::<Vec<_>>()
     };
     assert_eq!(latencies_sent(), [None, Some(1.0)]);
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -1,77 +1,77 @@
-//! The messages between gateways, with typed fields. [`super::encoding`] turns them into bytes and back.
+//! The messages between gateways. [`super::encoding`] encodes and decodes them.
 
 use super::TokenLevel;
 use crate::state::GOLDEN_RATIO_MULTIPLIER;
 use crate::{CustomerId, Instant};
 
-/// A customer's usage, as one gateway counts it since its start. It goes to the owners of the customer's
+/// A customer's usage at one gateway since that gateway's start, reported to the owners of the customer's
 /// quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct UsageReport {
-    /// The customer.
     pub customer: CustomerId,
     /// Index of the customer's plan.
     pub plan: u8,
     /// Units forwarded since the gateway's start, see [`super::wrap_total`].
     pub total_units: u16,
-    /// Attempts in flight, 127 at most.
+    /// Number of attempts in flight, at most 127.
     pub in_flight: u8,
-    /// How full the gateway takes the quota's token bucket to be.
+    /// Fill level of the quota's token bucket by the gateway's estimate.
     pub tokens_level: TokenLevel,
-    /// The first gateway of the customer's set.
+    /// Index of the first gateway of the customer's gateway set.
     pub gateway_set_start: u16,
-    /// How many gateways follow each other in the set.
+    /// Number of consecutive gateways in the set.
     pub gateway_set_size: u16,
-    /// Whether a [`QuotaGrant`] is requested, for `requested_units`.
+    /// Whether a [`QuotaGrant`] of `requested_units` is requested.
     pub requests_grant: bool,
-    /// Units that the waiting request needs, rounded up to what messages count in, 63.75 at most.
+    /// Units that the waiting request needs, rounded up to wire units, at most 63.75.
     pub requested_units: f64,
-    /// Whether as many units of the hard limit are requested, too.
+    /// Whether `requested_units` of the hard limit are requested as well.
     pub needs_hard_limit_grant: bool,
 }
 
-/// An owner's answer to a [`UsageReport`] that requests a grant: what it knows of the customer's usage.
+/// A quota owner's answer to a [`UsageReport`] that requests a grant: the customer's usage as the owner
+/// counts it.
 ///
-/// It grants or refuses, and does not say which: the receiver tells by whether the tokens and the attempts in
-/// flight leave room for its request.
+/// The answer has no field for granted or refused: the receiver decides by whether the tokens and the
+/// attempts in flight leave room for its request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct QuotaGrant {
-    /// The customer.
     pub customer: CustomerId,
-    /// The receiver's own total as last reported: `tokens` doesn't include newer usage yet.
+    /// The receiver's own total as last reported; later usage is not yet deducted from `tokens`.
     pub receiver_total: u16,
-    /// Units in the quota's token bucket; negative while usage beyond the quota counts against it.
+    /// Units in the quota's token bucket; negative while the customer has exceeded the quota.
     pub tokens: f64,
-    /// Units a second of all gateways but the receiver. For a plan with a concurrency quota a designated
-    /// owner gives requests for grants a second, the receiver's included, plus its own units a second.
+    /// Units per second of all gateways except the receiver. For a plan with a concurrency quota, a
+    /// designated owner sends the grant requests per second of all gateways, including the receiver, plus its
+    /// own units per second.
     pub remote_rate: f64,
-    /// Attempts in flight from all gateways but the receiver, 127 at most.
+    /// Number of attempts in flight from all gateways except the receiver, at most 127.
     pub remote_in_flight: u8,
-    /// Units of the hard limit that the receiver may use, in wire units, 63.75 at most.
+    /// Units of the hard limit that the receiver may use, rounded down to wire units, at most 63.75.
     pub hard_limit_grant: f64,
 }
 
-/// How one attempt at a backend went.
+/// The latency or failure of one attempt at a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LatencySample {
-    /// The backend, by its [`backend_tag`].
+    /// The backend's [`backend_tag`].
     pub backend_tag: u32,
-    /// The request's class.
+    /// Index of the request's class.
     pub class: u8,
-    /// Latency as a share of the class's latency objective; none if no answer or an error came.
+    /// Ratio of the latency to the class's latency objective; `None` for an error or a missing answer.
     pub objective_ratio: Option<f64>,
 }
 
-/// What a message is about, besides latency samples.
+/// The content of a message besides latency samples.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Body {
-    /// The sender's usage, for owners of the customers' quotas.
+    /// The sender's usage, addressed to an owner of the customers' quotas.
     UsageReports(Vec<UsageReport>),
-    /// An owner's answers to usage reports that requested grants.
+    /// A quota owner's answers to usage reports that request grants.
     QuotaGrants {
-        /// The incarnation of the receiver that sent the requests; a later one must not use the grants.
+        /// Incarnation of the receiver that sent the requests; a later one must not use the grants.
         receiver_incarnation: u32,
-        /// One for each request.
+        /// One grant for each request.
         grants: Vec<QuotaGrant>,
     },
 }
@@ -79,23 +79,24 @@
 /// A message between two gateways.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Message {
-    /// The sender's incarnation, see [`incarnation_of`].
+    /// Incarnation of the sender, see [`incarnation_of`].
     pub incarnation: u32,
-    /// Counts the sender's messages to this receiver, wrapping.
+    /// Number of messages from the sender to this receiver, wrapping.
     pub sequence: u16,
-    /// How the sender's latest attempts went.
+    /// Latencies and failures of the sender's latest attempts.
     pub samples: Vec<LatencySample>,
-    /// What the message is about.
     pub body: Body,
 }
 
-/// The number that tells a gateway from the same gateway after a restart: the millisecond of its start by its
-/// wall clock, wrapping. A later one may be less, since wall clocks are stepped.
+/// Returns the incarnation of a gateway's process: its start time by the wall clock in milliseconds,
+/// wrapping.
+///
+/// A later incarnation may have a lower number, since wall clocks can be set back.
 pub(crate) fn incarnation_of(started_at: Instant) -> u32 {
     (started_at.as_micros() / 1000) as u32
 }
 
-/// A short name for a backend, 24 bits of a hash of its id.
+/// Returns the tag of a backend in messages: 24 bits of a hash of its id.
 pub(crate) fn backend_tag(id: u64) -> u32 {
     (id.wrapping_mul(GOLDEN_RATIO_MULTIPLIER) >> 40) as u32
 }
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of a peer, and what waits to be sent to it.
+//! The record that a gateway keeps of each peer, with the peer's outbox.
 
 use crate::{CustomerId, Duration, Instant};
 use std::collections::BTreeMap;
@@ -6,83 +6,86 @@
 /// A customer whose usage waits to be reported to a peer.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct OutboxEntry {
-    /// How many messages carry it from now on, the next one included.
+    /// Number of further messages that include it.
     pub copies_left: u8,
     /// Whether the next message requests a grant.
     pub requests_grant: bool,
 }
 
-/// How a process of a peer came to be heard for the first time.
+/// The circumstances of the first message from a peer's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerStart {
-    /// No earlier process of the peer was known.
+    /// No message of an earlier process was received.
     FirstHeard,
-    /// It follows another one, whose messages were heard.
+    /// Messages of an earlier process were received.
     Restarted,
 }
 
-/// Whether a peer's process has run for longer than the one here.
+/// The age of a peer's process compared with this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerAge {
-    /// It started before this one.
+    /// The peer's process started before this one.
     Older,
-    /// It started with this one or later.
+    /// The peer's process started at the same time as this one or later.
     NotOlder,
 }
 
-/// What the incarnation and the sequence number of a message say of it.
+/// The status of a received message by its incarnation and sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MessageStatus {
-    /// It is from before the peer's restart, a repeat, or overtaken by a later one.
+    /// Sent before the peer's restart, a duplicate, or overtaken by a later message.
     Outdated,
-    /// It is a newer one of the incarnation that is known.
+    /// A newer message of the current incarnation.
     Current,
-    /// It is the first one of an incarnation.
+    /// The first message of an incarnation.
     NewIncarnation(PeerStart),
 }
 
-/// How long a message may be on its way. After this, one of an earlier incarnation says that it still runs,
-/// and one whose sequence number seems to have gone back says that the numbers have wrapped meanwhile.
+/// Maximum network delay of a message.
+///
+/// After this time, a message of a superseded incarnation means that this process still runs, and a sequence
+/// number that is not higher means that the numbers have wrapped.
 const MAX_MESSAGE_DELAY: Duration = Duration::from_secs(1);
-/// Messages that a peer sent before the first one that came here, from which on it has run for longer than
-/// this gateway: a process that starts is heard within its first few, whatever is lost.
+/// Minimum sequence number of the first message received from a peer that started before this gateway.
+///
+/// Of a process that starts later, one of the first few messages is received even if some are lost.
 const MIN_FIRST_SEQUENCE_OF_OLDER_PEER: u16 = 16;
 
-/// An incarnation in whose place there is another one.
+/// An incarnation that was replaced by a later one.
 #[derive(Clone, Copy)]
 struct SupersededIncarnation {
-    /// Its number.
     incarnation: u32,
-    /// When the next one was first heard.
+    /// Time at which the first message of its successor was received.
     at: Instant,
 }
 
-/// A peer's record.
+/// The receive state of a peer, and its outbox.
 #[derive(Default)]
 pub(super) struct Peer {
-    /// The latest incarnation known; 0 for none. It tells processes apart and does not order them: it is read
-    /// from a wall clock, which may be stepped.
+    /// Current incarnation; 0 before the first message. Incarnations identify processes but do not order
+    /// them, since they are read from a wall clock, which can be set back.
     incarnation: u32,
-    /// The one before.
+    /// The previous incarnation.
     superseded: Option<SupersededIncarnation>,
-    /// The sequence number of the first message of this incarnation that was received.
+    /// Sequence number of the first message received of the current incarnation.
     first_sequence: u16,
-    /// The sequence number of the last message received.
+    /// Sequence number of the last message received.
     last_sequence: u16,
-    /// Messages sent to it, wrapping.
+    /// Number of messages sent to the peer, wrapping.
     pub(super) sent_messages: u16,
-    /// When a message was last received.
+    /// Time at which the last current message was received.
     pub(super) last_received_at: Option<Instant>,
-    /// When the next message may be sent.
+    /// Earliest time to send the next message.
     pub(super) next_send_at: Instant,
-    /// Where in the outbox the last message ended.
+    /// First customer of the next batch: the one after the last customer sent.
     next_customer: CustomerId,
-    /// The customers to report to it.
+    /// Customers whose usage has to be reported to the peer.
     pub(super) outbox: BTreeMap<CustomerId, OutboxEntry>,
 }
 
 impl Peer {
-    /// Records a message's incarnation and sequence number, and tells whether it is to be handled.
+    /// Records the incarnation and sequence number of a received message, and returns its status. Outdated
+    /// messages are not recorded.
     pub(super) fn receive(&mut self, incarnation: u32, sequence: u16, now: Instant) -> MessageStatus {
         let same_incarnation = incarnation == self.incarnation;
         let is_behind = sequence.wrapping_sub(self.last_sequence) as i16 <= 0;
@@ -103,14 +106,14 @@
         MessageStatus::NewIncarnation(if restarted { PeerStart::Restarted } else { PeerStart::FirstHeard })
     }
 
-    /// Whether a message of this incarnation may have been on its way since before the peer's restart.
+    /// Returns whether a message of this incarnation may have been delayed since before the peer's restart.
     fn was_recently_superseded(&self, incarnation: u32, now: Instant) -> bool {
         let superseded = self.superseded.filter(|superseded| superseded.incarnation == incarnation);
         superseded.is_some_and(|superseded| now < superseded.at + MAX_MESSAGE_DELAY)
     }
 
-    /// Whether the peer's process started before the one here, as far as messages tell; wall clocks decide
-    /// only where they do not.
+    /// Compares the age of the peer's process with this one by the messages received. The wall clocks decide
+    /// only where the messages do not.
     pub(super) fn age(&self, own_incarnation: u32) -> PeerAge {
         let restarted_since = self.superseded.is_some();
         let missed_first_messages = self.first_sequence >= MIN_FIRST_SEQUENCE_OF_OLDER_PEER;
@@ -121,13 +124,15 @@
         }
     }
 
-    /// Whether the peer's process and the one here started within a time of each other, by their wall clocks.
+    /// Returns whether the peer's process and this one started within `window` of each other, by their wall
+    /// clocks.
     pub(super) fn started_within(&self, window: Duration, own_incarnation: u32) -> bool {
         u64::from(self.incarnation.abs_diff(own_incarnation)) <= window.as_millis()
     }
 
-    /// Takes from the outbox what the next message carries, `max_customers` customers at most. It goes round from
-    /// where the last one ended: otherwise the last customers would never be sent when more change than fit.
+    /// Takes the entries of the next message from the outbox, at most `max_customers`. Each batch continues
+    /// after the previous one and wraps around: otherwise the last customers would never be sent while more
+    /// of them change than fit in a message.
     pub(super) fn next_batch(&mut self, max_customers: usize) -> Vec<(CustomerId, OutboxEntry)> {
         let rotated = self.outbox.range(self.next_customer..).chain(self.outbox.range(..self.next_customer));
         let batch: Vec<_> = rotated.take(max_customers).map(|(id, entry)| (*id, *entry)).collect();
--- a/src/gossip/peer/tests.rs
+++ b/src/gossip/peer/tests.rs
@@ -7,9 +7,10 @@
     Instant::from_micros(micros)
 }
 
-/// Datagrams are repeated and overtake each other. Each is handled once, and none after a later one; sequence numbers wrap.
+/// The network duplicates and reorders datagrams, and sequence numbers wrap. Each message is handled once,
+/// and none after a later one.
 #[test]
-fn repeats_and_overtaken_messages_are_outdated() {
+fn duplicate_and_reordered_messages_are_outdated() {
     let mut peer = Peer::default();
     assert_eq!(peer.receive(5, 65_535, at(10)), MessageStatus::NewIncarnation(PeerStart::FirstHeard));
     assert_eq!(peer.receive(5, 65_535, at(20)), MessageStatus::Outdated, "a repeat");
@@ -19,10 +20,10 @@
     assert_eq!(peer.last_received_at, Some(at(40)));
 }
 
-/// A peer restarts and counts its messages from one. They are handled, while those of the process before that are still on
-/// their way are not.
+/// A restarted peer numbers its messages from one. They have to be handled, and delayed messages of the
+/// previous process have to be ignored.
 #[test]
-fn a_restarted_peer_counts_its_messages_anew() {
+fn messages_of_a_restarted_peer_are_current_and_earlier_ones_outdated() {
     let mut peer = Peer::default();
     assert_eq!(peer.receive(5, 100, at(10)), MessageStatus::NewIncarnation(PeerStart::FirstHeard));
     assert_eq!(peer.receive(6, 1, at(20)), MessageStatus::NewIncarnation(PeerStart::Restarted));
@@ -30,10 +31,10 @@
     assert_eq!(peer.receive(6, 2, at(40)), MessageStatus::Current);
 }
 
-/// More customers change than a message holds. The next message begins where the last one ended, so that each customer is
-/// reported in its turn; a grant is requested with the first report alone.
+/// The outbox holds one customer more than fits in a message. If the next batch did not continue after the
+/// previous one, the last customer would not be reported. A grant is requested with the first report only.
 #[test]
-fn batches_go_round_an_outbox_with_more_than_a_message_holds() {
+fn batches_rotate_through_a_large_outbox() {
     let count = MAX_USAGE_REPORTS as u64 + 1;
     let entry = OutboxEntry { copies_left: 2, requests_grant: true };
     let outbox = (0..count).map(|id| (CustomerId(id), entry)).collect();
@@ -47,11 +48,11 @@
     assert!(!second[1].1.requests_grant, "a grant is requested once");
 }
 
-/// A machine's wall clock is set back, and its gateway restarts with a lower start number. When a higher number
-/// counted as newer, its messages were ignored until the clock had caught up, and customers could exceed their
-/// quotas through it.
+/// A machine's wall clock is set back, and its gateway restarts with a lower incarnation. If lower
+/// incarnations counted as older, its messages would be ignored until the clock caught up, and customers
+/// could exceed their quotas through it.
 #[test]
-fn a_peer_that_restarts_with_its_clock_set_back_is_heard() {
+fn messages_of_a_peer_restarted_with_its_clock_set_back_are_current() {
     let mut peer = Peer::default();
     assert_eq!(peer.receive(5_000_000, 100, at(10)), MessageStatus::NewIncarnation(PeerStart::FirstHeard));
     assert_eq!(peer.receive(5, 1, at(20)), MessageStatus::NewIncarnation(PeerStart::Restarted));
@@ -59,22 +60,22 @@
     assert_eq!(peer.receive(5, 2, at(40)), MessageStatus::Current);
 }
 
-/// A peer is cut off for forty minutes and sends so many messages meanwhile that its sequence numbers seem to have
-/// gone back. Its messages were ignored for as long again after the network was back, and what customers used
-/// through it stayed unknown.
+/// A peer is partitioned for forty minutes and sends enough messages for its sequence numbers to wrap past
+/// half their range. If its messages then counted as outdated, usage through it would stay unknown for as
+/// long again.
 #[test]
-fn a_peer_that_was_cut_off_for_long_is_heard_at_once() {
+fn messages_after_a_long_partition_are_current() {
     let mut peer = Peer::default();
     peer.receive(5, 100, at(10));
-    let after_the_cut = at(10) + Duration::from_secs(40 * 60);
-    assert_eq!(peer.receive(5, 100 + 40_000, after_the_cut), MessageStatus::Current);
+    let after_partition = at(10) + Duration::from_secs(40 * 60);
+    assert_eq!(peer.receive(5, 100 + 40_000, after_partition), MessageStatus::Current);
     assert_eq!(
-        peer.receive(5, 100 + 39_999, after_the_cut + Duration::from_micros(10)),
+        peer.receive(5, 100 + 39_999, after_partition + Duration::from_micros(10)),
         MessageStatus::Outdated,
         "overtaken"
     );
     assert_eq!(
-        peer.receive(5, 100 + 40_001, after_the_cut + Duration::from_micros(20)),
+        peer.receive(5, 100 + 40_001, after_partition + Duration::from_micros(20)),
         MessageStatus::Current
     );
 }
--- a/src/gossip/units.rs
+++ b/src/gossip/units.rs
@@ -1,82 +1,82 @@
-//! The representation of quantities in messages: units as quarters, token levels and latencies as steps.
+//! Quantities as encoded in messages: units in quarters, token levels and latencies in steps.
 
-/// Messages count units in quarters.
+/// Number of wire units per unit.
 const WIRE_UNITS_PER_UNIT: f64 = 4.0;
-/// Steps of a [`TokenLevel`]; the last one is a full bucket.
+/// Number of steps of a [`TokenLevel`]; the last one is a full bucket.
 const LEVEL_STEPS: f64 = 254.0;
-/// The smallest divisor, for a bucket that holds nothing, and the smallest latency, which has a logarithm.
+/// Lower bound of divisors and of arguments of logarithms, so that both are defined for 0.
 const EPSILON: f64 = 1e-9;
-/// Latencies are sent in steps of a fifth of an octave ...
+/// Number of latency steps per octave.
 const LATENCY_STEPS_PER_OCTAVE: f64 = 5.0;
-/// ... from five octaves below the latency objective ...
+/// Distance of the first latency step below the latency objective, in octaves.
 const OCTAVES_BELOW_OBJECTIVE: f64 = 5.0;
-/// ... up to this step.
+/// Step of the highest latencies.
 const LAST_LATENCY_STEP: f64 = 30.0;
-/// The step of an attempt without an answer.
+/// Step that stands for an error or a missing answer.
 const FAILURE_STEP: u8 = 31;
 
-/// Units as a number of wire units, not rounded yet.
+/// Converts units to wire units, without rounding.
 pub(crate) fn to_wire_units(units: f64) -> f64 {
     units * WIRE_UNITS_PER_UNIT
 }
 
-/// The units that a number of wire units stands for.
+/// Converts wire units to units.
 pub(crate) fn from_wire_units(wire_units: impl Into<f64>) -> f64 {
     wire_units.into() / WIRE_UNITS_PER_UNIT
 }
 
-/// A total of units as messages carry it: in wire units, wrapping.
+/// Converts a total of units to wire units, rounded and wrapping.
 pub(crate) fn wrap_total(units: f64) -> u16 {
     (to_wire_units(units).round() as i64) as u16
 }
 
-/// Units between two wrapped totals; negative if the later one is less.
+/// Returns the units between two wrapped totals; negative if the later total is lower.
 pub(crate) fn wrapping_delta(earlier: u16, later: u16) -> f64 {
     from_wire_units(later.wrapping_sub(earlier) as i16)
 }
 
-/// Rounds units down to what a grant can carry.
+/// Rounds units down to an amount that a grant can encode, from 0 to 63.75.
 pub(crate) fn floor_to_wire_units(units: f64) -> f64 {
     from_wire_units(to_wire_units(units.clamp(0.0, from_wire_units(u8::MAX))).floor())
 }
 
-/// How full a token bucket is, in 254 steps; or that the sender doesn't know it.
+/// The fill level of a token bucket in 254 steps, or unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TokenLevel(u8);
 
 impl TokenLevel {
-    /// The sender does not know the level.
+    /// The level is unknown to the sender.
     pub(crate) const UNKNOWN: TokenLevel = TokenLevel(u8::MAX);
 
-    /// The level of a bucket with a capacity of `burst`; an overdrawn one counts as empty.
+    /// Returns the level of a bucket with a capacity of `burst`. An overdrawn bucket counts as empty.
     pub(crate) fn from_tokens(tokens: f64, burst: f64) -> TokenLevel {
         TokenLevel((tokens / burst.max(EPSILON) * LEVEL_STEPS).clamp(0.0, LEVEL_STEPS) as u8)
     }
 
-    /// The tokens in a bucket with a capacity of `burst`, if the level is known.
+    /// Returns the tokens in a bucket with a capacity of `burst`, or `None` if the level is unknown.
     pub(crate) fn tokens(self, burst: f64) -> Option<f64> {
         (self != TokenLevel::UNKNOWN).then(|| f64::from(self.0) / LEVEL_STEPS * burst)
     }
 
-    /// The level that a message's byte stands for.
+    /// Decodes a level from a byte of a message.
     pub(super) fn from_byte(byte: u8) -> TokenLevel {
         TokenLevel(byte)
     }
 
-    /// The level as a byte of a message.
+    /// Encodes the level as a byte of a message.
     pub(super) fn to_byte(self) -> u8 {
         self.0
     }
 }
 
-/// The step, in five bits, for a latency as a share of the objective; none is a failure.
+/// Returns the five-bit step of a latency relative to the objective; `None` is a failure.
 pub(super) fn latency_step(objective_ratio: Option<f64>) -> u8 {
     let Some(latency) = objective_ratio else { return FAILURE_STEP };
     let octaves = latency.max(EPSILON).log2() + OCTAVES_BELOW_OBJECTIVE;
     (octaves * LATENCY_STEPS_PER_OCTAVE).round().clamp(0.0, LAST_LATENCY_STEP) as u8
 }
 
-/// The latency that a step stands for; none for a failure.
+/// Returns the latency of a step relative to the objective; `None` for a failure.
 pub(super) fn latency_of_step(step: u8) -> Option<f64> {
     let octaves = f64::from(step) / LATENCY_STEPS_PER_OCTAVE - OCTAVES_BELOW_OBJECTIVE;
     (step < FAILURE_STEP).then(|| octaves.exp2())
