--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,8 +1,8 @@
-//! Load balancing: which backend gets an attempt.
+//! Load balancing: chooses the backend for an attempt.
 //!
-//! A choice goes through a [`Subset`] of the ready backends, draws candidates by their weight, and takes the
-//! one with the least cost ([`Candidate`]). [`SlowStart`] says whether a backend that came up a short
-//! time ago may be sent an attempt.
+//! A choice takes a [`Subset`] of the ready backends, draws candidates by weight, and selects the one with
+//! the lowest cost ([`Candidate`]). [`SlowStart`] limits the attempts sent to backends that started
+//! recently.
 
 mod candidate;
 mod reported_queue;
@@ -18,78 +18,72 @@
 use slow_start::SlowStart;
 use subset::Subset;
 
-/// The weight of a backend that is neither larger nor faster than others. A candidate is drawn with its
-/// weight as the probability: below 1 a backend that is better than most is drawn more often than they are.
+/// Weight of a backend of mean size and speed. A candidate is drawn with its weight as the probability; a
+/// value below 1 lets better backends be drawn more often than average ones.
 const MEAN_WEIGHT: f64 = 0.5;
 /// Mixes the step of a choice into the seed of its draws.
 const STEP_SALT: Salt = Salt::from_bit(40);
 
-/// Why no backend was chosen. Where several reasons hold, it is the last of them in this order.
+/// Reason why no backend was chosen. If several reasons apply, the last one in this order is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum NoBackend {
-    /// The idempotency key may be forgotten before an attempt could begin.
+    /// The idempotency key may expire before an attempt could begin.
     KeyExpired,
-    /// No backend takes work.
+    /// No backend accepts new attempts.
     NoneReady,
-    /// No backend that takes work is known to remember the idempotency key.
+    /// No ready backend shares the idempotency key.
     OutOfScope,
-    /// None was drawn, by chance.
+    /// No backend was drawn.
     NotDrawn,
-    /// Those that were drawn are in slow start, and have been sent as much as they can bear.
+    /// The backends that were drawn are in slow start and have received their maximum number of attempts.
     SlowStart,
 }
 
-/// What a choice depends on.
+/// Input of the choice of a backend.
 #[derive(Clone, Copy)]
 pub(crate) struct ChoiceContext<'a> {
-    /// The time.
     pub now: Instant,
-    /// Another number for each choice, by which its draws are made.
+    /// Seed of the draws; differs for each choice.
     pub seed: u64,
-    /// The class of the request.
     pub class: usize,
-    /// The request's attempts so far.
     pub attempts: &'a [Attempt],
-    /// Where the attempt may go.
+    /// Backends that the attempt may use.
     pub scope: &'a RetryScope,
-    /// The backends, with their load and health.
+    /// All backends, with their load and health.
     pub backends: &'a BackendTable,
-    /// Knows how the health of a backend and of its zone is to be read.
+    /// Provides the failure rates of backends and zones.
     pub outlier_detector: &'a OutlierDetector,
 }
 
 /// Chooses backends for attempts.
 #[derive(Default)]
 pub(crate) struct LoadBalancer {
-    /// The zone of this gateway.
+    /// Zone of this gateway.
     zone: u8,
     /// Gateways that share the backends.
     fleet_size: u64,
-    /// Limits what is sent to backends that came up a short time ago.
+    /// Limits the attempts sent to backends that started recently.
     slow_start: SlowStart,
 }
 
-/// What a choice has found so far.
+/// Intermediate result of a choice.
 struct Search {
-    /// The cheapest candidate.
+    /// Candidate with the lowest cost.
     best: Option<BackendId>,
-    /// Its cost.
     best_cost: f64,
     /// Candidates that are not suspect.
     healthy: usize,
-    /// Candidates that are.
     suspect: usize,
-    /// Why backends were not candidates; [`NoBackend::NoneReady`] while none was looked at.
+    /// Reason why backends were not candidates; [`NoBackend::NoneReady`] until one was skipped.
     skipped: NoBackend,
 }
 
 impl Search {
-    /// Nothing is found yet.
     fn new() -> Search {
         Search { best: None, best_cost: f64::MAX, healthy: 0, suspect: 0, skipped: NoBackend::NoneReady }
     }
 
-    /// Compares a candidate with the best one so far.
+    /// Replaces the best candidate if this one costs less, and counts it as healthy or suspect.
     fn add(&mut self, backend: BackendId, candidate: &Candidate) {
         let cost = candidate.cost();
         if cost < self.best_cost {
@@ -100,19 +94,19 @@
         self.healthy += usize::from(!is_suspect);
     }
 
-    /// Passes over a backend that is no candidate.
+    /// Records why a backend is not a candidate.
     fn skip(&mut self, reason: NoBackend) {
         self.skipped = self.skipped.max(reason);
     }
 }
 
 impl LoadBalancer {
-    /// The balancer of a gateway that has sent nothing yet.
+    /// Creates the load balancer of a gateway that has sent nothing yet.
     pub(crate) fn new(settings: &Settings, fleet_size: u64) -> LoadBalancer {
         LoadBalancer { zone: settings.zone, fleet_size, slow_start: SlowStart::new(settings, fleet_size) }
     }
 
-    /// Records that an attempt is sent, to whichever backend.
+    /// Records that an attempt is sent, to any backend.
     pub(crate) fn record_send(&mut self, now: Instant) {
         self.slow_start.record_send(now);
     }
@@ -137,7 +131,8 @@
         search.best.ok_or(search.skipped)
     }
 
-    /// What the cost of a backend depends on, or why it is no candidate.
+    /// Returns the properties of a backend that determine its cost, or the reason why it is not a
+    /// candidate.
     fn candidate(
         &self,
         backend: &Backend,
@@ -173,8 +168,9 @@
         })
     }
 
-    /// How much of the load a backend should get: its present capacity over its latency, relative to the mean
-    /// capacity of the ready backends. A backend that is as large and fast as the mean has [`MEAN_WEIGHT`].
+    /// Returns the share of the load that a backend should receive: its current capacity divided by its
+    /// latency, relative to the mean capacity of the ready backends. A backend of mean size and speed has
+    /// [`MEAN_WEIGHT`].
     fn weight(&self, backend: &Backend, context: &ChoiceContext<'_>, subset: &Subset) -> f64 {
         let capacity = backend.size * self.slow_start.capacity_share(backend, context.now);
         let throughput = capacity / backend.health.relative_latency();
--- a/src/policy/load_balancing/slow_start.rs
+++ b/src/policy/load_balancing/slow_start.rs
@@ -1,44 +1,44 @@
-//! Slow start: a backend that came up a short time ago bears a part of its capacity only, and falls over when
-//! sent more.
+//! Slow start: a backend that started recently has only part of its capacity, and breaks down under more
+//! load.
 
 use crate::state::{unit_draw, Backend, DecayingRate, Salt, MICROS_PER_SECOND};
 use crate::{Duration, Instant, Settings};
 use std::collections::VecDeque;
 
-/// Time constant of the rate of sends by which the fair share of a backend is computed.
+/// Time constant of the send rate from which the fair share of a backend is computed.
 const SEND_RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
-/// The part of the overload rule's budget that is spent. The rest covers that under overload more is sent
-/// than backends can bear, and that gateways send at the same moment by chance.
+/// Share of the overload rule's budget that is used. The rest covers that more is sent under overload than
+/// the backends can handle, and that several gateways may send at the same time.
 const BUDGET_SHARE: f64 = 0.35;
-/// For how many overload windows a draw holds. The window slides, so that a draw for each window would let
-/// two gateways send within one.
+/// Overload windows per draw. The window slides, so a new draw for each window would let two gateways send
+/// within the same window.
 const DRAW_WINDOWS: u64 = 4;
 /// Mixes the number of the draw into its seed.
 const DRAW_NUMBER_SALT: Salt = Salt::from_bit(48);
 /// Mixes the gateway into the seed of a draw.
 const GATEWAY_SALT: Salt = Salt::from_bit(32);
 
-/// Limits what this gateway sends to backends in slow start.
+/// Limits the attempts that this gateway sends to backends in slow start.
 #[derive(Default)]
 pub(crate) struct SlowStart {
-    /// The share of its capacity that a backend has at its start, from 0 to 1.
+    /// Share of its capacity that a backend has when it starts, from 0 to 1.
     floor: f64,
-    /// How long it takes until a backend has all its capacity.
+    /// Time until a backend reaches its full capacity.
     duration: Duration,
-    /// A backend falls over when sent more than this multiple of its capacity ...
+    /// A backend breaks down if it receives more than this multiple of its capacity within
+    /// `overload_window`.
     overload_factor: f64,
-    /// ... within this time.
     overload_window: Duration,
-    /// The gateway whose sends are limited.
+    /// Id of this gateway.
     own_id: u64,
     /// Gateways that send to the same backends.
     fleet_size: u64,
-    /// Attempts that this gateway sends to all backends together.
+    /// Rate of the attempts that this gateway sends to all backends.
     send_rate: DecayingRate,
 }
 
 impl SlowStart {
-    /// The limits of a gateway that has sent nothing yet.
+    /// Creates the limits of a gateway that has sent nothing yet.
     pub(super) fn new(settings: &Settings, fleet_size: u64) -> SlowStart {
         let rules = &settings.rules;
         SlowStart {
@@ -52,19 +52,19 @@
         }
     }
 
-    /// Records that this gateway sends an attempt, to whichever backend.
+    /// Records that this gateway sends an attempt, to any backend.
     pub(super) fn record_send(&mut self, now: Instant) {
         self.send_rate.record(now, SEND_RATE_TIME_CONSTANT);
     }
 
-    /// The share of its capacity that a backend has for certain, from the floor to 1.
+    /// Returns the share of its full capacity that a backend is sure to have, from the floor to 1.
     pub(super) fn capacity_share(&self, backend: &Backend, now: Instant) -> f64 {
         let Some(age) = self.age_in_slow_start(backend, now) else { return 1.0 };
         self.floor + (1.0 - self.floor) * age.as_micros_f64() / self.duration.as_micros_f64()
     }
 
-    /// Whether a backend may be sent an attempt, where the ready backends have a capacity of `ready_capacity`
-    /// together.
+    /// Returns whether a backend may be sent an attempt. `ready_capacity` is the total capacity of the
+    /// ready backends.
     pub(super) fn allows(&self, backend: &Backend, ready_capacity: f64, now: Instant) -> bool {
         if self.age_in_slow_start(backend, now).is_none() {
             return true;
@@ -73,14 +73,15 @@
         recent_sends as f64 + self.draw(backend, now) < self.budget(backend, ready_capacity, now)
     }
 
-    /// How long a backend has been up; none if it is not in slow start.
+    /// Returns the time since a backend started, or `None` if it is not in slow start.
     fn age_in_slow_start(&self, backend: &Backend, now: Instant) -> Option<Duration> {
         let age = now.duration_since(backend.endpoint.started_at?);
         (age < self.duration).then_some(age)
     }
 
-    /// Attempts that this gateway may send a backend within the overload window: its part of what the backend
-    /// can bear, by its fair share of what this gateway sends. It may be less than 1.
+    /// Returns the number of attempts that this gateway may send to a backend within the overload window:
+    /// its share of the backend's current limit, in proportion to the backend's fair share of this
+    /// gateway's send rate. The result may be less than 1.
     fn budget(&self, backend: &Backend, ready_capacity: f64, now: Instant) -> f64 {
         let sends_per_second = self.send_rate.at(now, SEND_RATE_TIME_CONSTANT);
         let fair_rate = sends_per_second * backend.size / ready_capacity.max(backend.size);
@@ -90,9 +91,9 @@
         budget.max(1.0 / self.fleet_size as f64)
     }
 
-    /// A number from 0 to 1 that is added to the sends. It decides which gateways may send where the budget
-    /// of each is less than 1: if every gateway sent one attempt, those of a large fleet would overload the
-    /// backend. Each gateway draws at times of its own.
+    /// Returns a random number from 0 to 1 that is added to the recent sends. It decides which gateways may
+    /// send when the budget of each is less than 1: one attempt from every gateway of a large fleet would
+    /// overload the backend. Each gateway draws at different times.
     fn draw(&self, backend: &Backend, now: Instant) -> f64 {
         let period = self.window() * DRAW_WINDOWS;
         let offset = period.mul_f64(unit_draw(self.own_id));
@@ -101,24 +102,24 @@
         unit_draw(seed ^ DRAW_NUMBER_SALT.of(number) ^ GATEWAY_SALT.of(self.own_id))
     }
 
-    /// The overload window, never zero.
+    /// Returns the overload window, at least 1 µs.
     fn window(&self) -> Duration {
         self.overload_window.max(Duration::MICROSECOND)
     }
 }
 
-/// When this gateway lately sent attempts to a backend.
+/// Times of the recent attempts that this gateway sent to a backend.
 #[derive(Default)]
 pub(crate) struct RecentSends(VecDeque<Instant>);
 
 impl RecentSends {
-    /// Records a send; those older than `window` are forgotten.
+    /// Records a send and discards those older than `window`.
     pub(crate) fn record(&mut self, now: Instant, window: Duration) {
         self.0.retain(|sent_at| *sent_at + window > now);
         self.0.push_back(now);
     }
 
-    /// Attempts sent within the last `window`.
+    /// Returns the number of attempts sent within the last `window`.
     fn count(&self, now: Instant, window: Duration) -> usize {
         self.0.iter().filter(|sent_at| **sent_at + window > now).count()
     }
--- a/src/policy/load_balancing/subset.rs
+++ b/src/policy/load_balancing/subset.rs
@@ -1,40 +1,41 @@
-//! The part of the ready backends that one choice looks at.
+//! Subset of the ready backends that a gateway's choices are limited to.
 
 use crate::policy::RetryScope;
 
-/// The smallest subset, in backends, where there are more.
+/// Minimum size of a subset, if there are that many backends.
 const MIN_SUBSET_SIZE: usize = 32;
-/// Gateways that have a backend in their subsets on average, where the list is long. By chance a share of e
-/// to the minus this of the backends is in no subset.
+/// Mean number of gateways that have a backend in their subset if there are many backends. By chance a
+/// share of e^-8 of the backends is in no subset.
 const GATEWAYS_PER_BACKEND: usize = 8;
-/// Healthy candidates that are compared at least: two choices are enough to keep the loads alike.
+/// Minimum number of healthy candidates to compare; two choices are enough to keep the loads balanced.
 const MIN_CANDIDATES: usize = 2;
-/// Further candidates for each backend that there is for a gateway: where few gateways share the backends,
-/// the least loaded of several isn't chosen by all gateways at once.
+/// Additional candidates for each backend in a gateway's average share, `ready / fleet_size`. With few
+/// gateways this prevents all of them from choosing the same least loaded backend at once.
 const CANDIDATES_PER_GATEWAY_BACKEND: usize = 3;
-/// Candidates compared at most in a subset larger than the smallest: more find hardly better ones.
+/// Maximum number of candidates in a subset above the minimum size; more candidates hardly improve the
+/// choice.
 const MAX_CANDIDATES: usize = 8;
-/// How many times a subset is gone through before the choice ends: not every backend is drawn each time.
+/// Passes over a subset before the choice ends; not every backend is drawn in each pass.
 const MAX_ROUNDS: usize = 4;
-/// Suspect candidates seen for each target candidate, above which the choice ends.
+/// Suspect candidates per target candidate above which the choice ends.
 const MAX_SUSPECTS_PER_CANDIDATE: usize = 4;
 
-/// The part of the ready backends that one choice looks at.
+/// Subset of the ready backends that a gateway's choices are limited to.
 ///
-/// A gateway's choices use the same few backends each time: connections that are seldom used are closed, and
-/// would be made anew for each request.
+/// A gateway uses the same few backends for all its choices: rarely used connections are closed, and would
+/// have to be established again for each request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Subset {
-    /// All backends that take work.
+    /// Number of all ready backends.
     ready: usize,
-    /// Healthy candidates to compare.
+    /// Number of healthy candidates to compare.
     target_candidates: usize,
-    /// Backends that the candidates come from.
+    /// Number of backends in the subset.
     size: usize,
 }
 
 impl Subset {
-    /// The subset of a choice among so many ready backends, which so many gateways share.
+    /// Returns the subset for a choice among `ready` backends that `fleet_size` gateways share.
     pub(super) fn new(ready: usize, fleet_size: u64, scope: &RetryScope) -> Subset {
         let fleet_size = fleet_size as usize;
         let covering_size = GATEWAYS_PER_BACKEND * ready / fleet_size;
@@ -47,18 +48,18 @@
         Subset { ready, target_candidates, size }
     }
 
-    /// All backends that take work.
+    /// Returns the number of all ready backends.
     pub(super) fn ready(&self) -> usize {
         self.ready
     }
 
-    /// Whether candidates are drawn by their weight; otherwise all are compared, and the weight is a part of
-    /// the cost.
+    /// Returns whether candidates are drawn by weight. Otherwise all are compared, and the weight is part
+    /// of the cost.
     pub(super) fn is_sampled(&self) -> bool {
         self.target_candidates < self.ready
     }
 
-    /// How many times a backend is looked at before the choice ends; those that are not drawn count, too.
+    /// Returns the maximum number of backends examined by the choice, including those that are not drawn.
     pub(super) fn steps(&self) -> usize {
         if self.is_sampled() {
             MAX_ROUNDS * self.size
@@ -67,17 +68,17 @@
         }
     }
 
-    /// The position at which a choice starts, by a number from 0 to 1.
+    /// Returns the position at which a choice starts, for a random number from 0 to 1.
     pub(super) fn start(&self, draw: f64) -> usize {
         (draw * self.size as f64) as usize
     }
 
-    /// The position in the list of ready backends that a step looks at.
+    /// Returns the position in the list of ready backends that a step examines.
     pub(super) fn position(&self, start: usize, step: usize) -> usize {
         (start + step) % self.size
     }
 
-    /// Whether the choice may end with so many candidates.
+    /// Returns whether the choice may end with this number of candidates.
     pub(super) fn has_enough(&self, healthy: usize, suspect: usize) -> bool {
         healthy >= self.target_candidates || suspect > MAX_SUSPECTS_PER_CANDIDATE * self.target_candidates
     }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,8 +1,8 @@
-//! Outlier detection: which backends and zones fail or stay silent, and how latencies compare with the usual
-//! ones.
+//! Outlier detection: finds backends and zones that fail or are silent, and compares the latencies of
+//! backends.
 //!
-//! [`BackendHealth`] has the rules for one backend: when it is ejected and when it returns to service. Each
-//! backend's record holds its own. [`OutlierDetector`] has the rules that concern several backends.
+//! [`BackendHealth`] holds the rules for a single backend: its ejection and its return to service. It is
+//! part of each backend's record. [`OutlierDetector`] holds the rules that concern several backends.
 
 mod failure_rate;
 mod health;
@@ -19,70 +19,66 @@
 pub(crate) use observation::{Observation, ObservationSource};
 use std::collections::BTreeMap;
 
-/// Weight of a connection that was made in the failure rate of its zone: it proves that the zone can be
-/// reached.
+/// Weight of an established connection in the failure rate of its zone; a single one proves that the zone
+/// can be reached.
 const ZONE_SUCCESS_WEIGHT: f64 = 1.0;
-/// Weight of a connection that failed in the failure rate of its zone.
+/// Weight of a failed connection in the failure rate of its zone.
 const ZONE_FAILURE_WEIGHT: f64 = 0.3;
-/// What a rejection by a backend counts as in the pressure: a latency of so many times the highest normal
-/// one.
+/// Latency ratio that a rejection by a backend counts with in the pressure: a multiple of the highest
+/// normal latency.
 pub(crate) const REJECTION_LATENCY_RATIO: f64 = 2.0;
 
 /// The end of an attempt of this gateway.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedAttempt {
-    /// The time.
     pub now: Instant,
-    /// The class of its request.
+    /// Class of the request.
     pub class: usize,
-    /// The zone of its backend.
+    /// Zone of the backend.
     pub zone: u8,
-    /// What it says of the backend.
     pub signal: HealthSignal,
 }
 
-/// The answer to an attempt, at this gateway or at a peer.
+/// Latency of an answer, measured by this gateway or a peer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AnswerSample {
-    /// The time.
     pub now: Instant,
-    /// The class of its request.
+    /// Class of the request.
     pub class: usize,
-    /// How long it took, in microseconds.
     pub latency_micros: f64,
-    /// Who measured that.
+    /// Who measured the latency.
     pub source: ObservationSource,
 }
 
-/// Compares backends and zones with what is usual.
+/// Detects failing zones, and compares the latencies of backends with the usual ones.
 #[derive(Default)]
 pub(crate) struct OutlierDetector {
-    /// The share of recent connections to backends of a zone that failed, by zone.
+    /// Share of recent connections to backends of a zone that failed, by zone.
     zones: BTreeMap<u8, FailureRate>,
-    /// The usual latencies, by class.
+    /// Latency baselines by class.
     baselines: Vec<LatencyBaseline>,
 }
 
 impl OutlierDetector {
-    /// A detector for these classes that has seen nothing yet.
+    /// Creates a detector without observations.
     pub(crate) fn new(classes: &[Class], now: Instant) -> OutlierDetector {
         let baselines = classes.iter().map(|class| LatencyBaseline::new(class.latency_objective, now));
         OutlierDetector { zones: BTreeMap::new(), baselines: baselines.collect() }
     }
 
-    /// The share of recent attempts of a class that failed at a backend, or of recent connections that failed
-    /// in its zone if that is more: a zone that is cut off cannot be reached at any of its backends.
+    /// Returns the share of recent attempts of a class that failed at a backend, or the share of recent
+    /// connections to its zone that failed if that is higher. An unreachable zone affects all its backends.
     pub(crate) fn failure_rate(&self, health: &BackendHealth, class: usize, zone: u8, now: Instant) -> f64 {
         let zone_failure_rate = self.zones.get(&zone).map_or(0.0, |zone| zone.at(now));
         health.failure_rate(class, now).max(zone_failure_rate)
     }
 
-    /// What an answer of a class takes at backends that are not loaded, in microseconds.
+    /// Returns the latency of a class at unloaded backends, in microseconds.
     pub(crate) fn unloaded_micros(&self, class: usize) -> f64 {
         self.baselines[class].unloaded_micros()
     }
 
-    /// Records the end of an attempt of this gateway, and returns the change of its backend's health.
+    /// Records the end of an attempt of this gateway. Returns the change of its backend's health, if any.
     pub(crate) fn record_outcome(
         &mut self,
         health: &mut BackendHealth,
@@ -94,7 +90,7 @@
         health.record_outcome(attempt.class, attempt.signal, attempt.now)
     }
 
-    /// Records an answer's latency, and returns it as a ratio of the highest normal one.
+    /// Records an answer's latency. Returns its ratio to the highest normal latency.
     pub(crate) fn record_answer(&mut self, health: &mut BackendHealth, answer: &AnswerSample) -> f64 {
         let baseline = &mut self.baselines[answer.class];
         health.relative_latency.record(baseline.relative(answer.latency_micros), answer.source);
--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -1,6 +1,6 @@
-//! The health of one backend: failures and silence, ejection and return to service.
+//! Health of one backend: failures and silence, ejection and return to service.
 //!
-//! Each class of requests is judged by itself: a backend may fail for one and serve the others.
+//! Health is tracked per class of requests: a backend may fail for one class and serve the others.
 
 use super::failure_rate::FailureRate;
 use super::relative_latency::RelativeLatency;
@@ -10,77 +10,78 @@
 
 /// Failure rate above which a failure ejects a backend, and up to which a success returns it to service.
 const EJECTION_FAILURE_RATE: f64 = 0.25;
-/// How long the first of several ejections in a row lasts; each further one lasts twice as long.
+/// Duration of the first ejection; each consecutive one lasts twice as long.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(500);
-/// How many times the ejection time is doubled at most.
+/// Maximum number of times that the ejection time is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
 /// Weight of an attempt of this gateway in the failure rate.
 const OWN_WEIGHT: f64 = 0.15;
-/// Weight of an attempt that a peer reported in the failure rate. In a large fleet a gateway seldom meets a
-/// given backend, and few reports on it come in: they have to be able to make it suspect.
+/// Weight of an attempt that a peer reported in the failure rate. In a large fleet a gateway rarely uses a
+/// given backend and receives few reports about it, so these few must be able to make it suspect.
 const PEER_WEIGHT: f64 = 0.2;
 
-/// An ejection: the backend costs more in a choice for a while, and is chosen only where the others cost more
-/// still.
+/// An ejection: it raises the backend's cost for a time, so that the backend is chosen only if the others
+/// cost even more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ejection {
-    /// Why.
     pub reason: EjectionReason,
-    /// The failure rate with what led to the ejection, from 0 to 1.
+    /// Failure rate including the failure that caused the ejection, from 0 to 1.
     pub failure_rate: f64,
-    /// When the backend may be tried again, while none of this gateway's attempts is in flight there.
+    /// Time from which the backend may be tried again, while this gateway has no attempt in flight there.
     pub until: Instant,
 }
 
-/// A change of a backend's health, for one class.
+/// Change of a backend's health for one class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum HealthChange {
-    /// It was ejected, for the first time or again.
+    /// The backend was ejected, for the first time or again.
     Ejected(Ejection),
-    /// It had been ejected and is back in service, at this failure rate.
+    /// The backend was ejected before and returned to service.
     Returned {
         /// From 0 to 1.
         failure_rate: f64,
     },
 }
 
-/// Whether a backend with an attempt in flight is silent.
+/// Result of the check whether a backend with an attempt in flight is silent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum SilenceCheck {
-    /// It has answered an attempt of the class since this one was sent.
+    /// The backend has answered an attempt of the class since this one was sent.
     Answering,
-    /// It has answered none.
+    /// The backend has answered no attempt of the class since this one was sent.
     Silent {
-        /// Its ejection for that; none where an earlier one still lasts.
+        /// The ejection caused by the silence; `None` while an earlier one lasts.
         ejection: Option<Ejection>,
     },
 }
 
 impl SilenceCheck {
-    /// Whether the backend has answered no attempt of the class since this one was sent.
+    /// Returns whether the backend has answered no attempt of the class since this one was sent.
     pub(crate) fn is_silent(&self) -> bool {
         matches!(self, SilenceCheck::Silent { .. })
     }
 }
 
-/// How a backend does with one class of requests.
+/// Health of a backend for one class of requests.
 #[derive(Clone, Default)]
 struct ClassHealth {
-    /// The share of recent attempts that failed.
+    /// Share of recent attempts that failed.
     failure_rate: FailureRate,
-    /// When an attempt of the class last gave a health signal: by an answer, or by a connection that failed.
+    /// Time of the latest health signal of the class: an answer or a failed connection.
     last_signal_at: Instant,
-    /// Until then it costs more, whatever is in flight there.
+    /// Until this time the backend's cost is raised even if none of this gateway's attempts is in flight
+    /// there.
     ejected_until: Instant,
-    /// Ejections since it was last in service; 0 while it is.
+    /// Ejections since the backend was last in service; 0 while it is.
     ///
-    /// Each failure of an attempt of the class counts, also of one that was sent before the first ejection:
-    /// four that fail at once eject the backend for [`BASE_EJECTION_TIME`] doubled three times.
+    /// Every failure after the first ejection adds one, including failures of attempts that were sent
+    /// before it: four ejections at the same time last for [`BASE_EJECTION_TIME`] doubled three times.
     consecutive_ejections: u32,
 }
 
 impl ClassHealth {
-    /// Counts an attempt of this gateway, and ejects the backend or returns it to service where that follows.
+    /// Records an attempt of this gateway. Ejects the backend or returns it to service if the failure rate
+    /// requires it.
     fn record_own_attempt(&mut self, now: Instant, failed: bool) -> Option<HealthChange> {
         self.failure_rate.record(now, failed, OWN_WEIGHT);
         let failure_rate = self.failure_rate.at(now);
@@ -96,7 +97,7 @@
         Some(HealthChange::Returned { failure_rate })
     }
 
-    /// Whether an attempt sent at a time is silent, which ejects the backend.
+    /// Ejects the backend if it has answered no attempt of the class since `sent_at`.
     fn eject_if_silent(&mut self, sent_at: Instant, now: Instant) -> SilenceCheck {
         if self.last_signal_at >= sent_at {
             return SilenceCheck::Answering;
@@ -108,7 +109,7 @@
         SilenceCheck::Silent { ejection: Some(self.eject(now, EjectionReason::Silence)) }
     }
 
-    /// Ejects the backend for a time that doubles with each ejection in a row.
+    /// Ejects the backend for a time that doubles with each consecutive ejection.
     fn eject(&mut self, now: Instant, reason: EjectionReason) -> Ejection {
         let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
         self.ejected_until = now + BASE_EJECTION_TIME * (1 << doublings);
@@ -117,17 +118,17 @@
     }
 }
 
-/// How a backend does, as this gateway and its peers saw it.
+/// Health of a backend, as observed by this gateway and its peers.
 #[derive(Default)]
 pub(crate) struct BackendHealth {
-    /// By class.
+    /// Health by class.
     classes: Vec<ClassHealth>,
-    /// How long its answers take, over what they usually take anywhere.
+    /// Latency of the backend's answers relative to the usual latency of all backends.
     pub(super) relative_latency: RelativeLatency,
 }
 
 impl BackendHealth {
-    /// The health of a backend of which nothing is known yet.
+    /// Creates the health of a backend without recorded attempts.
     pub(crate) fn new(class_count: usize) -> BackendHealth {
         BackendHealth {
             classes: vec![ClassHealth::default(); class_count],
@@ -135,37 +136,38 @@
         }
     }
 
-    /// How long its answers take, over what they usually take anywhere; 1 is normal, and it is never 0.
+    /// Returns the latency of the backend's answers relative to the usual latency of all backends; 1 is
+    /// normal, and it is never 0.
     pub(crate) fn relative_latency(&self) -> f64 {
         self.relative_latency.get()
     }
 
-    /// Whether it costs more in a choice for a class. Once the ejection time is over it may be tried while
-    /// `in_flight`, this gateway's attempts of all classes there, is 0: a backend that is busy with other
-    /// classes stays ejected for this one until it has none.
+    /// Returns whether the backend's cost is raised for a class. After the ejection time it may be tried
+    /// while `in_flight`, the number of this gateway's attempts of all classes there, is 0. A backend that
+    /// is busy with other classes therefore stays ejected for this one until none is in flight.
     pub(crate) fn is_ejected(&self, class: usize, in_flight: u32, now: Instant) -> bool {
         let health = &self.classes[class];
         health.consecutive_ejections > 0 && (now < health.ejected_until || in_flight > 0)
     }
 
-    /// Whether an attempt of a class that was sent at a time and has not ended is silent, which ejects the
-    /// backend.
+    /// Checks an attempt of a class that has not ended, and ejects its backend if that has answered no
+    /// attempt of the class since `sent_at`.
     pub(crate) fn eject_if_silent(&mut self, class: usize, sent_at: Instant, now: Instant) -> SilenceCheck {
         self.classes[class].eject_if_silent(sent_at, now)
     }
 
-    /// Counts an attempt that a peer reported. It counts for all classes, since reports on a class with few
-    /// requests would come too late for it, and it ejects nothing.
+    /// Records an attempt that a peer reported. It counts for all classes, since reports on a class with
+    /// few requests would arrive too late to be useful, and never ejects the backend.
     pub(crate) fn record_peer_attempt(&mut self, now: Instant, failed: bool) {
         self.classes.iter_mut().for_each(|health| health.failure_rate.record(now, failed, PEER_WEIGHT));
     }
 
-    /// The share of recent attempts of a class that failed, from 0 to 1.
+    /// Returns the share of recent attempts of a class that failed, from 0 to 1.
     pub(super) fn failure_rate(&self, class: usize, now: Instant) -> f64 {
         self.classes[class].failure_rate.at(now)
     }
 
-    /// Records the end of an attempt of this gateway; a rejection counts as an answer, but not in the
+    /// Records the end of an attempt of this gateway. A rejection counts as an answer but not in the
     /// failure rate.
     pub(super) fn record_outcome(
         &mut self,
--- a/src/policy/outlier_detection/health_signal.rs
+++ b/src/policy/outlier_detection/health_signal.rs
@@ -1,24 +1,24 @@
-//! What the end of an attempt says of the backend that it went to.
+//! Health signals: what the outcome of an attempt shows about the health of its backend.
 
 use crate::Outcome;
 
-/// What the end of an attempt says of its backend.
+/// Health signal that the outcome of an attempt gives about its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthSignal {
-    /// It served the attempt.
+    /// The backend served the attempt.
     Success,
-    /// It rejected the attempt unseen: it is overloaded, not faulty.
+    /// The backend rejected the attempt without processing it: it is overloaded, not faulty.
     Rejection,
-    /// It answered with an error, or broke the connection.
+    /// The backend answered with an error or broke the connection.
     Failure,
-    /// No connection to it could be made.
+    /// No connection to the backend could be established.
     ConnectFailure,
 }
 
 impl HealthSignal {
-    /// What an outcome says; none where the backend did not determine it. A timeout is among these: it may be
-    /// the client's deadline, and [`eject_if_silent`](super::BackendHealth::eject_if_silent) finds backends
-    /// that do not answer.
+    /// Returns the signal of an outcome, or `None` if the backend did not determine the outcome. A timeout
+    /// gives no signal, since it may be the client's deadline;
+    /// [`eject_if_silent`](super::BackendHealth::eject_if_silent) detects backends that don't answer.
     pub(crate) fn from_outcome(outcome: Outcome) -> Option<HealthSignal> {
         match outcome {
             Outcome::Ok => Some(HealthSignal::Success),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether the attempt counts as failed in the failure rate; none if it does not count.
+    /// Returns whether the attempt counts as failed in the failure rate, or `None` if it does not count.
     pub(super) fn is_failure(self) -> Option<bool> {
         match self {
             HealthSignal::Success => Some(false),
--- a/src/policy/outlier_detection/latency_baseline.rs
+++ b/src/policy/outlier_detection/latency_baseline.rs
@@ -1,43 +1,43 @@
-//! How long answers of a class take: of late, and at backends that are not loaded.
+//! Latency baseline of a class: the latency of recent answers, and that of answers from unloaded backends.
 
 use crate::{Duration, Instant};
 
-/// The latency that is presumed before any answer, as a share of the latency objective.
+/// Latency that is assumed before the first answer, as a share of the latency objective.
 const INITIAL_LATENCY_SHARE: f64 = 0.15;
-/// The most that the first answers may set the unloaded latency to, as a share of the latency objective.
+/// Maximum unloaded latency during warm-up, as a share of the latency objective.
 const MAX_INITIAL_UNLOADED_SHARE: f64 = 0.3;
-/// Answers over which the recent latency is a plain mean; from then on each has the weight of one in so many.
+/// Number of answers from which the recent latency is an exponential average; up to it, it is a plain mean.
 const RECENT_ANSWERS: f64 = 20.0;
-/// Answers for which the unloaded latency is bounded by the latency objective alone.
+/// Number of answers during which only the latency objective bounds the unloaded latency.
 const WARM_UP_ANSWERS: f64 = 20.0;
-/// Growth in a second of the highest value that the unloaded latency may take, as a share of it.
+/// Growth per second of the upper bound of the unloaded latency, as a share of it.
 const UNLOADED_LATENCY_GROWTH: f64 = 0.01;
-/// The highest normal latency, as a multiple of the unloaded one ...
+/// Highest normal latency, as a multiple of the unloaded latency.
 const UNLOADED_LATENCY_MULTIPLE: f64 = 3.5;
-/// ... and as a share of the latency objective; the lesser of the two holds. Beyond it backends lose
-/// throughput before objectives are missed.
+/// Highest normal latency, as a share of the latency objective; the lower of the two limits applies. At
+/// higher latencies backends lose throughput before the objective is missed.
 const OBJECTIVE_SHARE: f64 = 0.6;
-/// The highest ratio to the recent latency that one answer counts with.
+/// Maximum ratio to the recent latency that one answer counts with.
 const MAX_RELATIVE_LATENCY: f64 = 4.0;
-/// The shortest latency that is divided by, in microseconds.
+/// Minimum divisor of a latency ratio, in microseconds.
 const MIN_DIVISOR_MICROS: f64 = 1.0;
 
-/// The usual latencies of a class, over all backends.
+/// Usual latencies of a class over all backends.
 pub(super) struct LatencyBaseline {
-    /// The latency objective, in microseconds; at least 1.
+    /// Latency objective, at least 1.
     objective_micros: f64,
-    /// The mean over recent answers, in microseconds.
+    /// Mean latency of recent answers.
     recent_micros: f64,
-    /// What unloaded backends take, in microseconds.
+    /// Latency of unloaded backends.
     unloaded_micros: f64,
-    /// Answers so far.
+    /// Number of answers so far.
     answers: f64,
-    /// When the latest answer came.
+    /// Time of the latest answer.
     updated_at: Instant,
 }
 
 impl LatencyBaseline {
-    /// What is presumed before any answer has come.
+    /// Creates a baseline with the latency that is assumed before the first answer.
     pub(super) fn new(objective: Duration, now: Instant) -> LatencyBaseline {
         let presumed_micros = objective.as_micros_f64() * INITIAL_LATENCY_SHARE;
         LatencyBaseline {
@@ -49,24 +49,24 @@
         }
     }
 
-    /// What unloaded backends take, in microseconds.
+    /// Returns the latency of unloaded backends, in microseconds.
     pub(super) fn unloaded_micros(&self) -> f64 {
         self.unloaded_micros
     }
 
-    /// A latency relative to that of recent answers; 1 is usual.
+    /// Returns the ratio of a latency to that of recent answers; 1 is usual.
     pub(super) fn relative(&self, latency_micros: f64) -> f64 {
         (latency_micros / self.recent_micros.max(MIN_DIVISOR_MICROS)).min(MAX_RELATIVE_LATENCY)
     }
 
-    /// A latency as a ratio of the highest normal one; above 1 backends are driven too hard.
+    /// Returns the ratio of a latency to the highest normal one; above 1 the backends are overloaded.
     pub(super) fn latency_ratio(&self, latency_micros: f64) -> f64 {
         let by_unloaded = self.unloaded_micros * UNLOADED_LATENCY_MULTIPLE;
         let by_objective = self.objective_micros * OBJECTIVE_SHARE;
         latency_micros / by_unloaded.min(by_objective).max(MIN_DIVISOR_MICROS)
     }
 
-    /// Counts an answer.
+    /// Records the latency of an answer.
     pub(super) fn record(&mut self, now: Instant, latency_micros: f64) {
         self.answers += 1.0;
         self.recent_micros += (latency_micros - self.recent_micros) / self.answers.min(RECENT_ANSWERS);
@@ -74,8 +74,9 @@
         self.updated_at = now;
     }
 
-    /// The most that the unloaded latency may be now, in microseconds. It falls at once and rises slowly: the
-    /// latencies of an overload must not pass for those of unloaded backends.
+    /// Returns the upper bound of the unloaded latency at `now`, in microseconds. The unloaded latency
+    /// falls immediately but rises slowly, so that the latencies of an overload are not taken for those of
+    /// unloaded backends.
     fn max_unloaded_micros(&self, now: Instant) -> f64 {
         if self.answers <= WARM_UP_ANSWERS {
             return self.objective_micros * MAX_INITIAL_UNLOADED_SHARE;
--- a/src/policy/outlier_detection/observation.rs
+++ b/src/policy/outlier_detection/observation.rs
@@ -1,44 +1,43 @@
-//! How attempts went, as this gateway or a peer saw it, and what peers are told.
+//! Observations of attempts by this gateway or a peer, and the samples that are sent to peers.
 
 use crate::gossip::{backend_tag, LatencySample, MAX_CLASS};
 use crate::{BackendId, Duration};
 
-/// Messages that carry the sample of a success.
+/// Number of messages that carry the sample of a success.
 const SUCCESS_COPIES: u8 = 12;
-/// Messages that carry the sample of a failure, which go before those of successes: each peer has to learn
-/// of it soon.
+/// Number of messages that carry the sample of a failure. Such samples are sent before those of successes,
+/// since each peer has to receive them soon.
 const FAILURE_COPIES: u8 = 36;
 
-/// Who saw how an attempt went.
+/// Gateway that observed an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ObservationSource {
     /// This gateway.
     Own,
-    /// A peer, which reported it.
+    /// A peer that reported the attempt.
     Peer,
 }
 
-/// How an attempt went.
+/// Observed result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Observation {
-    /// Where the attempt went.
+    /// Backend that received the attempt.
     pub backend: BackendId,
-    /// The class of its request.
+    /// Class of the request.
     pub class: usize,
-    /// How long the answer took, in microseconds; none for a failure or silence.
+    /// Latency of the answer, in microseconds; `None` for a failure or silence.
     pub latency_micros: Option<f64>,
-    /// Who saw it.
     pub source: ObservationSource,
 }
 
 impl Observation {
-    /// Whether the attempt failed or was not answered.
+    /// Returns whether the attempt failed or was not answered.
     pub(crate) fn is_failure(&self) -> bool {
         self.latency_micros.is_none()
     }
 
-    /// What peers are told of it, by the latency objective of its class; none for a class that messages
-    /// cannot name.
+    /// Returns the sample that is sent to peers, or `None` if the class cannot be encoded in a message.
+    /// `objective` is the latency objective of the class.
     pub(crate) fn to_sample(self, objective: Duration) -> Option<LatencySample> {
         if self.class > MAX_CLASS {
             return None;
@@ -51,7 +50,7 @@
         })
     }
 
-    /// How many messages carry its sample.
+    /// Returns the number of messages that carry the sample.
     pub(crate) fn copies(&self) -> u8 {
         if self.is_failure() {
             FAILURE_COPIES
--- a/src/policy/outlier_detection/relative_latency.rs
+++ b/src/policy/outlier_detection/relative_latency.rs
@@ -1,4 +1,4 @@
-//! How long a backend's answers take, compared with those of all backends.
+//! Relative latency: the latency of a backend's answers compared with that of all backends.
 
 use super::ObservationSource;
 
@@ -6,11 +6,11 @@
 const OWN_WEIGHT: f64 = 0.1;
 /// Weight of an answer that a peer reported.
 const PEER_WEIGHT: f64 = 0.2;
-/// The least that it falls to: it is a divisor, and a backend whose answers are fast must not draw all the
-/// load.
+/// Lower bound of the relative latency. It is a divisor, and a backend with fast answers must not attract
+/// all the load.
 const MIN_RELATIVE_LATENCY: f64 = 0.3;
 
-/// The mean over a backend's answers of their latency, relative to what answers of their class usually take.
+/// Mean latency of a backend's answers, relative to the usual latency of their class.
 pub(super) struct RelativeLatency(f64);
 
 impl Default for RelativeLatency {
@@ -20,12 +20,12 @@
 }
 
 impl RelativeLatency {
-    /// The mean; 1 is normal.
+    /// Returns the mean; 1 is normal.
     pub(super) fn get(&self) -> f64 {
         self.0
     }
 
-    /// Counts an answer, by its latency relative to what its class usually takes.
+    /// Records an answer by its latency relative to the usual latency of its class.
     pub(super) fn record(&mut self, ratio: f64, source: ObservationSource) {
         let weight = match source {
             ObservationSource::Own => OWN_WEIGHT,
