--- a/src/policy/quota/grant_request/tests.rs
+++ b/src/policy/quota/grant_request/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 use crate::policy::quota::tests::*;
 
-/// A request is held for a grant. The first one asks the owners; a second one a moment later waits for the
-/// same answer; the answer is for both.
+/// The first request that waits sends a request for a grant. A second one shortly afterwards waits for the
+/// same answer, which applies to both.
 #[test]
-fn requests_that_wait_share_one_request_for_a_grant() {
+fn waiting_requests_share_one_request_for_a_grant() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, RATE_QUOTA, false);
     let first = request(customer, RATE_QUOTA, 1.0);
@@ -15,28 +15,27 @@
     assert_eq!(wait(&first), GrantRequestStep::RequestGrant);
     assert_eq!(wait(&second), GrantRequestStep::AwaitAnswer);
     let owner = manager.customers[&customer].quota_owners[0];
-    let answered = manager.on_grant(START, owner, &grant(customer, 9.0, 0)).expect("the owner was asked");
+    let answered = manager.on_grant(START, owner, &grant(customer, 9.0, 0)).expect("the sender is an owner");
     assert_eq!(answered.waiting, [first.id, second.id]);
     assert_eq!(answered.answers, GrantAnswers::Complete);
     assert_eq!(manager.on_grant(START, owner + 1, &grant(customer, 9.0, 0)), None, "not an owner");
 }
 
-/// A customer sends far more than its concurrency quota allows, through many gateways. If each request asked
-/// its owner for a grant the owner would lose other messages, so that requests for grants are skipped beyond
-/// a quarter of what it takes in: here 25 of 100 a second. In a small fleet, without a grant, or at the owner
-/// none is skipped.
+/// A grant request for each request of a customer far over its concurrency quota would make the owner lose
+/// other messages. They are skipped above a quarter of the messages that the owner can receive, here 25 of
+/// 100 per second. None is skipped in a small fleet, before the first grant, or at the owner.
 #[test]
-fn requests_for_grants_are_rationed_for_a_customer_far_beyond_its_quota() {
+fn requests_for_grants_are_limited_for_a_customer_far_over_its_quota() {
     let mut large = manager(LARGE_FLEET);
     let customer = customer_owned(&mut large, CONCURRENCY_QUOTA, false);
-    assert!(!large.skips_grant_request(START, customer, 1.0), "no grant came yet");
+    assert!(!large.skips_grant_request(START, customer, 1.0), "no grant received yet");
     let owner = large.customers[&customer].quota_owners[0];
     let mut skipped = |rate, draw| {
         large.on_grant(START, owner, &QuotaGrant { remote_rate: rate, ..grant(customer, 0.0, 2) });
         large.skips_grant_request(START, customer, draw)
     };
     assert!(!skipped(25.0, 1.0));
-    assert!(skipped(100.0, 0.26) && !skipped(100.0, 0.24), "three of four");
+    assert!(skipped(100.0, 0.26) && !skipped(100.0, 0.24), "three of four are skipped");
     let own_customer = customer_owned(&mut large, CONCURRENCY_QUOTA, true);
     assert!(!large.skips_grant_request(START, own_customer, 1.0));
 
@@ -47,11 +46,10 @@
     assert!(!small.skips_grant_request(START, customer, 1.0));
 }
 
-/// Units of a hard limit are granted for the requests that wait. They lapse when the last one is decided, and
-/// are ignored when they come a quarter of a second after they were requested: nothing waits for them any
-/// more, and kept longer they would add to the limit.
+/// Granted units of a hard limit expire when the last waiting request is decided, and are ignored 250 ms or
+/// more after they were requested. Units that are kept longer would raise the hard limit.
 #[test]
-fn granted_units_of_a_hard_limit_are_for_the_requests_that_wait() {
+fn granted_units_of_a_hard_limit_expire_with_the_waiting_requests() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, HARD_LIMIT, false);
     let waiting = request(customer, HARD_LIMIT, 1.0);
@@ -61,19 +59,19 @@
         manager.await_grant(START, &waiting, GrantScope::QuotaAndHardLimit, GrantTiming::AtOnce);
         let answered = manager.on_grant(START + Duration::from_millis(age), owner, &answer);
         let answers = answered.map(|answered| answered.answers);
-        assert_eq!(answers, Some(GrantAnswers::Outstanding), "of two owners");
+        assert_eq!(answers, Some(GrantAnswers::Outstanding), "the second owner has not answered");
         let granted = manager.customers[&customer].hard_limit.granted;
         manager.stop_awaiting_grant(customer, waiting.id);
-        assert_eq!(manager.customers[&customer].hard_limit.granted, 0.0, "it lapsed");
+        assert_eq!(manager.customers[&customer].hard_limit.granted, 0.0, "the grant expired");
         granted
     };
     assert_eq!([249, 250].map(&mut granted_after), [3.0, 0.0]);
 }
 
-/// A request waits for a grant for a tenth of a second at most, and where that is too much for its objective
-/// or its deadline for a fifth of the lesser of them.
+/// A request waits for a grant for at most 100 ms, and at most a fifth of its latency objective and of the
+/// time until its deadline.
 #[test]
-fn the_wait_for_a_grant_is_a_fifth_of_the_time_left() {
+fn the_wait_for_a_grant_is_at_most_a_fifth_of_the_time_left() {
     let wait = |left, objective| {
         let deadline = START + Duration::from_millis(left);
         grant_wait(START, deadline, Duration::from_millis(objective)).as_millis()
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -8,7 +8,7 @@
 /// Maximum number of consecutive requests or reports with another plan or gateway set after which a
 /// customer's record is still unchanged.
 const MAX_IDENTITY_CONFIDENCE: u8 = 8;
-/// Time without a request or report after which a customer counts as unseen.
+/// Time without a request or report after which a customer counts as inactive.
 pub(super) const CUSTOMER_IDLE_TIME: Duration = Duration::from_secs(10);
 
 /// The plan and gateway set that one request or report states for its customer.
--- a/src/policy/quota/identity/tests.rs
+++ b/src/policy/quota/identity/tests.rs
@@ -4,20 +4,20 @@
 use crate::policy::quota::tests::*;
 use crate::policy::quota::{GrantScope, GrantTiming};
 
-/// Somebody sends a request under another plan of a customer that is well known. The record keeps its plan.
-/// Only when more requests name the other plan than have confirmed the old one does it change.
+/// Anyone can send a request that states another plan for a customer. The record keeps its plan until more
+/// requests have stated the other plan than had confirmed the old one.
 #[test]
 fn a_single_request_does_not_change_a_customers_plan() {
     let mut manager = manager(SMALL_FLEET);
     let mut plan_by = |plan| manager.observe_request(START, &request(CustomerId(7), plan, 1.0)).plan;
     assert_eq!([RATE_QUOTA; 3].map(&mut plan_by), [RATE_QUOTA; 3]);
-    assert_eq!([CONCURRENCY_QUOTA; 2].map(&mut plan_by), [RATE_QUOTA; 2], "two confirmed the plan");
+    assert_eq!([CONCURRENCY_QUOTA; 2].map(&mut plan_by), [RATE_QUOTA; 2], "two requests confirmed the plan");
     assert_eq!(plan_by(CONCURRENCY_QUOTA), CONCURRENCY_QUOTA);
 }
 
-/// A customer that was not seen for more than 10 s counts as unseen to load shedding.
+/// A customer counts as active to load shedding for 10 s after its last request.
 #[test]
-fn a_customer_is_familiar_for_ten_seconds() {
+fn a_customer_is_active_for_ten_seconds_after_a_request() {
     let mut manager = manager(SMALL_FLEET);
     let mut activity_at =
         |now| manager.observe_request(now, &request(CustomerId(7), RATE_QUOTA, 1.0)).activity;
@@ -27,11 +27,11 @@
     assert_eq!(activity_at(at_ten_seconds + Duration::from_millis(10_001)), CustomerActivity::Inactive);
 }
 
-/// A customer used up its hard limit. Somebody makes its record change its plan and change it back: its
-/// bucket must not be full again, or the limit could be passed at will. What waits and what is in flight goes
-/// on.
+/// Forged requests change the plan of a customer that has used up its hard limit, and change it back. A full
+/// bucket after the changes would allow the limit to be exceeded. Waiting requests and attempts in flight
+/// remain in the record.
 #[test]
-fn a_changed_record_keeps_the_level_of_the_hard_limit() {
+fn a_replaced_record_keeps_the_level_of_the_hard_limit() {
     let mut manager = manager(1);
     let now = START + Duration::from_secs(60);
     let customer = CustomerId(7);
--- a/src/policy/quota/owner_assignment/tests.rs
+++ b/src/policy/quota/owner_assignment/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 use crate::policy::quota::tests::{manager, plan, LARGE_FLEET};
 
-/// The gateways of the customers under test.
+/// The gateway set of the customers under test.
 const SET: GatewaySet = GatewaySet { start: 290, size: 20.0 };
 
-/// What each gateway of a large fleet assigns for a customer with a hard limit.
+/// Returns the assignment that each gateway of a large fleet computes for a customer with a hard limit.
 fn assignments(id: CustomerId) -> Vec<OwnerAssignment> {
     let plan = Plan { hard_limit_rate: 5.0, ..plan() };
     let mut settings = manager(LARGE_FLEET).settings;
@@ -17,8 +17,8 @@
     by_gateway.collect()
 }
 
-/// Gateways cannot agree on owners by messages, so that all come to the same two by the customer's
-/// identifier. Both are gateways that the customer's requests come to.
+/// Gateways do not negotiate owners by messages. Each one computes the same two from the customer's
+/// identifier, both in the customer's gateway set.
 #[test]
 fn all_gateways_assign_the_same_two_owners() {
     for id in (0..50).map(CustomerId) {
@@ -32,10 +32,10 @@
     }
 }
 
-/// The shares of a hard limit over the customer's gateways are the whole of it, neither more nor less: half
-/// is spread evenly, and the two owners have a quarter each in addition.
+/// Half of a hard limit is divided evenly among the customer's gateways, and each of the two owners holds
+/// another quarter. Together the shares are the whole limit.
 #[test]
-fn the_shares_of_a_hard_limit_add_up() {
+fn the_shares_of_a_hard_limit_add_up_to_the_whole() {
     let assignments = assignments(CustomerId(7));
     let fraction = |gateway: &u16| assignments[usize::from(*gateway)].hard_limit_fraction;
     let total: f64 = SET.members(LARGE_FLEET).iter().map(fraction).sum();
@@ -44,10 +44,10 @@
     assert_eq!(fraction(&owner), 0.5 / 20.0 + 0.25);
 }
 
-/// All requests of a customer come to one gateway. It is the only owner, with the whole hard limit; a part assigned
-/// to a gateway that the customer never reaches would be lost to the customer.
+/// All requests of a customer come to one gateway. It is the only owner, with the whole hard limit; a part
+/// assigned to a gateway that the customer never reaches would be lost to the customer.
 #[test]
-fn a_single_gateway_owns_all() {
+fn a_single_gateway_owns_the_quota_and_the_whole_hard_limit() {
     let settings = manager(1).settings;
     let plan = Plan { hard_limit_rate: 5.0, ..plan() };
     let assignment =
--- a/src/policy/quota/remote_usage/tests.rs
+++ b/src/policy/quota/remote_usage/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// The time of the reports under test.
+/// Time at which the reports under test are received.
 const NOW: Instant = Instant::from_micros(5_000_000);
 
-/// Records that a gateway has just reported this many attempts in flight.
+/// Records a gateway's report of a number of attempts in flight.
 fn reported(remote: &mut RemoteUsage, gateway: u16, in_flight: u8) {
     let mut usage = remote.get(gateway).unwrap_or_default();
     remote.set_in_flight(&mut usage, in_flight);
@@ -13,8 +13,8 @@
     remote.insert(gateway, usage);
 }
 
-/// Each report replaces the one before of the same gateway, so that attempts are counted once however often
-/// they are reported.
+/// Each report replaces the previous one of the same gateway, so that repeated reports do not count attempts
+/// twice.
 #[test]
 fn attempts_in_flight_are_the_sum_of_the_latest_reports() {
     let mut remote = RemoteUsage::default();
@@ -22,14 +22,14 @@
     reported(&mut remote, 2, 4);
     reported(&mut remote, 1, 1);
     assert_eq!(remote.in_flight(), 5);
-    let of_first = remote.get(1).expect("it reported");
+    let of_first = remote.get(1).expect("gateway 1 has reported");
     assert_eq!(remote.in_flight_excluding(&of_first), 4);
 }
 
-/// A gateway restarts, or is cut off in the middle of its attempts. Their ends will never be reported, and
-/// must not count against the customer's concurrency quota for ever.
+/// The ends of attempts are never reported after a gateway restarts or loses its connection to the fleet. Its
+/// attempts must not count against the concurrency quota forever.
 #[test]
-fn attempts_of_a_gateway_that_restarts_or_falls_silent_are_dropped() {
+fn attempts_of_a_restarted_or_silent_gateway_are_removed() {
     let mut remote = RemoteUsage::default();
     reported(&mut remote, 1, 3);
     reported(&mut remote, 2, 4);
@@ -37,14 +37,13 @@
     assert_eq!(remote.in_flight(), 4);
     let lifetime = Duration::from_secs(1);
     remote.expire_in_flight(NOW + lifetime, lifetime);
-    assert_eq!(remote.in_flight(), 4, "its report may still be in time");
+    assert_eq!(remote.in_flight(), 4, "the report has not expired");
     remote.expire_in_flight(NOW + lifetime + Duration::MICROSECOND, lifetime);
     assert_eq!(remote.in_flight(), 0);
 }
 
-/// Each of ten gateways uses 2 units at once. The rate of a gateway, and that of all, is what decays to
-/// nothing over the two seconds of its time constant if it goes on; it never falls below zero, whatever is
-/// given back.
+/// Units raise a rate by their number divided by the time constant of 2 s, for one gateway and for all.
+/// Returned units do not lower it below zero.
 #[test]
 fn rates_rise_by_units_over_their_time_constant() {
     let mut remote = RemoteUsage::with_rate(0.0);
--- a/src/policy/quota/reporting/tests.rs
+++ b/src/policy/quota/reporting/tests.rs
@@ -6,11 +6,11 @@
 use crate::policy::quota::{GrantScope, GrantTiming};
 use crate::Request;
 
-/// An owner has charged a request that waited for its grant. If the request is admitted, the owner knows that
-/// already; if it is rejected after all, the owner must be notified, or the customer pays for units that it did not
-/// use. In a small fleet there are other owners, which know of neither.
+/// A designated owner charges a request when it grants it. If the request is rejected nevertheless, the owner
+/// needs a report, or the customer is charged for unused units. In a small fleet the other owners need a
+/// report of an admitted request, too.
 #[test]
-fn owners_are_notified_of_what_they_cannot_know() {
+fn decisions_are_reported_unless_the_only_owner_has_charged_them() {
     let mut large = manager(LARGE_FLEET);
     let customer = customer_owned(&mut large, RATE_QUOTA, false);
     let owner = large.customers[&customer].quota_owners[0];
@@ -18,17 +18,20 @@
     assert_eq!(large.report_after_admission(customer, DecisionPoint::GrantWait), None);
     large.on_grant(START, owner, &grant(customer, 9.0, 0));
     assert_eq!(large.report_after_rejection(customer, DecisionPoint::GrantWait), Some(ReportPurpose::Usage));
-    assert_eq!(large.report_after_rejection(customer, DecisionPoint::Arrival), None, "nobody counts on it");
+    assert_eq!(
+        large.report_after_rejection(customer, DecisionPoint::Arrival),
+        None,
+        "no owner has charged it"
+    );
 
     let mut small = manager(SMALL_FLEET);
     small.observe_request(START, &request(customer, RATE_QUOTA, 1.0));
     assert_eq!(small.report_after_admission(customer, DecisionPoint::GrantWait), Some(ReportPurpose::Usage));
 }
 
-/// An owner restarts and has forgotten all usage, so that customers could use their full quotas once more. The
-/// gateway that was active for a customer a moment ago reports it again; customers that were not seen for some
-/// seconds are not worth a message. In a large fleet an owner that is heard for the first time has not forgotten
-/// anything.
+/// A restarted owner has lost all usage, so customers could use their full quotas again. Gateways report
+/// their recently active customers to it. In a large fleet an owner's first message does not mean a restart,
+/// so nothing is reported.
 #[test]
 fn a_restarted_owner_gets_reports_on_active_customers() {
     let mut manager = manager(LARGE_FLEET);
@@ -41,9 +44,8 @@
     assert_eq!(manager.on_peer_start(later, owner, PeerStart::Restarted), []);
 }
 
-/// A request was admitted on arrival by a gateway that owns no part of its quota. In a small fleet an older
-/// grant allowed that, and a new one is requested for the next request; in a large one each request asks for
-/// its own.
+/// In a small fleet a gateway that is not an owner admits a request on arrival by an earlier grant, and
+/// requests a new one for the next request. In a large fleet a grant is requested for each request.
 #[test]
 fn a_small_fleet_renews_its_grants_after_admission() {
     let customer = CustomerId(7);
@@ -57,10 +59,10 @@
     assert_eq!(purpose_in(LARGE_FLEET), Some(ReportPurpose::Usage));
 }
 
-/// Usage is reported to all owners but this gateway, and twice where all gateways own the quota. A grant is
-/// requested only of those that hold the hard limit, which are two at most.
+/// Usage is reported to all other owners, in two copies if all gateways own the quota. Only the reports to
+/// the two granters request a grant.
 #[test]
-fn reports_go_to_all_other_owners_and_requests_for_grants_to_two() {
+fn usage_is_reported_to_all_other_owners_and_grants_requested_from_granters() {
     let mut small = manager(SMALL_FLEET);
     let customer = customer_owned(&mut small, RATE_QUOTA, true);
     let holders = small.customers[&customer].granters;
@@ -74,10 +76,10 @@
     assert!(usage.iter().all(|recipient| !recipient.entry.requests_grant));
 }
 
-/// A report says how full the gateway takes the bucket to be, for an owner that has forgotten it. A gateway
-/// that is not an owner knows that for a second after a grant, and says nothing otherwise.
+/// A report includes the level of the bucket for an owner that has lost its record. At a reporter the level
+/// is known for 1 s after a grant.
 #[test]
-fn the_level_of_a_bucket_is_reported_while_it_is_known() {
+fn the_level_of_a_bucket_is_reported_for_a_second_after_a_grant() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, RATE_QUOTA, false);
     let owner = manager.customers[&customer].quota_owners[0];
@@ -85,16 +87,16 @@
     let entry = OutboxEntry { copies_left: 1, requests_grant: false };
     let mut level_after = |millis| {
         let report = manager.usage_report(START + Duration::from_millis(millis), owner, customer, entry);
-        report.expect("a known customer").tokens_level
+        report.expect("the customer has a record").tokens_level
     };
     assert_eq!(level_after(999), TokenLevel::from_tokens(20.0, 20.0));
     assert_eq!(level_after(1000), TokenLevel::UNKNOWN);
 }
 
-/// Both owners of a hard limit are asked whether the quota allows a request, but only one of them, drawn by
-/// the time, for units of the hard limit: two grants would waste one.
+/// A grant is requested from both owners of a hard limit, but units of the hard limit only from one, drawn by
+/// the time and the customer: of two grants one would be wasted.
 #[test]
-fn units_of_a_hard_limit_are_requested_of_one_owner() {
+fn units_of_a_hard_limit_are_requested_from_one_owner() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, HARD_LIMIT, false);
     let waiting = request(customer, HARD_LIMIT, 1.0);
@@ -105,7 +107,8 @@
     for millis in 0..100 {
         let now = START + Duration::from_millis(millis);
         let requested = owners.map(|owner| {
-            let report = manager.usage_report(now, owner, customer, entry).expect("a known customer");
+            let report =
+                manager.usage_report(now, owner, customer, entry).expect("the customer has a record");
             assert!(report.requests_grant);
             report.needs_hard_limit_grant
         });
--- a/src/policy/quota/shortages/tests.rs
+++ b/src/policy/quota/shortages/tests.rs
@@ -5,13 +5,13 @@
 use crate::policy::quota::{GatewaySet, GrantRequest, QuotaBucket, RemoteUsage};
 use crate::RequestId;
 
-/// The time of the requests under test.
+/// Arrival time of the requests under test.
 const NOW: Instant = Instant::from_micros(5_000_000);
 
-/// A request lacks tokens of its quota for one second and of its hard limit for two. Its client is advised to wait
-/// for two; after one it would be rejected again.
+/// A request lacks tokens of its quota for one second and of its hard limit for two. A client that retried
+/// after one second would be rejected again.
 #[test]
-fn the_longest_wait_counts() {
+fn the_longest_shortage_determines_the_wait() {
     let quota = Shortage { limit: QuotaLimit::Rate, seconds: 1.0 };
     let hard_limit = Shortage { limit: QuotaLimit::HardLimit, seconds: 2.0 };
     let shortages = Shortages { quota: Some(quota), hard_limit: Some(hard_limit) };
@@ -20,10 +20,10 @@
     assert_eq!(Shortages::default().longest(), None);
 }
 
-/// Peers have likely used units that they have not reported yet. These are taken off the tokens, but never
-/// more than the peers' share of them: a gateway that alone serves a customer may use the whole bucket.
+/// The estimate of peers' unreported usage reduces the available tokens by at most the peers' share. A
+/// gateway that forwards all requests of a customer can use the whole bucket.
 #[test]
-fn unreported_usage_of_peers_is_taken_off_up_to_their_share() {
+fn unreported_usage_of_peers_is_deducted_up_to_their_share() {
     let set = GatewaySet { start: 0, size: 2.0 };
     let shared = Customer {
         bucket: QuotaBucket::new(&plan(), 10.0),
@@ -33,18 +33,21 @@
         ..Customer::default()
     };
     assert_eq!(shared.rate_wait_seconds(&plan(), 3.0, 7.0), None);
-    assert_eq!(shared.rate_wait_seconds(&plan(), 3.0, 8.0), Some(0.1), "one unit at 10 a second");
-    assert_eq!(shared.rate_wait_seconds(&plan(), 300.0, 5.0), None, "half of the tokens are this gateway's");
+    assert_eq!(shared.rate_wait_seconds(&plan(), 3.0, 8.0), Some(0.1), "one unit at 10 units per second");
+    assert_eq!(
+        shared.rate_wait_seconds(&plan(), 300.0, 5.0),
+        None,
+        "this gateway's share is half of the tokens"
+    );
     let alone = Customer { remote: RemoteUsage::default(), ..shared };
     assert_eq!(alone.rate_wait_seconds(&plan(), 300.0, 10.0), None);
 }
 
-/// An owner does not answer a request for a grant. If it sent other messages a moment ago it is overloaded
-/// with requests of this customer, which is then taken to be over its quota. If it is silent it may be down,
-/// and only some requests are rejected: three of four where a wrong admission costs three times what a right
-/// one earns.
+/// An owner that sends other messages but does not answer a request for a grant is presumed to be overloaded
+/// by this customer, whose requests are rejected. A silent owner may be down, so only a part is rejected:
+/// three of four if a request over the quota costs three times the value of one within it.
 #[test]
-fn an_owner_that_is_alive_but_does_not_answer_is_overloaded() {
+fn an_owner_that_sends_other_messages_but_no_answer_is_presumed_overloaded() {
     let grant_request = GrantRequest { requested_at: Some(NOW), ..GrantRequest::default() };
     let customer = Customer { quota_owners: vec![1], grant_request, ..Customer::default() };
     let costly = Plan { over_quota_cost: 3.0, ..plan() };
@@ -61,14 +64,14 @@
     for silent in [None, Some(NOW - GRANT_LIFETIME)] {
         assert!((700..800).contains(&rejected(&customer, silent)));
     }
-    let never_asked = Customer { grant_request: GrantRequest::default(), ..customer };
-    assert_eq!(rejected(&never_asked, Some(NOW)), 0);
+    let without_grant_request = Customer { grant_request: GrantRequest::default(), ..customer };
+    assert_eq!(rejected(&without_grant_request, Some(NOW)), 0);
 }
 
-/// A gateway that has seen little of a customer still has a tenth of its even share of the tokens for it,
-/// once it knows the usage of others; before that, its even share.
+/// A gateway without usage by a customer is assumed to have its even share of the rate, or a tenth of that
+/// once the usage of other gateways is known.
 #[test]
-fn a_gateway_that_sees_little_of_a_customer_has_a_floor() {
+fn a_gateway_without_usage_has_a_minimum_share() {
     let set = GatewaySet { start: 0, size: 2.0 };
     let remote = RemoteUsage::with_rate(9.5);
     let unknown = Customer { remote, gateway_set: set, ..Customer::default() };
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -1,27 +1,27 @@
-//! Tests of [`super`], and what the tests of its files share.
+//! Tests of [`super`], and helpers for the tests of its submodules.
 
 use super::shortages::QuotaLimit;
 use super::*;
 use crate::gossip::{QuotaGrant, TokenLevel, UsageReport};
 use crate::{Limits, Request, RequestId};
 
-/// When the gateways under test start.
+/// Start time of the gateways under test.
 pub(super) const START: Instant = Instant::from_micros(1_000_000_000);
-/// Gateways of a fleet in which all own the quotas.
+/// Size of a fleet in which all gateways own the quotas.
 pub(super) const SMALL_FLEET: u16 = 3;
-/// Gateways of a fleet in which owners are designated.
+/// Size of a fleet with designated quota owners.
 pub(super) const LARGE_FLEET: u16 = 300;
-/// Index of a plan with a quota of 10 units a second and a burst of 20.
+/// Index of a plan with a quota of 10 units per second and a burst of 20.
 pub(super) const RATE_QUOTA: u16 = 0;
 /// Index of a plan with a quota of two attempts in flight.
 pub(super) const CONCURRENCY_QUOTA: u16 = 1;
-/// Index of a plan with a hard limit of 5 units a second and a burst of 40, and a quota that is never
+/// Index of a plan with a hard limit of 5 units per second and a burst of 40, and a quota that is never
 /// reached.
 pub(super) const HARD_LIMIT: u16 = 2;
-/// Customers among which one is looked for that a gateway owns, or does not.
+/// Number of customers that [`customer_owned`] searches.
 const MAX_CUSTOMERS: u64 = 10_000;
 
-/// A plan with 10 units a second and a burst of 20.
+/// Returns a plan with a quota of 10 units per second and a burst of 20.
 pub(super) fn plan() -> Plan {
     Plan {
         rate: 10.0,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The quotas of gateway 0 of a fleet that has just started.
+/// Creates the quota manager of gateway 0 in a fleet, started at [`START`].
 pub(super) fn manager(gateway_count: u16) -> QuotaManager {
     let limits = Limits { peer_messages: true, peer_messages_per_second: 100.0, ..Limits::default() };
     let concurrency_quota = Plan { rate: 0.0, burst: 0.0, concurrency_quota: 2, ..plan() };
@@ -44,27 +44,27 @@
     QuotaManager::new(&settings, START)
 }
 
-/// A request of a customer that comes to all gateways.
+/// Creates a request of a customer that uses all gateways of a large fleet.
 pub(super) fn request(customer: CustomerId, plan: u16, units: f64) -> Request {
     let set_size = f64::from(LARGE_FLEET);
     Request { id: RequestId(1), customer, plan, units, gateway_set_size: set_size, ..Request::default() }
 }
 
-/// A customer, of all those with a plan, whose quota gateway 0 owns, or does not.
+/// Returns a customer whose quota gateway 0 owns, or does not own, depending on `owned`.
 pub(super) fn customer_owned(manager: &mut QuotaManager, plan: u16, owned: bool) -> CustomerId {
     let owns = |id: &CustomerId| {
         manager.observe_request(START, &request(*id, plan, 1.0)).grant.is_quota_owner == owned
     };
-    (0..MAX_CUSTOMERS).map(CustomerId).find(owns).expect("some customer of so many")
+    (0..MAX_CUSTOMERS).map(CustomerId).find(owns).expect("one of the customers matches")
 }
 
-/// The shortage of tokens for a request, at a gateway that has never heard of a peer.
+/// Returns the longest shortage for a request at a gateway that has received no message from a peer.
 pub(super) fn shortage(manager: &mut QuotaManager, now: Instant, request: &Request) -> Option<Shortage> {
     let context = ShortageContext { now, request, answer_seconds: 0.25 };
     manager.refill_and_find_shortages(&context, |_| None).longest()
 }
 
-/// A report of a peer that requests a grant.
+/// Creates a peer's usage report that requests a grant.
 pub(super) fn report(customer: CustomerId, plan: u8, total_units: u16, in_flight: u8) -> UsageReport {
     UsageReport {
         customer,
@@ -80,7 +80,7 @@
     }
 }
 
-/// An owner's answer.
+/// Creates an owner's answer.
 pub(super) fn grant(customer: CustomerId, tokens: f64, remote_in_flight: u8) -> QuotaGrant {
     QuotaGrant {
         customer,
@@ -92,10 +92,10 @@
     }
 }
 
-/// A single gateway sees all that a customer uses. The customer spends its burst of 20 units at once, and its
-/// next request, for 5 units, has to wait until they are refilled at 10 units a second.
+/// A customer of a single gateway uses its burst of 20 units at once. Its next request, of 5 units, is
+/// allowed only after the refill at 10 units per second.
 #[test]
-fn beyond_the_burst_a_request_waits_for_the_refill() {
+fn a_request_over_the_burst_is_allowed_after_the_refill() {
     let mut manager = manager(1);
     let request = request(CustomerId(7), RATE_QUOTA, 5.0);
     manager.observe_request(START, &request);
@@ -107,11 +107,11 @@
     assert_eq!(shortage(&mut manager, refilled_at, &request), None);
 }
 
-/// In a large fleet a gateway knows a customer's usage by the grants of its owner alone. Without any it
-/// admits; once the owner says that there are no tokens it does not; and when the owner has been silent for 2
-/// s it admits again, since a fleet whose messages are lost would otherwise reject all customers.
+/// A gateway of a large fleet rejects a customer after an owner's answer without tokens. It admits the
+/// customer again 2 s after the last answer; otherwise a fleet that loses messages would reject all
+/// customers.
 #[test]
-fn a_grant_is_believed_for_two_seconds() {
+fn a_grant_expires_after_two_seconds() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, RATE_QUOTA, false);
     let request = request(customer, RATE_QUOTA, 1.0);
@@ -119,33 +119,32 @@
     let owner = manager.customers[&customer].quota_owners[0];
     let answer = QuotaGrant { remote_rate: 10.0, ..grant(customer, -1.0, 0) };
     manager.on_grant(START, owner, &answer);
-    let met = shortage(&mut manager, START, &request).expect("no tokens");
-    assert_eq!(met.limit, QuotaLimit::Rate);
+    let found = shortage(&mut manager, START, &request).expect("no tokens");
+    assert_eq!(found.limit, QuotaLimit::Rate);
     assert!(shortage(&mut manager, START + Duration::from_millis(1), &request).is_some());
     assert_eq!(shortage(&mut manager, START + Duration::from_secs(2), &request), None);
 }
 
-/// A customer no longer comes. Its record is removed once its buckets are full again, but not while one of
-/// its attempts is in flight: such a customer is reported again, because the report of its attempt may have
-/// been lost.
+/// The record of a customer without requests is removed after its lifetime, in which its buckets refill. A
+/// customer with an attempt in flight keeps its record and is reported again, in case a report was lost.
 #[test]
-fn a_sweep_forgets_customers_that_are_idle() {
+fn a_sweep_removes_idle_customers() {
     let mut manager = manager(1);
     let (idle, busy) = (CustomerId(1), CustomerId(2));
     manager.observe_request(START, &request(idle, RATE_QUOTA, 1.0));
     manager.observe_request(START, &request(busy, CONCURRENCY_QUOTA, 1.0));
     manager.begin_attempt(busy);
     assert_eq!(manager.sweep(START + Duration::from_secs(30)), [busy]);
-    assert_eq!(manager.customers.len(), 2, "an owner keeps a record for 40 s");
-    assert_eq!(manager.sweep(START + Duration::from_millis(30_900)), [], "once a second");
+    assert_eq!(manager.customers.len(), 2, "the lifetime of a record at an owner is 40 s");
+    assert_eq!(manager.sweep(START + Duration::from_millis(30_900)), [], "a sweep runs once per second");
     assert_eq!(manager.sweep(START + Duration::from_secs(60)), [busy]);
     assert!(manager.customers.keys().eq([&busy]));
 }
 
-/// A gateway that starts cannot tell a fleet that starts with it from one that has run for long, so it begins
-/// with a part of a customer's burst. Once it turns out that all started together the rest is added.
+/// Usage before a gateway's start is unknown, so a customer's bucket begins with this gateway's share of the
+/// burst. The rest is added once it is known that all gateways started together.
 #[test]
-fn withheld_tokens_are_released_where_the_fleet_started_together() {
+fn withheld_tokens_are_released_when_the_fleet_started_together() {
     let mut manager = manager(SMALL_FLEET);
     let customer = CustomerId(7);
     manager.observe_request(START, &request(customer, RATE_QUOTA, 1.0));
