--- a/src/bin/ingress/config.rs
+++ b/src/bin/ingress/config.rs
@@ -1,6 +1,6 @@
-//! The configuration file and the environment variables that override it.
+//! Reads the configuration file and the environment variables that override it.
 //!
-//! The keys of `settings` are [`SettingsReader`]'s concern. Of the others, these differ from the terms in the
+//! [`SettingsReader`] parses the keys of `settings`. Of the other keys, these differ from the terms in the
 //! code:
 //!
 //! | key | term in the code |
@@ -20,62 +20,63 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Overrides the address at which clients are served.
+/// Environment variable that overrides the address at which clients connect.
 const LISTEN_VARIABLE: &str = "LB_LISTEN";
-/// Overrides the address of discovery.
+/// Environment variable that overrides the address of discovery.
 pub const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
-/// Bytes in a megabyte of `limits.memory_mb`.
+/// Unit of `limits.memory_mb`.
 const BYTES_PER_MEGABYTE: usize = 1 << 20;
 
-/// The configuration of an ingress.
+/// The validated configuration of an ingress.
 pub struct Config {
-    /// The address at which clients connect.
+    /// Address at which clients connect.
     pub listen_address: SocketAddr,
-    /// The address of discovery.
     pub discovery_address: SocketAddr,
-    /// The seed of all random numbers.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// The most file descriptors.
+    /// Maximum number of open file descriptors.
     pub max_descriptors: usize,
-    /// The most bytes of memory.
+    /// Memory limit of the process.
     pub max_memory_bytes: usize,
-    /// The addresses for gossip; none where the settings allow no messages between gateways.
+    /// Addresses for gossip; `None` if the settings do not allow messages between gateways.
     pub peers: Option<PeerAddresses>,
-    /// The endpoint list that the process had before its restart; it may be stale.
+    /// The endpoint list from before the restart of the process, which may be stale.
     pub cached_endpoints: EndpointList,
-    /// The gateway's settings.
+    /// Settings of the gateway.
     pub settings: Settings,
-    /// The classes, plans and limits that commands are checked against.
+    /// The classes, plans and limits that commands are validated against.
     pub command_schema: CommandSchema,
     /// The names of zones and machine types in endpoint lists.
     pub location_names: LocationNames,
-    /// How long a backend keeps an idle connection open.
+    /// Time after which backends close an idle connection.
     pub keepalive_timeout: Duration,
 }
 
-/// The addresses of an ingress and its peers.
+/// The addresses for gossip between an ingress and its peers.
 #[derive(Clone)]
 pub struct PeerAddresses {
-    /// The address at which this ingress receives messages.
+    /// Address at which this ingress receives messages.
     pub listen_address: SocketAddr,
-    /// The addresses of all gateways by index, this one's included.
+    /// Addresses of all gateways, this one included, indexed by gateway id.
     pub by_gateway: Vec<SocketAddr>,
-    /// The address for messages to all gateways.
+    /// Address for messages to all gateways.
     pub broadcast: Option<SocketAddr>,
 }
 
-/// An environment variable, if it is set and not empty.
+/// Returns the value of an environment variable if it is set and not empty.
 pub fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
 impl Config {
-    /// Reads the file at a path; `variable` looks up the environment, whose addresses override the file's.
+    /// Reads the configuration file at a path.
+    ///
+    /// `variable` looks up environment variables, whose addresses override those of the file.
     pub fn read(path: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigFileError> {
         Config::from_file(path, std::fs::read_to_string(path), variable)
     }
 
-    /// Parses the result of reading the file at a path; `variable` looks up the environment.
+    /// Parses the result of reading the file at a path. `variable` looks up environment variables.
     pub fn from_file(
         path: &str,
         text: io::Result<String>,
@@ -86,7 +87,7 @@
             .map_err(|source| ConfigFileError::Invalid { path: path.to_string(), source })
     }
 
-    /// Parses the file's text; `variable` looks up the environment.
+    /// Parses the text of a configuration file. `variable` looks up environment variables.
     pub(crate) fn parse(
         text: &str,
         variable: impl Fn(&str) -> Option<String>,
@@ -125,13 +126,13 @@
     }
 }
 
-/// The seed, a hexadecimal number.
+/// Parses the seed, a hexadecimal number.
 fn parse_seed(json: &Value) -> Result<u64, ConfigError> {
     let text = text_at(json, "seed")?;
     u64::from_str_radix(text, 16).map_err(|_| ConfigError::SeedNotHex(text.to_string()))
 }
 
-/// The classes and plans that commands may name.
+/// Builds the schema that commands are validated against.
 fn parse_command_schema(reader: &SettingsReader, settings: &Settings) -> Result<CommandSchema, ConfigError> {
     let class = |(name, class): (String, &Class)| ClassSchema { name, idempotency: class.idempotency };
     Ok(CommandSchema {
@@ -142,13 +143,13 @@
     })
 }
 
-/// The endpoint list that was cached before the start.
+/// Parses the endpoint list from before the restart of the process.
 fn parse_cached_endpoints(json: &Value, location_names: &LocationNames) -> Result<EndpointList, ConfigError> {
     let list = json.get("known").ok_or(ConfigError::Missing("known"))?;
     EndpointList::from_json(list, location_names).map_err(ConfigError::CachedEndpoints)
 }
 
-/// The addresses of the peers; none where the settings allow no messages.
+/// Parses the addresses for gossip. Returns `None` if the settings do not allow messages between gateways.
 fn parse_peers(json: &Value, settings: &Settings) -> Result<Option<PeerAddresses>, ConfigError> {
     if !settings.limits.peer_messages {
         return Ok(None);
@@ -165,17 +166,17 @@
     Ok(Some(PeerAddresses { listen_address, by_gateway, broadcast }))
 }
 
-/// Parses an IP address with a port; `key` is named in the error.
+/// Parses an IP address with a port. The error names `key`.
 fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::NotAnAddress { key, text: text.to_string() })
 }
 
-/// The text at a key.
+/// Returns the string at a key.
 fn text_at<'a>(json: &'a Value, key: &'static str) -> Result<&'a str, ConfigError> {
     json.get(key).and_then(Value::as_str).ok_or(ConfigError::NotAString(key))
 }
 
-/// The whole number above 0 at a key of an object.
+/// Returns the positive integer at a key of an object.
 fn positive_number(json: &Value, object: &'static str, key: &'static str) -> Result<usize, ConfigError> {
     let number = json.get(object).and_then(|object| object.get(key)).and_then(Value::as_u64);
     let number = number.and_then(|number| usize::try_from(number).ok()).filter(|number| *number > 0);
--- a/src/bin/ingress/config/error.rs
+++ b/src/bin/ingress/config/error.rs
@@ -1,12 +1,11 @@
-//! Why a configuration is rejected. Every text names the key at fault; the text of a source is not repeated
-//! in that of the error around it.
+//! Errors of the configuration. Each text names the invalid key, and does not repeat that of its source.
 
 use crate::discovery::EndpointListError;
 use ingress::SettingsError;
 use std::io;
 use thiserror::Error;
 
-/// A configuration file that cannot be used.
+/// Reason for which a configuration file is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigFileError {
     /// The file cannot be read.
@@ -14,63 +13,63 @@
     Unreadable {
         /// The file's path.
         path: String,
-        /// The system's error.
+        /// The error of the read.
         source: io::Error,
     },
-    /// The file's content is not a configuration.
+    /// The content of the file is not a valid configuration.
     #[error("{path}")]
     Invalid {
         /// The file's path.
         path: String,
-        /// What is wrong with it.
+        /// The error in the content.
         source: ConfigError,
     },
 }
 
-/// What is wrong with the content of a configuration file.
+/// Reason for which the content of a configuration file is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The file's content is not JSON.
-    #[error("the file is no JSON")]
+    /// The content cannot be parsed as JSON.
+    #[error("invalid JSON")]
     NotJson(#[source] serde_json::Error),
-    /// A key is missing.
+    /// A required key is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// A list is missing, or the value is no list.
-    #[error("{0} is missing or no list")]
+    /// The value of a key is missing or not an array.
+    #[error("{0} is missing or not a list")]
     NotAList(&'static str),
-    /// A text is missing, or the value is no text.
-    #[error("{0} is missing or no text")]
+    /// The value of a key is missing or not a string.
+    #[error("{0} is missing or not a string")]
     NotAString(&'static str),
-    /// A positive whole number is missing, or the value is none.
-    #[error("{object}.{key} is missing or no whole number above 0")]
+    /// The value of a key is missing or not a positive integer.
+    #[error("{object}.{key} is missing or not a positive integer")]
     NotPositive {
-        /// The object with the key.
+        /// The key of the object that contains the value.
         object: &'static str,
-        /// Its key there.
+        /// The key within the object.
         key: &'static str,
     },
-    /// A value, or an environment variable, is not an IP address with a port.
-    #[error("{key} is no address and port: {text}")]
+    /// The value of a key or environment variable is not an IP address with a port.
+    #[error("{key} is not an IP address with a port: {text}")]
     NotAnAddress {
-        /// The key, or the variable's name.
+        /// The key, or the name of the environment variable.
         key: &'static str,
-        /// The value.
+        /// The rejected value.
         text: String,
     },
-    /// The seed is not hexadecimal.
-    #[error("seed is no hex number: {0}")]
+    /// The seed is not hexadecimal, or does not fit into 64 bits.
+    #[error("seed is not a 64-bit hexadecimal number: {0}")]
     SeedNotHex(String),
-    /// One of the settings is missing or bad.
+    /// A setting is missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The clock's tick must not be 0.
-    #[error("setting tick_us is 0")]
+    /// The interval of the clock's ticks is zero.
+    #[error("setting tick_us must not be 0")]
     ZeroTick,
-    /// The cached endpoint list cannot be read.
+    /// The cached endpoint list is invalid.
     #[error("known")]
     CachedEndpoints(#[source] EndpointListError),
-    /// The peers' addresses do not match the number of gateways.
-    #[error("peers does not have one address for each of setting n_instances")]
+    /// The number of the peers' addresses differs from the number of gateways.
+    #[error("the number of addresses in peers differs from setting n_instances")]
     PeerCount,
 }
--- a/src/bin/ingress/config/tests.rs
+++ b/src/bin/ingress/config/tests.rs
@@ -18,23 +18,23 @@
  "overload_factor":4.0,"fall_us":1000000,"must_ask_in_us":10000000},
 "membership_mode":"push","weights":"none","reporting":{"how":"none","fields":[]}}}"#;
 
-/// The text of the error that a configuration gives.
+/// Returns the error text of an invalid configuration.
 fn error_text(config: &str) -> String {
     ErrorChain(&Config::parse(config, |_| None).err().unwrap()).to_string()
 }
 
-/// A configuration has one mistake, and the ingress reports it in a line that names the key. Operators look for
-/// these texts; so they stay as they are.
+/// A configuration has one mistake. The error has to name the key, which an operator needs to correct the
+/// file.
 #[test]
 fn each_invalid_setting_has_its_error_text() {
     assert!(Config::parse(CONFIG, |_| None).is_ok());
     for (from, to, text) in [
-        ("{\"name\"", "\"name\"", "the file is no JSON: trailing characters at line 1 column 7"),
-        ("\"seed\":\"7\"", "\"seed\":7", "seed is missing or no text"),
-        ("\"seed\":\"7\"", "\"seed\":\"seven\"", "seed is no hex number: seven"),
+        ("{\"name\"", "\"name\"", "invalid JSON: trailing characters at line 1 column 7"),
+        ("\"seed\":\"7\"", "\"seed\":7", "seed is missing or not a string"),
+        ("\"seed\":\"7\"", "\"seed\":\"seven\"", "seed is not a 64-bit hexadecimal number: seven"),
         ("\"settings\":{", "\"other\":{", "settings is missing"),
         ("\"tick_us\":4000,", "", "setting tick_us is missing"),
-        ("\"tick_us\":4000", "\"tick_us\":0", "setting tick_us is 0"),
+        ("\"tick_us\":4000", "\"tick_us\":0", "setting tick_us must not be 0"),
         ("\"zones\":[\"a\"],", "", "setting zones is missing"),
         ("\"skus\":[\"m\"],", "", "setting skus is missing"),
         ("\"known\":{", "\"other\":{", "known is missing"),
@@ -59,11 +59,11 @@
             "\"answer_slack_us\":1.5",
             "setting rules.answer_slack_us is not a whole number up to 4503599627370495: 1.5",
         ),
-        ("\"peers\":false", "\"peers\":true", "peers is missing or no list"),
-        ("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"x\"", "listen is no address and port: x"),
-        ("\"discovery\":\"127.0.0.1:1\",", "", "discovery is missing or no text"),
-        ("\"sockets\":256", "\"sockets\":0", "limits.sockets is missing or no whole number above 0"),
-        ("\"memory_mb\":64", "\"memory_mb\":0.5", "limits.memory_mb is missing or no whole number above 0"),
+        ("\"peers\":false", "\"peers\":true", "peers is missing or not a list"),
+        ("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"x\"", "listen is not an IP address with a port: x"),
+        ("\"discovery\":\"127.0.0.1:1\",", "", "discovery is missing or not a string"),
+        ("\"sockets\":256", "\"sockets\":0", "limits.sockets is missing or not a positive integer"),
+        ("\"memory_mb\":64", "\"memory_mb\":0.5", "limits.memory_mb is missing or not a positive integer"),
         (
             "\"keepalive_us\":15000000",
             "\"keepalive_us\":-1",
@@ -74,41 +74,41 @@
     }
 }
 
-/// An address of the peers is missing or invalid, or there are fewer addresses than ingresses. The error names the
-/// key; an ingress that started all the same would run without its peers, and customers could exceed their quotas.
+/// An address of the peers is missing or invalid, or there are fewer addresses than ingresses. An ingress
+/// that started anyway would run without its peers, and customers could exceed their quotas.
 #[test]
 fn each_invalid_peer_address_has_its_error_text() {
     let config = CONFIG.replacen("\"peers\":false", "\"peers\":true", 1);
     for (peers, text) in [
-        ("\"peers\":[],", "peer_listen is missing or no text"),
-        ("\"peers\":[],\"peer_listen\":\"y\",", "peer_listen is no address and port: y"),
-        ("\"peers\":[\"z\"],\"peer_listen\":\"127.0.0.1:2\",", "peers is no address and port: z"),
-        ("\"peers\":[0],\"peer_listen\":\"127.0.0.1:2\",", "peers is no address and port: "),
+        ("\"peers\":[],", "peer_listen is missing or not a string"),
+        ("\"peers\":[],\"peer_listen\":\"y\",", "peer_listen is not an IP address with a port: y"),
+        ("\"peers\":[\"z\"],\"peer_listen\":\"127.0.0.1:2\",", "peers is not an IP address with a port: z"),
+        ("\"peers\":[0],\"peer_listen\":\"127.0.0.1:2\",", "peers is not an IP address with a port: "),
         (
             "\"peers\":[],\"peer_listen\":\"127.0.0.1:2\",\"peers_all\":\"w\",",
-            "peers_all is no address and port: w",
+            "peers_all is not an IP address with a port: w",
         ),
         (
             "\"peers\":[],\"peer_listen\":\"127.0.0.1:2\",",
-            "peers does not have one address for each of setting n_instances",
+            "the number of addresses in peers differs from setting n_instances",
         ),
     ] {
         assert_eq!(error_text(&config.replacen('{', &format!("{{{peers}"), 1)), text);
     }
 }
 
-/// An address is given both in the environment and in the file. The one in the environment counts, and an error in
-/// it names the variable, so that an operator does not search the file for a mistake that is not there.
+/// An address is set both in the environment and in the file. The environment takes precedence, and an error
+/// in it has to name the variable, so that an operator does not search the file for the mistake.
 #[test]
 fn an_address_in_the_environment_overrides_the_one_in_the_file() {
     let variable = |name: &str| (name == "LB_LISTEN").then(|| "127.0.0.1:3".to_string());
     assert_eq!(Config::parse(CONFIG, variable).ok().unwrap().listen_address.port(), 3);
     let variable = |name: &str| (name == "LB_DISCOVERY").then(|| "there".to_string());
     let error = ErrorChain(&Config::parse(CONFIG, variable).err().unwrap()).to_string();
-    assert_eq!(error, "LB_DISCOVERY is no address and port: there");
+    assert_eq!(error, "LB_DISCOVERY is not an IP address with a port: there");
 }
 
-/// The configuration file cannot be read, or has a mistake in it. The error names the path, since an operator may
+/// The configuration file cannot be read or is invalid. The error has to name the path, since an operator may
 /// have edited another file than the one that the ingress reads.
 #[test]
 fn an_error_in_a_file_names_its_path() {
@@ -119,5 +119,5 @@
     let path = file.to_str().unwrap();
     let error = ErrorChain(&Config::read(path, |_| None).err().unwrap()).to_string();
     std::fs::remove_file(&file).unwrap();
-    assert_eq!(error, format!("{path}: setting tick_us is 0"));
+    assert_eq!(error, format!("{path}: setting tick_us must not be 0"));
 }
--- a/src/bin/ingress/peers.rs
+++ b/src/bin/ingress/peers.rs
@@ -1,4 +1,4 @@
-//! The transport of gossip: UDP datagrams between ingresses, which are identified by their addresses.
+//! Sends and receives gossip as UDP datagrams between ingresses, which are identified by their addresses.
 
 use crate::config::PeerAddresses;
 use ingress::{GatewayId, MAX_MESSAGE_BYTES};
@@ -7,32 +7,30 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The most datagrams per receive, so that a flood of them does not starve the event loop's other work.
+/// Maximum number of datagrams per receive, so that a flood does not starve the event loop's other work.
 const MAX_DATAGRAMS_PER_RECEIVE: usize = 64;
 
-/// The socket for messages to and from peers.
+/// The UDP socket for messages to and from peers.
 pub struct PeerSocket {
-    /// The socket, bound to this ingress's own address.
     socket: UdpSocket,
-    /// The addresses of all ingresses.
     addresses: PeerAddresses,
 }
 
-/// Why a datagram was dropped.
+/// Reason for which a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DropReason {
-    /// It is longer than any message.
+    /// The datagram exceeds the maximum length of a message.
     TooLong,
-    /// The address of its sender is no ingress's.
+    /// The sender's address belongs to no ingress of the fleet.
     UnknownAddress,
 }
 
-/// The datagrams that are left in the socket after a receive.
+/// State of the socket's receive queue after a receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Backlog {
-    /// There are none.
+    /// No datagrams are queued.
     Empty,
-    /// There may be more datagrams.
+    /// More datagrams may be queued.
     MayHaveMore,
 }
 
@@ -44,10 +42,10 @@
         Ok(PeerSocket { socket, addresses })
     }
 
-    /// Passes the messages that have arrived to `on_message`. Datagrams that are too long or not from an
-    /// ingress of the fleet are dropped.
+    /// Passes received messages to `on_message`. Drops datagrams that are too long or not from an ingress of
+    /// the fleet.
     pub fn receive(&mut self, mut on_message: impl FnMut(GatewayId, Vec<u8>)) -> Backlog {
-        // One byte more than allowed, to detect datagrams that are too long.
+        // One byte longer than the maximum, to detect datagrams that are too long.
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_RECEIVE {
             match self.socket.recv_from(&mut buffer) {
@@ -58,15 +56,14 @@
                     }
                 },
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Backlog::Empty,
-                // The system reports that an earlier message could not be delivered; the next receive
-                // succeeds.
+                // The system reports that an earlier message was not delivered. The next receive succeeds.
                 Err(_) => {}
             }
         }
         Backlog::MayHaveMore
     }
 
-    /// The gateway that sent a datagram.
+    /// Returns the gateway that sent a datagram, or the reason to drop the datagram.
     fn identify(&self, sender: SocketAddr, length: usize) -> Result<GatewayId, DropReason> {
         if length > MAX_MESSAGE_BYTES {
             return Err(DropReason::TooLong);
@@ -74,14 +71,14 @@
         self.gateway_at(sender).ok_or(DropReason::UnknownAddress)
     }
 
-    /// The gateway with an address; none if it is no ingress's.
+    /// Returns the gateway with an address, if there is one.
     fn gateway_at(&self, address: SocketAddr) -> Option<GatewayId> {
         let index = self.addresses.by_gateway.iter().position(|known| *known == address)?;
         u16::try_from(index).ok().map(GatewayId)
     }
 
-    /// Sends a message to one peer or to all. A message that cannot be sent is dropped: gossip tolerates
-    /// losses.
+    /// Sends a message to one peer, or to all if `to` is `None`. Drops messages that cannot be sent, since
+    /// gossip tolerates losses.
     pub fn send(&self, to: Option<GatewayId>, bytes: &[u8]) {
         let address = match to {
             Some(gateway) => self.addresses.by_gateway.get(usize::from(gateway.0)),
