--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -10,10 +10,10 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// The time at which connections are accepted and requests read.
+/// The time at which connections are accepted and requests are read.
 const NOW: Instant = Instant::from_micros(1_000_000_000);
 
-/// Connections on a listener of their own.
+/// Client connections on a separate listener.
 struct Fixture {
     clients: Clients,
     poll: Poll,
@@ -31,7 +31,7 @@
         Fixture { clients, poll: Poll::new().unwrap(), address }
     }
 
-    /// A client whose connection was accepted.
+    /// Connects a client and accepts its connection.
     fn client(&mut self, capacity: Capacity) -> TcpStream {
         let client = TcpStream::connect(self.address).unwrap();
         client.set_read_timeout(Some(std::time::Duration::from_secs(5))).unwrap();
@@ -54,7 +54,7 @@
         panic!("the request did not arrive");
     }
 
-    /// Reads until the next request is complete, and returns when it arrived.
+    /// Reads until the next request is complete, and returns its arrival time.
     fn next_arrival(&mut self, now: Instant) -> Instant {
         for _ in 0..1_000_000 {
             self.clients.read_all(now);
@@ -66,7 +66,7 @@
     }
 }
 
-/// A valid request, encoded.
+/// Returns an encoded valid request.
 fn request_command() -> Vec<u8> {
     let mut out = Vec::new();
     resp::write_array_header(&mut out, 4);
@@ -76,17 +76,17 @@
     out
 }
 
-/// Reads as many bytes as are expected, and compares them.
+/// Reads as many bytes as expected, and compares them.
 fn expect_reply(client: &mut TcpStream, expected: &[u8]) {
     let mut received = vec![0; expected.len()];
     client.read_exact(&mut received).expect("the whole reply");
     assert!(received == expected, "{:?}", String::from_utf8_lossy(&received[..received.len().min(40)]));
 }
 
-/// A backend takes longer for a request than a client may take to read a reply. The time to read was counted from
-/// the request on, so the connection was closed as if the client did not read, before its reply was even written.
+/// A backend takes longer for a request than a client may take to read a reply. If the time to read counted
+/// from the request, the connection would be closed before the reply is written.
 #[test]
-fn a_late_reply_is_not_taken_for_an_unread_one() {
+fn a_late_reply_is_not_treated_as_unread() {
     let mut fixture = Fixture::new(1 << 20);
     let mut client = fixture.client(Capacity::Available);
     let reply_to = fixture.request(&mut client);
@@ -96,10 +96,10 @@
     expect_reply(&mut client, b"+late\r\n");
 }
 
-/// A large reply takes more memory than is left for clients. The connection was closed to free that memory, and
-/// with it went the reply that would have been written, and the memory freed, within the same iteration.
+/// A large reply exceeds the memory limit of the clients. The connection must not be closed to free that
+/// memory, since the reply is about to be written within the same iteration, which frees it.
 #[test]
-fn a_reply_is_not_dropped_for_the_memory_that_it_takes() {
+fn an_unwritten_reply_is_not_dropped_over_the_memory_limit() {
     let mut fixture = Fixture::new(10_000);
     let mut client = fixture.client(Capacity::Available);
     let reply_to = fixture.request(&mut client);
@@ -110,9 +110,8 @@
     expect_reply(&mut client, &reply);
 }
 
-/// The ingress is busy, and the rest of a command has arrived but was not read yet when the time for completing it
-/// is over. The client did its part in time, so the command is read and answered instead of being refused as
-/// incomplete.
+/// The ingress is busy, and the rest of a command has arrived in time but was not read when the time for
+/// completing it is over. The command is read and answered, not refused as incomplete.
 #[test]
 fn the_rest_of_a_command_is_read_before_the_command_times_out() {
     let mut fixture = Fixture::new(1 << 20);
@@ -127,9 +126,9 @@
     expect_reply(&mut client, b"+PONG\r\n");
 }
 
-/// A client connects when all places are taken, and its request arrives just before the connection expires. It gets
-/// a rejection, which says that it may try another ingress, and only then is it closed; a close without an answer
-/// would leave it unsure whether its request was executed.
+/// A client connects when the limit on clients is reached, and its request arrives just before the connection
+/// expires. The request is rejected before the close; without a reply the client could not exclude that it
+/// was executed.
 #[test]
 fn a_client_over_the_limit_is_rejected_before_its_connection_expires() {
     let mut fixture = Fixture::new(1 << 20);
@@ -144,10 +143,10 @@
     assert_eq!(counts, [(ClientCloseReason::LingerTimeout, 1)]);
 }
 
-/// A client connects when all places are taken, and sends nothing. It had no reply to read, so the log must not say
-/// that it took too long to read one.
+/// A client connects when the limit on clients is reached, and sends nothing. No reply was owed, so that the
+/// log must not state that the client took too long to read one.
 #[test]
-fn a_client_over_the_limit_without_a_request_is_not_logged_as_lingering() {
+fn a_silent_client_over_the_limit_is_not_counted_as_lingering() {
     let mut fixture = Fixture::new(1 << 20);
     let _client = fixture.client(Capacity::OverLimit);
     fixture.clients.close_expired(NOW + LINGER_TIMEOUT);
@@ -156,25 +155,25 @@
     assert_eq!(counts, [(ClientCloseReason::OverLimitTimeout, 1)]);
 }
 
-/// Reading from a client is interrupted, or finds no memory, as often as one iteration allows, so that the rest
-/// waits for the next one. A command may be waiting there, and the connection must not be closed as the one that
-/// was idle for longest; its client would lose the request.
+/// Reads from a client are interrupted or fail for lack of memory up to the limit per iteration, so that the
+/// rest waits for the next one. The connection must not be closed as the longest idle one: a command may be
+/// waiting, and the client would lose it.
 #[test]
-fn a_connection_that_is_to_be_read_from_is_not_closed_as_idle() {
+fn a_connection_queued_for_reading_is_not_closed_as_idle() {
     let mut fixture = Fixture::new(1 << 20);
     let _client = fixture.client(Capacity::Available);
     let key = fixture.clients.connections.iter().next().unwrap().0;
     fixture.clients.queue_for_read(key);
     assert!(!fixture.clients.close_longest_idle(NOW + Duration::MICROSECOND), "a command may be waiting");
     fixture.clients.resume_reads(NOW + Duration::MICROSECOND);
-    assert!(fixture.clients.close_longest_idle(NOW + Duration::MICROSECOND), "nothing was");
+    assert!(fixture.clients.close_longest_idle(NOW + Duration::MICROSECOND), "no command was waiting");
 }
 
-/// A client connects and sends its request while there is no descriptor for it, and is accepted 0.9 s later. Its
-/// time was counted from the accept, so a backend was given more time than the client had left; it counts from when
-/// the connection began to wait. What arrives later on that connection has not waited.
+/// A client connects and sends its request while no descriptor is available, and is accepted 0.9 s later. The
+/// request's timeout counts from the time at which the connection began to wait; counted from the accept, a
+/// backend would get more time than the client has left. Later requests on the connection have not waited.
 #[test]
-fn the_time_that_a_connection_waited_to_be_accepted_counts() {
+fn the_timeout_includes_the_wait_to_be_accepted() {
     const WAIT: Duration = Duration::from_millis(900);
     let mut fixture = Fixture::new(1 << 20);
     let mut client = TcpStream::connect(fixture.address).unwrap();
@@ -187,8 +186,8 @@
     while fixture.clients.len() == 0 {
         fixture.clients.accept(fixture.poll.registry(), accepted_at, |_| Capacity::Available);
     }
-    assert_eq!(fixture.next_arrival(accepted_at), NOW, "it was waiting since then");
-    // What comes later has not waited.
+    assert_eq!(fixture.next_arrival(accepted_at), NOW, "the connection was waiting since then");
+    // A later request has not waited.
     let later = accepted_at + WAIT;
     fixture.clients.set_arrival_time(later);
     fixture.clients.read_all(later);
@@ -199,5 +198,5 @@
         fixture.clients.accept(fixture.poll.registry(), later, |_| Capacity::Available);
     }
     (&second).write_all(&request_command()).unwrap();
-    assert_eq!(fixture.next_arrival(later), later, "nobody had waited before it");
+    assert_eq!(fixture.next_arrival(later), later, "no connection was waiting before it");
 }
--- a/src/bin/ingress/command/tests.rs
+++ b/src/bin/ingress/command/tests.rs
@@ -25,10 +25,10 @@
     Command::parse(&buffer, &arguments, &schema()).unwrap()
 }
 
-/// A command is parsed and encoded again for a backend. Customer, id, options and body stay as the client sent
-/// them, byte by byte; only the time that is left is replaced.
+/// A command is parsed and encoded again for a backend. Customer, id, options and body stay as the client
+/// sent them, byte by byte; only the timeout is replaced by the time that is left.
 #[test]
-fn a_command_is_forwarded_unchanged_but_for_its_timeout() {
+fn a_command_is_forwarded_unchanged_except_for_its_timeout() {
     let options = "c=save,t=business,d=480,k=5c0f,r=1,units=2,spread=3,first=1,new=x";
     let command = parse(&["CALL.POST", "00000000b4d65521", "9b1f", options, "BO\r\nDY"]).unwrap();
     let request = command.request;
@@ -48,11 +48,11 @@
     assert_eq!(String::from_utf8(out).unwrap(), expected);
 }
 
-/// A client's request has one invalid, missing or repeated option, or an invalid customer, id or body. The error
-/// names it, so that whoever writes the client knows what to mend; a request that was accepted with a wrong value
-/// could be charged to another customer.
+/// A client's request has an invalid, missing or repeated option, or an invalid customer, id or body. The
+/// error names the fault, so that the client can be corrected; a request accepted with a wrong value could be
+/// charged to another customer.
 #[test]
-fn an_error_names_what_is_missing_or_invalid() {
+fn an_error_names_the_missing_or_invalid_part() {
     let valid = "c=quote,t=starter,d=480,units=2,spread=3,first=1";
     assert!(parse(&["CALL.GET", "00000000b4d65521", "9b1f", valid]).is_ok());
     for (from, to, expected) in [
--- a/src/bin/ingress/event_loop/shutdown/tests.rs
+++ b/src/bin/ingress/event_loop/shutdown/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 const STARTED: Instant = Instant::from_micros(1_000_000_000);
-/// How long requests with long deadlines are served after the signal.
+/// Time after the signal in which requests are served, at its maximum.
 const LONGEST_REPLY_TIME: Duration = Duration::from_millis(3400);
 
-/// After SIGTERM requests are served for as long as the longest deadline of a request, but no longer than the
-/// process has before SIGKILL. A later end would lose the requests that are still open when it is killed; an
-/// earlier one would fail requests that could have been served. A second SIGTERM changes nothing.
+/// After SIGTERM, requests are served until the longest deadline of a request has passed, bounded by the time
+/// before SIGKILL. A later end would lose the requests that are open at SIGKILL; an earlier one would fail
+/// requests that could be served. A second SIGTERM has no effect.
 #[test]
 fn the_reply_deadline_follows_the_longest_deadline_up_to_a_bound() {
     for (longest_deadline, reply_time) in [
@@ -22,7 +22,7 @@
                 && !shutdown.has_begun()
         );
         assert_eq!(shutdown.begin(STARTED), Some(STARTED + reply_time));
-        assert_eq!(shutdown.begin(STARTED + Duration::MICROSECOND), None, "a second signal changes nothing");
+        assert_eq!(shutdown.begin(STARTED + Duration::MICROSECOND), None, "a second signal has no effect");
         let deadline = STARTED + reply_time;
         assert!(
             !shutdown.is_past_reply_deadline(deadline - Duration::MICROSECOND)
@@ -33,11 +33,11 @@
     }
 }
 
-/// Clients go on connecting after SIGTERM, as they have not heard of the shutdown. The listener stays open while
-/// they come, and for as long as failed accepts may hide some; it closes when none has come for 0.3 s, or when a
-/// new request could no longer be served.
+/// Clients that have not detected the shutdown connect after SIGTERM. The listener stays open while
+/// connections arrive or accepting fails, and closes when none has arrived for 300 ms or a new request could
+/// no longer be served.
 #[test]
-fn connections_are_accepted_while_they_come_and_time_is_left() {
+fn connections_are_accepted_while_they_arrive_and_time_is_left() {
     let mut shutdown = Shutdown::new(Duration::from_secs(3));
     shutdown.begin(STARTED);
     let now = STARTED + MIN_ACCEPTING_TIME;
--- a/src/bin/ingress/event_loop/source/tests.rs
+++ b/src/bin/ingress/event_loop/source/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// The poll names a ready socket by a number. Two sockets with one number would have the ingress read from the
-/// wrong connection and leave the other one's client without an answer.
+/// The poll identifies a ready socket by its token. If two sockets shared a token, the ingress would read
+/// from the wrong connection and leave the other client without an answer.
 #[test]
-fn each_source_has_a_token_of_its_own() {
+fn each_source_has_a_unique_token() {
     let fixed = [Source::Listener, Source::Signals, Source::Discovery, Source::Peers];
     let connections = (0..3).flat_map(|key| [Source::Client(key), Source::Backend(key)]);
     for (number, source) in fixed.into_iter().chain(connections).enumerate() {
@@ -13,11 +13,11 @@
     }
 }
 
-/// Two clients send requests with the same id, one after the other, in a moment when many sockets are ready. The
-/// first one is accepted and the second one gets an error; when sockets were sorted without keeping that order, the
-/// copy could be accepted and the original rejected.
+/// Two clients send requests with the same id, one after the other, while many sockets are ready. The first
+/// one is accepted and the second one gets an error; an unstable sort could accept the duplicate and reject
+/// the original.
 #[test]
-fn sockets_of_one_kind_are_handled_in_the_order_in_which_they_became_ready() {
+fn sockets_of_equal_rank_are_handled_in_the_order_of_readiness() {
     let socket =
         |source: Source| ReadySocket { token: source.into(), readiness: Readiness::Readable, closed: false };
     let clients: Vec<usize> = (0..200).map(|number| number * 73 % 200).collect();
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -15,10 +15,10 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown as Direction, SocketAddr, TcpListener, TcpStream, UdpSocket};
 
-/// The command that every client may send.
+/// A command that is answered by the ingress itself.
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
 
-/// Starts an event loop with a configuration, which it reads again from the file at this path.
+/// Starts an event loop with a configuration, which a reload reads again from the file at `path`.
 fn started_with(config: Config, path: String) -> Result<EventLoop, EventLoopError> {
     let retry = StartRetry::new();
     EventLoop::start(config, Reload::new(path), register_signals(retry).unwrap(), retry)
@@ -41,16 +41,15 @@
     (event_loop, client)
 }
 
-/// The ingress shuts down, and the rest of a command arrives after its last read and just before the process exits.
-/// The kernel has accepted those bytes, so the client counts on an answer; an exit without another read would reset
-/// the connection and lose the command.
+/// The rest of a command arrives between the last read and the exit of the process. The kernel has accepted
+/// these bytes, so that without another read the exit would reset the connection and lose the command.
 #[test]
 fn commands_received_just_before_the_exit_are_answered() {
     let (mut event_loop, mut client) = start("end", CONFIG);
     while event_loop.clients.len() == 0 {
         event_loop.accept();
     }
-    // The shutdown began long ago, and all is answered; half a command of this client has come.
+    // The shutdown began long ago and all requests are answered; half a command of this client has arrived.
     client.write_all(b"*1\r\n$4\r\nPI").unwrap();
     while event_loop.clients.idle_count() > 0 {
         event_loop.clients.read_all(event_loop.now);
@@ -65,9 +64,9 @@
     assert_eq!(&reply, b"+PONG\r\n");
 }
 
-/// The ingress shuts down while a hundred clients wait to be accepted, more than it accepts at once. Their
-/// connections are established and their commands sent; a listener that is closed first would reset all of them.
-/// They have to be accepted and answered before it closes.
+/// During a shutdown, 100 clients are waiting to be accepted, more than one batch. Their connections are
+/// established and their commands sent, and closing the listener would reset them: they have to be accepted
+/// and answered first.
 #[test]
 fn clients_queued_when_the_listener_closes_are_answered() {
     let (mut event_loop, first) = start("line", CONFIG);
@@ -76,7 +75,7 @@
     for client in &mut clients {
         client.write_all(PING).unwrap();
     }
-    // The shutdown has begun; the time for accepting is over by the next iteration.
+    // The shutdown has begun; the time for accepting is over at the next iteration.
     event_loop.shutdown.phase = Phase::Accepting { reply_deadline: event_loop.now + MIN_ACCEPTING_TIME };
     event_loop.timers.schedule(event_loop.now, Timer::CheckAccepting);
     while !event_loop.shutdown.is_draining() {
@@ -93,8 +92,8 @@
     }
 }
 
-/// A request arrives so late in a shutdown that nothing can be served any more. It is rejected at once, so that the
-/// client can try another ingress; a request that was still opened would be lost when the process exits.
+/// A request arrives after the reply deadline of the shutdown. It is rejected at once, so that the client can
+/// try another ingress; an opened request would be lost when the process exits.
 #[test]
 fn requests_after_the_reply_deadline_are_rejected_at_once() {
     let (mut event_loop, mut client) = start("late", CONFIG);
@@ -109,7 +108,7 @@
     assert_eq!((&reply, event_loop.requests.len()), (b"-BUSY\r\n", 0));
 }
 
-/// An encoded request of the customer with this number, with an id of its own.
+/// Returns an encoded request of the customer with this number, with a unique id.
 fn request_command(number: usize) -> Vec<u8> {
     let (customer, id) = (format!("{number:016x}"), format!("q{number}"));
     let options = "c=quote,t=starter,d=900,units=1,spread=1,first=0";
@@ -128,27 +127,27 @@
     Forbidden,
 }
 
-/// How clients disconnect.
+/// The way in which clients disconnect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disconnect {
-    /// They close the connection.
+    /// The client closes the connection.
     Full,
-    /// They close only their sending direction.
+    /// The client closes only its sending direction.
     Half,
 }
 
 /// A client whose request is in flight.
 struct ClientInFlight {
     client: TcpStream,
-    /// How many commands backends got for its request.
+    /// The number of commands that backends received for the request.
     commands: usize,
 }
 
-/// An event loop between clients and two backends that the test plays.
+/// An event loop between clients and two backends, both played by the test.
 struct Testbed {
     event_loop: EventLoop,
     backends: [TcpListener; 2],
-    /// The connections that each backend has accepted.
+    /// The connections accepted by each backend.
     connections: [Vec<TcpStream>; 2],
     address: SocketAddr,
 }
@@ -186,7 +185,7 @@
         let mut client = self.client();
         client.write_all(&request_command(1)).unwrap();
         let mut commands = 0;
-        self.iterate_until("the first attempt", |testbed| {
+        self.iterate_until("the first attempt is sent", |testbed| {
             commands += testbed.take_commands();
             commands > 0
         });
@@ -203,10 +202,10 @@
                 return ready;
             }
         }
-        panic!("never ready: {ready:?}");
+        panic!("the expected sockets did not become ready: {ready:?}");
     }
 
-    /// Runs iterations without advancing the clock until a condition is fulfilled.
+    /// Runs iterations, without advancing the clock, until a condition is fulfilled.
     fn iterate_until(&mut self, what: &str, mut condition: impl FnMut(&mut Testbed) -> bool) {
         for _ in 0..10_000 {
             if condition(self) {
@@ -216,7 +215,7 @@
             self.event_loop.process_ready(&mut ready);
             self.accept();
         }
-        panic!("never: {what}");
+        panic!("condition not fulfilled: {what}");
     }
 
     fn accept(&mut self) {
@@ -228,7 +227,7 @@
         }
     }
 
-    /// How many commands backends have got since the last call.
+    /// Returns the number of commands that backends have received since the last call.
     fn take_commands(&mut self) -> usize {
         self.accept();
         let (mut commands, mut chunk) = (0, [0; 4096]);
@@ -240,7 +239,7 @@
         commands
     }
 
-    /// Runs iterations, each a tick after the last, and returns how many commands backends got.
+    /// Runs iterations, one per tick, and returns the number of commands that backends received.
     fn take_commands_after(&mut self, iterations: u64) -> usize {
         let mut commands = self.take_commands();
         for _ in 0..iterations {
@@ -252,7 +251,8 @@
         commands
     }
 
-    /// Disconnects clients and polls until all disconnects are ready, so that the loop sees them in one iteration.
+    /// Disconnects clients and polls until all disconnects are reported, so that one iteration handles them
+    /// all.
     fn disconnect(&mut self, clients: Vec<TcpStream>, disconnect: Disconnect) -> Vec<ReadySocket> {
         let count = clients.len();
         match disconnect {
@@ -261,7 +261,7 @@
                 for client in &clients {
                     client.shutdown(Direction::Write).unwrap();
                 }
-                clients.into_iter().for_each(std::mem::forget); // half open to the end of the test
+                clients.into_iter().for_each(std::mem::forget); // half open until the test ends
             }
         }
         let is_disconnected =
@@ -270,8 +270,8 @@
     }
 }
 
-/// A backend rejects an attempt, and its client disconnects at the same moment. The ingress handled the backend's
-/// reply first, knew nothing of the disconnect yet, and sent a retry to another backend for a client that was gone.
+/// A backend rejects an attempt in the iteration in which the client disconnects. If the reply were handled
+/// before the disconnect, a retry would be sent to another backend for a disconnected client.
 #[test]
 fn a_rejected_attempt_is_not_retried_for_a_disconnected_client() {
     for (cancellation, kind) in [
@@ -293,11 +293,11 @@
     }
 }
 
-/// Forty clients wait behind the concurrency limit and all disconnect at once. When the first request was ended its
-/// place went to the next one, whose disconnect was not handled yet, and so backends got requests of clients that
-/// were gone.
+/// 40 clients whose requests exceed the concurrency limit disconnect at once. If the first request ended
+/// before the other disconnects were handled, its place would go to a queued request of a disconnected
+/// client.
 #[test]
-fn of_many_disconnected_clients_none_is_sent_in_place_of_another() {
+fn no_queued_request_of_a_disconnected_client_is_sent() {
     for (cancellation, kind) in [
         (Cancellation::Allowed, Disconnect::Full),
         (Cancellation::Forbidden, Disconnect::Full),
@@ -321,8 +321,8 @@
     }
 }
 
-/// A client sends a request and disconnects at once, so that the ingress sees both in the same iteration. The
-/// request must not be forwarded, as the backend would execute it for nobody.
+/// A client sends a request and disconnects, and both are handled in the same iteration. The request must not
+/// be forwarded, since no client waits for the result.
 #[test]
 fn requests_sent_just_before_a_disconnect_are_not_forwarded() {
     for kind in [Disconnect::Full, Disconnect::Half] {
@@ -337,25 +337,26 @@
     }
 }
 
-/// A client disconnects in the iteration in which its request is due to be hedged or retried after a timeout. The
-/// disconnect counts first; otherwise a second backend would get a request that nobody waits for.
+/// A client disconnects in the iteration in which its request is due to be hedged or retried after a timeout.
+/// The disconnect is handled first; otherwise a second backend would receive a request that no client waits
+/// for.
 #[test]
-fn timers_due_at_a_disconnect_begin_no_attempt_for_its_client() {
+fn due_timers_begin_no_attempt_for_a_disconnected_client() {
     for cancellation in [Cancellation::Allowed, Cancellation::Forbidden] {
         let mut testbed = Testbed::new("disconnect-hedge", cancellation);
         let ClientInFlight { client, commands: first } = testbed.client_in_flight();
         let mut ready = testbed.disconnect(vec![client], Disconnect::Full);
-        testbed.event_loop.now += Duration::from_millis(300); // past the time after which a request is hedged
+        testbed.event_loop.now += Duration::from_millis(300); // past the hedging delay
         testbed.event_loop.process_ready(&mut ready);
         assert_eq!((first, testbed.take_commands_after(100)), (1, 0), "{cancellation:?}");
     }
 }
 
-/// While the commands of an iteration are handled, the ingress closes a client's connection for want of memory. The
-/// gateway had been notified of that iteration's disconnects before, so it never heard of this one, and went on
-/// retrying the request for a client that was gone.
+/// A client's connection is closed for lack of memory while the commands of an iteration are handled, after
+/// the iteration's disconnects were reported. Without a report of its own, the gateway would continue to
+/// retry the request of a disconnected client.
 #[test]
-fn a_disconnect_between_two_commands_ends_its_request() {
+fn a_disconnect_between_two_commands_closes_the_request() {
     let mut testbed = Testbed::new("disconnect-between", Cancellation::Allowed);
     let ClientInFlight { client: _client, commands: first } = testbed.client_in_flight();
     let id = testbed.event_loop.requests.ids()[0];
@@ -369,13 +370,13 @@
     assert_eq!(testbed.take_commands_after(200), 0);
 }
 
-/// The ingress stalls while a connection to a backend is established, and the attempt's time to begin passes. It
-/// handled the established connection before its timers and sent the command, though the backend may have forgotten
-/// the idempotency key by then. The retry that follows must not begin either: by the clock of the loop there is
-/// time left, by the exact clock the client has given up.
+/// The event loop stalls while a connection is established, until the time for beginning the attempt has
+/// passed. The connected socket is handled before the timers, so the command could be sent although the
+/// backend may have expired the idempotency key. The retry must not begin either: by the loop's time there is
+/// time left, but by the exact time the client's timeout has passed.
 #[test]
-fn an_attempt_whose_connection_comes_up_too_late_does_not_begin() {
-    // Its accept queue is full: no connection comes up until that is emptied.
+fn an_attempt_does_not_begin_on_a_connection_established_too_late() {
+    // The accept queue is full: no connection is established until the queue is emptied.
     let backend = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     backend.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     backend.listen(0).unwrap();
@@ -397,7 +398,7 @@
     testbed.event_loop.run_gateway();
     let mut client = testbed.client();
     client.write_all(&request_command(1)).unwrap();
-    testbed.iterate_until("the connection is begun", |testbed| {
+    testbed.iterate_until("the connection is started", |testbed| {
         testbed.event_loop.backend_connections.len() == 1
     });
     drop(fillers);
@@ -413,29 +414,29 @@
         accept_all();
         ready.extend(testbed.poll_until(|_| true));
     }
-    // The queue is empty: a retry that is begun beyond the client's time comes up at once.
+    // The queue is empty, so a retry after the client's timeout would connect at once.
     accept_all();
-    // The loop stalled since the connection was begun: its timer is due, and nothing was handled meanwhile.
+    // The loop has stalled since connecting began: the timer is due, and nothing was handled in between.
     testbed.event_loop.now += testbed.event_loop.connect_timeout;
     testbed.event_loop.process_ready(&mut ready);
     accept_all();
     for (mut connection, _) in accepted {
         connection.set_read_timeout(Some(std::time::Duration::from_millis(100))).unwrap();
         let received = connection.read(&mut [0; 4096]);
-        assert!(!matches!(received, Ok(1..)), "a command came {received:?}");
+        assert!(!matches!(received, Ok(1..)), "the backend received a command: {received:?}");
     }
 }
 
-/// All descriptors are used up, and accepting fails for one client after another. Each failed call set a timer of
-/// its own, and each of those set the next one, so that every new client added one more retry each 10 ms for as
-/// long as descriptors were short. However often accepting fails, one timer is set.
+/// All descriptors are in use, and accepting fails for one client after another. If each failure set a timer
+/// that sets the next one, every new client would add a retry every 10 ms while descriptors are short. One
+/// timer is set, however often accepting fails.
 #[test]
-fn accepting_is_retried_by_one_timer_however_often_it_failed() {
-    // Eight connections beyond what is reserved, six of them for clients.
+fn repeated_accept_failures_schedule_one_retry() {
+    // 8 connections beyond the reserved descriptors, 6 of them for clients.
     let config = CONFIG.replacen("\"sockets\":256", "\"sockets\":36", 1);
     let (mut event_loop, first) = start("accept-retry", &config);
     let address = first.peer_addr().unwrap();
-    // Clients in the middle of a command are not closed to make room for others.
+    // Clients with an incomplete command are not closed to free descriptors for others.
     let mut clients = vec![first];
     clients.extend((0..20).map(|_| TcpStream::connect(address).unwrap()));
     for client in &mut clients {
--- a/src/bin/ingress/event_loop/timer_queue/tests.rs
+++ b/src/bin/ingress/event_loop/timer_queue/tests.rs
@@ -6,11 +6,11 @@
     Instant::from_micros(micros)
 }
 
-/// Several timers are due at the same time, and their order decides what a client sees: an attempt that times out
-/// and the deadline of its client, for example. The order is that of the variants, so that renaming or sorting them
-/// must not change it unnoticed.
+/// The order of timers that are due at the same time decides the reply, for example between an attempt's
+/// timeout and the client's deadline. It is the order of the variants of `Timer`, so that sorting these would
+/// change the behaviour.
 #[test]
-fn timers_due_at_once_run_in_the_order_of_their_variants() {
+fn timers_due_at_the_same_time_run_in_the_order_of_their_variants() {
     let mut timers = TimerQueue::default();
     timers.schedule(at(5), Timer::ReplyDeadline);
     timers.schedule(at(5), Timer::Sweep);
--- a/src/bin/ingress/logging/tests.rs
+++ b/src/bin/ingress/logging/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// A log that the test reads.
+/// A log whose lines the test reads.
 #[derive(Clone, Default)]
 struct Recorded(Arc<Mutex<Vec<u8>>>);
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// A log line has the name of the part that wrote it, a message and its fields. Operators search the log for these,
-/// and lines below the chosen level must not appear.
+/// A log line has a target, a message and fields, by which operators search the log. Lines below the
+/// configured level are not written.
 #[test]
 fn lines_have_target_message_and_fields() {
     let recorded = Recorded::default();
@@ -65,10 +65,10 @@
     }
 }
 
-/// The log is a pipe that nobody reads. The ingress waited for room in it and stood still for good, with all its
-/// clients; it has to drop further lines instead.
+/// The log is a pipe that is not read. The event loop must not wait for space in it, which would block all
+/// clients for good; further lines are dropped instead.
 #[test]
-fn a_blocked_log_drops_lines_and_delays_nobody() {
+fn a_blocked_log_drops_lines_without_blocking_the_writer() {
     let ((reached, is_reached), (release, released)) = (channel(), channel());
     let (mut writer, guard) = buffered_writer(BlockedLog { reached, released });
     let dropped = writer.error_counter();
@@ -76,7 +76,7 @@
     is_reached.recv().unwrap();
     let lines = MAX_BUFFERED_LINES + 100;
     (0..lines).for_each(|_| writer.write_all(b"line\n").unwrap());
-    assert!(dropped.dropped_lines() >= 100, "the rest is dropped");
+    assert!(dropped.dropped_lines() >= 100, "lines beyond the buffer are dropped");
     drop(release);
     drop(guard);
 }
--- a/src/bin/ingress/resp/tests.rs
+++ b/src/bin/ingress/resp/tests.rs
@@ -11,8 +11,8 @@
     Ok(length.map(|length| (texts, length)))
 }
 
-/// A command arrives in pieces of any size. It is parsed only when its last byte is there, and the bytes behind it
-/// belong to the next command; cut too early or too late, it would be another command.
+/// A command arrives in pieces of any size. It is parsed only once its last byte has arrived, and the bytes
+/// after it belong to the next command; a wrong length would yield a different command.
 #[test]
 fn a_command_is_complete_only_with_its_last_byte() {
     let complete = b"*2\r\n$4\r\nINFO\r\n$4\r\nlo\r\n\r\n*1";
@@ -23,11 +23,11 @@
     }
 }
 
-/// A client sends something that can never become a valid command, or announces more than is allowed. It is
-/// rejected as soon as that is certain; if the ingress waited for the rest, the client could have it collect memory
-/// without end.
+/// A client sends input that can never become a valid command, or announces a length over the limit. It is
+/// rejected at the first such byte; if the ingress waited for the rest, the client could make it buffer
+/// without bound.
 #[test]
-fn a_malformed_or_oversized_command_is_rejected_at_its_first_wrong_byte() {
+fn a_malformed_or_oversized_command_is_rejected_at_its_first_invalid_byte() {
     for malformed in [
         &b"P"[..],
         b"*0\r\n",
@@ -45,7 +45,8 @@
     ] {
         let text = String::from_utf8_lossy(malformed).into_owned();
         let padded = [malformed, &vec![b'x'; 70_000]].concat();
-        // The last one is within the limit by itself: the total exceeds it only with the next argument.
+        // The last one is within the limit of a value: the total exceeds its limit only with the next
+        // argument.
         let input = if text.contains("65536") {
             [malformed, &vec![b'x'; 65_536], b"\r\n$4097\r\n"].concat()
         } else {
@@ -55,11 +56,11 @@
     }
 }
 
-/// A backend's reply is an array with a value, which may be followed by nulls and a load report. An incomplete
-/// reply is waited for, and a malformed or endless one is an error; taken for good, it would give a client a value
-/// that no backend sent.
+/// A backend's reply is an array with a value, which may be followed by nulls and a load report. An
+/// incomplete reply is waited for, and a malformed or unbounded one is an error; accepted, it would give a
+/// client a value that no backend sent.
 #[test]
-fn a_reply_is_parsed_with_its_nulls_and_within_its_limits() {
+fn replies_are_parsed_with_nulls_and_within_the_limits() {
     let complete = b"*3\r\n$2\r\nhi\r\n*-1\r\n$9\r\nutil=0.61\r\n";
     let Ok(Some(ParsedReply { reply: Reply::Array(elements), length })) = parse_reply(complete) else {
         panic!("not an array")
@@ -78,5 +79,5 @@
     {
         assert!(parse_reply(malformed).is_err(), "{:?}", String::from_utf8_lossy(malformed));
     }
-    assert!(parse_reply(&[&b"-"[..], &[b'e'; 2000]].concat()).is_err(), "an endless line");
+    assert!(parse_reply(&[&b"-"[..], &[b'e'; 2000]].concat()).is_err(), "an unbounded line");
 }
