--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -84,7 +84,6 @@
     pub unread_since: Option<Instant>,
     /// Whether the connection is in the write queue or is to retry a write.
     pub queued_for_write: bool,
-    /// Whether the connection is in the read queue.
     pub queued_for_read: bool,
 }
 
--- a/src/bin/ingress/command.rs
+++ b/src/bin/ingress/command.rs
@@ -40,7 +40,6 @@
 }
 
 impl Verb {
-    /// Returns the verb with this name.
     fn parse(text: &[u8]) -> Option<Verb> {
         match text {
             b"CALL.GET" => Some(Verb::Get),
@@ -91,7 +90,6 @@
         Some(Command::parse_arguments(verb, &arguments, schema))
     }
 
-    /// Parses the arguments of a command with this verb.
     fn parse_arguments(
         verb: Verb,
         arguments: &[&[u8]],
@@ -123,7 +121,6 @@
         Ok(Command { request, timeout: timeout.duration, template })
     }
 
-    /// Returns the request id from the client.
     pub fn client_request_id(&self) -> &[u8] {
         self.template.request_id()
     }
--- a/src/bin/ingress/command/options.rs
+++ b/src/bin/ingress/command/options.rs
@@ -130,7 +130,6 @@
         index.ok_or(CommandError::UnknownPlan)
     }
 
-    /// Returns the timeout option.
     pub fn timeout(&self) -> Result<TimeoutOption, CommandError> {
         self.timeout.clone().ok_or(CommandError::MissingOption(name::TIMEOUT))
     }
--- a/src/bin/ingress/command/template.rs
+++ b/src/bin/ingress/command/template.rs
@@ -8,7 +8,6 @@
 const EXPECTED_OVERHEAD: usize = 96;
 /// Expected size of an encoded body without the body itself, in bytes.
 const EXPECTED_BODY_OVERHEAD: usize = 16;
-/// Number of arguments before the options.
 const ARGUMENTS_BEFORE_OPTIONS: usize = 3;
 
 /// An encoded command without the two parts that depend on the timeout: the length of the options, and the
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Records the end of an attempt.
+    /// Records the end of an attempt in its request and in the audit, and reports a violation.
     pub(super) fn record_attempt_end(&mut self, attempt: AttemptId, outcome: Outcome) {
         let Some(request) = self.requests.get_mut(attempt.request) else { return };
         request.record_end(attempt.number, outcome);
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -12,6 +12,7 @@
 /// The reply to a request that may have been executed.
 pub(super) const FAILED_REPLY: &[u8] = b"-ERR failed\r\n";
 
+/// The kind of a final answer, for the log and the counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Answer {
     /// The value of a backend.
--- a/src/bin/ingress/event_loop/request_entries.rs
+++ b/src/bin/ingress/event_loop/request_entries.rs
@@ -24,7 +24,6 @@
 }
 
 impl AttemptLimits {
-    /// Returns the limits of these settings.
     pub fn new(settings: &Settings) -> AttemptLimits {
         AttemptLimits {
             idempotency: settings.classes.iter().map(|class| class.idempotency).collect(),
@@ -163,7 +162,6 @@
         }
     }
 
-    /// Returns the hash of the request id in a command.
     pub fn hash_id(&self, command: &Command) -> IdHash {
         IdHash(self.hasher.hash_one(command.client_request_id()))
     }
