--- a/src/policy/start_times.rs
+++ b/src/policy/start_times.rs
@@ -1,40 +1,44 @@
-//! When backends started, in the host's time. Discovery gives Unix times, by wall clocks that may be stepped,
-//! here and elsewhere; a backend's age is a span of real time. What tells one start from another is the Unix
-//! time as it was given; where it can be read in several ways, the one that makes the backend colder counts.
+//! Start times of backends, translated to the host's time.
+//!
+//! Discovery reports Unix times from wall clocks that may be stepped, on this machine and on others, while
+//! the age of a backend is a span of real time. Two starts are distinguished by their reported Unix times.
+//! If a Unix time can be translated in several ways, the one with the lowest age applies, so that slow
+//! start is not skipped.
 
 use crate::{BackendId, Duration, Instant, UnixTime};
 use std::collections::HashMap;
 
-/// How far in the future a start may seem to lie: clocks differ a little. One further off was read by the
-/// wrong clock.
+/// Maximum time by which a start may lie in the future, since clocks differ slightly. A start further ahead
+/// was read from a clock with another offset.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(1);
-/// How much later than its start a backend's new start may be listed, while discovery can be reached.
+/// Maximum time between a backend's restart and the list with its new start, while discovery can be
+/// reached.
 const MAX_LISTING_DELAY: Duration = Duration::from_secs(6);
 
-/// By how much the wall clock was ahead of the host's time, which begins as Unix time and goes on steadily.
+/// Offsets of the wall clock from the host's time, in microseconds. The host's time is set to the Unix time
+/// once and is never stepped.
 #[derive(Clone, Copy, Default)]
 struct ClockOffsets {
-    /// At the latest reading, in microseconds.
+    /// Offset at the latest reading.
     latest: i64,
-    /// The least there was, in microseconds.
     lowest: i64,
-    /// The most there was, in microseconds.
     highest: i64,
 }
 
 impl ClockOffsets {
-    /// Takes in a reading of the wall clock.
+    /// Records a reading of the wall clock.
     fn observe(&mut self, now: Instant, unix_now: UnixTime) {
         self.latest = unix_now.as_micros() as i64 - now.as_micros() as i64;
         self.lowest = self.lowest.min(self.latest);
         self.highest = self.highest.max(self.latest);
     }
 
-    /// The least age, by any of the clock readings there were, of what started at a Unix time; nothing if it
-    /// started in the future by all of them.
+    /// Returns the lowest possible age of a process that started at a Unix time, over all recorded offsets;
+    /// zero if it started in the future by all of them.
     ///
-    /// An offset of 0, with which the host's time begins, is a reading, too. It lies between the lowest and
-    /// the highest, and it is listed by itself since the age by the lowest may be impossible.
+    /// The offset 0, with which the host's time begins, counts as a reading. It lies between the lowest and
+    /// the highest offset, but it is listed separately because the age by the lowest offset may be
+    /// impossible.
     fn min_age(&self, now: Instant, unix_start: UnixTime) -> Duration {
         let offsets = [0, self.latest, self.lowest, self.highest];
         let ages = offsets.map(|offset| now.as_micros() as i64 + offset - unix_start.as_micros() as i64);
@@ -44,39 +48,39 @@
     }
 }
 
-/// A backend's start.
+/// Start of a backend.
 #[derive(Clone, Copy)]
 struct Start {
-    /// As discovery gives it.
+    /// Start as reported by discovery.
     unix_time: UnixTime,
-    /// In the host's time; none for long ago.
+    /// Start in the host's time; `None` if it was long ago.
     host_time: Option<Instant>,
 }
 
-/// The starts of the backends that are listed.
+/// Translates the start times of the listed backends to the host's time.
 #[derive(Default)]
 pub struct StartTimes {
-    /// How the wall clock was read so far.
+    /// Wall clock offsets recorded so far.
     offsets: ClockOffsets,
-    /// The start of each listed backend.
+    /// Starts of the listed backends.
     starts: HashMap<BackendId, Start>,
-    /// When discovery last sent a list or a change.
+    /// Time of the latest snapshot or delta from discovery.
     last_update_at: Option<Instant>,
 }
 
 impl StartTimes {
-    /// Takes in a reading of the wall clock, by which starts may be given from now on.
+    /// Records a reading of the wall clock, by which later start times may be reported.
     pub fn observe_clock(&mut self, now: Instant, unix_now: UnixTime) {
         self.offsets.observe(now, unix_now);
     }
 
-    /// Notes that a list or change of discovery has been taken in whole, even an empty one.
+    /// Records that a snapshot or delta from discovery was applied completely, even an empty one.
     pub fn record_endpoint_update(&mut self, now: Instant) {
         self.last_update_at = Some(now);
     }
 
-    /// When a backend started, in the host's time, by the Unix time that it is listed with; none for long
-    /// ago, which a Unix time of zero says.
+    /// Returns the start of a backend in the host's time, from the Unix time that it is listed with.
+    /// Returns `None` if it started long ago, which a Unix time of zero stands for.
     pub fn host_time(&mut self, backend: BackendId, unix_time: UnixTime, now: Instant) -> Option<Instant> {
         let known = self.starts.get(&backend).copied();
         if let Some(known) = known.filter(|known| known.unix_time == unix_time) {
@@ -84,7 +88,7 @@
         }
         let host_time = (unix_time != UnixTime::default()).then(|| {
             let age = self.offsets.min_age(now, unix_time);
-            // It had not started anew when its earlier start was still listed.
+            // The backend cannot have restarted before the last update that listed its previous start.
             let most = known
                 .and(self.last_update_at)
                 .map_or(Duration::MAX, |listed_at| now.duration_since(listed_at) + MAX_LISTING_DELAY);
@@ -94,7 +98,7 @@
         host_time
     }
 
-    /// Forgets a backend that is no longer listed.
+    /// Removes a backend that is no longer listed.
     pub fn remove(&mut self, backend: BackendId) {
         self.starts.remove(&backend);
     }
