--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,8 +1,8 @@
-//! Checks the invariants of `docs/INVARIANTS.md` while the program runs.
+//! Run-time checks of the invariants in `docs/INVARIANTS.md`.
 //!
-//! The host reports what it did to an [`Auditor`] and to the [`RequestAudit`] of each request; neither
-//! decides anything. A violation is counted by its kind, and logged by the host unless one of its kind was
-//! logged a moment ago. The cost of an event does not depend on the number of backends, peers or customers.
+//! The host reports its attempts and answers to an [`Auditor`] and to the [`RequestAudit`] of each request;
+//! neither influences decisions. Violations are counted by kind, and the host logs at most one of a kind per
+//! second. The cost of an event does not depend on the number of backends, peers or customers.
 
 mod request;
 mod violation;
@@ -13,26 +13,27 @@
 use crate::{Availability, BackendId, Duration, Endpoint, Idempotency, IdempotencyScope, Instant, Settings};
 use std::collections::{HashMap, VecDeque};
 
-/// How long after a logged violation others of its kind are only counted.
+/// Minimum time between two logged violations of a kind.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a backend that takes no new work is remembered: longer than any attempt waits for its connection.
+/// Time for which a backend that takes no new work is kept; exceeds the wait of an attempt for its
+/// connection.
 const CLOSED_BACKEND_RETENTION: Duration = Duration::from_secs(60);
 
-/// The settings that the invariants depend on.
+/// The settings on which the invariants depend.
 #[derive(Clone, Debug, Default)]
 pub struct AuditRules {
-    /// Whether requests of a class may be executed again, by class.
+    /// Idempotency of each request class.
     pub idempotency: Vec<Idempotency>,
-    /// Whether two attempts may be in flight together.
+    /// Whether two attempts of a request may be in flight at the same time.
     pub hedging: bool,
-    /// The most attempts of a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: usize,
-    /// How long after the change a backend that takes no new work may still be sent some.
+    /// Time after the change during which a backend that takes no new work may still be sent attempts.
     pub drain_grace: Duration,
 }
 
 impl AuditRules {
-    /// The rules of a gateway with these settings.
+    /// Creates the rules for a gateway with these settings.
     pub fn new(settings: &Settings) -> AuditRules {
         AuditRules {
             idempotency: settings.classes.iter().map(|class| class.idempotency).collect(),
@@ -43,18 +44,16 @@
     }
 }
 
-/// The location of a backend, which decides which others know its idempotency keys.
+/// The zone and cell of a backend, which determine the backends that share its idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Location {
-    /// Its zone.
     zone: u8,
-    /// Its cell.
     cell: u16,
 }
 
 impl Location {
-    /// Whether backends at both locations know the same idempotency keys. The policy has the same rule in
-    /// `RetryScope::includes`; the audit has its own, so that a fault there shows here.
+    /// Returns whether backends at both locations share idempotency keys. `RetryScope::includes` implements
+    /// the same rule for the policy; the audit has its own copy to detect a fault in that one.
     fn shares_keys(self, other: Location, scope: IdempotencyScope) -> bool {
         match scope {
             IdempotencyScope::Fleet => true,
@@ -64,51 +63,49 @@
     }
 }
 
-/// A backend that takes no new work.
+/// A backend that takes no new work, with the time of that change.
 struct ClosedBackend {
-    /// The backend.
     backend: BackendId,
-    /// Since when.
     since: Instant,
 }
 
-/// Counts violations, and holds the state that the checks of all requests share.
+/// Counts violations, and holds the state shared by the checks of all requests.
 #[derive(Default)]
 pub struct Auditor {
-    /// The settings that the invariants depend on.
     rules: AuditRules,
-    /// Violations by kind.
+    /// Number of violations by kind.
     counts: [u64; ViolationKind::ALL.len()],
-    /// When a violation of each kind was last logged.
+    /// Time of the last logged violation by kind.
     last_logged_at: [Option<Instant>; ViolationKind::ALL.len()],
-    /// The locations of the listed backends.
+    /// Locations of the listed backends.
     locations: HashMap<BackendId, Location>,
-    /// Since when backends take no new work.
+    /// Backends that take no new work, with the time of that change.
     closed_since: HashMap<BackendId, Instant>,
-    /// The same backends, in the order in which they are removed.
+    /// The same backends in order of that time, for their expiry.
     closing_order: VecDeque<ClosedBackend>,
 }
 
 impl Auditor {
-    /// An auditor with no violations.
+    /// Creates an auditor without violations.
     pub fn new(rules: AuditRules) -> Auditor {
         Auditor { rules, ..Auditor::default() }
     }
 
-    /// The violations so far by kind; kinds that never occurred are left out.
+    /// Returns the number of violations of each kind that has occurred.
     pub fn counts(&self) -> impl Iterator<Item = (ViolationKind, u64)> + '_ {
         let counts = ViolationKind::ALL.into_iter().zip(self.counts);
         counts.filter(|(_, count)| *count > 0)
     }
 
-    /// Records the entry of a listed backend.
+    /// Records the location and availability of a listed backend.
     pub fn endpoint_listed(&mut self, endpoint: &Endpoint, now: Instant) {
         let Endpoint { backend, zone, cell, availability, .. } = *endpoint;
         self.locations.insert(backend, Location { zone, cell });
         self.availability_changed(backend, availability, now);
     }
 
-    /// Records the availability of a backend by the endpoint list; gone if the list no longer has it.
+    /// Records the availability of a backend in the endpoint list; [`Availability::Gone`] if the list no
+    /// longer contains it.
     pub fn availability_changed(&mut self, backend: BackendId, availability: Availability, now: Instant) {
         if availability == Availability::Ready {
             self.closed_since.remove(&backend);
@@ -121,7 +118,7 @@
         self.expire_closed_backends(now);
     }
 
-    /// Removes the backends that have taken no new work for the time of retention.
+    /// Removes the backends that have taken no new work for [`CLOSED_BACKEND_RETENTION`].
     fn expire_closed_backends(&mut self, now: Instant) {
         while let Some(oldest) = self.closing_order.front() {
             if oldest.since + CLOSED_BACKEND_RETENTION > now {
@@ -135,13 +132,13 @@
         }
     }
 
-    /// Whether a backend has taken no new work for longer than the grace period.
+    /// Returns whether a backend has taken no new work for longer than the grace period.
     fn is_closed(&self, backend: BackendId, now: Instant) -> bool {
         let since = self.closed_since.get(&backend);
         since.is_some_and(|since| now > *since + self.rules.drain_grace)
     }
 
-    /// Counts a violation, and returns whether to log it.
+    /// Counts a violation, and returns whether the host has to log it.
     pub fn count_and_should_log(&mut self, violation: Violation, now: Instant) -> bool {
         let index = violation.kind as usize;
         self.counts[index] += 1;
--- a/src/audit/request.rs
+++ b/src/audit/request.rs
@@ -1,62 +1,59 @@
-//! The record of what was done for one request, and the checks on it.
+//! The audit record of one request, and the checks of its attempts and answers.
 
 use super::{Auditor, Location, ViolationKind};
 use crate::{BackendId, Duration, Idempotency, Instant, Outcome};
 
-/// How much longer than the client's remaining time the timeout stated to a backend may be.
+/// Tolerance by which the timeout stated to a backend may exceed the client's remaining time.
 const TIME_SLACK: Duration = Duration::from_millis(150);
-/// How long after the client's deadline a final answer is still no violation.
+/// Tolerance by which a final answer may exceed the client's deadline.
 const ANSWER_SLACK: Duration = Duration::from_millis(50);
 
-/// An attempt whose first byte was written.
+/// An attempt whose first byte was written to a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptBegun {
-    /// The attempt's number, from 0.
+    /// Number of the attempt, from 0.
     pub number: u16,
-    /// Where it went.
+    /// Backend that the attempt was sent to.
     pub backend: BackendId,
-    /// When its first byte was written.
+    /// Time at which the first byte was written.
     pub at: Instant,
-    /// The timeout that was stated to the backend.
+    /// Timeout that the command states to the backend.
     pub stated_timeout: Duration,
 }
 
-/// An attempt that has begun.
+/// The audit record of an attempt that has begun.
 struct AttemptRecord {
-    /// The attempt's number, from 0.
     number: u16,
-    /// When its first byte was written.
+    /// Time at which the first byte was written.
     begun_at: Instant,
-    /// Its end was not recorded yet.
+    /// Whether its end has not been recorded yet.
     in_flight: bool,
-    /// It was executed, or may have been.
     may_have_executed: bool,
-    /// The location of its backend then; none if that is not known.
+    /// Location of the backend when the attempt began; `None` if unknown.
     location: Option<Location>,
 }
 
-/// The record of one request, from its arrival until its last attempt has ended.
+/// Records the attempts and answers of one request and returns their violations.
 pub struct RequestAudit {
-    /// Whether it may be executed again.
     idempotency: Idempotency,
-    /// When its client's timeout ends.
+    /// End of the client's timeout.
     client_deadline: Instant,
-    /// It has its final answer, or its client has disconnected.
+    /// Whether the request has its final answer or its client has disconnected.
     closed: bool,
-    /// The attempts that have begun, in their order.
+    /// Attempts that have begun, in order.
     attempts: Vec<AttemptRecord>,
 }
 
 impl RequestAudit {
-    /// A request of a class, whose client's timeout ends at `client_deadline`.
+    /// Creates the record of a request of a class, whose client's timeout ends at `client_deadline`.
     pub fn new(auditor: &Auditor, class: usize, client_deadline: Instant) -> RequestAudit {
-        // A class that is not known is judged by the strictest rule.
+        // The strictest rule applies to unknown classes.
         let idempotency = auditor.rules.idempotency.get(class).copied();
         let idempotency = idempotency.unwrap_or(Idempotency::NonIdempotent);
         RequestAudit { idempotency, client_deadline, closed: false, attempts: Vec::new() }
     }
 
-    /// Records an attempt that has begun, and returns what it violates.
+    /// Records the start of an attempt, and returns the invariants that it violates.
     pub fn attempt_begun(&mut self, auditor: &Auditor, begun: &AttemptBegun) -> Vec<ViolationKind> {
         let rules = &auditor.rules;
         let in_flight = self.attempts.iter().any(|earlier| earlier.in_flight);
@@ -84,15 +81,14 @@
         checks.into_iter().filter(|(violated, _)| *violated).map(|(_, kind)| kind).collect()
     }
 
-    /// Whether backends may have forgotten the idempotency key of an earlier attempt that may have been
-    /// executed.
+    /// Returns whether the idempotency key of an earlier attempt that may have been executed has expired.
     fn is_key_expired(&self, now: Instant) -> bool {
         let Idempotency::Keyed { window, .. } = self.idempotency else { return false };
         let first = self.attempts.iter().find(|earlier| earlier.may_have_executed);
         first.is_some_and(|first| now > first.begun_at + window)
     }
 
-    /// Whether the backend at a location does not know the idempotency key of an earlier attempt that may
+    /// Returns whether a location is outside the scope of the idempotency key of an earlier attempt that may
     /// have been executed.
     fn is_key_out_of_scope(&self, location: Option<Location>) -> bool {
         let Idempotency::Keyed { scope, .. } = self.idempotency else { return false };
@@ -101,8 +97,8 @@
         first.zip(location).is_some_and(|(first, location)| !first.shares_keys(location, scope))
     }
 
-    /// Records how an attempt has ended, and returns what that violates. An attempt that never began has no
-    /// record.
+    /// Records the end of an attempt, and returns the invariant that it violates. Attempts that never began
+    /// are ignored.
     pub fn attempt_ended(&mut self, number: u16, outcome: Outcome) -> Option<ViolationKind> {
         let attempt = self.attempts.iter_mut().find(|attempt| attempt.number == number)?;
         let was_in_flight = std::mem::replace(&mut attempt.in_flight, false);
@@ -110,12 +106,12 @@
         (!was_in_flight).then_some(ViolationKind::UnexpectedEnd)
     }
 
-    /// Records that the client has disconnected.
+    /// Records that the client has disconnected, after which no answer and no further attempt is due.
     pub fn client_disconnected(&mut self) {
         self.closed = true;
     }
 
-    /// Records the final answer, and returns what it violates.
+    /// Records the final answer, and returns the invariant that it violates.
     pub fn answered(&mut self, now: Instant) -> Option<ViolationKind> {
         if std::mem::replace(&mut self.closed, true) {
             return Some(ViolationKind::SecondAnswer);
--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -15,21 +15,21 @@
     Instant::from_micros(micros)
 }
 
-/// Whether the settings let two attempts of a request be in flight together.
+/// Whether the settings permit two attempts of a request in flight at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Hedging {
     Allowed,
     Forbidden,
 }
 
-/// Whether the first attempt is still in flight when the second one begins.
+/// State of the first attempt when the second one begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FirstAttempt {
     InFlight,
     Reset,
 }
 
-/// An auditor of a deployment that allows three attempts.
+/// Returns the auditor of a deployment that permits three attempts.
 fn auditor(hedging: Hedging) -> Auditor {
     let keyed = Idempotency::Keyed { scope: IdempotencyScope::Fleet, window: WINDOW };
     Auditor::new(AuditRules {
@@ -40,16 +40,15 @@
     })
 }
 
-/// An attempt that states to the backend the time that the client has left.
+/// Returns an attempt that states the client's remaining time to the backend.
 fn begun(number: u16, at: Instant) -> AttemptBegun {
     AttemptBegun { number, backend: BACKEND, at, stated_timeout: DEADLINE.duration_since(at) }
 }
 
-/// A non-idempotent request is rejected by its first backend, retried, and answered just before its client gives
-/// up, all of which is allowed. If the audit reported that, debug builds would panic, and operators would search
-/// for a fault that does not exist.
+/// A non-idempotent request is rejected by a backend, retried, and answered at its deadline, all of which is
+/// permitted. On a false positive, debug builds panic and operators search for a fault that does not exist.
 #[test]
-fn a_request_that_keeps_the_rules_violates_nothing() {
+fn permitted_retry_and_timely_answer_are_no_violations() {
     let auditor = auditor(Hedging::Forbidden);
     let mut request = RequestAudit::new(&auditor, NON_IDEMPOTENT, DEADLINE);
     assert_eq!(request.attempt_begun(&auditor, &begun(0, at(0))), []);
@@ -59,11 +58,11 @@
     assert_eq!(request.answered(DEADLINE), None);
 }
 
-/// A request gets a second attempt while the first is in flight, or after the first was reset by its backend. Where
-/// that is forbidden, a customer's order may be executed twice, and the audit is what tells the operator; where it
-/// is allowed, the audit must stay silent.
+/// A second attempt begins while the first is in flight, or after the first was reset by its backend. Where
+/// that is forbidden, a request may be executed twice; where it is permitted, a report would be a false
+/// positive.
 #[test]
-fn a_second_attempt_is_a_violation_where_its_class_or_the_settings_forbid_it() {
+fn forbidden_second_attempt_is_a_violation() {
     for (hedging, class, first, expected) in [
         (Hedging::Allowed, IDEMPOTENT, FirstAttempt::InFlight, vec![]),
         (Hedging::Forbidden, IDEMPOTENT, FirstAttempt::InFlight, vec![ViolationKind::ConcurrentAttempts]),
@@ -85,11 +84,11 @@
     }
 }
 
-/// Backends forget an idempotency key some time after the first attempt that they may have executed; attempts that
-/// never reached one do not count. A retry after that time is executed as a new request, so that a customer's order
-/// is booked twice.
+/// An idempotency key expires some time after the first attempt that may have been executed; attempts that
+/// reached no backend do not count. A retry after that time is executed as a new request, so the request runs
+/// twice.
 #[test]
-fn a_keyed_retry_after_its_window_is_a_violation() {
+fn keyed_retry_after_its_window_is_a_violation() {
     let auditor = auditor(Hedging::Allowed);
     let mut request = RequestAudit::new(&auditor, KEYED, DEADLINE);
     request.attempt_begun(&auditor, &begun(0, at(0)));
@@ -100,10 +99,10 @@
     assert_eq!(request.attempt_begun(&auditor, &begun(2, at(101) + WINDOW)), [ViolationKind::KeyExpired]);
 }
 
-/// A keyed request times out at one backend and is retried at a backend of another zone or cell, which does not
-/// share keys with the first. The second backend cannot know that the request was executed, and executes it again.
+/// A keyed request times out and is retried in another zone or cell, whose backends do not share keys with
+/// the first. The second backend may execute the request again.
 #[test]
-fn a_keyed_retry_outside_its_scope_is_a_violation() {
+fn keyed_retry_outside_its_scope_is_a_violation() {
     for (scope, other_zone, other_cell) in [
         (IdempotencyScope::Fleet, vec![], vec![]),
         (IdempotencyScope::Zone, vec![ViolationKind::KeyOutOfScope], vec![]),
@@ -120,7 +119,11 @@
         let mut request = RequestAudit::new(&auditor, 0, DEADLINE);
         request.attempt_begun(&auditor, &attempt(0, 3));
         request.attempt_ended(0, Outcome::ConnectFailed);
-        assert_eq!(request.attempt_begun(&auditor, &attempt(1, 1)), [], "{scope:?}: the first never ran");
+        assert_eq!(
+            request.attempt_begun(&auditor, &attempt(1, 1)),
+            [],
+            "{scope:?}: the first attempt was not executed"
+        );
         for (number, backend, expected) in [(2, 1, vec![]), (3, 2, other_zone), (4, 3, other_cell)] {
             request.attempt_ended(number - 1, Outcome::TimedOut);
             let found = request.attempt_begun(&auditor, &attempt(number, backend));
@@ -129,11 +132,10 @@
     }
 }
 
-/// A request gets a fourth attempt where three are allowed, a backend is given more time than the client will wait,
-/// or an attempt begins after the client has disconnected. Each makes backends do work that nobody uses, and the
-/// audit has to report each.
+/// A request gets more attempts than permitted, a backend is given more time than the client has left, or an
+/// attempt begins after the client has disconnected. Each causes useless work at backends.
 #[test]
-fn attempts_beyond_the_limit_with_too_much_time_or_for_no_client_are_violations() {
+fn excess_attempts_overstated_timeouts_and_attempts_after_disconnect_are_violations() {
     let auditor = auditor(Hedging::Allowed);
     let mut request = RequestAudit::new(&auditor, IDEMPOTENT, DEADLINE);
     assert_eq!(request.attempt_begun(&auditor, &begun(3, at(0))), [ViolationKind::TooManyAttempts]);
@@ -145,8 +147,8 @@
     assert_eq!(request.attempt_begun(&auditor, &begun(2, at(0))), [ViolationKind::AttemptAfterEnd]);
 }
 
-/// A client gets its answer after it has given up, or gets two answers to one request. A client that reads the
-/// second one takes it for the answer to its next request, so the audit has to report both.
+/// A client receives an answer after its timeout, or two answers to one request. A client takes the second
+/// one for the answer to its next request.
 #[test]
 fn late_and_second_answers_are_violations() {
     let auditor = auditor(Hedging::Allowed);
@@ -155,25 +157,23 @@
     assert_eq!(request.answered(DEADLINE), Some(ViolationKind::SecondAnswer));
 }
 
-/// An attempt ends once, and by that end the policy counts what is in flight and which backends fail. A second
-/// report of it means that the ingress has lost track of its attempts, and the operator has to hear of it; the end
-/// of an attempt that never began is no violation.
+/// The policy counts attempts in flight and failures of backends by the ends of attempts, so a second end
+/// makes these counts wrong. The end of an attempt that never began is no violation.
 #[test]
-fn a_second_end_of_an_attempt_is_a_violation() {
+fn second_end_of_an_attempt_is_a_violation() {
     let auditor = auditor(Hedging::Allowed);
     let mut request = RequestAudit::new(&auditor, IDEMPOTENT, DEADLINE);
-    assert_eq!(request.attempt_ended(0, Outcome::NotSent), None, "it never began");
+    assert_eq!(request.attempt_ended(0, Outcome::NotSent), None, "the attempt never began");
     request.attempt_begun(&auditor, &begun(0, at(0)));
     assert_eq!(request.attempt_ended(0, Outcome::Error), None);
     assert_eq!(request.attempt_ended(0, Outcome::Error), Some(ViolationKind::UnexpectedEnd));
 }
 
-/// A backend is listed as draining, then as gone, and an attempt still begins there once the grace period is over:
-/// its operator is shutting it down and the request would fail with it. The grace period counts from the first of
-/// the two, and a backend that is listed as ready again may be used at once. Closings of long ago are forgotten, so
-/// that the record does not grow without end.
+/// An attempt begins at a backend that was listed as draining, then as gone, after the grace period: it would
+/// fail when the backend shuts down. The period starts with the first of the two changes, and ends if the
+/// backend is listed as ready again. Old records expire, so that the table does not grow without bound.
 #[test]
-fn an_attempt_at_a_closed_backend_after_its_grace_period_is_a_violation() {
+fn attempt_at_a_closed_backend_after_the_grace_period_is_a_violation() {
     let mut auditor = auditor(Hedging::Allowed);
     let begin = |auditor: &Auditor, at| {
         RequestAudit::new(auditor, IDEMPOTENT, DEADLINE).attempt_begun(auditor, &begun(0, at))
@@ -184,16 +184,16 @@
     assert_eq!(begin(&auditor, at(1001) + GRACE), [ViolationKind::ClosedBackend]);
     auditor.availability_changed(BACKEND, Availability::Ready, at(6000));
     assert_eq!(begin(&auditor, at(1001) + GRACE), []);
-    // Others that close later make it forget those that closed long ago.
+    // A later change of another backend expires the old record.
     auditor.availability_changed(BACKEND, Availability::Gone, at(7000));
     auditor.availability_changed(BackendId(8), Availability::Gone, at(7000) + CLOSED_BACKEND_RETENTION);
     assert_eq!((auditor.closed_since.len(), auditor.closing_order.len()), (1, 1));
 }
 
-/// The same violation happens several times within a second. Each is counted, but only the first is logged, so that
-/// a fault under full load does not flood the operator's log.
+/// Under full load a fault causes many violations within a second. Logging each one would flood the log, so
+/// only the first is logged and all are counted.
 #[test]
-fn a_burst_of_violations_is_counted_and_logged_once() {
+fn burst_of_violations_is_logged_once_and_counted() {
     let mut auditor = auditor(Hedging::Allowed);
     let violation = Violation { kind: ViolationKind::NoAnswer, request: Some(RequestId(1)) };
     let again_at = at(0) + LOG_INTERVAL;
--- a/src/audit/violation.rs
+++ b/src/audit/violation.rs
@@ -1,40 +1,40 @@
-//! The kinds of violations.
+//! Violations of invariants, by kind.
 
 use crate::RequestId;
 
-/// The invariant that was violated, with its number in `docs/INVARIANTS.md` in brackets.
+/// The kind of a violation, with the number of the invariant in `docs/INVARIANTS.md` in parentheses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViolationKind {
-    /// A request got a second final answer (R1).
+    /// A request received a second final answer (R1).
     SecondAnswer,
-    /// A request got its final answer after its client's timeout (R2).
+    /// A request received its final answer after its client's timeout (R2).
     LateAnswer,
-    /// The process ends with a request that has no answer (R2).
+    /// The process exits while a request has no final answer (R2).
     NoAnswer,
-    /// A client's connection was closed with replies owed that the client waits for (R3).
+    /// A client connection was closed while the client waited for replies (R3).
     ClosedWithRepliesOwed,
-    /// An attempt began for a request that has its answer, or whose client has disconnected (A1).
+    /// An attempt began after the request's final answer or the client's disconnect (A1).
     AttemptAfterEnd,
-    /// An attempt began though an earlier one may have been executed (A2).
+    /// An attempt of a non-idempotent request began though an earlier one may have been executed (A2).
     UnsafeRepeat,
-    /// An attempt began beside one in flight where that is not allowed (A3).
+    /// An attempt began while another was in flight and hedging was not permitted (A3).
     ConcurrentAttempts,
-    /// An attempt began after the window of its idempotency key (A4).
+    /// An attempt began after the window of its idempotency key had ended (A4).
     KeyExpired,
-    /// An attempt began where the idempotency key of an earlier one is not known (A4).
+    /// An attempt began at a backend that does not share the idempotency key of an earlier attempt (A4).
     KeyOutOfScope,
-    /// A request had more attempts than are allowed (A5).
+    /// A request had more attempts than permitted (A5).
     TooManyAttempts,
-    /// The timeout stated to a backend exceeds the time that the client has left (A6).
+    /// The timeout stated to a backend exceeded the client's remaining time (A6).
     TimeOverstated,
-    /// An attempt has ended that was not in flight (A8).
+    /// The end of an attempt was reported that was not in flight (A8).
     UnexpectedEnd,
     /// An attempt began at a backend that takes no new work (B1).
     ClosedBackend,
 }
 
 impl ViolationKind {
-    /// All kinds.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [ViolationKind; 13] = [
         ViolationKind::SecondAnswer,
         ViolationKind::LateAnswer,
@@ -51,17 +51,18 @@
         ViolationKind::ClosedBackend,
     ];
 
-    /// Whether a pause of the machine can cause it in a program without a fault.
+    /// Returns whether a stall of the machine can cause a violation of this kind without a fault in the
+    /// program.
     pub fn is_timing_dependent(self) -> bool {
         self == ViolationKind::LateAnswer
     }
 }
 
-/// A violation.
+/// One occurrence of a violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// What was violated.
+    /// Kind of the violation.
     pub kind: ViolationKind,
-    /// The request; none if it concerns a connection as a whole.
+    /// Request concerned; `None` if the violation concerns a whole connection.
     pub request: Option<RequestId>,
 }
