--- a/src/bin/ingress/config/tests.rs
+++ b/src/bin/ingress/config/tests.rs
@@ -45,7 +45,7 @@
         (
             "\"over_worth\":0.0",
             "\"over_worth\":-1",
-            "setting contracts.0.over_worth is not a number from 0 up: -1",
+            "setting contracts.0.over_worth is not a finite, non-negative number: -1",
         ),
         ("\"may_probe\":false,", "", "setting limits.may_probe is missing"),
         (
@@ -57,7 +57,7 @@
         (
             "\"answer_slack_us\":16000",
             "\"answer_slack_us\":1.5",
-            "setting rules.answer_slack_us is not a whole number up to 4503599627370495: 1.5",
+            "setting rules.answer_slack_us is not an integer from 0 to 4503599627370495: 1.5",
         ),
         ("\"peers\":false", "\"peers\":true", "peers is missing or not a list"),
         ("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"x\"", "listen is not an IP address with a port: x"),
@@ -67,7 +67,7 @@
         (
             "\"keepalive_us\":15000000",
             "\"keepalive_us\":-1",
-            "setting limits.keepalive_us is not a whole number up to 4503599627370495: -1",
+            "setting limits.keepalive_us is not an integer from 0 to 4503599627370495: -1",
         ),
     ] {
         assert_eq!(error_text(&CONFIG.replacen(from, to, 1)), text);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,6 @@
-//! The settings of a gateway: request classes, plans, limits and the figures of the rules. The values come
-//! from the deployment alone; [`SettingsReader`] reads them.
+//! The settings of a gateway: request classes, plans, limits and rules of the deployment.
+//!
+//! There are no default values: [`SettingsReader`] reads them from the configuration of the deployment.
 
 mod error;
 mod reader;
@@ -9,163 +10,169 @@
 pub use error::SettingsError;
 pub use reader::{LoadReportField, SettingsReader};
 
-/// Which backends recognise the idempotency key of a request that they have seen before.
+/// The backends that recognise the idempotency key of a request after one of them has received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
-    /// Any of them.
+    /// All backends.
     Fleet,
-    /// Those in the zone of the first backend.
+    /// The backends in the zone of the first one.
     Zone,
-    /// Those in the cell of the first backend.
+    /// The backends in the cell of the first one.
     Cell,
 }
 
-/// Whether a request that may have been executed may be sent again.
+/// The condition for sending a request again after an attempt that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Always.
+    /// May always be sent again.
     Idempotent,
-    /// To a group of backends, for `window` after the send of the first attempt that may have been executed.
+    /// May be sent again to the backends in `scope`, for `window` after the send of the first attempt that
+    /// may have been executed.
     Keyed {
-        /// The backends that know the idempotency key.
+        /// Backends that recognise the idempotency key.
         scope: IdempotencyScope,
-        /// How long they know it.
+        /// Time for which they recognise it.
         window: Duration,
     },
-    /// Only with proof that no earlier attempt was executed.
+    /// May be sent again only if no earlier attempt was executed.
     NonIdempotent,
 }
 
-/// A class of requests.
+/// A class of requests with common time limits and idempotency.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns the full priority weight.
+    /// Time within which an answer earns the full priority weight.
     pub latency_objective: Duration,
-    /// Above 0 the deployment adds this multiple of a request's own work to its objective. A gateway doesn't
-    /// know that work: it goes by the objective alone, and lets no attempt of such a class expire before its
-    /// deadline.
+    /// Multiple of a request's own processing time that the deployment adds to its latency objective; 0 for
+    /// none.
+    ///
+    /// The processing time is unknown to a gateway. It applies the objective alone, and lets no attempt of a
+    /// class with a stretch expire before its deadline.
     pub latency_objective_stretch: f64,
-    /// The longest that a client waits, its own retries included.
+    /// Maximum time that a client waits, including its own retries.
     pub deadline: Duration,
-    /// The share of the class's priority weight that an answer after the objective earns.
+    /// Share of the priority weight that an answer after the objective earns.
     pub late_weight: f64,
-    /// Whether it may be executed again.
+    /// Condition for executing a request again.
     pub idempotency: Idempotency,
-    /// The answer is a stream.
+    /// Whether answers are streamed.
     pub streaming: bool,
 }
 
-/// A plan, and the quotas that each of its customers has over all gateways together.
+/// A plan, with the quotas of each of its customers in the whole fleet.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Units a second that refill the quota's token bucket; 0 for no quota on the rate.
+    /// Refill rate of the quota's token bucket, in units per second; 0 for no rate quota.
     pub rate: f64,
-    /// Units that the quota's token bucket holds.
+    /// Capacity of the quota's token bucket, in units.
     pub burst: f64,
-    /// Attempts in flight at once; 0 for no such quota.
+    /// Maximum number of attempts in flight; 0 for no concurrency quota.
     pub concurrency_quota: u32,
-    /// Units a second that refill the hard limit's token bucket; 0 for no hard limit.
+    /// Refill rate of the hard limit's token bucket, in units per second; 0 for no hard limit.
     pub hard_limit_rate: f64,
-    /// Units that the hard limit's token bucket holds.
+    /// Capacity of the hard limit's token bucket, in units.
     pub hard_limit_burst: f64,
     /// Factor on the priority weight.
     pub price: f64,
-    /// Share of the priority weight that forwarding beyond the quota costs.
+    /// Share of the priority weight deducted for a request that is forwarded beyond the quota.
     pub over_quota_cost: f64,
 }
 
-/// What the deployment permits.
+/// Limits and permissions of the deployment.
 #[derive(Clone, Debug, Default)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "permissions that the settings give independently of each other"
 )]
 pub struct Limits {
-    /// Attempts for a request.
+    /// Maximum number of attempts for a request.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of a request may be in flight at the same time.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Gateways may send each other messages.
+    /// Whether gateways may send messages to each other.
     pub peer_messages: bool,
-    /// Messages that a gateway receives in a second, at the most.
+    /// Maximum number of messages that a gateway receives per second.
     pub peer_messages_per_second: f64,
-    /// Rejections may carry the time after which to retry.
+    /// Whether rejections may state the time after which to retry.
     pub retry_after: bool,
-    /// The longest such time that clients follow.
+    /// Maximum retry time that clients respect.
     pub max_retry_after: Duration,
-    /// Requests in work at once: open ones, and closed ones that still have an attempt in flight.
+    /// Maximum number of requests in progress: open ones, and closed ones with an attempt still in flight.
     pub max_open_requests: u32,
-    /// How long establishing a connection may take; an attempt may begin that much after it was sent.
+    /// Maximum time to establish a connection; an attempt may begin up to this time after its send.
     pub connect_timeout: Duration,
 }
 
-/// The figures of the rules.
+/// Parameters of the rules for backends and discovery.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// A draining backend may be sent new work for this long after the change was delivered. The load
-    /// balancer sends it none at all; only the audit goes by this.
+    /// Time for which a draining backend may be sent new work after the change was delivered. The load
+    /// balancer sends it none; only the audit uses this time.
     pub drain_grace: Duration,
-    /// A backend starts at this share of its capacity or more.
+    /// Minimum share of its capacity that a backend has at its start.
     pub slow_start_floor: f64,
-    /// It has its full capacity after this long.
+    /// Time after the start at which a backend has its full capacity.
     pub slow_start_duration: Duration,
-    /// A backend in slow start fails when it is sent more than this multiple of its capacity ...
+    /// Load, as a multiple of its capacity, above which a backend in slow start fails.
     pub overload_factor: f64,
-    /// ... within this time.
+    /// Time over which that load is measured.
     pub overload_window: Duration,
-    /// Discovery must be polled at least this often where it must be polled.
+    /// Maximum time between two polls of discovery, where changes are not pushed.
     pub max_poll_interval: Duration,
 }
 
-/// Where the endpoint list comes from. The ingress makes long polls in both cases, by different
+/// The source of the endpoint list.
+///
+/// The ingress sends long polls to both, with different
 /// [`PollTimings`](crate::discovery_schedule::PollTimings).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Discovery {
-    /// An agent on the same host, which has each change at once. The simulator delivers its changes unasked.
+    /// An agent on the same host, which receives each change at once. In the simulator it pushes changes
+    /// without polls.
     #[default]
     LocalAgent,
-    /// A service that all gateways share. In the simulator a gateway asks it by
+    /// A service shared by all gateways. In the simulator a gateway polls it with
     /// [`Action::PollDiscovery`](crate::Action).
     SharedService,
 }
 
-/// What the `size` of an endpoint means.
+/// The meaning of [`Endpoint::size`](crate::Endpoint::size).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum SizeMeaning {
-    /// Nothing, it is always 1.
+    /// No meaning; the size is always 1.
     #[default]
     None,
-    /// Its capacity as registered, or roughly.
+    /// Registered or approximate capacity.
     Capacity,
-    /// Capacity over load, as of some time ago.
+    /// Ratio of capacity to load, with a delay.
     Live,
 }
 
-/// The settings of a gateway, which it is given at its start.
+/// The settings of a gateway, fixed at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// How many gateways there are.
+    /// Number of gateways in the fleet.
     pub gateway_count: u16,
-    /// The index of this one.
+    /// Index of this gateway in the fleet.
     pub own_id: GatewayId,
-    /// The zone of this gateway.
+    /// Zone of this gateway.
     pub zone: u8,
-    /// The least time between two calls with a new clock.
+    /// Minimum time between two events with different times of the host's clock.
     pub tick: Duration,
-    /// The request classes.
+    /// Request classes, by the index in [`Request::class`](crate::Request::class).
     pub classes: Vec<Class>,
-    /// The plans.
+    /// Plans, by the index in [`Request::plan`](crate::Request::plan).
     pub plans: Vec<Plan>,
-    /// What is permitted.
+    /// Limits and permissions of the deployment.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// Parameters of the rules for backends and discovery.
     pub rules: Rules,
-    /// Where the endpoint list comes from.
+    /// Source of the endpoint list.
     pub discovery: Discovery,
-    /// What the sizes of endpoints mean.
+    /// Meaning of the sizes in the endpoint list.
     pub size_meaning: SizeMeaning,
-    /// Units are guesses, settled with the answer.
+    /// Whether the units of a request are an estimate, corrected when its attempt ends.
     pub postpaid: bool,
 }
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,68 +1,68 @@
-//! Why settings are rejected. Each text names the key at fault.
+//! Errors in the settings. Each message contains the key or line at fault.
 
-/// Why settings are rejected.
+/// The reason for which settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A line is not of the form `path=value`.
     #[error("line {line} of the settings has no '='")]
     NoEqualsSign {
-        /// The line's number, from 1.
+        /// Number of the line, from 1.
         line: usize,
     },
-    /// A setting that must be there is not.
+    /// A required setting is missing.
     #[error("setting {key} is missing")]
     Missing {
-        /// The path of the setting.
+        /// Path of the setting.
         key: String,
     },
-    /// A value is not a finite number from 0 up.
-    #[error("setting {key} is not a number from 0 up: {value}")]
+    /// A value is not a finite, non-negative number.
+    #[error("setting {key} is not a finite, non-negative number: {value}")]
     NotANumber {
-        /// The path of the setting.
+        /// Path of the setting.
         key: String,
-        /// The value.
+        /// Text of the invalid value.
         value: String,
     },
-    /// A value is not a whole number in its range.
-    #[error("setting {key} is not a whole number up to {max}: {value}")]
+    /// A value is not an integer in its range.
+    #[error("setting {key} is not an integer from 0 to {max}: {value}")]
     NotAWholeNumber {
-        /// The path of the setting.
+        /// Path of the setting.
         key: String,
-        /// The greatest number allowed.
+        /// Maximum of the setting.
         max: u64,
-        /// The value.
+        /// Text of the invalid value.
         value: String,
     },
     /// A value is neither `true` nor `false`.
     #[error("setting {key} is neither true nor false: {value}")]
     NotABoolean {
-        /// The path of the setting.
+        /// Path of the setting.
         key: String,
-        /// The value.
+        /// Text of the invalid value.
         value: String,
     },
-    /// A list has items beyond its count.
-    #[error("setting {list}.count is {count}, but there is {key}")]
+    /// A list has an item with an index beyond its count.
+    #[error("setting {list}.count is {count}, but {key} is set")]
     BeyondCount {
-        /// The path of the list.
+        /// Path of the list.
         list: String,
-        /// Its count.
+        /// Value of the list's `count`.
         count: u64,
-        /// A path beyond it.
+        /// Path of a setting beyond the count.
         key: String,
     },
-    /// A value is none of the allowed ones.
-    #[error("setting {key} is unknown: {value}")]
+    /// A value is not one of those defined for its setting.
+    #[error("setting {key} has an unknown value: {value}")]
     UnknownValue {
-        /// The path of the setting.
+        /// Path of the setting.
         key: String,
-        /// The value.
+        /// Text of the invalid value.
         value: String,
     },
 }
 
 impl SettingsError {
-    /// A value that is none of those allowed at its path.
+    /// Creates the error for a value that is not defined for its setting.
     pub(super) fn unknown_value(key: &str, value: &str) -> SettingsError {
         SettingsError::UnknownValue { key: key.to_string(), value: value.to_string() }
     }
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,8 +1,8 @@
-//! Reads the settings, as pairs of a path and a value, into [`Settings`].
+//! Reader of the settings: converts pairs of a path and a value into [`Settings`].
 //!
-//! Both hosts read their settings here: the simulator's adapter from lines of text, the ingress from nested
-//! JSON that it flattens to the same paths. Unknown keys are skipped, missing or bad ones named. This is the
-//! one place that knows the keys. Where they differ from the terms in the code:
+//! Both hosts use it: the simulator's adapter with lines of text, the ingress with nested JSON that it
+//! flattens to the same paths. Unknown keys are ignored; a missing or invalid value is an error. Keys are
+//! defined in this module alone. Those that differ from the terms in the code:
 //!
 //! | key | term in the code |
 //! | --- | --- |
@@ -11,7 +11,7 @@
 //! | `grades[].group`: `all`, `zone`, `cell` | [`IdempotencyScope`]: fleet, zone, cell |
 //! | `grades[].objective_us`, `aim_stretch` | `latency_objective`, `latency_objective_stretch` |
 //! | `grades[].give_up_us` | `deadline` |
-//! | `grades[].worth`, `late_worth` | the priority weight, which no decision uses; `late_weight` |
+//! | `grades[].worth`, `late_worth` | the priority weight, which is not used; `late_weight` |
 //! | `contracts[]` | plans, [`Plan`] |
 //! | `contracts[].quota_rate`, `max_out` | `rate`, `concurrency_quota` |
 //! | `contracts[].never_over_rate`, `ceiling_burst` | `hard_limit_rate`, `hard_limit_burst` |
@@ -25,40 +25,40 @@
 //! | `weights`: `none`, `nominal` or `rough`, `live` | [`SizeMeaning`]: none, capacity, live |
 //! | `n_instances`, `slot_no` | `gateway_count`, `own_id` |
 //! | `skus` | machine types |
-//! | `family_info.most_units`, `post_paid` | the most units of a request, `postpaid` |
+//! | `family_info.most_units`, `post_paid` | `max_request_units`, `postpaid` |
 //! | `reporting.fields[]`: `depth` | [`LoadReportField::QueueDepth`] |
 
 use super::values::{Values, MAX_COUNT};
 use super::{Limits, Rules, Settings, SettingsError, SizeMeaning};
 use crate::{Class, Discovery, Duration, GatewayId, Idempotency, IdempotencyScope, Plan};
 
-/// The list of request classes.
+/// Path of the list of request classes.
 const CLASSES: &str = "grades";
-/// The list of plans.
+/// Path of the list of plans.
 const PLANS: &str = "contracts";
-/// The highest number of settings with four bytes.
+/// Maximum of settings stored in 32 bits.
 const MAX_U32: u64 = u32::MAX as u64;
-/// The highest number of a zone.
+/// Highest zone number.
 const MAX_ZONE: u64 = u8::MAX as u64;
 
-/// What a value has to be.
+/// The type of a value that is only checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ValueKind {
-    /// A finite number from 0 up.
+    /// A finite, non-negative number.
     Number,
-    /// A time span in whole microseconds.
+    /// An integer in microseconds.
     Duration,
     /// `true` or `false`.
     Flag,
 }
 
-/// The key of a class that no decision uses, its priority weight. A configuration without it, or with a bad
-/// value there, is refused all the same.
+/// Key of a class's priority weight, which is not used. A configuration in which it is missing or invalid is
+/// rejected nevertheless.
 const UNUSED_CLASS_KEY: (&str, ValueKind) = ("worth", ValueKind::Number);
-/// The same of a plan.
+/// Keys of a plan that are checked but not used.
 const UNUSED_PLAN_KEYS: [(&str, ValueKind); 2] =
     [("ceiling_slack", ValueKind::Number), ("over_worth", ValueKind::Number)];
-/// The same outside the lists.
+/// Keys outside the lists that are checked but not used.
 const UNUSED_KEYS: [(&str, ValueKind); 4] = [
     ("limits.may_probe", ValueKind::Flag),
     ("family_info.has_counter", ValueKind::Flag),
@@ -69,14 +69,14 @@
 /// A value in a backend's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportField {
-    /// The requests that wait at the backend.
+    /// Number of requests queued at the backend.
     QueueDepth,
-    /// One that no decision uses.
+    /// Any other value; ignored.
     Unused,
 }
 
 impl LoadReportField {
-    /// The value of this name: in the settings, or in the text that backends send.
+    /// Returns the field of this name, as used in the settings and in the load reports of backends.
     pub fn from_name(name: &str) -> LoadReportField {
         match name {
             "depth" | "queue" => LoadReportField::QueueDepth,
@@ -89,12 +89,12 @@
 pub struct SettingsReader(Values);
 
 impl SettingsReader {
-    /// Takes pairs of a path and a value.
+    /// Creates a reader of pairs of a path and a value.
     pub fn new(pairs: impl IntoIterator<Item = (String, String)>) -> Self {
         SettingsReader(Values::new(pairs))
     }
 
-    /// Reads lines of the form `path=value`.
+    /// Creates a reader of lines of the form `path=value`.
     ///
     /// # Errors
     ///
@@ -103,12 +103,12 @@
         Values::from_lines(text).map(SettingsReader)
     }
 
-    /// The settings of a gateway.
+    /// Returns the settings of a gateway.
     ///
     /// # Errors
     ///
-    /// If a setting is missing, has a value of the wrong form or out of range, or if a list has items beyond
-    /// its count. Settings that no decision uses are checked too.
+    /// If a setting is missing, malformed or out of range, or if a list has items beyond its count. Settings
+    /// that are not used are checked too.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let SettingsReader(values) = self;
         let class_indices = 0..values.count(CLASSES)?;
@@ -132,26 +132,25 @@
         Ok(settings)
     }
 
-    /// The names of the request classes, in their order.
+    /// Returns the names of the request classes in order of their indices.
     ///
     /// # Errors
     ///
-    /// If the count of the classes is missing or wrong, a class has no name, or there is one beyond the
-    /// count.
+    /// If the count of the classes is missing or invalid, a class has no name, or an index exceeds the count.
     pub fn class_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.names(CLASSES)
     }
 
-    /// The names of the plans, in their order.
+    /// Returns the names of the plans in order of their indices.
     ///
     /// # Errors
     ///
-    /// If the count of the plans is missing or wrong, a plan has no name, or there is one beyond the count.
+    /// If the count of the plans is missing or invalid, a plan has no name, or an index exceeds the count.
     pub fn plan_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.names(PLANS)
     }
 
-    /// The names of the zones, in the order of their numbers.
+    /// Returns the names of the zones in order of their numbers.
     ///
     /// # Errors
     ///
@@ -160,7 +159,7 @@
         self.0.list("zones")
     }
 
-    /// The names of the machine types, in the order of their numbers.
+    /// Returns the names of the machine types in order of their numbers.
     ///
     /// # Errors
     ///
@@ -169,29 +168,29 @@
         self.0.list("skus")
     }
 
-    /// The most units of a request; [`f64::MAX`] where the settings set no limit.
+    /// Returns the maximum units of a request, or [`f64::MAX`] if the settings have no limit.
     ///
     /// # Errors
     ///
-    /// If the value is present, and not a number from 0 up.
+    /// If the value is present but not a finite, non-negative number.
     pub fn max_request_units(&self) -> Result<f64, SettingsError> {
         self.0.number_or("family_info.most_units", f64::MAX)
     }
 
-    /// How long a backend keeps an idle connection open.
+    /// Returns the time for which a backend keeps an idle connection open.
     ///
     /// # Errors
     ///
-    /// If the value is missing, or is not a whole number of microseconds.
+    /// If the value is missing or not an integer.
     pub fn keepalive_timeout(&self) -> Result<Duration, SettingsError> {
         self.0.duration("limits.keepalive_us")
     }
 
-    /// The values in a load report, in their order.
+    /// Returns the fields of a load report in order.
     ///
     /// # Errors
     ///
-    /// If `reporting.how` is missing, or `reporting.fields` is missing where there are load reports.
+    /// If `reporting.how` is missing, or if there are load reports and `reporting.fields` is missing.
     pub fn load_report_fields(&self) -> Result<Vec<LoadReportField>, SettingsError> {
         if self.0.text("reporting.how")? == "none" {
             return Ok(Vec::new());
@@ -200,7 +199,7 @@
         Ok(names.iter().map(|name| LoadReportField::from_name(name)).collect())
     }
 
-    /// The request class at an index.
+    /// Reads the request class at an index.
     fn class(&self, index: u64) -> Result<Class, SettingsError> {
         let SettingsReader(values) = self;
         let key = |name: &str| format!("{CLASSES}.{index}.{name}");
@@ -220,7 +219,7 @@
         })
     }
 
-    /// Whether a request of the class at an index may be executed again.
+    /// Reads the idempotency of the class at an index.
     fn idempotency(&self, index: u64) -> Result<Idempotency, SettingsError> {
         let SettingsReader(values) = self;
         let key = |name: &str| format!("{CLASSES}.{index}.{name}");
@@ -235,7 +234,7 @@
         }
     }
 
-    /// The scope of idempotency keys at a path.
+    /// Reads the scope of idempotency keys at a path.
     fn idempotency_scope(&self, key: &str) -> Result<IdempotencyScope, SettingsError> {
         match self.0.text(key)? {
             "all" => Ok(IdempotencyScope::Fleet),
@@ -245,7 +244,7 @@
         }
     }
 
-    /// The plan at an index.
+    /// Reads the plan at an index.
     fn plan(&self, index: u64) -> Result<Plan, SettingsError> {
         let SettingsReader(values) = self;
         let key = |name: &str| format!("{PLANS}.{index}.{name}");
@@ -262,7 +261,6 @@
         Ok(plan)
     }
 
-    /// What the deployment permits.
     fn limits(&self) -> Result<Limits, SettingsError> {
         let SettingsReader(values) = self;
         Ok(Limits {
@@ -278,7 +276,6 @@
         })
     }
 
-    /// The figures of the rules.
     fn rules(&self) -> Result<Rules, SettingsError> {
         let SettingsReader(values) = self;
         Ok(Rules {
@@ -291,7 +288,7 @@
         })
     }
 
-    /// Where the endpoint list comes from.
+    /// Reads the source of the endpoint list.
     fn discovery(&self) -> Result<Discovery, SettingsError> {
         let key = "membership_mode";
         match self.0.text(key)? {
@@ -301,7 +298,7 @@
         }
     }
 
-    /// What the sizes of endpoints mean.
+    /// Reads the meaning of the sizes in the endpoint list.
     fn size_meaning(&self) -> Result<SizeMeaning, SettingsError> {
         let key = "weights";
         match self.0.text(key)? {
@@ -312,7 +309,7 @@
         }
     }
 
-    /// Checks a value that no decision uses.
+    /// Checks the type of a value that is not used.
     fn check(&self, key: &str, kind: ValueKind) -> Result<(), SettingsError> {
         match kind {
             ValueKind::Number => self.0.number(key).map(drop),
--- a/src/settings/reader/tests.rs
+++ b/src/settings/reader/tests.rs
@@ -6,10 +6,10 @@
     SettingsReader::from_lines(text)?.settings().map(|_| ())
 }
 
-/// One setting is missing or invalid. The error names its key or line, without which an operator would have to
-/// compare a long file with the documentation line by line.
+/// One setting is missing or invalid. Without its key or line in the error, an operator would have to compare
+/// a long file with the documentation line by line.
 #[test]
-fn an_error_names_the_setting_that_is_missing_or_invalid() {
+fn errors_contain_the_key_or_line_at_fault() {
     let err = parse("grades.count=1\n").unwrap_err().to_string();
     assert!(err.contains("grades.0.effect"), "{err}");
     let err = parse("grades.count=0\ngrades.0.worth=1\n").unwrap_err().to_string();
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -1,24 +1,24 @@
-//! Settings as values by path, and the checks of the values by type.
+//! Unparsed settings by path, with typed and checked access.
 
 use super::SettingsError;
 use crate::Duration;
 use std::collections::HashMap;
 
-/// The most classes, plans or gateways that the settings may name.
+/// Maximum number of classes, plans or gateways.
 pub const MAX_COUNT: u64 = 65_535;
-/// The longest time span, so that sums of some of them stay in range.
+/// Maximum duration of a setting, so that sums of several durations do not overflow.
 const MAX_MICROS: u64 = u64::MAX >> 12;
 
 /// Unparsed values by path, such as `limits.max_open`.
 pub struct Values(HashMap<String, String>);
 
 impl Values {
-    /// Takes pairs of a path and a value.
+    /// Creates the settings from pairs of a path and a value.
     pub fn new(pairs: impl IntoIterator<Item = (String, String)>) -> Self {
         Values(pairs.into_iter().collect())
     }
 
-    /// Reads lines of the form `path=value`.
+    /// Parses lines of the form `path=value`.
     pub fn from_lines(text: &str) -> Result<Self, SettingsError> {
         let mut map = HashMap::new();
         for (at, line) in text.lines().enumerate().filter(|(_, line)| !line.is_empty()) {
@@ -28,17 +28,17 @@
         Ok(Values(map))
     }
 
-    /// Whether there is a value at a path.
+    /// Returns whether a path has a value.
     pub fn contains(&self, key: &str) -> bool {
         self.0.contains_key(key)
     }
 
-    /// The unparsed value at a path.
+    /// Returns the unparsed value at a path.
     pub fn text(&self, key: &str) -> Result<&str, SettingsError> {
         self.0.get(key).map(String::as_str).ok_or_else(|| SettingsError::Missing { key: key.to_string() })
     }
 
-    /// The number at a path, finite and from 0 up.
+    /// Returns the finite, non-negative number at a path.
     pub fn number(&self, key: &str) -> Result<f64, SettingsError> {
         let text = self.text(key)?;
         match text.parse::<f64>() {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The number at a path, or another one where there is none.
+    /// Returns the number at a path, or `default` if the path has no value.
     pub fn number_or(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         if self.contains(key) {
             self.number(key)
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The whole number at a path, `max` at most.
+    /// Returns the integer at a path, at most `max`.
     pub fn whole_number(&self, key: &str, max: u64) -> Result<u64, SettingsError> {
         let text = self.text(key)?;
         match text.parse::<u64>() {
@@ -65,12 +65,12 @@
         }
     }
 
-    /// The time span at a path, in whole microseconds.
+    /// Returns the duration at a path, an integer in microseconds.
     pub fn duration(&self, key: &str) -> Result<Duration, SettingsError> {
         self.whole_number(key, MAX_MICROS).map(Duration::from_micros)
     }
 
-    /// The truth value at a path.
+    /// Returns the value `true` or `false` at a path.
     pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         match self.text(key)? {
             "true" => Ok(true),
@@ -79,12 +79,16 @@
         }
     }
 
-    /// The list of plain values at a path, separated by commas.
+    /// Returns the comma-separated values at a path.
     pub fn list(&self, key: &str) -> Result<Vec<String>, SettingsError> {
         Ok(self.text(key)?.split(',').filter(|value| !value.is_empty()).map(String::from).collect())
     }
 
-    /// The length of a list of objects; an item with an index beyond its count is an error.
+    /// Returns the length of a list of objects.
+    ///
+    /// # Errors
+    ///
+    /// If the count is missing or invalid, or an item has an index beyond it.
     pub fn count(&self, list: &str) -> Result<u64, SettingsError> {
         let count = self.whole_number(&format!("{list}.count"), MAX_COUNT)?;
         let prefix = format!("{list}.");
@@ -98,7 +102,7 @@
         Ok(count)
     }
 
-    /// The names of the objects in a list.
+    /// Returns the names of the objects in a list.
     pub fn names(&self, list: &str) -> Result<Vec<String>, SettingsError> {
         let name = |index| self.text(&format!("{list}.{index}.name")).map(String::from);
         (0..self.count(list)?).map(name).collect()
