--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -99,7 +99,7 @@
 pub struct Clients {
     /// `None` once the listener is closed.
     listener: Option<TcpListener>,
-    /// Connections by key, from which [`Clients::token_of`] derives the token.
+    /// Connections by key, from which `token_of` derives the token.
     connections: Slab<ClientConnection>,
     last_serial: u64,
     last_request_id: u64,
--- a/src/bin/ingress/clients/accepting.rs
+++ b/src/bin/ingress/clients/accepting.rs
@@ -72,8 +72,8 @@
         listener.accept().map(|(stream, _)| stream)
     }
 
-    /// Handles a shortage of descriptors or memory that occurs in spite of the limits. The caller retries
-    /// after a delay; if accepting keeps failing, an idle connection is closed.
+    /// Handles a shortage of descriptors or memory that occurs despite the limits. The caller retries after a
+    /// delay; if accepting keeps failing, an idle connection is closed.
     fn on_accept_failure(&mut self, now: Instant) {
         let failing_since = *self.accept_failing_since.get_or_insert(now);
         if now >= failing_since + MIN_ACCEPT_FAILURE_TIME {
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -95,7 +95,7 @@
     }
 
     /// Closes idle connections now, and others once they become idle. While connections are still accepted,
-    /// those without a command so far stay open.
+    /// those that have not sent a command stay open.
     pub fn close_when_idle(&mut self, now: Instant, accepting: Accepting) {
         self.closes_idle = true;
         if accepting == Accepting::Stop {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Closes a connection if the process shuts down and the connection is idle.
+    /// Closes a connection if the process is shutting down and the connection is idle.
     pub(super) fn close_if_idle_at_shutdown(&mut self, key: usize, now: Instant) {
         if self.closes_idle && self.connections.get(key).is_some_and(ClientConnection::is_idle) {
             self.close_if_still_idle(key, now, ClientCloseReason::ShuttingDown);
@@ -203,8 +203,8 @@
         self.lingering_count -= usize::from(connection.linger_until.is_some());
         self.over_limit_count -= usize::from(connection.is_over_limit());
         self.memory.release(&connection);
-        // The latest is first: the end of an earlier request would otherwise start a later one of the same
-        // client, which would be cancelled at once.
+        // The latest request is reported first: the end of an earlier one would otherwise start a later one
+        // of the same client, which would be cancelled at once.
         let pending = connection.replies.pending_latest_first();
         let disconnected: Vec<ClientEvent> = pending.map(ClientEvent::Disconnected).collect();
         if !disconnected.is_empty() {
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -75,8 +75,8 @@
 
     /// Reads from a connection and parses its commands, up to the limit per iteration.
     ///
-    /// The loop ends before the limit only if a read would block. The poll reports each arrival once, and a
-    /// short read does not mean that the socket is empty: ending there would leave a request unread.
+    /// A read that would block ends the loop, but a short read does not: the poll reports each arrival once,
+    /// and after a short read the socket may not be empty, so that a request could remain unread.
     fn read_and_parse(&mut self, key: usize, now: Instant) {
         for _ in 0..MAX_READS_PER_ITERATION {
             if self.parse_commands(key, now) == ReadState::Paused {
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -48,7 +48,7 @@
 /// The running ingress: its sockets, gateway, requests and timers.
 pub struct EventLoop {
     poll: Poll,
-    /// The exact time, for durations shorter than a tick.
+    /// The current time at full resolution, for durations shorter than a tick.
     clock: Clock,
     /// Estimates the arrival time of the input that the poll reports.
     arrivals: ArrivalClock,
@@ -77,7 +77,7 @@
     /// The start times of the listed backends.
     start_times: StartTimes,
     reload: Reload,
-    /// The socket for gossip; none where the settings allow no messages between gateways.
+    /// The socket for gossip, or `None` if the settings disable messages between gateways.
     peers: Option<PeerSocket>,
     signals: Signals,
     /// Requests that are open or have attempts in flight.
@@ -93,8 +93,8 @@
 }
 
 impl EventLoop {
-    /// Runs until the shutdown that a signal begins is complete: all requests are answered, or the time for
-    /// that is over.
+    /// Runs until a signal to shut down is received and all requests are answered, or the time for the
+    /// shutdown is over.
     pub fn run(mut self) -> Result<(), EventLoopError> {
         // One iteration has to report all ready sockets. Otherwise a client's disconnect could be handled
         // after a backend's reply that arrived later.
@@ -153,8 +153,8 @@
         wake_at.duration_since(called_at)
     }
 
-    /// Runs one iteration. Discovery is handled first, so that the gateway has the change of a draining
-    /// backend before it sends an attempt; replies are handled before the timers that would time them out.
+    /// Runs one iteration. Discovery is handled first, so that the gateway handles the draining of a backend
+    /// before it sends an attempt; replies are handled before the timers that would time them out.
     fn process_ready(&mut self, ready: &mut [ReadySocket]) {
         // Disconnects are handled first, so that no other socket or timer begins an attempt for a
         // disconnected client.
--- a/src/bin/ingress/event_loop/actions.rs
+++ b/src/bin/ingress/event_loop/actions.rs
@@ -30,7 +30,7 @@
                     peers.send(to, &bytes);
                 }
             }
-            // The watch polls at all times.
+            // The watch polls continuously.
             Action::PollDiscovery => {}
             Action::Log(line) => tracing::info!(target: logging::NO_TARGET, "{line}"),
         }
--- a/src/bin/ingress/event_loop/arrival_clock.rs
+++ b/src/bin/ingress/event_loop/arrival_clock.rs
@@ -1,9 +1,9 @@
 //! Estimates when the input that the poll reports arrived.
 //!
-//! If the process is delayed between two readings of its clock, as on an overloaded machine, a client's
-//! timeout would be counted from the later reading. Answers would be late, and attempts would state more time
-//! than the client has left. The time between two calls of the poll, plus the time by which a call exceeds
-//! its timeout, bounds the age of the input.
+//! Without this estimate, a process that is delayed between two readings of its clock, as on an overloaded
+//! machine, would count clients' timeouts from the later reading: answers would be late, and attempts would
+//! state more time than the client has left. The time between two calls of the poll, plus the time by which a
+//! call exceeds its timeout, bounds the age of the input.
 
 use ingress::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 pub struct ArrivalClock {
     /// The return time of the last call that was not interrupted.
     reported_at: Instant,
-    /// Returns the earliest time at which the input that the latest call reported can have arrived.
+    /// The earliest time at which the input that the latest call reported can have arrived.
     arrived_at: Instant,
 }
 
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -22,7 +22,7 @@
 }
 
 impl AttemptEndReport {
-    /// Returns the end of an attempt that was not sent, of an open request.
+    /// Returns the report of an attempt that was not sent, for an open request.
     fn not_sent(attempt: AttemptId, backend: BackendId) -> AttemptEndReport {
         AttemptEndReport {
             attempt,
@@ -255,10 +255,9 @@
     /// Encodes the command on a connection again if none of it is written yet, or ends its attempt if the
     /// first byte may no longer be written.
     ///
-    /// The command's timeout was computed when the connection was started, up to a connect timeout ago. A
-    /// delayed event loop handles the writable socket before the timers that would end the attempt, and the
-    /// backend would work on a request whose client has timed out. So the exact time is checked before the
-    /// first byte.
+    /// The command's timeout was computed when connecting began, up to a connect timeout ago. A delayed event
+    /// loop handles the writable socket before the timers that would end the attempt, and the backend would
+    /// work on a request whose client has timed out. So the exact time is checked before the first byte.
     pub(super) fn prepare_to_write(&mut self, key: usize) {
         let Some(attempt_id) = self.backend_connections.unwritten_attempt(key) else { return };
         let Some(request) = self.requests.get(attempt_id.request) else { return };
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -43,8 +43,8 @@
     ShutdownDeadline,
 }
 
-/// Maximum timeout of a client that is applied. Longer ones would let the timers of answered requests
-/// accumulate for hours.
+/// Maximum client timeout that is applied; longer ones are reduced to it. Otherwise the timers of answered
+/// requests would accumulate for hours.
 const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time reserved for a reply to reach the client, in addition to two ticks.
 const REPLY_TRANSIT_TIME: Duration = Duration::from_millis(2);
@@ -103,8 +103,8 @@
         self.pending_events.push_back(Event::RequestClosed(id));
     }
 
-    /// Handles the pending commands and disconnects of clients in order, the disconnects' reports to the
-    /// gateway first.
+    /// Reports the pending disconnects of clients to the gateway, then handles the pending commands and
+    /// disconnects in order.
     pub(super) fn process_client_events(&mut self) {
         self.report_disconnects();
         while let Some(event) = self.clients.next_event() {
--- a/src/bin/ingress/event_loop/descriptor_budget.rs
+++ b/src/bin/ingress/event_loop/descriptor_budget.rs
@@ -45,7 +45,7 @@
         self.max_connections + RESERVED_DESCRIPTORS + MAX_OVER_LIMIT_CLIENTS
     }
 
-    /// Returns the maximum number of connections of clients, and of backends.
+    /// Returns the maximum number of connections that clients, or backends, may use.
     fn max_share(&self) -> usize {
         self.max_connections * MAX_SHARE_PERCENT / 100
     }
@@ -55,7 +55,7 @@
         clients.len() + backend_connections.len() >= self.max_connections
     }
 
-    /// Returns whether one more client can be accepted, and closes an idle connection if necessary.
+    /// Returns the capacity for one more client, and closes an idle connection if necessary.
     pub fn capacity_for_client(
         &self,
         clients: &mut Clients,
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -34,7 +34,7 @@
 struct Sockets {
     poll: Poll,
     listener: TcpListener,
-    /// The socket for gossip; none where the settings allow no messages between gateways.
+    /// The socket for gossip, or `None` if the settings disable messages between gateways.
     peers: Option<PeerSocket>,
     signals: Signals,
 }
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -78,9 +78,9 @@
         self.process_client_events();
     }
 
-    /// Once all earlier requests are answered, handles the commands that clients have sent since; returns
-    /// whether the process can exit: all requests are answered, and no client is left that the process waits
-    /// for.
+    /// Returns whether the process can exit: all requests are answered, and no client is left that the
+    /// process waits for. Once all earlier requests are answered, handles the commands that clients have sent
+    /// since.
     pub(super) fn drain_and_check_finished(&mut self) -> bool {
         if !self.is_drained() {
             return false;
--- a/src/bin/ingress/resp/encode.rs
+++ b/src/bin/ingress/resp/encode.rs
@@ -22,7 +22,7 @@
 }
 
 /// Appends an error line. Control characters of the message become spaces, and the message is cut to the
-/// maximum length of a line, since either would make the line invalid.
+/// maximum length of a line: otherwise the line would be invalid.
 pub fn write_error(out: &mut Vec<u8>, message: &str) {
     let printable = message.bytes().map(|byte| if byte.is_ascii_control() { b' ' } else { byte });
     out.extend_from_slice(b"-ERR ");
