--- a/tests/fleet_quota.rs
+++ b/tests/fleet_quota.rs
@@ -1,6 +1,6 @@
-//! Quotas over a whole fleet without overload: what is sent beyond them and what that costs, compared with policies that
-//! know the true state. The test plays the network: messages are delayed, some are lost, and a gateway receives only so
-//! many in a second.
+//! Test of quotas over a whole fleet without overload. Compares the cost of requests over the quotas with
+//! that of a policy that has the true state of all customers. The test simulates the network: it delays and
+//! loses messages, and limits the messages that a gateway receives per second.
 
 use test_support as support;
 
@@ -14,9 +14,10 @@
 const CUSTOMERS: u64 = 160;
 const BACKENDS: u64 = 200;
 const RUN_LENGTH: Duration = Duration::from_secs(8);
-/// How long an attempt takes at a backend that is not busy.
+/// Duration of each attempt, as at a backend that is not busy.
 const SERVICE_TIME: Duration = Duration::from_millis(110);
-/// The delay with which the policy to compare with knows the true state: a tick, the least that a real one could have.
+/// Age of the true state that the reference policy uses: one tick, the shortest possible delay of a real
+/// policy.
 const OBSERVATION_DELAY: Duration = Duration::from_millis(4);
 const PEER_MESSAGES_PER_SECOND: u32 = 40;
 const MESSAGE_LOSS_PERCENT: u64 = 5;
@@ -65,7 +66,7 @@
         (self.0 >> 33) % bound
     }
 
-    /// A span shorter than a bound.
+    /// Returns a random duration below a bound.
     fn shorter_than(&mut self, bound: Duration) -> Duration {
         Duration::from_micros(self.below(bound.as_micros()))
     }
@@ -78,7 +79,8 @@
     customer: u64,
 }
 
-/// The requests of all customers: most use a third of their quota, one in ten sends eight times as much as it may.
+/// Returns the requests of all customers: one in ten sends eight times its quota, the others about a third of
+/// it.
 fn arrivals(random: &mut Random) -> Vec<Arrival> {
     let mut all = Vec::new();
     for customer in 0..CUSTOMERS {
@@ -102,17 +104,17 @@
     tokens: f64,
 }
 
-/// The true state of a customer, now and at earlier times.
+/// The true state of a customer, with its history.
 struct CustomerState {
     plan: Plan,
     bucket: BucketLevel,
-    /// When attempts were sent.
+    /// Send times of attempts.
     sent_at: Vec<Instant>,
-    /// The bucket after each of them.
+    /// Level of the bucket after each attempt.
     history: Vec<BucketLevel>,
 }
 
-/// What was sent, by the customers' prices.
+/// Value and cost of the requests sent, in customers' prices.
 #[derive(Clone, Copy, Default)]
 struct Totals {
     value_within_quota: f64,
@@ -134,7 +136,7 @@
         (level.tokens + self.plan.rate * elapsed.as_micros_f64() / 1e6).min(self.plan.burst)
     }
 
-    /// Whether a request is within the quota by the true state at a time.
+    /// Returns whether a request is within the quota, by the true state at a time.
     fn is_within_quota(&self, at: Instant) -> bool {
         let is_in_flight = |sent_at: &&Instant| **sent_at <= at && **sent_at + SERVICE_TIME > at;
         let in_flight = self.sent_at.iter().filter(is_in_flight).count();
@@ -145,7 +147,7 @@
             && (self.plan.concurrency_quota == 0 || in_flight < self.plan.concurrency_quota as usize)
     }
 
-    /// Records that a request is sent.
+    /// Records that a request is sent, and adds its value or cost to the totals.
     fn send(&mut self, now: Instant, totals: &mut Totals) {
         let is_within_quota = self.is_within_quota(now);
         self.bucket.tokens = self.refilled(self.bucket, now.duration_since(self.bucket.at));
@@ -161,7 +163,7 @@
     }
 }
 
-/// What is sent by a policy that admits each request by the true state of some time ago.
+/// Returns the totals of a policy that admits each request by the true state at an earlier time.
 fn run_with_delayed_state(arrivals: &[Arrival], delay: Duration) -> Totals {
     let (mut customers, mut totals) = (CustomerState::all(), Totals::default());
     for arrival in arrivals {
@@ -180,10 +182,10 @@
     Timer,
 }
 
-/// Events to come at gateways, in the order of their time.
+/// Future events at gateways, in order of their time.
 #[derive(Default)]
 struct EventQueue {
-    /// By time, then by the index of the event, with the gateway.
+    /// Time, index of the event, and gateway.
     order: BinaryHeap<Reverse<(Instant, usize, u16)>>,
     events: Vec<Option<HostEvent>>,
 }
@@ -213,14 +215,14 @@
     queue: EventQueue,
     requests: BTreeMap<(u16, RequestId), OpenRequest>,
     last_request_id: u64,
-    /// How many messages a gateway received, by gateway and second.
+    /// Number of messages received, by gateway and second.
     messages_received: BTreeMap<(u16, u64), u32>,
     customers: Vec<CustomerState>,
     totals: Totals,
 }
 
 impl Fleet<'_> {
-    /// A fleet that gets each arrival at a random gateway.
+    /// Creates a fleet in which each request arrives at a random gateway.
     fn new<'a>(arrivals: &[Arrival], random: &'a mut Random) -> Fleet<'a> {
         let seed = |own_id: u16| 100 + u64::from(own_id);
         let start = |own_id| Gateway::new(settings(own_id), seed(own_id), START);
@@ -256,7 +258,7 @@
         self.totals
     }
 
-    /// The event that a gateway gets from its host; none for a message beyond what it can receive in a second.
+    /// Returns the event that the host passes to a gateway; `None` for a message over the limit per second.
     fn receive(&mut self, now: Instant, gateway: u16, event: HostEvent) -> Option<Event> {
         match event {
             HostEvent::Arrival { customer } => {
@@ -291,7 +293,7 @@
         }
     }
 
-    /// Gives a gateway an event, and executes the actions that it asks for.
+    /// Passes an event to a gateway, and executes the resulting actions.
     fn handle(&mut self, now: Instant, gateway: u16, event: Event) {
         let mut actions = Vec::new();
         self.gateways[usize::from(gateway)].handle(now, event, &mut actions);
@@ -303,7 +305,7 @@
     fn execute(&mut self, now: Instant, gateway: u16, action: Action) {
         match action {
             Action::Send { id, backend, .. } => {
-                let request = self.requests.get_mut(&(gateway, id)).expect("it has arrived");
+                let request = self.requests.get_mut(&(gateway, id)).expect("the request has arrived");
                 let attempt = request.attempts;
                 request.attempts += 1;
                 if attempt == 0 {
@@ -325,25 +327,22 @@
     }
 }
 
-/// Sixty gateways share the quotas of 160 customers, some of whom send eight times what they may, over a network
-/// that delays and loses messages. What is served beyond the quotas is the operator's loss, and may exceed by 0.1
-/// at most that of a policy that knows the true state with a short delay. That must not be reached by rejecting
-/// customers within their quotas: at least half of what that policy serves has to be served.
+/// Sixty gateways share the quotas of 160 customers, some of which send eight times their quota, over a
+/// network that delays and loses messages. Requests over the quotas may cost at most 0.1 more than with a
+/// policy that has the true state with a short delay. At least half of the value within quotas that this
+/// policy serves must be served.
 #[test]
 fn quotas_hold_over_a_fleet_without_overload() {
     for seed in 1..=3 {
         let mut random = Random(seed);
         let arrivals = arrivals(&mut random);
         let offered = run_with_delayed_state(&arrivals, Duration::ZERO);
-        assert_eq!(
-            offered.cost_over_quota, 0.0,
-            "a policy that knows the true state sends nothing beyond a quota"
-        );
+        assert_eq!(offered.cost_over_quota, 0.0, "a policy with the true state sends nothing over a quota");
         let delayed = run_with_delayed_state(&arrivals, OBSERVATION_DELAY);
         let fleet = Fleet::new(&arrivals, &mut random).run();
         let share = |sum: f64| sum / offered.value_within_quota;
         println!(
-            "seed {seed}: beyond {:.3}, late {:.3}; inside {:.3}, late {:.3}",
+            "seed {seed}: over quotas {:.3}, reference {:.3}; within quotas {:.3}, reference {:.3}",
             share(fleet.cost_over_quota),
             share(delayed.cost_over_quota),
             share(fleet.value_within_quota),
@@ -351,12 +350,12 @@
         );
         assert!(
             share(fleet.cost_over_quota) <= share(delayed.cost_over_quota) + 0.1,
-            "{} beyond quotas",
+            "cost over quotas {}",
             share(fleet.cost_over_quota)
         );
         assert!(
             share(fleet.value_within_quota) >= share(delayed.value_within_quota) / 2.0,
-            "{} of what is within quotas",
+            "value within quotas {}",
             share(fleet.value_within_quota)
         );
     }
--- a/tests/gateway/concurrency_quota.rs
+++ b/tests/gateway/concurrency_quota.rs
@@ -1,4 +1,4 @@
-//! Quotas on attempts in flight, and the owners that grant them.
+//! Tests of quotas on attempts in flight, and of the owners that grant them.
 
 use crate::support::fleet::Fleet;
 use crate::support::gateway::{
@@ -9,9 +9,9 @@
 };
 use ingress::*;
 
-/// A customer with a quota of two attempts in flight cancels one by disconnecting. The backend is still busy with
-/// it, so a new request is rejected until the cancelled attempt has ended; otherwise a customer could occupy any
-/// number of backends by disconnecting again and again.
+/// A customer with a quota of two attempts in flight cancels one by disconnecting. The attempt counts until
+/// the backend has ended it; otherwise a customer could occupy any number of backends by disconnecting
+/// repeatedly.
 #[test]
 fn a_concurrency_quota_counts_cancelled_attempts_until_they_end() {
     let mut harness = GatewayHarness::new(settings(), 4);
@@ -21,15 +21,15 @@
     harness.handle(Event::RequestClosed(id));
     assert!(
         is_rejected(&harness.request(IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0).actions),
-        "cancelled, yet still in flight"
+        "the cancelled attempt is still in flight"
     );
     harness.end_attempt(id, 0, sent_to(&actions)[0], Outcome::Cancelled);
     assert_eq!(sent_to(&harness.request(IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0).actions).len(), 1);
 }
 
-/// A slow backend holds an attempt of a customer that may have only two in flight. After the latency objective its
-/// answer is worth nothing. Formerly the customer's next requests were rejected for as long as the client waited; now
-/// the attempt expires at the objective, and the place is free again.
+/// A slow backend holds an attempt of a customer with a concurrency quota. Its answer has no value after the
+/// latency objective, but the attempt would count against the quota until the client's deadline, and the
+/// customer's next requests would be rejected. It therefore expires at the objective.
 #[test]
 fn an_attempt_under_a_concurrency_quota_expires_at_its_latency_objective() {
     let mut harness = GatewayHarness::new(settings_of(0, 100), 200);
@@ -45,26 +45,30 @@
     };
     let SubmittedRequest { id, actions } =
         harness.request_from_set(NON_IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0, 1.0);
-    assert_eq!(expires_at(&actions), Some(Some(START + SECOND)), "a quota of two, an objective of a second");
+    assert_eq!(
+        expires_at(&actions),
+        Some(Some(START + SECOND)),
+        "a concurrency quota, and a latency objective of 1 s"
+    );
     assert_eq!(
         expires_at(&harness.request_from_set(NON_IDEMPOTENT, UNLIMITED, 6, 1.0, 1.0).actions),
         Some(None),
-        "without a quota it lasts as long as the client waits"
+        "without a quota an attempt may last until the client's deadline"
     );
     harness.advance(SECOND + Duration::from_millis(20));
     let ended = harness.end_attempt(id, 0, sent_to(&actions)[0], Outcome::TimedOut);
-    assert!(is_failed(&ended), "it fails at once, not at the deadline");
+    assert!(is_failed(&ended), "the request fails at once, not at its deadline");
     assert_eq!(
         sent_to(&harness.request_from_set(NON_IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0, 1.0).actions).len(),
         1
     );
 }
 
-/// The quota owner of a customer, which counts its attempts, does not answer, since it is overloaded with grant
-/// requests. If all requests were admitted, the customer would exceed its quota just when the fleet is overloaded; if
-/// none were, it would be locked out. A random part is admitted, the smaller the more an attempt over the quota costs.
+/// A customer's quota owner does not answer, since it is overloaded with requests for grants. Admitting all
+/// requests would exceed the quota while the fleet is overloaded; admitting none would lock the customer out.
+/// A random share is admitted, which is smaller the more an attempt over the quota costs.
 #[test]
-fn without_answers_of_the_quota_owner_a_random_share_is_admitted() {
+fn a_random_share_of_requests_is_admitted_without_an_answer_of_the_quota_owner() {
     for (over_cost, share) in [(0.0, 1.0), (1.0, 0.5), (3.0, 0.25)] {
         let mut settings = settings_of(0, 300);
         settings.plans[usize::from(CONCURRENCY_QUOTA)].over_quota_cost = over_cost;
@@ -88,12 +92,12 @@
     }
 }
 
-/// A quota owner answers grant requests on other customers, but not on this one. It is alive and overloaded, and most
-/// likely by this very customer, so the request is rejected; an owner that answers nothing at all may have died, and
-/// then the request is admitted.
+/// A quota owner that answers requests for grants for other customers, but not for this one, is probably
+/// overloaded by this customer, so the request is rejected. An owner that sends nothing may have failed, and
+/// the request is admitted.
 #[test]
-fn a_request_is_rejected_where_the_quota_owner_answers_for_other_customers_only() {
-    // Where an error costs nothing, requests are admitted if the quota owner is silent.
+fn a_request_is_rejected_if_the_quota_owner_answers_only_for_other_customers() {
+    // Without a cost over the quota, requests are admitted if the quota owner is silent.
     let harness_of = |own_id| {
         let mut settings = settings_of(own_id, 100);
         settings.plans[usize::from(CONCURRENCY_QUOTA)].over_quota_cost = 0.0;
@@ -103,15 +107,15 @@
     let owner =
         sent_messages(&harness.request_from_set(IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0, 100.0).actions)
             .first()
-            .expect("its quota owner is asked")
+            .expect("a grant is requested from the quota owner")
             .0;
     assert_eq!(
         sent_to(&harness.advance(Duration::from_millis(200))).len(),
         1,
-        "its quota owner was never heard"
+        "no message of the quota owner was received"
     );
     harness.now += SECOND * 3;
-    // Another customer with the same quota owner, and its answer for that one.
+    // The quota owner answers a request for a grant for another of its customers.
     let mut other_customers = 100..;
     let grant_request = loop {
         let messages = sent_messages(
@@ -127,7 +131,7 @@
     owner_harness.now = harness.now;
     let answers =
         sent_messages(&owner_harness.handle(Event::PeerMessage { from: GatewayId(0), bytes: grant_request }));
-    let (_, bytes) = answers.into_iter().next().expect("its answer");
+    let (_, bytes) = answers.into_iter().next().expect("the owner's answer");
     harness.handle(Event::PeerMessage { from: owner, bytes });
     harness.advance(Duration::from_millis(300));
     let id = harness.request_from_set(IDEMPOTENT, CONCURRENCY_QUOTA, 5, 1.0, 100.0).id;
@@ -137,17 +141,18 @@
         .any(|action| matches!(action, Action::Reject { id: rejected, .. } if *rejected == id)));
 }
 
-/// One customer sends so many requests that its quota owner cannot receive a grant request for each. The owner would
-/// lose messages on all its other customers as well, and they would be rejected though they are within their quotas; so
-/// grant requests on the busy customer are limited, while a good part of its requests is still sent.
+/// A grant request for each request of a busy customer would exceed the messages that its quota owner can
+/// receive. The owner would lose messages for its other customers, which would be rejected within their
+/// quotas. Grant requests for the busy customer are limited, while many of its requests are still sent.
 #[test]
 fn grant_requests_for_a_busy_customer_are_limited() {
     let mut fleet = Fleet::new(100);
     let mut sent = 0;
     for number in 0..400usize {
-        sent += fleet.request(number % 5, CONCURRENCY_QUOTA, 1.0, 100.0, 0); // 50 a second, by five busy gateways
+        sent += fleet.request(number % 5, CONCURRENCY_QUOTA, 1.0, 100.0, 0); // 50 per second at five gateways
     }
-    // A grant request, an answer and an end for each would be 1,200; an owner takes in 60 a second here, so 480 in 8 s.
+    // A grant request, an answer and a report of the end for each request would be 1,200 messages; an owner
+    // receives at most 60 per second, 480 in 8 s.
     assert!(fleet.messages_sent <= 1000, "{} messages for 400 requests", fleet.messages_sent);
     assert!(sent >= 150, "{sent} of 400 sent");
 }
--- a/tests/gateway/gossip.rs
+++ b/tests/gateway/gossip.rs
@@ -1,12 +1,11 @@
-//! Usage reports between gateways.
+//! Tests of the usage reports that gateways exchange.
 
 use crate::support::gateway::{is_rejected, sent_messages, sent_to, GatewayHarness, SubmittedRequest};
 use crate::support::settings::{settings, settings_of, IDEMPOTENT, RATE_QUOTA, SECOND, UNLIMITED};
 use ingress::*;
 
-/// Another gateway uses up most of a customer's quota; its first messages are lost, and later ones arrive twice and
-/// out of order. This gateway still has to know the true usage: it would let the customer exceed its quota by
-/// requests that the other one has already served.
+/// Another gateway uses most of a customer's quota. Its first reports are lost, and later ones arrive twice
+/// and out of order. Without the correct usage this gateway would admit requests over the quota.
 #[test]
 fn usage_reports_converge_despite_loss_and_duplicates() {
     let mut other = GatewayHarness::new(settings_of(1, 3), 4);
@@ -21,14 +20,15 @@
     for (_, bytes) in messages.iter().chain(messages.iter().rev()) {
         harness.handle(Event::PeerMessage { from: GatewayId(1), bytes: bytes.clone() });
     }
-    // 6 units less 0.5 here and 5 there: no room for a request of 3, though this gateway sent half a unit.
+    // 6 units less 0.5 here and 5 there: too few for a request of 3, though this gateway sent only half a
+    // unit.
     assert!(is_rejected(&harness.request(IDEMPOTENT, RATE_QUOTA, 9, 3.0).actions));
 }
 
-/// A hundred customers are active, more than one message holds. Each of them has to be reported sooner or later; a
-/// customer that is never reported could use its full quota at every gateway.
+/// A hundred customers are active, more than fit in one message. A customer that is never reported could use
+/// its full quota at every gateway.
 #[test]
-fn usage_reports_cover_every_customer_in_turn() {
+fn every_customer_is_reported_when_one_message_cannot_hold_all() {
     let mut harness = GatewayHarness::new(settings(), 4);
     let mut reported = std::collections::BTreeSet::new();
     for _ in 0..20 {
@@ -44,5 +44,5 @@
             reported.extend((0..100u8).filter(has_customer));
         }
     }
-    assert_eq!(reported.len(), 100, "with more changed customers than a message holds, none is left out");
+    assert_eq!(reported.len(), 100, "every customer is reported, though a message holds fewer");
 }
--- a/tests/gateway/rate_quota.rs
+++ b/tests/gateway/rate_quota.rs
@@ -1,4 +1,4 @@
-//! Customers' token buckets over a fleet.
+//! Tests of quotas on the rate of units, at one gateway and over a fleet.
 
 use crate::support::fleet::Fleet;
 use crate::support::gateway::{is_rejected, sent_to, GatewayHarness, SubmittedRequest};
@@ -7,19 +7,19 @@
 };
 use ingress::*;
 
-/// A customer sends a request within its quota and then one beyond it. The second one is rejected at once and
-/// reaches no backend, and some seconds later, when the token bucket has refilled, the customer is served again.
+/// A request over the quota is rejected immediately and reaches no backend. The customer is served again
+/// after its token bucket has refilled.
 #[test]
-fn requests_within_the_quota_are_sent_and_beyond_it_rejected() {
+fn requests_within_the_quota_are_sent_and_requests_over_it_rejected() {
     let mut harness = GatewayHarness::new(settings(), 4);
     let first = harness.request(IDEMPOTENT, RATE_QUOTA, 9, 1.0).actions;
     assert_eq!(sent_to(&first).len(), 1);
     let second = harness.request(IDEMPOTENT, RATE_QUOTA, 9, 1.0).actions;
     assert!(
         is_rejected(&second) && sent_to(&second).is_empty(),
-        "a new customer starts with this gateway's share"
+        "a new customer's bucket holds this gateway's share"
     );
-    harness.advance(SECOND * 2); // and by then no more usage of others is assumed
+    harness.advance(SECOND * 2); // the usage assumed for other gateways has decayed by then
     assert_eq!(
         sent_to(&harness.request(IDEMPOTENT, RATE_QUOTA, 9, 1.0).actions).len(),
         1,
@@ -27,9 +27,8 @@
     );
 }
 
-/// Somebody sends requests in a customer's name with another plan, before or between the customer's own. Formerly one
-/// such request decided on the plan in the customer's record, so that it lifted the quota, or had the customer judged
-/// by the wrong plan for good; now the record follows what most requests say.
+/// Forged requests state another plan for a customer, before or between its own requests. If a single request
+/// set the plan of the record, it could lift the quota, or apply the wrong plan permanently.
 #[test]
 fn requests_with_a_forged_plan_do_not_change_the_customers_record() {
     for forged_first in [false, true] {
@@ -63,9 +62,9 @@
     }
 }
 
-/// The requests of one customer are spread over 60 gateways, each of which sees one now and then and could not know
-/// alone that the quota is used up. Together they have to keep to it, also where some messages are lost or some
-/// gateways restart, and without flooding each other with messages.
+/// A customer's requests are distributed over 60 gateways, each of which receives too few of them to detect
+/// on its own that the quota is used up. The quota must hold despite lost messages and restarts, with few
+/// messages.
 #[test]
 fn a_rate_quota_holds_over_many_gateways() {
     for (lose_every, restart) in [(0, false), (12, false), (0, true)] {
@@ -79,15 +78,15 @@
                 }
             }
         }
-        // 6 s at 2 units a second, and a burst of 6, half of which the first seconds may leave unused.
+        // 6 s at 2 units per second, and a burst of 6, of which half may remain unused in the first seconds.
         assert!((10.0..=26.0).contains(&used), "{used} units with one message in {lose_every} lost");
         assert!(fleet.messages_sent < 300 * 8, "{} messages for 300 requests", fleet.messages_sent);
     }
 }
 
-/// A fleet of a hundred gateways starts, and customers send requests well within their quotas. Formerly there were six
-/// messages for each request, a third of which was lost, and customers were rejected by gateways that had not heard of
-/// them; now all requests are served, with two messages each, or three where attempts in flight are counted.
+/// A hundred gateways start, and customers send requests well within their quotas. With six messages per
+/// request, a third of them would be lost, and gateways without a record of a customer would reject it. Two
+/// messages per request are enough, or three if attempts in flight are counted.
 #[test]
 fn a_hundred_starting_gateways_need_two_messages_for_a_request_within_its_quota() {
     for plan in [RATE_QUOTA, CONCURRENCY_QUOTA] {
@@ -100,7 +99,7 @@
             sent += fleet.advance(Duration::from_millis(20), 0);
         }
         assert_eq!(sent, 100, "five requests of each customer, far apart: plan {plan}");
-        // Ends are sent as well where attempts in flight are counted.
+        // The ends of attempts are reported as well if attempts in flight are counted.
         let messages_per_request = if plan == CONCURRENCY_QUOTA { 3 } else { 2 };
         assert!(
             fleet.messages_sent <= 100 * messages_per_request,
@@ -110,8 +109,8 @@
     }
 }
 
-/// Sends gateway 2 of three ten requests, of one unit each, of a customer that is new to it. Returns how many of them
-/// it sends to a backend.
+/// Sends ten requests of one unit each, of a new customer, to gateway 2 of three. Returns the number of
+/// requests that reach a backend.
 fn sent_for_new_customer(fleet: &mut Fleet, customer: u64) -> usize {
     let mut sent = 0;
     for _ in 0..10 {
@@ -121,24 +120,20 @@
     sent
 }
 
-/// A gateway that starts cannot know what a customer used before, and withholds part of its tokens in case it was
-/// only a restart. Where the whole fleet has started together, that part has to be released, exactly once: a
-/// customer that is always at its limit would otherwise never get it back. A single gateway that restarts among
-/// older ones goes on withholding.
+/// A gateway withholds part of a new customer's tokens, because usage before its start is unknown. After a
+/// start of the whole fleet the part must be released exactly once; a customer that is always at its limit
+/// would otherwise never receive it. A gateway that restarts among older ones continues to withhold tokens.
 #[test]
 fn gateways_that_start_together_release_withheld_tokens_once() {
     let mut fleet = Fleet::new(3);
     let before = sent_for_new_customer(&mut fleet, 5);
-    assert!(before <= 3, "{before} of a burst of 6 before anything is known of the others");
+    assert!(before <= 3, "{before} of a burst of 6 before the first message from another gateway");
     for at in 0..2 {
-        fleet.request(at, UNLIMITED, 1.0, 3.0, 0); // this makes each known to the others
+        fleet.request(at, UNLIMITED, 1.0, 3.0, 0); // makes each gateway send messages to the others
     }
     let after = sent_for_new_customer(&mut fleet, 5);
     assert!((4..=7).contains(&(before + after)), "{before} and {after}: withheld tokens are released once");
-    assert!(
-        (5..=7).contains(&sent_for_new_customer(&mut fleet, 6)),
-        "a customer that comes later has its whole bucket"
-    );
+    assert!((5..=7).contains(&sent_for_new_customer(&mut fleet, 6)), "a later customer has its whole bucket");
     fleet.advance(SECOND * 2, 0);
     fleet.gateways[2].restart(settings_of(2, 3), 9, 6);
     for at in 0..3 {
@@ -147,13 +142,13 @@
     let after_restart = sent_for_new_customer(&mut fleet, 7);
     assert!(
         after_restart <= 3,
-        "{after_restart} of a burst of 6 by a gateway that knows nothing of the time before"
+        "{after_restart} of a burst of 6 at a restarted gateway, to which earlier usage is unknown"
     );
 }
 
-/// A customer's requests move to another gateway for half a minute and then come back. Formerly the gateways took
-/// everything that it had used meanwhile for new usage, emptied its bucket and rejected it; now it is served, since it
-/// was within its quota all the time.
+/// A customer's requests move to another gateway for half a minute and then return. If the gateways counted
+/// all usage in the meantime as new, they would empty the bucket of a customer within its quota and reject
+/// it.
 #[test]
 fn a_customer_that_returns_to_a_gateway_is_not_charged_for_past_usage() {
     let mut fleet = Fleet::new(3);
@@ -166,14 +161,14 @@
     let sent_of = |fleet: &mut Fleet, at, times, pause| {
         (0..times).map(|_| request_once(fleet, at, pause)).sum::<usize>()
     };
-    // One unit a second, of two that the quota has: at one gateway, then at another, then at both.
+    // One unit per second, half of the quota: at one gateway, then at another, then at both.
     assert!(sent_of(&mut fleet, 0, 30, SECOND) >= 29);
     assert_eq!(sent_of(&mut fleet, 2, 30, SECOND), 30);
     assert_eq!(sent_of(&mut fleet, 0, 1, SECOND / 2), 1);
-    assert_eq!(sent_of(&mut fleet, 2, 3, SECOND / 2), 3, "its bucket is all but full");
+    assert_eq!(sent_of(&mut fleet, 2, 3, SECOND / 2), 3, "the bucket is nearly full");
 }
 
-/// How far back a wall clock is set.
+/// Duration by which a wall clock is set back.
 const CLOCK_STEP: Duration = Duration::from_secs(600);
 
 /// Restarts gateway 2 of three on a machine whose wall clock was set back.
@@ -183,11 +178,10 @@
     harness.restart(settings_of(2, 3), 9, 6);
 }
 
-/// A machine's wall clock is set back by ten minutes, and its gateway restarts. Formerly the others took all its
-/// messages for older than those before the restart and ignored them until the clock had caught up, so that the
-/// customer could use its full quota twice; now they are heard.
+/// A machine's wall clock is set back by ten minutes, and its gateway restarts. If the other gateways ignored
+/// its messages as outdated until the clock caught up, a customer could use its full quota twice.
 #[test]
-fn a_gateway_that_restarts_with_its_clock_set_back_is_heard() {
+fn messages_of_a_gateway_that_restarts_with_its_clock_set_back_are_accepted() {
     let mut fleet = Fleet::new(3);
     (0..3).for_each(|at| _ = fleet.request(at, UNLIMITED, 1.0, 3.0, 0));
     restart_with_clock_set_back(&mut fleet);
@@ -201,14 +195,14 @@
         }
         sent
     };
-    // A burst of 6, and 2 a second for the second that it takes.
+    // A burst of 6, and 2 units per second for the second that the requests take.
     let (restarted, other) = (sent_at(2), sent_at(0));
-    assert!(restarted + other <= 9, "{restarted} and {other} sent of a quota that both know of");
+    assert!(restarted + other <= 9, "{restarted} and {other} sent under a quota that both gateways count");
 }
 
-/// A machine's wall clock is set back, and its gateway restarts among gateways that have run for long. Formerly it took
-/// them for younger than itself and charged what a customer had used through them long ago as new, and rejected a
-/// customer well within its quota; now it charges no past usage.
+/// A machine's wall clock is set back, and its gateway restarts among older gateways. If it treated them as
+/// younger than itself, it would charge all past usage through them as new, and reject a customer well within
+/// its quota.
 #[test]
 fn a_gateway_that_restarts_with_its_clock_set_back_charges_no_past_usage() {
     let mut fleet = Fleet::new(3);
@@ -224,17 +218,17 @@
     restart_with_clock_set_back(&mut fleet);
     request_once(&mut fleet, 0);
     let after: usize = (0..3).map(|_| request_once(&mut fleet, 2)).sum();
-    assert_eq!(after, 3, "one unit a second, of two that the quota has");
+    assert_eq!(after, 3, "one unit per second, half of the quota");
 }
 
-/// A customer uses most of its quota, is quiet for a minute, and comes again with a full bucket. Formerly its quota
-/// owner had forgotten by then how much each gateway had reported, while those gateways went on counting from where
-/// they were: everything ever used was charged again, and 2 of its next 18 requests were served. Now the owner
-/// remembers for longer than they count.
+/// A customer uses most of its burst, pauses until its bucket is full, and sends requests again. If the quota
+/// owner had removed its record while the reporters' totals continued, it would charge all past usage again,
+/// and 2 of the next 18 requests would be served. The owner therefore retains its record longer than the
+/// reporters.
 #[test]
-fn what_a_customer_used_before_a_quiet_time_is_not_charged_again() {
+fn usage_before_a_pause_is_not_charged_again() {
     const BURST: f64 = 20.0;
-    // The bucket takes longer to fill than a customer may be idle.
+    // The bucket's refill time is longer than the idle time after which a customer counts as inactive.
     let slow = Plan { rate: 0.5, burst: BURST, ..settings().plans[usize::from(RATE_QUOTA)].clone() };
     for (at, quiet_seconds) in [(0, 45), (1, 45), (2, 45), (0, 100), (1, 100), (2, 100)] {
         let gateway = |own_id| {
@@ -247,7 +241,7 @@
         let send = |fleet: &mut Fleet, at, count| {
             (0..count).map(|_| fleet.request(at, RATE_QUOTA, 1.0, 3.0, 0)).sum::<usize>()
         };
-        assert_eq!(send(&mut fleet, at, 18), 18, "gateway {at}: the bucket is full at first");
+        assert_eq!(send(&mut fleet, at, 18), 18, "gateway {at}: the bucket is full initially");
         fleet.advance(SECOND * quiet_seconds, 0);
         let total = send(&mut fleet, (at + 1) % 3, 12) + send(&mut fleet, at, 40);
         assert!((18..=21).contains(&total), "gateway {at}, {quiet_seconds} s: {total} sent of a full bucket");
