--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -3,12 +3,10 @@
 use super::*;
 use crate::policy::quota::shortages::QuotaLimit;
 
-/// The time of the requests under test.
 const NOW: Instant = Instant::from_micros(100_000_000);
-/// The least time that the requests under test may wait.
 const MIN_QUEUE_TIME: Duration = Duration::from_millis(40);
 
-/// A plan with a quota on the rate, or on attempts in flight if there is one.
+/// Returns a plan with a rate quota, or with a concurrency quota if that is not 0.
 fn plan(concurrency_quota: u32) -> Plan {
     Plan {
         rate: 10.0,
@@ -21,8 +19,8 @@
     }
 }
 
-/// A request that lacks tokens of its hard limit, or of its quota.
-fn lacks(limit: QuotaLimit) -> Shortages {
+/// Returns the shortages of a request that lacks tokens of this limit.
+fn shortages_of(limit: QuotaLimit) -> Shortages {
     let shortage = Some(Shortage { limit, seconds: 0.5 });
     match limit {
         QuotaLimit::HardLimit => Shortages { hard_limit: shortage, ..Shortages::default() },
@@ -32,7 +30,7 @@
     }
 }
 
-/// A request with tokens, at a gateway that owns no quota and whose last grant has this age.
+/// Returns a request with tokens, at a gateway that owns no quota and whose last grant has this age.
 fn arrival(plan: &Plan, answer_age: Duration) -> ArrivalContext<'_> {
     ArrivalContext {
         now: NOW,
@@ -45,7 +43,7 @@
     }
 }
 
-/// A request with tokens, at a gateway with nothing to do.
+/// Returns a request with tokens, at an idle gateway.
 fn admission() -> AdmissionContext {
     AdmissionContext {
         now: NOW,
@@ -58,11 +56,10 @@
     }
 }
 
-/// The host passes on what clients send. A request for a class, a plan or a number of units that there is not
-/// is rejected, and so is one with so little time left that it could not be answered before its client gives
-/// up.
+/// Clients send requests with classes, plans or unit counts that don't exist, or with so little time left
+/// that the client would give up before the answer. Both are rejected on arrival.
 #[test]
-fn what_cannot_be_handled_is_rejected_at_once() {
+fn invalid_and_late_requests_are_rejected_on_arrival() {
     let valid = Request { units: 1.0, deadline: NOW + MIN_QUEUE_TIME, ..Request::default() };
     let screen = |request: Request| {
         let context = ScreeningContext {
@@ -83,10 +80,10 @@
     assert_eq!(screen(late), Err(RejectReason::NoTime));
 }
 
-/// A gateway of a large fleet does not count a customer's usage. It asks the owner before it admits, even
-/// right after a grant, which was for another request. An owner decides by its own count.
+/// A gateway of a large fleet doesn't count a customer's usage. It requests a grant for every request,
+/// since an earlier grant was for another request; an owner decides by its own count.
 #[test]
-fn a_request_waits_for_a_grant_unless_its_quota_is_counted_here() {
+fn a_request_waits_for_a_grant_unless_usage_is_counted_locally() {
     let plan = plan(0);
     let context = arrival(&plan, Duration::ZERO);
     let await_grant =
@@ -96,8 +93,8 @@
     assert_eq!(ArrivalContext { grant: owner, ..context }.decide(), ArrivalDecision::DecideNow);
 }
 
-/// A request arrives with too little time left to wait for the answer of a quota owner. It is decided at once by
-/// what is known here, as its client would have given up before the answer comes.
+/// A client would give up before the answer of a quota owner arrives, so its request is decided
+/// immediately, by local usage.
 #[test]
 fn a_request_without_time_does_not_wait_for_a_grant() {
     let plan = plan(0);
@@ -108,14 +105,14 @@
     assert_eq!(context.decide(), ArrivalDecision::DecideNow);
 }
 
-/// A customer over its quota retries again and again. A grant by which there were no tokens stands for half a
-/// second, so that the retries do not all ask for another one. Attempts in flight end at any time: there it
-/// does not.
+/// A customer over its rate quota retries repeatedly. A grant answer without tokens is reused for 500 ms,
+/// so that the retries don't all request a grant. It is not reused for a concurrency quota, since attempts
+/// in flight end at any time.
 #[test]
-fn retries_of_a_customer_over_its_rate_ask_for_no_new_grant() {
+fn retries_over_the_rate_quota_request_no_new_grant() {
     let (rate, concurrency) = (plan(0), plan(2));
     let decide = |plan: &Plan, limit, answer_age| {
-        ArrivalContext { shortages: lacks(limit), ..arrival(plan, answer_age) }.decide()
+        ArrivalContext { shortages: shortages_of(limit), ..arrival(plan, answer_age) }.decide()
     };
     let (recent, old) = (Duration::from_millis(499), Duration::from_millis(500));
     assert_eq!(decide(&rate, QuotaLimit::Rate, recent), ArrivalDecision::DecideNow);
@@ -123,29 +120,29 @@
     assert_ne!(decide(&concurrency, QuotaLimit::Concurrency, recent), ArrivalDecision::DecideNow);
 }
 
-/// A gateway's share of a hard limit is used up, while its customer is inside its quota. Other gateways may have
-/// units left, which are requested at once, so that the customer gets what it pays for; where there are no other
-/// gateways the request is decided here.
+/// A gateway's share of a hard limit is used up while the customer is within its quota. Other gateways may
+/// have units left, so they are requested immediately; without other gateways the request is decided
+/// locally.
 #[test]
-fn units_of_a_hard_limit_are_requested_from_the_gateways_that_hold_them() {
+fn hard_limit_units_are_requested_from_other_gateways() {
     let plan = plan(0);
     let owner = GrantStatus { is_quota_owner: true, ..arrival(&plan, Duration::ZERO).grant };
     let context = ArrivalContext {
-        shortages: lacks(QuotaLimit::HardLimit),
+        shortages: shortages_of(QuotaLimit::HardLimit),
         grant: owner,
         ..arrival(&plan, Duration::ZERO)
     };
-    let ask =
+    let await_grant =
         ArrivalDecision::AwaitGrant { scope: GrantScope::QuotaAndHardLimit, timing: GrantTiming::AtOnce };
-    assert_eq!(context.decide(), ask);
+    assert_eq!(context.decide(), await_grant);
     let alone = GrantStatus { has_other_granter: false, ..owner };
     assert_eq!(ArrivalContext { grant: alone, ..context }.decide(), ArrivalDecision::DecideNow);
 }
 
-/// A request names a plan with a hard limit, but its customer's record follows another one, under which it
-/// could pass the limit. That is not allowed; a plan without a hard limit may be named by mistake.
+/// A request that claims a plan with a hard limit could exceed the limit if its customer's record has
+/// another plan. A plan without a hard limit may be claimed by mistake.
 #[test]
-fn a_hard_limit_is_not_evaded_by_naming_another_plan() {
+fn a_hard_limit_cannot_be_bypassed_by_claiming_another_plan() {
     let without = Plan { hard_limit_rate: 0.0, ..plan(0) };
     let plans = [plan(0), without];
     assert!(has_plan_mismatch(&plans, 0, 1));
@@ -153,29 +150,30 @@
     assert!(!has_plan_mismatch(&plans, 1, 0));
 }
 
-/// Without tokens a request waits as long as another owner may still answer; then it is rejected, and its
-/// client is advised to come when there will be some.
+/// Without tokens a request waits while another owner may still answer. It is then rejected, with the time
+/// until tokens are available as advice.
 #[test]
 fn a_request_over_its_quota_is_rejected_once_all_owners_have_answered() {
-    let shortage = lacks(QuotaLimit::Rate).quota;
+    let shortage = shortages_of(QuotaLimit::Rate).quota;
     let outstanding = AdmissionContext { shortage, answers: GrantAnswers::Outstanding, ..admission() };
     assert_eq!(outstanding.decide(), AdmissionDecision::KeepWaiting);
     let complete = AdmissionContext { answers: GrantAnswers::Complete, ..outstanding };
     let reason = RejectReason::OverQuota;
     let advice = RetryAdvice::After(Duration::from_millis(500));
     assert_eq!(complete.decide(), AdmissionDecision::Reject { reason, advice });
-    let presumed = AdmissionContext { shortage: lacks(QuotaLimit::OwnersOverloaded).quota, ..complete };
+    let presumed =
+        AdmissionContext { shortage: shortages_of(QuotaLimit::OwnersOverloaded).quota, ..complete };
     let unknown = AdmissionDecision::Reject { reason: RejectReason::QuotaUnknown, advice };
     assert_eq!(presumed.decide(), unknown);
     let timed_out = AdmissionContext { answers: GrantAnswers::TimedOut, ..outstanding };
     assert_eq!(timed_out.decide(), complete.decide());
 }
 
-/// All attempts that the gateway may have in flight are, and requests queue. The queue holds three tenths of
-/// the limit: while it is empty all customers may join it, half full half of them, and full none.
+/// The concurrency limit is reached and requests queue. The queue holds 30% of the limit: an empty queue
+/// accepts all customers, a half-full one half of them, and a full one none.
 #[test]
-fn the_fuller_the_queue_the_fewer_customers_join_it() {
-    let joining = |in_flight, queue_length| {
+fn fewer_customers_may_join_a_longer_queue() {
+    let admitted_count = |in_flight, queue_length| {
         let customers = (0..1000).map(CustomerId);
         let context = |customer| AdmissionContext {
             customer,
@@ -186,19 +184,19 @@
         };
         customers.filter(|customer| context(*customer).decide() == AdmissionDecision::Admit).count()
     };
-    assert_eq!(joining(99, 30), 1000, "there is capacity");
-    assert_eq!(joining(100, 0), 1000);
-    assert!((450..550).contains(&joining(100, 15)));
-    assert_eq!(joining(100, 30), 0);
+    assert_eq!(admitted_count(99, 30), 1000, "the concurrency limit is not reached");
+    assert_eq!(admitted_count(100, 0), 1000);
+    assert!((450..550).contains(&admitted_count(100, 15)));
+    assert_eq!(admitted_count(100, 30), 0);
     let full = AdmissionContext { in_flight: 100, queue_length: 30, concurrency_limit: 100.0, ..admission() };
     let (reason, advice) = (RejectReason::Saturated, RetryAdvice::Longest);
     assert_eq!(full.decide(), AdmissionDecision::Reject { reason, advice });
 }
 
-/// No backend takes a queued request. It is given up after three tenths of the time in which an answer is
-/// worth something, while it can still be retried elsewhere, or as soon as its client's time runs out.
+/// No backend accepts a queued request. The request leaves the queue after 30% of its latency budget, while
+/// it can still be retried elsewhere, or as soon as its client's deadline is too close.
 #[test]
-fn a_request_is_queued_for_a_part_of_its_useful_time() {
+fn a_request_is_queued_for_a_share_of_its_latency_budget() {
     let context = |queued_for, left| QueueContext {
         now: NOW,
         arrived_at: NOW - queued_for,
--- a/src/policy/attempt_expiry/tests.rs
+++ b/src/policy/attempt_expiry/tests.rs
@@ -7,7 +7,7 @@
 const OBJECTIVE: Duration = Duration::from_millis(400);
 const TICK: Duration = Duration::from_millis(5);
 
-/// A class whose late answers are worth this share of its weight.
+/// Returns a class whose late answers are worth this share of its weight.
 fn class(late_weight: f64) -> Class {
     Class {
         latency_objective: OBJECTIVE,
@@ -19,7 +19,7 @@
     }
 }
 
-/// An attempt in a large fleet, sent at once, whose customer has a concurrency quota.
+/// Returns an attempt in a large fleet, sent on arrival, whose customer has a concurrency quota.
 fn context(class: &Class) -> ExpiryContext<'_> {
     ExpiryContext {
         now: ARRIVAL,
@@ -31,32 +31,34 @@
     }
 }
 
-/// A backend is slow, and an answer after the latency objective would be worth nothing. The attempt ends at the
-/// objective, since until then it holds one of the few places of its customer's concurrency quota, and the
-/// customer's next requests are rejected.
+/// A late answer would have no value. The attempt expires at the latency objective, since until then it
+/// counts towards its customer's concurrency quota, and the customer's next requests are rejected.
 #[test]
-fn an_attempt_that_is_worthless_when_late_ends_with_its_objective() {
+fn an_attempt_without_late_value_expires_at_its_objective() {
     assert_eq!(attempt_expiry(&context(&class(0.0))), Some(ARRIVAL + OBJECTIVE));
 }
 
-/// A retry is sent just before the latency objective, or after it. If it expired at once, the backend would execute
-/// a request whose answer nobody reads; it has at least one tick.
+/// A retry is sent just before the latency objective or after it. If it expired immediately, the backend
+/// would execute a request whose answer is discarded, so it lasts at least one tick.
 #[test]
-fn an_attempt_has_a_tick_at_least() {
+fn an_attempt_lasts_at_least_one_tick() {
     let (class, late) = (class(0.0), ARRIVAL + OBJECTIVE * 2);
     assert_eq!(attempt_expiry(&ExpiryContext { now: late, ..context(&class) }), Some(late + TICK));
 }
 
-/// A late answer is worth something, or the customer has no concurrency quota whose place it would hold, or the
-/// fleet is small. The attempt goes on until the client's deadline, since ending it early would fail a request that
-/// could still be served.
+/// The attempt lasts until the client's deadline if a late answer has value, the customer has no
+/// concurrency quota, or the fleet is small; ending it early would fail a request that could still be
+/// served.
 #[test]
-fn other_attempts_go_on_until_the_deadline() {
-    let worthless = class(0.0);
+fn other_attempts_last_until_the_deadline() {
+    let without_late_value = class(0.0);
     assert_eq!(attempt_expiry(&context(&class(0.2))), None);
-    assert_eq!(attempt_expiry(&ExpiryContext { has_concurrency_quota: false, ..context(&worthless) }), None);
     assert_eq!(
-        attempt_expiry(&ExpiryContext { gives_up_worthless_attempts: false, ..context(&worthless) }),
+        attempt_expiry(&ExpiryContext { has_concurrency_quota: false, ..context(&without_late_value) }),
+        None
+    );
+    assert_eq!(
+        attempt_expiry(&ExpiryContext { gives_up_worthless_attempts: false, ..context(&without_late_value) }),
         None
     );
 }
--- a/src/policy/concurrency_limit/tests.rs
+++ b/src/policy/concurrency_limit/tests.rs
@@ -6,28 +6,27 @@
 /// Ten backends, shared by two gateways.
 const LOAD: GatewayLoad = GatewayLoad { in_flight: 0, ready_backends: 10, fleet_size: 2 };
 
-/// A pressure close to this ratio, after a long series of such answers.
+/// Returns a pressure close to this ratio, after a long series of such answers.
 fn pressure_of(ratio: f64) -> Pressure {
     let mut pressure = Pressure::default();
     (1..=1000).for_each(|second| pressure.record(Instant::ZERO + Duration::from_secs(second), ratio));
     pressure
 }
 
-/// Half of the backends fail. If the limit stayed, the others would take over the load of those, and would
-/// fail next: it falls with their number, and never below one attempt.
+/// Half of the backends fail. With an unchanged limit the others would take over their load and fail next,
+/// so the limit falls with the number of ready backends, but not below one attempt.
 #[test]
-fn the_limit_falls_with_the_backends_that_are_left() {
+fn the_limit_is_proportional_to_the_ready_backends() {
     let limiter = ConcurrencyLimiter::default();
     assert_eq!(limiter.limit(LOAD), 50.0);
     assert_eq!(limiter.limit(GatewayLoad { ready_backends: 5, ..LOAD }), 25.0);
     assert_eq!(limiter.limit(GatewayLoad { ready_backends: 0, ..LOAD }), 1.0);
 }
 
-/// Backends slow down under too much load. The limit is reduced step by step; within a second of a reduction
-/// the slow answers to what was sent before must not reduce it again, or one overload would leave next to
-/// nothing.
+/// Backends slow down under overload. Within a second of a reduction, slow answers to earlier attempts must
+/// not reduce the limit again, or one overload would reduce it to the minimum.
 #[test]
-fn high_pressure_reduces_the_limit_once_in_its_time_constant() {
+fn high_pressure_reduces_the_limit_once_per_time_constant() {
     let (mut limiter, pressure) = (ConcurrencyLimiter::default(), pressure_of(2.0));
     let start = Instant::from_micros(10_000_000);
     limiter.reduce_under_pressure(start, &pressure);
@@ -37,10 +36,10 @@
     assert_eq!(limiter.limit(LOAD), 50.0 * DECREASE_FACTOR * DECREASE_FACTOR);
 }
 
-/// Traffic is low for an hour. A limit that grew with each fast answer though nobody comes near it would say
-/// nothing once the load returns: it grows only while most of it is in use.
+/// Traffic is low for an hour. Fast answers must not raise a limit that is far from being reached, since
+/// they don't show that the backends could serve more; it grows only while most of it is in use.
 #[test]
-fn a_limit_that_is_not_in_use_does_not_grow() {
+fn an_unused_limit_does_not_grow() {
     let (mut limiter, pressure) = (ConcurrencyLimiter::default(), pressure_of(0.1));
     limiter.on_answer(&pressure, GatewayLoad { in_flight: 35, ..LOAD });
     assert_eq!(limiter.limit(LOAD), 50.0);
--- a/src/policy/load_shedding/tests.rs
+++ b/src/policy/load_shedding/tests.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// A time long after the start, when the stage may move.
+/// A time long after the start, at which the stage may change.
 const START: Instant = Instant::from_micros(100_000_000);
 
-/// A plan of this price, without quotas.
+/// Returns a plan without quotas.
 fn plan(price: f64) -> Plan {
     Plan {
         rate: 0.0,
@@ -18,19 +18,19 @@
     }
 }
 
-/// A pressure close to this ratio, after a long series of such answers.
+/// Returns a pressure close to this ratio, after a long series of such answers.
 fn pressure_of(ratio: f64) -> Pressure {
     let mut pressure = Pressure::default();
     (1..=1000).for_each(|second| pressure.record(Instant::ZERO + Duration::from_secs(second), ratio));
     pressure
 }
 
-/// A shedder that has risen to a stage.
+/// Returns a load shedder in this stage.
 fn at_stage(stage: usize) -> LoadShedder {
     LoadShedder { stage, stage_changed_at: START, ..LoadShedder::default() }
 }
 
-/// How many of a thousand customers on a plan are admitted.
+/// Returns how many of 1000 customers on a plan are admitted.
 fn admitted(shedder: &LoadShedder, activity: CustomerActivity, plan: &Plan, plans: &[Plan]) -> usize {
     let customers = (0..1000).map(CustomerId);
     customers
@@ -40,30 +40,30 @@
         .count()
 }
 
-/// Backends are overloaded. With each stage fewer customers on the ordinary plan are served, while those on
-/// the dearest plan are served at each; at the last stage they alone are.
+/// Each stage admits fewer customers on the ordinary plan and all on the highest-priced plan; the last
+/// stage admits only the latter.
 #[test]
-fn each_stage_sheds_more_customers_on_ordinary_plans_and_none_on_the_dearest() {
+fn each_stage_sheds_more_customers_on_ordinary_plans_and_none_on_the_highest_priced() {
     let plans = [plan(1.0), plan(3.0)];
     for (stage, share) in [1.0, 0.9, 0.7, 0.5, 0.0].into_iter().enumerate() {
         let shedder = at_stage(stage);
         let ordinary = admitted(&shedder, CustomerActivity::Active, &plans[0], &plans) as f64 / 1000.0;
-        assert!((ordinary - share).abs() < 0.05, "stage {stage}: {ordinary}");
+        assert!((ordinary - share).abs() < 0.05, "stage {stage} admits {ordinary} of the ordinary customers");
         assert_eq!(admitted(&shedder, CustomerActivity::Active, &plans[1], &plans), 1000);
     }
 }
 
-/// A customer comes for the first time in a while, just as the lightest stage begins. It is served: only from
-/// the next stage on do newcomers count like others.
+/// A customer sends its first request in a while just after the lowest stage began. It is served; inactive
+/// customers are shed only from the next stage on.
 #[test]
-fn customers_unseen_of_late_are_exempt_at_the_first_stage() {
+fn inactive_customers_are_exempt_at_the_first_stage() {
     let plans = [plan(1.0)];
     assert_eq!(admitted(&at_stage(1), CustomerActivity::Inactive, &plans[0], &plans), 1000);
     assert!(admitted(&at_stage(2), CustomerActivity::Inactive, &plans[0], &plans) < 800);
 }
 
-/// The pressure stays high. The stage rises by one at a time, and only once the one before has had the time
-/// to show its effect: else a short overload would end at the last stage, with all ordinary customers shed.
+/// The pressure stays high. The stage rises by one at a time, after the previous stage had time to show its
+/// effect; otherwise a short overload would end at the last stage, with all ordinary customers shed.
 #[test]
 fn the_stage_rises_by_one_at_a_time() {
     let (mut shedder, pressure) = (at_stage(0), pressure_of(2.0));
@@ -72,10 +72,10 @@
     assert_eq!((shedder.stage(), shedder.update_stage(START + MIN_STAGE_TIME_UP * 3, &pressure)), (1, None));
 }
 
-/// Shedding has relieved the backends, but still rejects many requests. Those rejections must not keep the
-/// stage up: with the pressure low it falls.
+/// Shedding has relieved the backends but still rejects many requests. These rejections must not keep the
+/// stage up: at low pressure it falls.
 #[test]
-fn rejections_alone_hold_no_stage() {
+fn rejections_at_low_pressure_do_not_hold_the_stage() {
     let (mut shedder, pressure) = (at_stage(2), pressure_of(0.5));
     (0..100).for_each(|_| shedder.record_saturation());
     assert_eq!(shedder.update_stage(START + MIN_STAGE_TIME_DOWN * 2, &pressure), Some(2));
--- a/src/policy/permissions/tests.rs
+++ b/src/policy/permissions/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::{Idempotency, IdempotencyScope};
 
-/// A request whose first attempt failed and was never executed.
+/// A request whose first attempt failed without being executed.
 const FAILED_ONCE: AttemptContext = AttemptContext {
     idempotency: Idempotency::Idempotent,
     hedging: false,
@@ -18,20 +18,18 @@
     Instant::from_micros(micros)
 }
 
-/// Whether an attempt is the first one, a retry or a hedged request follows from the attempts before it. The log
-/// names the kind, and an operator reads there why a request was sent a second time.
+/// The kind of an attempt is logged and shows an operator why a request was sent a second time.
 #[test]
-fn an_attempt_is_the_first_a_retry_or_a_hedge_by_those_before_it() {
+fn the_attempt_kind_depends_on_earlier_attempts() {
     let hedge = AttemptContext { in_flight: 1, hedging: true, ..FAILED_ONCE };
     assert_eq!(may_start_attempt(&AttemptContext { attempts: 0, ..FAILED_ONCE }), Ok(AttemptKind::First));
     assert_eq!(may_start_attempt(&FAILED_ONCE), Ok(AttemptKind::Retry));
     assert_eq!(may_start_attempt(&hedge), Ok(AttemptKind::Hedge));
 }
 
-/// The client has its answer already, all allowed attempts are used up, another attempt is in flight, or a
-/// non-idempotent request may have been executed before. In each case a further attempt is refused, as a customer's
-/// order could otherwise be executed twice; the operator finds the reason in the log. A keyed request may be
-/// retried until its key's window ends, and not at that very moment.
+/// A further attempt is refused if the client has its answer, all attempts are used, another one is in
+/// flight, or a non-idempotent request may have been executed; otherwise an order could be executed twice.
+/// A keyed request may be retried until just before the window of its key ends.
 #[test]
 fn an_attempt_that_is_not_allowed_is_refused_with_its_reason() {
     let window = Duration::from_micros(1000);
@@ -53,11 +51,11 @@
     assert_eq!(may_repeat_key(window, at(50), at(1050)), Err(KeyExpired));
 }
 
-/// A connection to a backend is established late: the client has its answer, the attempt's time is over, or the
-/// policy counted on an earlier start. If the command were written all the same, the backend would do work for
-/// nobody, or execute a request whose idempotency key is forgotten.
+/// The connection to a backend is established late: the request is closed, the attempt has expired, or the
+/// policy assumed an earlier start. Writing the command anyway would cause useless work, or execute a
+/// request whose idempotency key has expired.
 #[test]
-fn a_command_is_written_only_while_its_client_waits_and_its_time_lasts() {
+fn a_command_is_written_only_for_an_open_request_and_in_time() {
     let context = WriteContext { now: at(100), expires_at: at(200), begins_by: at(150), closed: false };
     let begin_at = |micros| may_begin_writing(&WriteContext { now: at(micros), ..context });
     assert_eq!((begin_at(150), begin_at(151)), (Ok(()), Err(WriteRefusal::ConnectedTooLate)));
@@ -65,8 +63,8 @@
     assert_eq!(may_begin_writing(&WriteContext { closed: true, ..context }), Err(WriteRefusal::Closed));
 }
 
-/// A backend that is draining, was removed, or was never listed is sent nothing. Its operator is shutting it down,
-/// or its address belongs to another program by now, and the client's request would fail there.
+/// A backend that is draining, was removed, or was never listed must not receive requests: it is being shut
+/// down, or its address belongs to another program by now.
 #[test]
 fn only_ready_backends_are_sent_attempts() {
     assert_eq!(may_send_to(Some(Availability::Ready)), Ok(()));
@@ -75,11 +73,11 @@
     assert_eq!(may_send_to(None), Err(BackendRefusal::NotListed));
 }
 
-/// A connection that carried a reply a moment ago may still receive a duplicate of it, which the next client would
-/// get as its answer. One that was idle for too long may be closed by the backend while a command is on its way,
-/// which fails a non-idempotent request.
+/// A connection that just carried a reply may still receive a duplicate of it, which the next client would
+/// get as its answer. A backend may close a connection that was idle for too long while a command is on its
+/// way, which fails a non-idempotent request.
 #[test]
-fn a_connection_is_reused_only_between_its_least_and_longest_idle_time() {
+fn a_connection_is_reused_only_between_minimum_and_maximum_idle_time() {
     let limits =
         ReuseLimits { min_idle_time: Duration::from_micros(20), max_idle_time: Duration::from_micros(100) };
     let after = |micros| may_reuse_connection(Duration::from_micros(micros), limits);
@@ -87,8 +85,8 @@
     assert_eq!((after(99), after(100)), (Ok(()), Err(ReuseRefusal::TooOld)));
 }
 
-/// The ingress closes idle clients to make room for others. A client that waits for a reply, or whose next command
-/// has begun to arrive, must stay connected: it would lose a request that the ingress has accepted.
+/// The ingress closes idle clients to make room for others. A client that waits for a reply, or whose next
+/// command has begun to arrive, must stay connected, or it would lose an accepted request.
 #[test]
 fn a_client_is_closed_only_between_two_requests() {
     let idle = ClientConnectionState { is_busy: false, has_input: false, closing: ClosingState::Open };
--- a/src/policy/pressure/tests.rs
+++ b/src/policy/pressure/tests.rs
@@ -2,11 +2,10 @@
 
 use super::*;
 
-/// One answer comes thirty times too late, as one that waited for a retransmission. If it counted in full, a
-/// single packet that was lost would have customers shed: it counts as four, and the next normal answers make
-/// up for it.
+/// One answer takes 30 times the normal latency, for example after a retransmission. It counts with a ratio
+/// of 4, so that a single lost packet doesn't cause shedding.
 #[test]
-fn one_very_late_answer_counts_with_the_highest_ratio() {
+fn one_very_late_answer_counts_with_the_maximum_ratio() {
     let second = Duration::from_secs(1);
     let (mut once, mut four) = (Pressure::default(), Pressure::default());
     once.record(Instant::ZERO + second, 30.0);
@@ -14,12 +13,12 @@
     assert_eq!(once.level(), four.level());
 }
 
-/// A burst of slow answers arrives within a microsecond. Each of them counts a little though no time passes,
-/// so that a gateway whose answers come in batches sees the overload as well.
+/// A burst of slow answers arrives within 1 µs. Each of them counts although no time passes, so that a
+/// gateway whose answers arrive in batches detects the overload as well.
 #[test]
-fn answers_at_one_moment_count_each() {
+fn simultaneous_answers_all_count() {
     let now = Instant::from_micros(5_000_000);
     let mut pressure = Pressure::default();
     (0..100).for_each(|_| pressure.record(now, 2.0));
-    assert!(pressure.is_high(), "{}", pressure.level());
+    assert!(pressure.is_high(), "the pressure is {}", pressure.level());
 }
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -4,22 +4,22 @@
 
 const SENT_AT: Instant = Instant::from_micros(10_000_000);
 const LATENCY_BUDGET: Duration = Duration::from_millis(100);
-/// When an attempt is late.
+/// Time at which the attempt is late.
 const LATE_AT: Instant = Instant::from_micros(10_060_000);
 const KEYED: Idempotency =
     Idempotency::Keyed { scope: IdempotencyScope::Zone, window: Duration::from_secs(2) };
 
-/// A deployment that allows three attempts, one after the other, and no cancellation.
+/// Returns limits with three attempts, one at a time, and without cancellation.
 fn limits() -> Limits {
     Limits { max_attempts: 3, connect_timeout: Duration::from_millis(250), ..Limits::default() }
 }
 
-/// A policy under these limits, of one of ten gateways.
+/// Returns the policy of one of ten gateways.
 fn policy(limits: Limits) -> RetryPolicy {
     RetryPolicy::new(&Settings { limits, tick: Duration::from_millis(4), ..Settings::default() }, 10)
 }
 
-/// An attempt of an idempotent request that has become late, at a backend that answers others.
+/// Returns a late attempt of an idempotent request, at a backend that answers others.
 fn late() -> AttemptCheckContext {
     AttemptCheckContext {
         now: LATE_AT,
@@ -31,7 +31,7 @@
     }
 }
 
-/// A request whose only attempt has failed without being executed.
+/// Returns a request whose only attempt failed without being executed.
 fn failed_once() -> RetryContext {
     RetryContext {
         now: SENT_AT,
@@ -44,10 +44,10 @@
     }
 }
 
-/// An attempt fails when the time is nearly over. A retry could not be answered in time any more and would
-/// only load the backends: the client gets its rejection at once instead.
+/// An attempt fails shortly before the request's time ends. A retry could not be answered in time and would
+/// only load the backends, so the client is rejected immediately.
 #[test]
-fn a_retry_that_would_come_too_late_is_refused() {
+fn a_retry_that_would_be_answered_too_late_is_refused() {
     let (policy, context) = (policy(limits()), failed_once());
     let last_moment = context.answer_due_at - Duration::from_millis(4) - Duration::MICROSECOND;
     assert_eq!(policy.may_retry(&RetryContext { now: last_moment, ..context }), Ok(AttemptKind::Retry));
@@ -55,8 +55,8 @@
     assert_eq!(policy.may_retry(&RetryContext { now: too_late, ..context }), Err(RetryRefusal::TooLate));
 }
 
-/// A backend reset the connection after it got the command of a payout. Another attempt might pay twice: it
-/// is refused, and the client gets an error, which does not say that it may safely try again.
+/// A backend resets the connection after it received a payout command. Another attempt might pay twice, so
+/// it is refused. The client gets an error, since a rejection would mean that a retry is safe.
 #[test]
 fn a_non_idempotent_request_that_may_have_been_executed_is_neither_retried_nor_rejected() {
     let idempotency = Idempotency::NonIdempotent;
@@ -71,7 +71,7 @@
 }
 
 /// All backends fail at once. Each first attempt earns a tenth of a retry, so that retries cannot multiply
-/// the load: once the budget is used up they are refused, until ten further requests have been sent.
+/// the load: once the budget is exhausted they are refused until ten more requests have been sent.
 #[test]
 fn retries_are_bounded_by_the_first_attempts() {
     let mut policy = policy(limits());
@@ -86,9 +86,9 @@
     assert_eq!(policy.may_retry(&failed_once()), Ok(AttemptKind::Retry));
 }
 
-/// An answer takes long though its backend answers others. Where the settings allow two attempts at once, a
-/// hedged request is sent once it is late; while load is shed it is not, since many answers are late then,
-/// and each hedged request would add to the overload.
+/// A backend answers other attempts while this one is late. If the settings allow two attempts at once, a
+/// hedged request is sent, except while load is shed: many answers are late then, and hedging would add
+/// load.
 #[test]
 fn a_late_answer_is_hedged_unless_load_is_shed() {
     let policy = policy(Limits { hedging: true, cancellation: true, ..limits() });
@@ -101,9 +101,9 @@
     assert_eq!(policy.check_attempt(&silent), AttemptCheck::Hedge);
 }
 
-/// A backend falls silent with an attempt in flight, and the settings forbid a second attempt beside it. The
-/// attempt is cancelled, so that its end has the request tried elsewhere while the client still waits. One
-/// that is late at a backend which answers others is left alone: its answer is likely on its way.
+/// A backend is silent and the settings forbid hedging. Its attempt is cancelled, so that the request is
+/// retried elsewhere while the client still waits. An attempt that is only late is left alone: its answer
+/// is probably on its way.
 #[test]
 fn an_attempt_at_a_silent_backend_is_cancelled_where_hedging_is_forbidden() {
     let silent = AttemptCheckContext { is_silent: true, ..late() };
@@ -115,9 +115,9 @@
     assert_eq!(cancelling.check_attempt(&non_idempotent), AttemptCheck::KeepWaiting);
 }
 
-/// A keyed request may have been executed in one zone. Its next attempt has to stay where the key is known,
-/// and has to begin before the key is forgotten: counted to when its connection may come up at the latest,
-/// not to when it is sent.
+/// A keyed request may have been executed in one zone. Its next attempt has to stay where the key is stored
+/// and to begin before the key expires, measured at the latest time at which its connection may be
+/// established.
 #[test]
 fn a_keyed_retry_stays_in_its_scope_and_window() {
     let policy = policy(limits());
@@ -125,10 +125,10 @@
     let executed = Some(ExecutedAttempt { sent_at: SENT_AT, endpoint });
     let begins_after = Duration::from_millis(254);
     let last_moment = SENT_AT + Duration::from_secs(2) - begins_after - Duration::MICROSECOND;
-    let scope = policy.scope(last_moment, KEYED, executed).expect("inside the window");
+    let scope = policy.scope(last_moment, KEYED, executed).expect("the key has not expired");
     assert!(scope.includes(&endpoint) && !scope.includes(&Endpoint::default()));
     let refused = policy.scope(last_moment + Duration::MICROSECOND, KEYED, executed).err();
     assert_eq!(refused, Some(KeyExpired));
     let anywhere = policy.scope(last_moment + Duration::from_secs(9), KEYED, None);
-    assert!(matches!(anywhere, Ok(RetryScope::Anywhere)), "it was never executed");
+    assert!(matches!(anywhere, Ok(RetryScope::Anywhere)), "no attempt was executed");
 }
