--- a/src/action.rs
+++ b/src/action.rs
@@ -1,62 +1,60 @@
-//! The actions that a gateway requests from its host.
+//! Output of a gateway: sends, answers, cancellations, timers and messages for its host to execute.
 
 use crate::{BackendId, Duration, GatewayId, Instant, RequestId};
 
-/// An action that a gateway requests from its host.
-///
-/// Several actions are carried out in their order.
+/// An instruction of a gateway to its host. The host executes the actions of an event in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to a backend, as its next attempt.
     ///
-    /// Attempts are numbered from 0 for each request. Host and gateway both count the `Send`s of a request;
-    /// [`Action::Cancel`] and [`AttemptEnded`](crate::AttemptEnded) name an attempt by its number.
+    /// The attempts of a request are numbered from 0 in order of their `Send`s, which host and gateway both
+    /// count. [`Action::Cancel`] and [`AttemptEnded`](crate::AttemptEnded) refer to an attempt by its number.
     Send {
-        /// The request.
+        /// Request to send.
         id: RequestId,
-        /// The backend.
+        /// Receiving backend.
         backend: BackendId,
-        /// When the attempt times out; none for the client's deadline.
+        /// Time at which the attempt expires; `None` for the client's deadline.
         expires_at: Option<Instant>,
     },
-    /// Final answer: rejected. Retrying the request is safe.
+    /// Answer the request as rejected: it was not executed, and the client may safely retry it.
     Reject {
-        /// The request.
+        /// Request to reject.
         id: RequestId,
-        /// After which time to retry; zero for no advice.
+        /// Advised time until the client's retry; zero for no advice.
         retry_after: Duration,
     },
-    /// Final answer: failed. The request may have been executed.
+    /// Answer the request as failed: it may have been executed.
     Fail(RequestId),
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// Request of the attempt.
         id: RequestId,
-        /// The number of the attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u16,
     },
-    /// Send the gateway, after `delay`, an [`Event::Timer`](crate::Event::Timer).
+    /// Pass an [`Event::Timer`](crate::Event::Timer) to the gateway after `delay`.
     SetTimer {
-        /// The time from now on.
+        /// Time from the current event to the timer event.
         delay: Duration,
-        /// Returned with the event.
+        /// Token to return with the event.
         token: u32,
     },
-    /// Send a message of at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES) to one peer, or to all.
+    /// Send a message of at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES) to one peer or to all.
     SendToPeer {
-        /// The receiver; none means all.
+        /// Receiving gateway; `None` for all peers.
         to: Option<GatewayId>,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
-    /// Ask discovery for the changes since its last answer, and for those to come.
+    /// Poll discovery for changes since its last answer.
     ///
-    /// The simulator takes this for a call that subscribes, which is answered once, also where a subscription
-    /// holds. The ingress makes long polls on a schedule of its own and ignores this.
+    /// The simulator treats this as a subscription that is answered once, even if a subscription exists. The
+    /// ingress sends long polls on its own schedule and ignores this action.
     PollDiscovery,
-    /// A line for the log.
+    /// Write a line to the log.
     ///
-    /// Changes of the shedding stage alone are logged by an action, so that the simulator, which shows the
-    /// log of its actions, shows them. All other lines are `tracing` events.
+    /// Used only for changes of the shedding stage, since the simulator displays the log lines of actions.
+    /// All other log lines are `tracing` events.
     Log(String),
 }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,47 +1,47 @@
-//! The endpoint list as discovery gives it: one entry for each backend.
+//! The endpoint list from discovery, with one entry per backend.
 
 use crate::{BackendId, Instant};
 
-/// The state of a backend as listed.
+/// The state of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Availability {
-    /// Takes work.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes its work, takes nothing new.
+    /// Completes its requests and accepts no new ones.
     Draining,
-    /// Taken away.
+    /// Removed from the list.
     Gone,
 }
 
-/// An entry of the endpoint list.
+/// An entry of the endpoint list, which describes one backend.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// The backend.
+    /// Identifier of the backend.
     pub backend: BackendId,
-    /// Its zone.
+    /// Number of the backend's zone.
     pub zone: u8,
-    /// Its cell: backends that know each other's idempotency keys.
+    /// Number of the backend's cell: a group of backends that share idempotency keys.
     pub cell: u16,
-    /// The type of its machine.
+    /// Number of the backend's machine type.
     pub machine_type: u16,
-    /// Its state.
+    /// Whether the backend accepts requests.
     pub availability: Availability,
-    /// Its size, see [`SizeMeaning`](crate::SizeMeaning).
+    /// Size, with the meaning given by [`SizeMeaning`](crate::SizeMeaning).
     pub size: f64,
-    /// When its process started; none for long ago.
+    /// Start time of the backend's process; `None` if it started long ago.
     pub started_at: Option<Instant>,
 }
 
-/// How an endpoint list is to be read.
+/// The kind of an endpoint list from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Changed entries only.
+    /// The changed entries only.
     Delta,
-    /// The whole list.
+    /// All entries.
     Snapshot,
-    /// The whole list as cached before a restart, perhaps stale.
+    /// All entries as cached before a restart, possibly stale.
     CachedSnapshot,
-    /// A poll of discovery failed; the list stays as it was.
+    /// No entries, because a poll of discovery failed; the previous list remains valid.
     PollFailed,
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,113 +1,113 @@
-//! The events that a gateway handles: requests, ends of attempts, endpoint lists, peers' messages and timers.
+//! Input of a gateway: requests, ends of attempts, endpoint lists, peer messages and timers.
 
 use crate::{BackendId, CustomerId, Duration, Endpoint, EndpointUpdate, GatewayId, Instant, RequestId};
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The backend has served it.
+    /// The backend served the request.
     Ok,
-    /// The backend replied with an error; it may have been executed.
+    /// The backend replied with an error; the request may have been executed.
     Error,
-    /// The backend rejected it without executing it.
+    /// The backend rejected the request without executing it.
     Rejected,
-    /// It timed out; it may have been executed.
+    /// The attempt timed out; the request may have been executed.
     TimedOut,
-    /// The backend got no complete command, so that it was never executed: no connection was established, its
-    /// time ended before the command could be written, or the connection broke or a write failed before the
-    /// command was complete.
+    /// The backend did not receive a complete command and cannot have executed it: no connection was
+    /// established, the attempt expired before the command could be written, or the connection broke or a
+    /// write failed before the command was complete.
     ConnectFailed,
-    /// The connection broke; it may have been executed.
+    /// The connection broke; the request may have been executed.
     Reset,
-    /// Cancelled; it may have been executed.
+    /// The attempt was cancelled; the request may have been executed.
     Cancelled,
-    /// It was not sent.
+    /// The host did not send the attempt.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt was never executed.
+    /// Returns whether this outcome proves that the backend did not execute the request.
     pub fn never_executed(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// A client's request.
+/// A client's request, as passed to a gateway for admission.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request {
-    /// Its id.
+    /// Identifier assigned by the host.
     pub id: RequestId,
     /// Index into [`Settings::classes`](crate::Settings::classes).
     pub class: u8,
     /// Index into [`Settings::plans`](crate::Settings::plans).
     pub plan: u16,
-    /// The customer that sent it.
+    /// Customer whose quota the request uses.
     pub customer: CustomerId,
-    /// By when the gateway has to have answered: the client's deadline, less what the host reserves for the
-    /// reply to arrive.
+    /// Time by which the gateway has to answer: the client's deadline, less the host's reserve for the
+    /// delivery of the reply.
     pub deadline: Instant,
-    /// The units that it takes from the customer's quota.
+    /// Units charged to the customer's quota.
     pub units: f64,
-    /// The number of gateways that receive the customer's requests. The simulator's wire has fractions; the
-    /// ingress reads whole numbers.
+    /// Number of gateways that receive the customer's requests. The simulator sends fractions; the ingress
+    /// reads integers.
     pub gateway_set_size: f64,
-    /// The first of these gateways, a fraction like the number; the others follow it by index, and gateway 0
-    /// follows the last one.
+    /// Index of the first of these gateways, possibly a fraction like the number. The others have the
+    /// following indices, and gateway 0 follows the last one.
     pub gateway_set_start: f64,
 }
 
-/// The end of an attempt.
+/// The end of an attempt, with its outcome and the backend's report.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnded {
-    /// The request.
+    /// Request of the attempt.
     pub id: RequestId,
-    /// The number of the attempt, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: u16,
-    /// The backend that it was sent to.
+    /// Backend that the attempt was sent to.
     pub backend: BackendId,
-    /// How it ended.
+    /// Result of the attempt.
     pub outcome: Outcome,
-    /// No answer is owed to the request any more: it has its final answer, or its client has disconnected.
+    /// Whether the request has its final answer or its client has disconnected.
     pub request_closed: bool,
-    /// How long it was in flight.
+    /// Time for which the attempt was in flight.
     pub elapsed: Duration,
-    /// The units that the request really took, where its own number is an estimate.
+    /// Actual units of the request, if [`Request::units`] was an estimate.
     pub charged_units: Option<f64>,
-    /// The requests that wait at the backend, where it reported them.
+    /// Number of requests queued at the backend, if reported.
     pub reported_queue_depth: Option<f64>,
 }
 
-/// An event that a gateway handles.
+/// An input that the host passes to [`Gateway::handle`](crate::Gateway::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An endpoint list, or a change of the list.
+    /// A result of discovery: a snapshot or delta of the endpoint list, or a failed poll.
     Endpoints(EndpointUpdate, Vec<Endpoint>),
-    /// A request arrived.
+    /// A client's request arrived.
     Request(Request),
-    /// An attempt ended.
+    /// An attempt ended, with or without an answer.
     AttemptEnded(AttemptEnded),
-    /// A streamed answer began: from now on this attempt serves the client.
+    /// A streamed answer began, so that this attempt serves the client.
     FirstByte {
-        /// The request.
+        /// Request of the attempt.
         id: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u16,
     },
-    /// The host closed a request without an answer of the gateway, since its client disconnected or was
-    /// failed at a deadline. No answer is owed any more.
+    /// The host closed a request without an answer from the gateway, because the client disconnected or the
+    /// host failed the request at a deadline. The gateway must not answer it.
     RequestClosed(RequestId),
-    /// A timer with this token is due.
+    /// The timer with this token expired.
     Timer(u32),
-    /// A peer's message.
+    /// A message from a peer was received.
     PeerMessage {
-        /// The sender.
+        /// Sending gateway.
         from: GatewayId,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
-    /// Something that no decision uses.
+    /// An event whose content is ignored.
     ///
-    /// The simulator's wire has such events: ends of health checks and of calls to a shared counter. Each
-    /// still tells the time, which the gateway acts on, so the host passes them to it like the others.
+    /// The simulator sends such events for the ends of health checks and of calls to a shared counter. The
+    /// host passes them on, since the time of an event can make a wake-up of the gateway due.
     Unused,
 }
--- a/src/identifiers.rs
+++ b/src/identifiers.rs
@@ -1,17 +1,17 @@
-//! The identifiers by which the host and a gateway name requests, backends, customers and gateways.
+//! Identifiers of requests, backends, customers and gateways, as used between a host and its gateway.
 
-/// A request, as named by the host. Never used twice.
+/// Identifies a request. Assigned by the host and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct RequestId(pub u64);
 
-/// A backend; means nothing but identity.
+/// Identifies a backend. The value has no further meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct BackendId(pub u64);
 
-/// A customer, the holder of a plan.
+/// Identifies a customer, the holder of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct CustomerId(pub u64);
 
-/// The index of a gateway in its fleet, from 0.
+/// Identifies a gateway by its index in the fleet, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct GatewayId(pub u16);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,10 @@
-//! Decides for an admission gateway of a service sold by plan: which requests to admit, which backend
-//! gets them, when to try again, what to tell the peers. It does no input or output and reads no clock: the
-//! host feeds [`Event`]s with the time and carries out the [`Action`]s that come back, in their order.
+//! Decision logic of an ingress gateway: admission control by plan and quota, load balancing, retries, load
+//! shedding, outlier detection, and gossip with peers.
+//!
+//! The library performs no I/O and reads no clock. The host passes [`Event`]s with the current time to a
+//! [`Gateway`] and executes the returned [`Action`]s in order.
+//!
+//! # Example
 //!
 //! One request, from its arrival to its answer:
 //!
@@ -27,12 +31,14 @@
 //! let backend = BackendId(7);
 //! let list = vec![Endpoint { backend, size: 1.0, ..Endpoint::default() }];
 //! gateway.handle(start, Event::Endpoints(EndpointUpdate::Snapshot, list), &mut actions);
-//! // The gateway asks to be woken; the host answers each `SetTimer` with an `Event::Timer` when it is due.
+//! // The gateway requests a wake-up; the host passes an `Event::Timer` for each `SetTimer` when it is due.
 //! assert!(matches!(actions[..], [Action::SetTimer { .. }]));
 //!
 //! actions.clear();
 //! let id = RequestId(1);
-//! let request = Request { id, deadline: start + Duration::from_secs(2), units: 1.0, gateway_set_size: 1.0, ..Request::default() };
+//! let request = Request {
+//!     id, deadline: start + Duration::from_secs(2), units: 1.0, gateway_set_size: 1.0, ..Request::default()
+//! };
 //! gateway.handle(start + Duration::from_millis(4), Event::Request(request), &mut actions);
 //! assert_eq!(actions, [Action::Send { id, backend, expires_at: None }]);
 //!
@@ -42,7 +48,7 @@
 //!     charged_units: None, reported_queue_depth: None,
 //! });
 //! gateway.handle(start + Duration::from_millis(16), answer, &mut actions);
-//! assert!(actions.is_empty(), "the answer went to the client; nothing is left to do");
+//! assert!(actions.is_empty(), "the host has answered the client, so no action is left");
 //! ```
 
 mod action;
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,54 +1,51 @@
-//! Points in time and spans of time, in whole microseconds.
+//! Points in time and durations, in whole microseconds.
 //!
-//! The decisions never read a clock: the host passes the time with each event. These types are used in place
-//! of those of the standard library because the host may simulate its clock, and because the sums that decide
-//! are exact in microseconds. Arithmetic saturates: what would lie before zero is zero, and what would lie
-//! beyond the greatest value is that value.
+//! The library reads no clock: the host passes the time with each event. These types replace those of the
+//! standard library because the host may simulate its clock, and because sums in microseconds are exact.
+//! Arithmetic saturates at zero and at the maximum value.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
-/// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
-/// Microseconds in a second.
 pub(crate) const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// A point in time on the host's monotonic clock.
 ///
-/// The clock has to begin with the Unix time at the host's start, roughly: the numbers of periods
-/// ([`Instant::period_index`]) have to agree between gateways, and the start of a process tells it from
-/// earlier ones. Otherwise only comparisons and differences mean something.
+/// The host has to start its clock at the approximate Unix time: gateways have to agree on the numbers of
+/// periods ([`Instant::period_index`]), and the start time of a process distinguishes it from earlier ones.
+/// For all other purposes only comparisons and differences are meaningful.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(u64);
 
 impl Instant {
-    /// The beginning of the host's clock.
+    /// The origin of the host's clock.
     pub const ZERO: Instant = Instant(0);
-    /// A time that never comes.
+    /// The latest point in time, which is never reached.
     pub const FAR_FUTURE: Instant = Instant(u64::MAX);
 
-    /// The point so many microseconds after the beginning of the host's clock.
+    /// Creates a point from the microseconds since the origin of the host's clock.
     pub const fn from_micros(micros: u64) -> Instant {
         Instant(micros)
     }
 
-    /// Microseconds since the beginning of the host's clock.
+    /// Returns the microseconds since the origin of the host's clock.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The time that has passed since an earlier point; zero if that point is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is the later one.
     pub const fn duration_since(self, earlier: Instant) -> Duration {
         Duration(self.0.saturating_sub(earlier.0))
     }
 
-    /// The point a duration later, as `+` gives it, also in constants.
+    /// Adds a duration like `+`, but also in constants.
     #[must_use]
     pub const fn saturating_add(self, duration: Duration) -> Instant {
         Instant(self.0.saturating_add(duration.0))
     }
 
-    /// The number of the period that this point lies in, where periods follow each other from the beginning
+    /// Returns the index of the period that contains this point, if consecutive periods start at the origin
     /// of the clock.
     ///
     /// # Panics
@@ -62,7 +59,7 @@
 impl Add<Duration> for Instant {
     type Output = Instant;
 
-    /// The point a duration later; [`Instant::FAR_FUTURE`] where there is none.
+    /// Returns the point that is later by a duration, at most [`Instant::FAR_FUTURE`].
     fn add(self, duration: Duration) -> Instant {
         self.saturating_add(duration)
     }
@@ -77,93 +74,93 @@
 impl Sub<Duration> for Instant {
     type Output = Instant;
 
-    /// The point a duration earlier; [`Instant::ZERO`] where there is none.
+    /// Returns the point that is earlier by a duration, at least [`Instant::ZERO`].
     fn sub(self, duration: Duration) -> Instant {
         Instant(self.0.saturating_sub(duration.0))
     }
 }
 
-/// A duration of time.
+/// A non-negative length of time.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Duration(u64);
 
 impl fmt::Debug for Duration {
-    /// The number with its unit, as of the type of the standard library: `250ms`.
+    /// Writes the number with its unit like the type of the standard library, such as `250ms`.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         std::time::Duration::from_micros(self.0).fmt(formatter)
     }
 }
 
 impl Duration {
-    /// No time.
+    /// The empty duration.
     pub const ZERO: Duration = Duration(0);
-    /// The shortest duration.
+    /// The shortest non-zero duration.
     pub const MICROSECOND: Duration = Duration(1);
-    /// The longest duration: forever.
+    /// The longest duration, used for limits that never apply.
     pub const MAX: Duration = Duration(u64::MAX);
 
-    /// So many microseconds.
+    /// Creates a duration from microseconds.
     pub const fn from_micros(micros: u64) -> Duration {
         Duration(micros)
     }
 
-    /// So many milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(millis: u64) -> Duration {
         Duration(millis.saturating_mul(MICROS_PER_MILLI))
     }
 
-    /// So many seconds.
+    /// Creates a duration from seconds.
     pub const fn from_secs(seconds: u64) -> Duration {
         Duration(seconds.saturating_mul(MICROS_PER_SECOND))
     }
 
-    /// So many seconds, cut to whole microseconds; zero for a negative number or none, [`Duration::MAX`] for
-    /// one that is too large.
+    /// Creates a duration from seconds, truncated to whole microseconds. The result is zero for negative
+    /// numbers and NaN, and [`Duration::MAX`] for numbers out of range.
     pub fn from_secs_f64(seconds: f64) -> Duration {
         Duration((seconds * MICROS_PER_SECOND as f64) as u64)
     }
 
-    /// In microseconds.
+    /// Returns the number of microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// In microseconds, for sums with fractions.
+    /// Returns the number of microseconds for floating-point arithmetic.
     pub const fn as_micros_f64(self) -> f64 {
         self.0 as f64
     }
 
-    /// In whole milliseconds, cut.
+    /// Returns the number of whole milliseconds, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / MICROS_PER_MILLI
     }
 
-    /// In milliseconds with fractions.
+    /// Returns the number of milliseconds, including the fractional part.
     pub const fn as_millis_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_MILLI as f64
     }
 
-    /// In whole milliseconds, rounded up.
+    /// Returns the number of whole milliseconds, rounded up.
     pub const fn as_millis_ceil(self) -> u64 {
         self.0.div_ceil(MICROS_PER_MILLI)
     }
 
-    /// In whole seconds, cut.
+    /// Returns the number of whole seconds, rounded down.
     pub const fn as_secs(self) -> u64 {
         self.0 / MICROS_PER_SECOND
     }
 
-    /// In seconds.
+    /// Returns the number of seconds, including the fractional part.
     pub const fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// Whether it is no time at all.
+    /// Returns whether the duration is empty.
     pub const fn is_zero(self) -> bool {
         self.0 == 0
     }
 
-    /// This duration times a factor, cut to whole microseconds; zero for a negative factor.
+    /// Multiplies by a factor and truncates to whole microseconds. The result is zero for a negative factor.
     #[must_use]
     pub fn mul_f64(self, factor: f64) -> Duration {
         Duration((self.0 as f64 * factor) as u64)
@@ -173,7 +170,7 @@
 impl Add for Duration {
     type Output = Duration;
 
-    /// The sum; [`Duration::MAX`] where it is too long.
+    /// Returns the sum, at most [`Duration::MAX`].
     fn add(self, other: Duration) -> Duration {
         Duration(self.0.saturating_add(other.0))
     }
@@ -182,7 +179,7 @@
 impl Sub for Duration {
     type Output = Duration;
 
-    /// The difference; zero where the other duration is longer.
+    /// Returns the difference, or zero if the other duration is longer.
     fn sub(self, other: Duration) -> Duration {
         Duration(self.0.saturating_sub(other.0))
     }
@@ -191,7 +188,7 @@
 impl Mul<u64> for Duration {
     type Output = Duration;
 
-    /// The multiple; [`Duration::MAX`] where it is too long.
+    /// Returns the multiple, at most [`Duration::MAX`].
     fn mul(self, factor: u64) -> Duration {
         Duration(self.0.saturating_mul(factor))
     }
@@ -200,26 +197,26 @@
 impl Div<u64> for Duration {
     type Output = Duration;
 
-    /// A part of it, cut to whole microseconds.
+    /// Returns the quotient, truncated to whole microseconds.
     fn div(self, divisor: u64) -> Duration {
         Duration(self.0 / divisor)
     }
 }
 
-/// A point in time on a wall clock: the time since 1970-01-01 00:00 UTC.
+/// A point in time on a wall clock, as time since 1970-01-01 00:00 UTC.
 ///
-/// Wall clocks are stepped and differ between machines; [`StartTimes`](crate::StartTimes) alone compares
-/// their times with the host's clock.
+/// Wall clocks are stepped and differ between machines. Only [`StartTimes`](crate::StartTimes) compares their
+/// times with the host's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UnixTime(u64);
 
 impl UnixTime {
-    /// The point so many microseconds after the beginning of 1970.
+    /// Creates a point from the microseconds since the Unix epoch.
     pub const fn from_micros(micros: u64) -> UnixTime {
         UnixTime(micros)
     }
 
-    /// Microseconds since the beginning of 1970.
+    /// Returns the microseconds since the Unix epoch.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -2,11 +2,10 @@
 
 use super::*;
 
-/// A peer's or a backend's time may lie behind one that was noted before. The difference of the two is no
-/// time, not the hundreds of thousands of years that a wrapped number would make of it, by which every record
-/// would be old.
+/// The time of a peer or backend may be earlier than one recorded before. A difference that wrapped to
+/// hundreds of thousands of years would make every record outdated.
 #[test]
-fn a_difference_in_the_wrong_order_is_no_time() {
+fn negative_differences_saturate_at_zero() {
     let (early, late) = (Instant::from_micros(5), Instant::from_micros(8));
     assert_eq!(late.duration_since(early), Duration::from_micros(3));
     assert_eq!(early.duration_since(late), Duration::ZERO);
@@ -14,10 +13,10 @@
     assert_eq!(early - Duration::from_micros(8), Instant::ZERO);
 }
 
-/// A limit that never applies is the greatest span. Added to a time, or multiplied, it has to stay beyond
-/// every time: wrapped, it would apply at once.
+/// A limit that never applies is [`Duration::MAX`]. If sums and multiples of it wrapped, it would apply at
+/// once.
 #[test]
-fn sums_stay_at_the_greatest_value() {
+fn sums_and_multiples_saturate_at_the_maximum() {
     let now = Instant::from_micros(5);
     assert_eq!(now + Duration::MAX, Instant::FAR_FUTURE);
     assert_eq!(Duration::MAX + Duration::MICROSECOND, Duration::MAX);
@@ -25,11 +24,10 @@
     assert_eq!(Duration::from_secs(u64::MAX), Duration::MAX);
 }
 
-/// Fractions of a second come from settings and from sums over them, and may be negative, infinite or no number.
-/// Each becomes a span in whole microseconds that is never longer than meant, so that no limit lasts longer than
-/// the settings say.
+/// Fractions of a second in settings, and sums of them, may be negative, infinite or NaN. They are truncated,
+/// so that no limit exceeds the time in the settings.
 #[test]
-fn fractions_are_cut_to_whole_microseconds() {
+fn fractions_are_truncated_to_whole_microseconds() {
     assert_eq!(Duration::from_secs_f64(1.25), Duration::from_millis(1250));
     assert_eq!(Duration::from_secs_f64(-1.0), Duration::ZERO);
     assert_eq!(Duration::from_secs_f64(f64::NAN), Duration::ZERO);
@@ -38,9 +36,9 @@
     assert_eq!(Duration::from_micros(1999).as_millis(), 1);
 }
 
-/// A span in the log or in a failed assertion is read by a person, who would otherwise have to divide.
+/// Durations in log lines and failed assertions are hard to read as a number of microseconds.
 #[test]
-fn a_span_is_shown_with_its_unit() {
+fn durations_are_written_with_their_unit() {
     let spans = [Duration::from_millis(250), Duration::from_micros(1500), Duration::from_secs(3)];
     assert_eq!(format!("{spans:?}"), "[250ms, 1.5ms, 3s]");
     assert_eq!(Duration::from_micros(1234).as_millis_f64(), 1.234);
