--- a/tests/ingress/backend_connections.rs
+++ b/tests/ingress/backend_connections.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to a backend.
+//! Tests of the connection pools of backends.
 
 use crate::requests::new_request_id;
 use crate::support::backend::{reply_with_value, value_reply, Backend, BackendReply};
@@ -10,15 +10,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Requests that may fail before the ingress avoids an idle time: three, and one more while these decay.
+/// Number of requests that may fail before an idle time is avoided: three, and one more while their counts
+/// decay.
 const MAX_FAILURES_UNTIL_AVOIDED: u64 = 4;
-/// How long it then avoids it at the least.
+/// Minimum time that an idle time is avoided before it is retried.
 const MIN_AVOIDANCE_SECONDS: u64 = 4;
 
-/// A backend sends some replies twice, and the second copy arrives when the connection is idle again. If the next
-/// request used that connection too soon, its client would get the value that belongs to the client before.
+/// A backend sends some replies twice, and the duplicate arrives when the connection is idle again. If the
+/// connection were reused too soon, the next client would receive the value of the previous request.
 #[test]
-fn bytes_after_a_reply_are_not_taken_for_the_next_reply() {
+fn a_duplicate_reply_is_not_taken_for_the_next_reply() {
     let sent_again = Arc::new(AtomicUsize::new(0));
     let counter = sent_again.clone();
     let backend = Backend::start(move |args| BackendReply::Twice(value_reply(args), counter.clone()));
@@ -31,12 +32,12 @@
         );
         thread::sleep(Duration::from_micros(number * 20));
     }
-    assert!(sent_again.load(Ordering::SeqCst) > 0, "no reply came twice");
+    assert!(sent_again.load(Ordering::SeqCst) > 0, "no reply was sent twice");
 }
 
-/// A backend closes its idle connection between two requests. If the ingress wrote the next request to it, nobody
-/// could say whether it was executed, and the client of a non-idempotent request would get an error; it has to be
-/// sent on a new connection.
+/// A backend closes its idle connection between two requests. If the next request were written to it, its
+/// execution would be unknown and a non-idempotent request would fail, so it has to be sent on a new
+/// connection.
 #[test]
 fn connections_closed_by_the_backend_are_not_reused() {
     let backend = Backend::start(reply_with_value);
@@ -55,12 +56,12 @@
     assert_eq!(backend.command_count(), 5);
 }
 
-/// A firewall or a backend drops connections after a short idle time without a word, and resets them when the next
-/// request is written. Each non-idempotent request on such a connection fails for its client, so the ingress learns
-/// from the first failures how long a connection may idle, and goes on reusing those that idled for less. It tries the
-/// idle time again every four seconds or more, in case the network has changed: one request may fail each time.
+/// A firewall or backend silently drops connections after a short idle time and resets them at the next
+/// request, which fails if it is non-idempotent. After the first failures the ingress avoids this idle time,
+/// and still reuses connections that were idle for less. It retries the idle time after four seconds or more,
+/// in case the network has changed, and one request may fail each time.
 #[test]
-fn connections_that_are_reset_after_idling_are_no_longer_reused() {
+fn connections_that_are_reset_after_an_idle_time_are_no_longer_reused() {
     let backend = Backend::start(reply_with_value);
     backend.set_reset_after_idle(Duration::from_millis(130));
     let ingress = IngressSetup::with_backends(&[&backend]).start();
@@ -74,16 +75,16 @@
     let failed = (0..40).filter(|_| !is_served_after(260)).count() as u64;
     let retried_idle_times = begun_at.elapsed().as_secs() / MIN_AVOIDANCE_SECONDS;
     assert!(failed <= MAX_FAILURES_UNTIL_AVOIDED + retried_idle_times, "{failed} of 40 failed");
-    // Those that were idle for less are still reused.
+    // Connections that were idle for less are still reused.
     let opened_before = backend.connections_opened();
     assert!((0..10).filter(|_| is_served_after(50)).count() >= 7);
-    assert!(backend.connections_opened() <= opened_before + 7, "each request has a new one");
+    assert!(backend.connections_opened() <= opened_before + 7, "connections idle for 50 ms are not reused");
 }
 
-/// A connection to a backend stays idle for the keepalive timeout of the settings, at which the backend closes it
-/// too. The ingress closes it first, so that no request is written to a connection that is just being closed.
+/// A connection stays idle until shortly before the backends' keep-alive timeout. The ingress closes it
+/// first, so that no request is written to a connection that the backend is closing.
 #[test]
-fn idle_connections_are_closed_after_the_keepalive_timeout() {
+fn idle_connections_are_closed_according_to_the_keepalive_setting() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
     setup.replace_setting("15000000", "1000000");
--- a/tests/ingress/client_connections.rs
+++ b/tests/ingress/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: pipelining, disconnects and timeouts.
+//! Tests of client connections: pipelining, disconnects and timeouts.
 
 use crate::support::backend::{reply_with_value, value_reply, Backend, BackendReply};
 use crate::support::client::encode_request;
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A client disconnects while a slow backend works on its request. The ingress closes that connection, so that the
-/// backend can stop working for nobody, and the next client is served as usual.
+/// A client disconnects while a slow backend executes its request. The ingress closes the connection to the
+/// backend, so that the backend can stop executing it, and serves the next client.
 #[test]
 fn a_request_is_cancelled_when_its_client_disconnects() {
     let slow = Backend::start(|args| BackendReply::Delayed(Duration::from_millis(300), value_reply(args)));
@@ -22,8 +22,8 @@
     assert_eq!(ingress.client().round_trip(&encode_request("refer", "r2", 5000)), "value of r2");
 }
 
-/// A client sends several commands at once, of which the first takes longest and one is invalid, and then 2,000
-/// more. Replies bear no id: one that came out of order, or went missing, would be taken for the answer to another
+/// A client pipelines several commands, of which the first takes longest and one is invalid, and then 2,000
+/// more. Replies carry no id, so a missing or reordered reply would be taken for the reply to another
 /// command.
 #[test]
 fn pipelined_requests_are_answered_in_order() {
@@ -45,7 +45,7 @@
     );
     let replies: Vec<String> = (0..4).map(|_| client.read_reply()).collect();
     assert_eq!(replies, ["value of s1", "value of q2", "-ERR unknown command", "+PONG"]);
-    // More than the pipeline of one connection holds: nothing is lost, nothing is out of order.
+    // More than the pipeline limit of one connection.
     let pings = 2000;
     client.send(&encode_command(&["PING"]).repeat(pings));
     client.send(&encode_request("quote", "q3", 900));
@@ -53,11 +53,11 @@
     assert_eq!(client.read_reply(), "value of q3");
 }
 
-/// A client sends 600 requests at once, more than the ingress holds open for one connection. It stops reading until
-/// some are answered; if it did not resume by itself, the rest would wait unread and their clients would get no
+/// A client pipelines 600 requests, more than the ingress keeps open per connection, so that the ingress
+/// stops reading until some are answered. If it did not resume reading, the remaining requests would get no
 /// answer.
 #[test]
-fn a_long_pipeline_is_read_to_its_end() {
+fn a_pipeline_over_the_limit_is_read_completely() {
     let slow = Backend::start(|args| BackendReply::Delayed(Duration::from_millis(5), value_reply(args)));
     let ingress = IngressSetup::with_backends(&[&slow]).start();
     let mut client = ingress.client();
@@ -71,8 +71,8 @@
     assert_eq!(client.ping(), "+PONG");
 }
 
-/// A client on a slow network sends its request one byte at a time. The ingress waits for the last byte and then
-/// serves it like any other, instead of rejecting the incomplete command.
+/// A client on a slow network sends its request one byte at a time. The ingress has to wait for the last byte
+/// instead of rejecting the incomplete command.
 #[test]
 fn a_request_that_arrives_byte_by_byte_is_served() {
     let backend = Backend::start(reply_with_value);
@@ -85,9 +85,9 @@
     assert_eq!(client.read_reply(), "value of s1");
 }
 
-/// One client connects and sends nothing, another stops in the middle of a command. Each would occupy a descriptor
-/// for good, until no other client could connect; so each gets an error or a close within 3 s. A client that has
-/// sent a complete command may stay connected.
+/// One client connects and sends nothing, another stops within a command. Such clients would occupy
+/// descriptors permanently until no client could connect, so each gets an error or a close within 3 s. A
+/// client that has sent a complete command stays connected.
 #[test]
 fn clients_without_a_complete_command_are_disconnected() {
     let ingress = IngressSetup::with_backends(&[]).start();
@@ -99,7 +99,7 @@
     assert!(incomplete.is_disconnected() && silent.is_disconnected());
     assert!(start.elapsed() < Duration::from_secs(5), "it took {:?}", start.elapsed());
     assert_eq!(active.ping(), "+PONG");
-    // The timeout of an incomplete command begins with its first byte, not with the last command.
+    // The timeout of an incomplete command starts with its first byte, not with the previous command.
     let ping = encode_command(&["PING"]);
     active.send(&ping[..5]);
     thread::sleep(Duration::from_millis(1200));
--- a/tests/ingress/discovery.rs
+++ b/tests/ingress/discovery.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, and discovery that fails.
+//! Tests of endpoint list changes and of outages of discovery.
 
 use crate::requests::reply_from;
 use crate::support::backend::{reply_with_value, Backend};
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// An operator drains one of two backends before shutting it down. From then on all requests go to the other one
-/// and the idle connections are closed; otherwise clients would get errors when the backend stops. Listed as up
-/// again, it is used again.
+/// An operator drains one of two backends before shutting it down. All new requests have to go to the other
+/// one and idle connections have to be closed, or clients would get errors when the backend stops. A backend
+/// that is listed as up again is used again.
 #[test]
 fn a_draining_backend_gets_no_new_requests() {
     let (one, two, discovery) =
@@ -36,11 +36,10 @@
     reply_from(&ingress, "quote", &one);
 }
 
-/// Discovery lists a backend under its old name with another address. The ingress closes its connection to the old
-/// address and sends the next request to the new one; at the old address the client's request might reach another
-/// program.
+/// Discovery changes the address of a backend. The next request has to go to the new address, since another
+/// program may receive requests at the old one.
 #[test]
-fn a_backend_that_moved_is_used_at_its_new_address() {
+fn requests_are_sent_to_the_new_address_of_a_backend() {
     let (old, new, discovery) =
         (Backend::start(reply_with_value), Backend::start(reply_with_value), DiscoveryServer::start());
     let mut setup = IngressSetup::with_backends(&[&old]);
@@ -53,38 +52,38 @@
     assert_eq!((old.command_count(), new.command_count()), (1, 1));
 }
 
-/// Asserts that the endpoint list stays as it is while discovery fails, and that the ingress hears of the changes made
-/// meanwhile once discovery works again.
+/// Asserts that the endpoint list stays in use while discovery fails, and that the changes made meanwhile are
+/// applied once discovery recovers.
 fn assert_recovers_from(fail: impl Fn(&DiscoveryServer, bool)) {
     let (one, two, discovery) =
         (Backend::start(reply_with_value), Backend::start(reply_with_value), DiscoveryServer::start());
     let mut setup = IngressSetup::with_backends(&[&one]);
     setup.discovery = Some(discovery.address);
     let ingress = setup.start();
-    wait_until("the watch begins", || discovery.poll_count() > 0);
+    wait_until("discovery is polled", || discovery.poll_count() > 0);
     fail(&discovery, true);
     discovery.publish(two.endpoint_json("s-1", "up"));
     thread::sleep(Duration::from_millis(500));
     assert_eq!(ingress.client().round_trip(&encode_request("refer", "r1", 2000)), "value of r1");
-    assert_eq!(two.command_count(), 0, "the ingress cannot know it yet");
+    assert_eq!(two.command_count(), 0, "the new backend is not yet known");
     let cpu_before = ingress.cpu_centiseconds();
     thread::sleep(Duration::from_secs(1));
-    assert!(ingress.cpu_centiseconds() - cpu_before < 50, "it polls without pause");
+    assert!(ingress.cpu_centiseconds() - cpu_before < 50, "discovery is polled in a busy loop");
     fail(&discovery, false);
     reply_from(&ingress, "quote", &two);
 }
 
-/// Discovery refuses all connections for a while, and a backend is added meanwhile. Clients are still served by the
-/// backends known before, the ingress does not use up a processor with its attempts, and once discovery is back the
-/// new backend gets requests.
+/// Discovery refuses all connections for a while, and a backend is added meanwhile. The ingress has to serve
+/// clients with the known backends, retry without a busy loop, and use the new backend once discovery
+/// recovers.
 #[test]
-fn the_ingress_recovers_from_discovery_that_was_down() {
+fn the_ingress_recovers_from_refused_connections_to_discovery() {
     assert_recovers_from(DiscoveryServer::set_down);
 }
 
-/// Discovery accepts connections for a while and answers nothing, and a backend is added meanwhile. An ingress that
-/// waited for that answer would never hear of the new backend, so it has to give up the poll and poll again.
+/// Discovery accepts connections for a while but does not respond, and a backend is added meanwhile. The poll
+/// has to time out and be retried, or the ingress would never receive the new backend.
 #[test]
-fn the_ingress_recovers_from_discovery_that_was_silent() {
+fn the_ingress_recovers_from_missing_responses_of_discovery() {
     assert_recovers_from(DiscoveryServer::set_silent);
 }
--- a/tests/ingress/forwarding.rs
+++ b/tests/ingress/forwarding.rs
@@ -1,4 +1,4 @@
-//! How requests and replies are forwarded, and when requests are rejected.
+//! Tests of forwarding requests and replies, connection reuse and rejections over quota.
 
 use crate::requests::is_rejected;
 use crate::support::backend::{reply_with_value, Backend, BackendReply};
@@ -8,9 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A backend gets the command as the client sent it, except for the time that is left, and the client gets the
-/// backend's value. A change of the customer, id, key or body would charge the wrong customer or execute another
-/// order.
+/// The backend receives the command as the client sent it, except for the time left, and the client receives
+/// the backend's value. A changed customer, id, key or body would charge the wrong customer or execute
+/// another order.
 #[test]
 fn a_request_and_its_value_are_forwarded_unchanged() {
     let backend = Backend::start(reply_with_value);
@@ -25,7 +25,7 @@
     ]);
     assert_eq!(client.round_trip(&request), "value of 9b1f03aa5c7e2d41");
     let commands = backend.commands();
-    let [args] = &commands[..] else { panic!("one attempt: {commands:?}") };
+    let [args] = &commands[..] else { panic!("expected one attempt: {commands:?}") };
     assert_eq!(
         (&args[..3].join(" "), &args[4]),
         (&"CALL.POST 00000000b4d65521 9b1f03aa5c7e2d41".into(), &"BO\r\nDY".into())
@@ -33,12 +33,12 @@
     let (before, rest) = args[3].split_once("d=").unwrap();
     let (wait_ms, after) = rest.split_once(',').unwrap();
     assert_eq!((before, after), ("c=save,t=starter,", "k=5c0f6e1a,r=1,units=2,spread=1,first=0,new=x"));
-    // The time left of this attempt: no longer than the client waits, and not cut to nothing.
+    // The time left of this attempt is at most the client's timeout and close to it.
     assert!((2000..=2480).contains(&wait_ms.parse::<u32>().unwrap()), "d={wait_ms}");
 }
 
-/// Requests that come one after another all use one connection to the backend. A new connection costs the backend
-/// work and the client's request some time, as a TLS handshake does.
+/// Consecutive requests reuse one connection to the backend. A new connection costs the backend work and
+/// delays the request, as a TLS handshake does.
 #[test]
 fn an_idle_backend_connection_is_reused() {
     let backend = Backend::start(reply_with_value);
@@ -54,9 +54,9 @@
     assert_eq!(backend.connections_opened(), 1, "the newest idle connection is reused");
 }
 
-/// A customer with a burst of seven sends twelve requests in a row. Those over the quota are rejected quickly,
-/// without reaching a backend, and with a time after which to come back; without that time its clients would retry
-/// at once and be rejected again.
+/// A customer with a burst of seven sends twelve requests in a row. Requests over the quota are rejected
+/// quickly, without reaching a backend, and with a retry-after time, without which clients would retry at
+/// once and be rejected again.
 #[test]
 fn requests_over_the_quota_are_rejected_at_once_with_a_retry_after() {
     let backend = Backend::start(reply_with_value);
@@ -70,7 +70,7 @@
             rejections.push((reply, start.elapsed()));
         }
     }
-    assert!(rejections.len() >= 3, "a burst of 7 admits 12");
+    assert!(rejections.len() >= 3, "more than 9 of 12 requests admitted with a burst of 7");
     assert_eq!(backend.command_count(), 12 - rejections.len(), "rejected requests reach no backend");
     for (reply, elapsed) in rejections {
         let retry_after: u32 =
@@ -82,10 +82,10 @@
     }
 }
 
-/// A backend adds a load report to its reply that cannot be parsed. The request was executed and its value is good,
-/// so the client gets the value; an error for the sake of the report would lose it.
+/// A backend adds a malformed load report to its reply. The request was executed and its value is valid, so
+/// the client has to receive the value instead of an error.
 #[test]
-fn a_value_is_forwarded_despite_an_unreadable_load_report() {
+fn a_value_is_forwarded_despite_a_malformed_load_report() {
     for load in ["$3\r\n=,=\r\n", "$9\r\nutil=-1e9\r\n", "$8\r\nutil=nan\r\n", ":7\r\n", "+x\r\n"] {
         let reply = format!("*3\r\n$2\r\nok\r\n$-1\r\n{load}");
         let backend = Backend::start(move |_| BackendReply::Bytes(reply.clone().into_bytes()));
--- a/tests/ingress/logging.rs
+++ b/tests/ingress/logging.rs
@@ -1,18 +1,18 @@
-//! The log: the trace of a request, the counters and the log level.
+//! Tests of the log: request traces, close causes, counters and the log level.
 
 use crate::support::backend::{reply_with_value, Backend, BackendReply};
 use crate::support::client::encode_request;
 use crate::support::ingress::{built_program, IngressSetup};
 use crate::support::resp::encode_command;
 
-/// The value of a field in a line of the log.
+/// Returns the value of a field in a log line.
 fn field<'a>(line: &'a str, name: &str) -> &'a str {
     let rest = line.split(&format!("{name}=")).nth(1).unwrap_or_else(|| panic!("no {name} in {line}"));
     rest.split([' ', ',']).next().unwrap()
 }
 
-/// A client complains about a request that was rejected. By the request's id an operator finds in the debug log
-/// which attempts it had, how each ended, why it was not retried, and which answer the client got.
+/// A client reports a rejected request. In the debug log an operator has to find the request's attempts by
+/// its id, the outcome of each, the reason why it was not retried, and the answer.
 #[test]
 fn the_log_traces_a_request_by_its_id() {
     let bad = Backend::start(|_| BackendReply::Bytes(b"-BUSY\r\n".to_vec()));
@@ -39,11 +39,11 @@
     }
 }
 
-/// A client reports that its connections break. It sends what is not RESP2, gets an error line, and closes its end;
-/// the log has to name the first cause of the close, and not only that the client was the one who closed it. The
-/// names of the backends stand beside the numbers that all other lines have.
+/// A client sends bytes that are not RESP2, gets an error reply and disconnects. The log has to contain the
+/// first cause of the close instead of the client's disconnect, and the names of backends beside the ids that
+/// other lines use.
 #[test]
-fn the_log_names_the_first_cause_of_a_close_and_the_backends() {
+fn the_log_contains_the_first_cause_of_a_close_and_the_names_of_backends() {
     let backend = Backend::start(reply_with_value);
     let ingress = IngressSetup::with_backends(&[&backend]);
     let mut ingress = ingress.start_with(&format!("export LB_LOG=trace; {}", built_program()));
@@ -60,16 +60,16 @@
     assert!(named.is_some_and(|line| line.contains("backend=") && line.contains("name=")), "{log}");
 }
 
-/// An operator sends SIGUSR1 to a running ingress and reads in the log how many requests, answers and attempts
-/// there were. Traffic goes on, and no violation is reported where there was none.
+/// An operator sends SIGUSR1 to a running ingress. The log has to contain the counts of requests, answers and
+/// attempts and no violation, and traffic is served as before.
 #[test]
-fn counters_are_logged_on_request() {
+fn counters_are_logged_on_sigusr1() {
     let backend = Backend::start(reply_with_value);
     let mut ingress = IngressSetup::with_backends(&[&backend]).start();
     let mut client = ingress.client();
     assert_eq!(client.round_trip(&encode_request("quote", "q1", 900)), "value of q1");
     ingress.signal("USR1");
-    // The signal is handled before or with a later command, and before the one to stop.
+    // The signal is handled before or together with a later command, and before SIGTERM.
     assert_eq!(client.round_trip(&encode_command(&["PING"])), "+PONG");
     ingress.stop();
     let log = ingress.log();
@@ -79,8 +79,8 @@
     assert!(!log.contains("violations"), "{log}");
 }
 
-/// An operator misspells the log level. The ingress starts all the same and logs at its default level, with a line
-/// that names the mistake; without that line the operator would wait for debug output that never comes.
+/// An operator sets an invalid log level. The ingress starts with the default level and logs the mistake,
+/// without which the operator would wait for debug output in vain.
 #[test]
 fn an_invalid_log_level_is_reported_and_the_default_used() {
     let ingress = IngressSetup::with_backends(&[]);
--- a/tests/ingress/main.rs
+++ b/tests/ingress/main.rs
@@ -1,4 +1,4 @@
-//! The built ingress tested through its sockets, between backends, discovery, peers and clients that the tests play.
+//! Tests of the ingress program through its sockets, with simulated backends, discovery, peers and clients.
 
 use test_support as support;
 
--- a/tests/ingress/peers.rs
+++ b/tests/ingress/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between ingresses.
+//! Tests of gossip messages between ingresses.
 
 use crate::support::address::unused_address;
 use crate::support::backend::{reply_with_value, Backend};
@@ -8,17 +8,15 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// The kind of a message with usage reports.
 const USAGE_REPORTS_KIND: u8 = 0;
-/// The kind of a message with quota grants.
 const QUOTA_GRANTS_KIND: u8 = 1;
-/// Selects the kind, in the byte that also holds the count of samples.
+/// Selects the kind of a message in the byte that also contains the count of samples.
 const KIND_MASK: u8 = 3;
 
-/// The UDP socket of a peer, or of a host that is not a peer.
+/// The UDP socket of a peer or of an unknown sender.
 struct PeerSocket {
     socket: UdpSocket,
-    /// Where the ingress receives the messages of its peers.
+    /// Address at which the ingress receives messages of its peers.
     ingress: SocketAddr,
 }
 
@@ -33,7 +31,7 @@
         self.socket.local_addr().unwrap()
     }
 
-    /// The next message of the ingress, if one comes within the timeout.
+    /// Returns the next message of the ingress, if one arrives within the read timeout.
     fn receive(&self) -> Option<Vec<u8>> {
         let mut buffer = [0; 2000];
         let (length, from) = self.socket.recv_from(&mut buffer).ok()?;
@@ -46,32 +44,31 @@
     }
 }
 
-/// The kind of a message.
 fn kind(message: &[u8]) -> u8 {
     message[1] & KIND_MASK
 }
 
-/// How many usage reports or quota grants a message has.
+/// Returns the number of usage reports or quota grants in a message.
 fn entry_count(message: &[u8]) -> u8 {
     message[8]
 }
 
-/// Whether the ingress sends an answer to the peer after a message from a socket.
+/// Sends a message from a socket and returns whether the ingress then sends quota grants to the peer.
 fn triggers_answer(from: &PeerSocket, message: &[u8], peer: &PeerSocket) -> bool {
     from.send(message);
     (0..5).filter_map(|_| peer.receive()).any(|answer| kind(&answer) == QUOTA_GRANTS_KIND)
 }
 
-/// A usage report with the flag set that requests an answer.
+/// Sets the flag that requests an answer in a usage report.
 fn with_answer_requested(mut report: Vec<u8>) -> Vec<u8> {
     let first = 9 + 4 * usize::from(report[1] >> 2);
     report[first + 8] |= 2;
     report
 }
 
-/// Anybody who can reach the port may send datagrams to an ingress. If it believed those of an unknown sender, or cut or
-/// overlong ones, a forged usage report would use up a customer's quota; only a complete message from a peer's address
-/// is answered. What the ingress sends is 256 bytes at most, the limit of the network between peers.
+/// Any host that reaches the port can send datagrams to an ingress. If it accepted those of unknown senders,
+/// or truncated or overlong ones, a forged usage report could use up a customer's quota. Messages of the
+/// ingress are 256 bytes at most, the limit of the network between peers.
 #[test]
 fn only_complete_messages_from_the_address_of_a_peer_are_answered() {
     let backend = Backend::start(reply_with_value);
@@ -83,7 +80,7 @@
     setup.extra_keys =
         format!(r#""peer_listen":"{own}","peers":["{own}","{0}"],"peers_all":"{0}","#, peer.address());
     let ingress = setup.start();
-    // A request of a customer whose set has both gateways: its usage is reported to the peer.
+    // The customer's gateway set contains both gateways, so its usage is reported to the peer.
     let mut client = ingress.client();
     let request =
         String::from_utf8(encode_request("quote", "q1", 900)).unwrap().replace("spread=1", "spread=2");
@@ -96,18 +93,21 @@
         report.is_some() || start.elapsed() > WAIT_LIMIT
     });
     assert_eq!(client.read_reply(), "value of q1");
-    // The same message, asking for an answer, brings one if it comes from the peer, and only then.
+    // The same message with an answer requested is answered only if the peer sends it.
     let message = with_answer_requested(report.unwrap());
     while peer.receive().is_some() {}
     assert!(
         !triggers_answer(&unknown_sender, &message, &peer),
         "a message from an unknown sender was accepted"
     );
-    assert!(!triggers_answer(&peer, &message[..message.len() - 1], &peer), "half a message was believed");
+    assert!(
+        !triggers_answer(&peer, &message[..message.len() - 1], &peer),
+        "a truncated message was accepted"
+    );
     assert!(
         !triggers_answer(&peer, &[&message[..], &[0; 1000]].concat(), &peer),
-        "a long message was believed"
+        "an overlong message was accepted"
     );
-    assert!(triggers_answer(&peer, &message, &peer), "the peer was not heard");
+    assert!(triggers_answer(&peer, &message, &peer), "a valid message from the peer was not answered");
     assert_eq!(client.round_trip(&encode_request("quote", "q2", 900)), "value of q2");
 }
--- a/tests/ingress/protocol_errors.rs
+++ b/tests/ingress/protocol_errors.rs
@@ -1,4 +1,4 @@
-//! Commands that are malformed, out of range or too large.
+//! Tests of commands that are malformed, out of range or too large.
 
 use crate::requests::new_request_id;
 use crate::support::backend::{reply_with_value, value_reply, Backend, BackendReply};
@@ -8,11 +8,11 @@
 use crate::support::wait::wait_until;
 use std::time::Duration;
 
-/// A client sends requests with an unknown class, plan or command, or with options that cannot be parsed. Each gets
-/// an error line and reaches no backend, and the connection stays usable, since the requests of many customers
-/// share it.
+/// A client sends requests with an unknown class, plan or command, or with malformed options. Each gets an
+/// error reply and reaches no backend. The connection stays open, since the requests of many customers share
+/// it.
 #[test]
-fn an_invalid_request_gets_an_error_and_keeps_its_connection() {
+fn an_invalid_request_gets_an_error_without_closing_its_connection() {
     let backend = Backend::start(reply_with_value);
     let ingress = IngressSetup::with_backends(&[&backend]).start();
     let mut client = ingress.client();
@@ -32,9 +32,9 @@
     assert_eq!(backend.command_count(), 1, "no invalid request reaches a backend");
 }
 
-/// A client sends units or a set of gateways that the settings do not allow. The ingress would keep such values in
-/// the quota record of the customer that the request names, who is then judged by them, and a backend would reject
-/// the request anyway; so the client gets an error at once.
+/// A client sends units or a gateway set that the settings do not allow. Such values would distort the quota
+/// record of the customer that the request names, and a backend would reject the request anyway, so it gets
+/// an error at once.
 #[test]
 fn a_request_with_a_value_out_of_range_reaches_no_backend() {
     let backend = Backend::start(reply_with_value);
@@ -56,11 +56,11 @@
     assert_eq!(backend.command_count(), 1);
 }
 
-/// A client sends a request with the id of one that is still open, or was answered a moment ago. A backend would
-/// take it for a copy of the first request, so it gets an error and reaches no backend; the first request is served
-/// as if nothing had happened.
+/// A client sends a request with the id of one that is open or was answered a moment ago. A backend would
+/// take it for a copy of the first request, so it gets an error and reaches no backend, and the first request
+/// is served.
 #[test]
-fn a_duplicate_request_id_is_an_error_and_does_not_disturb_the_first() {
+fn a_duplicate_request_id_is_an_error_and_does_not_affect_the_first_request() {
     let backend = Backend::start(|args| BackendReply::Delayed(Duration::from_millis(400), value_reply(args)));
     let ingress = IngressSetup::with_backends(&[&backend]).start();
     let mut first = ingress.client();
@@ -71,15 +71,15 @@
         assert!(answer.starts_with("-ERR"), "{answer}");
     }
     assert_eq!(first.read_reply(), "value of r1");
-    // It may come late by a moment only.
+    // The id stays reserved for a moment after the answer.
     assert!(ingress.client().round_trip(&encode_request("refer", "r1", 4000)).starts_with("-ERR"));
     assert_eq!(ingress.client().round_trip(&encode_request("refer", "r2", 4000)), "value of r2");
     assert_eq!(backend.command_count(), 2);
 }
 
-/// A broken client sends invalid commands without end. After a few errors its connection is closed, as it would
-/// cost the ingress work for as long as it is open; the reply to its earlier, valid request still arrives, and
-/// other clients are served.
+/// A faulty client sends invalid commands endlessly, each of which costs the ingress work. After a few errors
+/// its connection is closed, the reply to its earlier, valid request is still delivered, and other clients
+/// are served.
 #[test]
 fn a_connection_is_closed_after_several_invalid_commands() {
     let backend = Backend::start(reply_with_value);
@@ -92,11 +92,10 @@
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q2", 900)), "value of q2");
 }
 
-/// A client announces a value of 60 MB and goes on sending. If the ingress closed the connection with bytes unread,
-/// the kernel would reset it and discard the error line, and the client could not tell what was wrong; the error
-/// has to reach it.
+/// A client announces a value of 60 MB and keeps sending. If the ingress closed the connection with unread
+/// bytes, the kernel would reset it and discard the error reply before the client reads it.
 #[test]
-fn an_oversized_value_gets_an_error_while_it_is_still_being_sent() {
+fn an_oversized_value_gets_an_error_reply_that_is_not_lost_to_a_reset() {
     let ingress = IngressSetup::with_backends(&[]).start();
     let mut client = ingress.client();
     client.send(b"*1\r\n$60000000\r\n");
@@ -107,9 +106,9 @@
     assert_eq!(ingress.client().ping(), "+PONG");
 }
 
-/// A client sends a valid request and then bytes that are no command. Nothing behind them can be parsed, so the
-/// connection ends; but first the client gets the reply to its request and an error line, and neither is lost to a
-/// reset.
+/// A client sends a valid request and then malformed input, after which nothing can be parsed. Before the
+/// connection is closed the client has to receive the reply to its request and an error reply, and neither
+/// may be lost to a reset.
 #[test]
 fn malformed_input_gets_an_error_and_a_close_after_earlier_replies() {
     let backend = Backend::start(|args| BackendReply::Delayed(Duration::from_millis(100), value_reply(args)));
@@ -119,7 +118,7 @@
     {
         let (mut client, id) = (ingress.client(), new_request_id());
         client.send(&encode_request("quote", &id, 900));
-        // More bytes follow than a close may leave unread without a reset.
+        // Enough bytes follow that closing with them unread would cause a reset.
         client.send(&[malformed.as_bytes(), &vec![b'x'; 40_000]].concat());
         assert_eq!(client.read_reply(), format!("value of {id}"), "{malformed:?}");
         assert!(client.read_reply().starts_with("-ERR protocol error"), "{malformed:?}");
--- a/tests/ingress/reload.rs
+++ b/tests/ingress/reload.rs
@@ -1,4 +1,4 @@
-//! Reloading the configuration on SIGHUP.
+//! Tests of configuration reloads on SIGHUP.
 
 use crate::support::backend::{reply_with_value, Backend};
 use crate::support::client::encode_request;
@@ -8,12 +8,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An operator writes a configuration that names another discovery and sends SIGHUP, once while the file is only
-/// half written. The ingress must neither stop nor lose requests: it logs the bad file, reads it again by itself,
-/// and then takes its backends from the new discovery at once, although a poll of the old one is still waiting for
-/// an answer.
+/// An operator writes a configuration with another address of discovery and sends SIGHUP while the file is
+/// incomplete. The ingress has to log the invalid file, keep serving, reload the file by itself, and then
+/// apply the endpoint list of the new discovery at once, although a poll of the old one is pending.
 #[test]
-fn sighup_moves_the_watch_to_the_discovery_of_the_new_configuration() {
+fn sighup_switches_the_watch_to_the_new_address_of_discovery() {
     let (one, two, three) = (
         Backend::start(reply_with_value),
         Backend::start(reply_with_value),
@@ -26,7 +25,7 @@
     wait_until("the old discovery is polled", || old.poll_count() > 0);
     old.set_silent(true);
     new.publish(two.endpoint_json("s-7", "up"));
-    // Half a file is invalid: the ingress serves on, and reads it again by itself.
+    // The incomplete file is invalid: the ingress keeps serving and retries the reload.
     setup.discovery = Some(new.address);
     let config = setup.config_json(ingress.address);
     ingress.write_config(&config[..config.len() / 2]);
@@ -36,7 +35,7 @@
     assert_eq!((one.command_count(), new.poll_count()), (1, 0));
     ingress.write_config(&config);
     wait_until("the new discovery is polled", || new.poll_count() > 1);
-    // Its list is a snapshot: backends that are not in it are removed. Later changes come from there as well.
+    // Its list is a snapshot that removes all other backends. Later changes are received from it as well.
     assert_eq!(ingress.client().round_trip(&encode_request("refer", "r2", 2000)), "value of r2");
     assert_eq!((one.command_count(), two.command_count()), (1, 1));
     new.publish_and_wait(two.endpoint_json("s-7", "draining"));
@@ -48,13 +47,13 @@
     assert_eq!(
         log.matches("reload: ").count(),
         2,
-        "a line for the invalid file, one for the valid one: {log}"
+        "expected a line for the invalid file and one for the valid one: {log}"
     );
 }
 
-/// A reload fails because the file is broken, and the ingress waits longer and longer before it reads the file
-/// again. The operator mends the file and sends SIGHUP once more: it is read at once, without the rest of that
-/// wait.
+/// A reload fails because the file is invalid, and retries are delayed by exponential backoff. After the
+/// operator has corrected the file and sent SIGHUP again, the file is read at once instead of after the rest
+/// of the delay.
 #[test]
 fn a_second_sighup_reloads_at_once() {
     let (one, two, new) =
@@ -63,7 +62,7 @@
     let ingress = setup.start();
     ingress.write_config("{");
     ingress.signal("HUP");
-    thread::sleep(Duration::from_millis(3400)); // by now the backoff is 2 s, and has just begun
+    thread::sleep(Duration::from_millis(3400)); // a backoff of 2 s has just started
     new.publish(two.endpoint_json("s-7", "up"));
     setup.discovery = Some(new.address);
     ingress.write_config(&setup.config_json(ingress.address));
--- a/tests/ingress/requests.rs
+++ b/tests/ingress/requests.rs
@@ -1,4 +1,4 @@
-//! Helpers that send requests: new ids, and requests repeated until one reaches a given backend.
+//! Helpers that send requests.
 
 use crate::support::backend::Backend;
 use crate::support::client::encode_request;
@@ -7,19 +7,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// Whether a reply is a rejection, which says that a retry is harmless.
+/// Returns whether a reply is a rejection, after which a retry is safe.
 pub fn is_rejected(reply: &str) -> bool {
     reply.starts_with("-BUSY")
 }
 
-/// An id that no other request has.
+/// Returns a unique request id.
 pub fn new_request_id() -> String {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     format!("n{}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// Sends requests in pairs until the wanted backend gets one, and returns the reply to that one. Single requests might
-/// all go to the backend that replied first.
+/// Sends requests in pairs until one reaches the wanted backend, and returns its reply. Single requests might
+/// all be sent to the backend that replied first.
 pub fn reply_from(ingress: &IngressProcess, class: &str, wanted: &Backend) -> String {
     let (mut client, commands_before) = (ingress.client(), wanted.command_count());
     for _ in 0..200 {
@@ -35,5 +35,5 @@
         }
         thread::sleep(Duration::from_millis(5));
     }
-    panic!("none of 400 requests reached the backend");
+    panic!("none of 400 requests reached the wanted backend");
 }
--- a/tests/ingress/resource_limits.rs
+++ b/tests/ingress/resource_limits.rs
@@ -1,4 +1,4 @@
-//! Limits on descriptors and memory.
+//! Tests of the limits on descriptors and memory.
 
 use crate::requests::is_rejected;
 use crate::support::backend::{reply_with_value, Backend, BackendReply};
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Asserts that idle clients are closed where there are more clients than descriptors, and that every client that
-/// sends a command gets its reply.
+/// Connects more clients than there are descriptors, and asserts that idle clients are disconnected and that
+/// every client that sends a command gets its reply.
 fn assert_serves_more_clients_than_descriptors(setup: &IngressSetup) {
     let ingress = setup.start();
     let mut clients: Vec<Client> = Vec::new();
@@ -25,33 +25,33 @@
     assert!(open <= setup.socket_limit, "{open} descriptors");
     let cpu_before = ingress.cpu_centiseconds();
     thread::sleep(Duration::from_secs(1));
-    assert!(ingress.cpu_centiseconds() - cpu_before < 50, "it spins");
+    assert!(ingress.cpu_centiseconds() - cpu_before < 50, "the ingress runs in a busy loop");
 }
 
-/// More clients connect than the configuration allows descriptors. The ingress closes those that have been idle for
-/// longest, every client that sends a command gets its reply, and the process neither exceeds the limit nor uses up
-/// a processor.
+/// More clients connect than the configuration allows descriptors. The ingress has to disconnect the clients
+/// that have been idle for longest, serve all others, and neither exceed the limit nor retry in a busy loop.
 #[test]
-fn the_descriptor_limit_of_the_configuration_is_kept() {
+fn the_descriptor_limit_of_the_configuration_is_enforced() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
     setup.socket_limit = 64;
     assert_serves_more_clients_than_descriptors(&setup);
 }
 
-/// The operating system allows fewer descriptors than the configuration, so that accepting a client fails with
-/// EMFILE. Idle clients have to be closed all the same; otherwise new clients would hang unaccepted while the
-/// ingress tries again without pause.
+/// The operating system allows fewer descriptors than the configuration, so accepting a client fails with
+/// EMFILE. Unless idle clients are disconnected, new clients would never be accepted while the ingress
+/// retries in a busy loop.
 #[test]
-fn the_ingress_survives_running_out_of_descriptors() {
+fn idle_clients_are_disconnected_when_accept_fails_with_emfile() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
     setup.system_descriptor_limit = Some(40);
     assert_serves_more_clients_than_descriptors(&setup);
 }
 
-/// All descriptors are used by clients that wait for replies, and one more client connects. It must not hang in the
-/// kernel's queue until it gives up: it is accepted, its request is rejected, and it can try another ingress.
+/// All descriptors are used by clients that wait for replies, and another client connects. Instead of waiting
+/// in the kernel's accept queue until it times out, it is accepted and its request rejected, so that it can
+/// try another ingress.
 #[test]
 fn a_connection_over_the_limit_is_rejected_when_none_is_idle() {
     let slow = Backend::start(|_| BackendReply::Nothing);
@@ -68,11 +68,11 @@
     assert!(start.elapsed() < Duration::from_secs(2));
 }
 
-/// A hundred and fifty clients each send most of a 64 KiB command and stop. Each is within the limit of one
-/// connection, but together they would exceed the memory that the process may use, and it would be killed with
-/// everybody's requests; some of them are closed instead, and other clients are served.
+/// 150 clients each send most of a 64 KiB command and stop. Each is within the limit per connection, but
+/// together they would exceed the memory limit, and the process would be killed with all requests. Some of
+/// them have to be disconnected, and other clients served.
 #[test]
-fn incomplete_commands_together_keep_to_the_memory_limit() {
+fn incomplete_commands_do_not_exceed_the_memory_limit() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
     setup.memory_limit_mb = 16;
--- a/tests/ingress/shutdown.rs
+++ b/tests/ingress/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown on SIGTERM.
+//! Tests of the graceful shutdown on SIGTERM.
 
 use crate::requests::new_request_id;
 use crate::support::backend::{reply_with_value, value_reply, Backend, BackendReply};
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An ingress gets SIGTERM while requests are in flight, and clients go on sending on their connections and open
-/// new ones. All of them are served; connections are closed only between two requests, and the process exits before
-/// it would be killed.
+/// An ingress receives SIGTERM while requests are in flight, and clients keep sending on open and new
+/// connections. All requests have to be served, connections may be closed only between requests, and the
+/// process has to exit before SIGKILL.
 #[test]
 fn shutdown_serves_accepted_requests_and_new_connections() {
     let backend = Backend::start(|args| BackendReply::Delayed(Duration::from_millis(400), value_reply(args)));
@@ -47,10 +47,10 @@
     assert!(log.contains("shutdown: finished, drained=true open_requests=0 clients=0"), "{log}");
 }
 
-/// Clients that have not heard of a shutdown go on connecting after SIGTERM. If the listener were closed at once,
-/// each of them would be refused; it stays open for as long as they keep coming.
+/// Clients that are not notified of the shutdown keep connecting after SIGTERM, and would be refused if the
+/// listener were closed at once. It stays open while new clients connect.
 #[test]
-fn shutdown_accepts_connections_while_clients_still_come() {
+fn shutdown_accepts_connections_while_clients_keep_connecting() {
     let backend = Backend::start(reply_with_value);
     let mut ingress = IngressSetup::with_backends(&[&backend]).start();
     ingress.signal("TERM");
@@ -69,9 +69,9 @@
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
 }
 
-/// A backend never answers, and the ingress gets SIGTERM. SIGKILL may follow 3.7 s later, and whatever is
-/// unanswered then is lost; so the client gets an error before that, but has some three seconds in which its
-/// request could still be served.
+/// A backend never replies, and the ingress receives SIGTERM. SIGKILL may follow 3.7 s later and lose
+/// unanswered requests, so the client has to get an error before that, after a grace period of about 3 s in
+/// which the request could still be served.
 #[test]
 fn requests_in_flight_at_the_end_of_the_shutdown_grace_period_fail() {
     let silent = Backend::start(|_| BackendReply::Nothing);
@@ -84,12 +84,12 @@
     assert_eq!(client.read_reply(), "-ERR failed");
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
     let elapsed = start.elapsed();
-    assert!(elapsed > Duration::from_secs(3), "it gave up after {elapsed:?}");
-    assert!(elapsed < Duration::from_secs(6), "it took {elapsed:?}");
+    assert!(elapsed > Duration::from_secs(3), "the request failed after only {elapsed:?}");
+    assert!(elapsed < Duration::from_secs(6), "the shutdown took {elapsed:?}");
 }
 
-/// A client has sent half a command and never completes it when the ingress gets SIGTERM. The ingress does not wait
-/// for the rest and exits in time; otherwise it would be killed, and others' replies with it.
+/// A client has sent an incomplete command when the ingress receives SIGTERM. If the ingress waited for the
+/// rest, it would be killed and the replies to other clients lost.
 #[test]
 fn an_incomplete_request_does_not_delay_shutdown() {
     let mut ingress = IngressSetup::with_backends(&[]).start();
@@ -99,16 +99,16 @@
     ingress.stop();
 }
 
-/// A client sends commands and never reads its replies, until nothing more fits into the connection, and the
-/// ingress gets SIGTERM. If it waited for that client to read, it would be killed, and the replies of other clients
-/// would be lost with it.
+/// A client sends commands without reading the replies until all buffers of the connection are full, and the
+/// ingress receives SIGTERM. If the ingress waited for the client to read, it would be killed and the replies
+/// to other clients lost.
 #[test]
 fn unread_replies_do_not_delay_shutdown() {
     let mut ingress = IngressSetup::with_backends(&[]).start();
     let mut client = ingress.client();
     client.stream.set_nonblocking(true).unwrap();
     let (pings, mut blocked_since) = (encode_command(&["PING"]).repeat(10_000), None);
-    wait_until("both directions are full", || match std::io::Write::write(&mut client.stream, &pings) {
+    wait_until("both buffers are full", || match std::io::Write::write(&mut client.stream, &pings) {
         Ok(_) => {
             blocked_since = None;
             false
--- a/tests/ingress/startup.rs
+++ b/tests/ingress/startup.rs
@@ -1,24 +1,25 @@
-//! Starting the program, and errors in its configuration.
+//! Tests of starting the program, with valid and invalid configurations.
 
 use crate::support::address::unused_address;
 use crate::support::backend::{reply_with_value, Backend};
 use crate::support::client::encode_request;
 use crate::support::ingress::{built_program, IngressProcess, IngressSetup};
 
-/// The command in `deploy/balancer.toml`, which `.ci/run` passes here, starts an ingress that serves a request and
-/// stops on SIGTERM. A mistake in it would otherwise show only at a deployment.
+/// The command in `deploy/balancer.toml`, which `.ci/run` passes in `INGRESS_RUN`, has to start an ingress
+/// that serves a request and stops on SIGTERM. A mistake in it would otherwise be detected only at a
+/// deployment.
 #[test]
-#[ignore = "wants the command in INGRESS_RUN"]
+#[ignore = "requires the command in INGRESS_RUN"]
 fn the_deploy_command_starts() {
-    let command = std::env::var("INGRESS_RUN").expect("INGRESS_RUN is the command");
+    let command = std::env::var("INGRESS_RUN").expect("INGRESS_RUN contains the command");
     let backend = Backend::start(reply_with_value);
     let mut ingress = IngressSetup::with_backends(&[&backend]).start_with(&command);
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q1", 900)), "value of q1");
     ingress.stop();
 }
 
-/// An operator starts an ingress with a configuration in which one value is wrong or missing. The process exits at
-/// once with a single line that names the key, from which the operator knows what to mend.
+/// An operator starts an ingress with a configuration in which one value is invalid or missing. The process
+/// has to exit at once with a single log line that names the key to correct.
 #[test]
 fn an_invalid_configuration_is_reported_by_its_key() {
     let address = unused_address();
