--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -65,9 +65,7 @@
 /// The last request for a grant that was sent to a customer's owners, and the requests that wait for it.
 #[derive(Default)]
 pub(super) struct GrantRequest {
-    /// When the grant was requested.
     pub requested_at: Option<Instant>,
-    /// Requested units.
     pub units: f64,
     /// Whether units of the hard limit are requested, too.
     pub needs_hard_limit: bool,
@@ -75,7 +73,6 @@
     pub answered_by: Vec<u16>,
     /// Whether an owner has already charged the units.
     pub charged_by_owner: bool,
-    /// Requests that wait for the grant.
     pub waiting: Vec<RequestId>,
 }
 
