--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -67,7 +67,7 @@
 pub(crate) const FLEET_START_WINDOW: Duration = Duration::from_millis(1500);
 /// Interval between removals of expired records.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Time after a peer's last report at which its attempts no longer count as in flight.
+/// Time without a report after which a peer's attempts no longer count as in flight.
 const REPORTED_IN_FLIGHT_LIFETIME: Duration = Duration::from_millis(1500);
 
 /// The period for which this gateway's records include the usage of all gateways.
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -10,8 +10,8 @@
 const MAX_GRANT_WAIT: Duration = Duration::from_millis(100);
 /// Divisor of a request's time that gives its longest wait for a grant; the rest is left for its attempts.
 const GRANT_WAIT_DIVISOR: u64 = 5;
-/// Maximum fraction of the messages that an owner can receive that are requests for grants for one customer;
-/// further ones are skipped.
+/// Maximum rate of requests for grants for one customer, as a fraction of the rate of messages that an owner
+/// can receive. Further requests are skipped.
 const MAX_GRANT_REQUEST_SHARE: f64 = 0.25;
 /// Maximum time between a request for units of the hard limit and their grant; a later grant is ignored.
 const HARD_LIMIT_GRANT_LIFETIME: Duration = Duration::from_millis(250);
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -45,13 +45,14 @@
 pub(crate) struct ObservedCustomer {
     /// Index of the plan whose limits apply to the request.
     pub plan: u16,
-    /// Whether the customer sent a request recently.
+    /// Whether a request or report named the customer within [`CUSTOMER_IDLE_TIME`].
     pub activity: CustomerActivity,
     pub grant: GrantStatus,
 }
 
 impl QuotaManager {
-    /// Updates the record of a request's customer, or creates one. The plan of the request must exist.
+    /// Updates or creates the record of a request's customer, and returns its state for the admission of the
+    /// request. The plan of the request must exist.
     pub(crate) fn observe_request(&mut self, now: Instant, request: &Request) -> ObservedCustomer {
         let plan = &self.settings.plans[usize::from(request.plan)];
         let set = GatewaySet::from_request(request, self.settings.gateway_count);
--- a/src/policy/quota/ownership.rs
+++ b/src/policy/quota/ownership.rs
@@ -14,8 +14,8 @@
 const REPORT_PROPAGATION_TIME: Duration = Duration::from_millis(350);
 /// Age up to which a grant admits further requests, where all gateways own the quota.
 const SHARED_GRANT_FRESHNESS: Duration = Duration::from_millis(100);
-/// Number of messages that carry each usage report where all gateways own the quota. After the loss of a
-/// single copy, an attempt that has ended would count as in flight for a long time.
+/// Number of messages that carry each usage report where all gateways own the quota. The loss of a report
+/// would leave an ended attempt counted as in flight for a long time.
 const SHARED_REPORT_COPIES: u8 = 2;
 /// Number of times that a waiting request's grant is requested from a designated owner.
 const DESIGNATED_GRANT_ATTEMPTS: u64 = 2;
--- a/src/policy/quota/shortages/tests.rs
+++ b/src/policy/quota/shortages/tests.rs
@@ -51,12 +51,12 @@
     let grant_request = GrantRequest { requested_at: Some(NOW), ..GrantRequest::default() };
     let customer = Customer { quota_owners: vec![1], grant_request, ..Customer::default() };
     let costly = Plan { over_quota_cost: 3.0, ..plan() };
-    let rejected = |customer: &Customer, heard: Option<Instant>| {
+    let rejected = |customer: &Customer, last_received_at: Option<Instant>| {
         let ids = (0..1000).map(RequestId);
         let presumes = |id: &RequestId| {
             let request = Request { id: *id, ..Request::default() };
             let context = ShortageContext { now: NOW, request: &request, answer_seconds: 0.0 };
-            customer.presumes_owners_overloaded(&costly, &context, Instant::ZERO, |_| heard)
+            customer.presumes_owners_overloaded(&costly, &context, Instant::ZERO, |_| last_received_at)
         };
         ids.filter(presumes).count()
     };
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -62,7 +62,7 @@
         let min_tokens = ownership.min_tokens(plan, customer.bucket.tokens());
         customer.bucket.settle_clamped(plan, usage.granted_units, units, min_tokens);
         if ownership.counts_grant_requests(plan) {
-            // The rate counts all requests for grants on the customer, including the sender's. Answers carry
+            // The rate counts all requests for grants for the customer, including the sender's. Answers carry
             // it as `remote_rate`, by which the gateways limit their requests.
             usage.record(now, report.total_units, 0.0);
             customer.remote.add_to_rate(f64::from(u8::from(report.requests_grant)));
@@ -111,7 +111,9 @@
         }
     }
 
-    /// Returns the units used through a gateway since its last report.
+    /// Returns the units used through a gateway since its last report. If a total above
+    /// [`MAX_FIRST_REPORT_FRACTION`] of the burst may include usage from before this gateway's start, returns 0
+    /// and adjusts the bucket instead.
     fn new_units(&mut self, plan: &Plan, last_total: u16, scope: TotalScope, report: &UsageReport) -> f64 {
         let units = wrapping_delta(last_total, report.total_units);
         let may_predate = scope == TotalScope::MayPredateStart;
