--- a/src/policy/load_balancing/candidate/tests.rs
+++ b/src/policy/load_balancing/candidate/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// An idle backend without a fault in the gateway's own zone.
+/// An idle, healthy backend in the gateway's own zone.
 const IDLE: Candidate = Candidate {
     in_flight: 0,
     queue_depth: 0.0,
@@ -16,9 +16,8 @@
     step: 0,
 };
 
-/// Backends differ in one thing each: their load, zone, failures, an earlier attempt there, an ejection, or their
-/// capacity. Each raises the cost by its own factor, which decides what a client would rather get: a distant
-/// backend, a loaded one, or one that fails.
+/// Each disadvantage of a backend (load, zone, failures, an earlier attempt, ejection, capacity) raises the
+/// cost by its own factor. The factors decide which of several imperfect backends is chosen.
 #[test]
 fn each_disadvantage_raises_the_cost_by_its_factor() {
     assert_eq!(IDLE.cost(), 1.0);
@@ -30,26 +29,31 @@
     assert_eq!(Candidate { weight: 0.25, ..IDLE }.cost(), 4.0);
 }
 
-/// Nothing else tells the candidates of a choice apart. Chance does, by a tenth at most: it never outweighs
-/// one more attempt in flight at a backend with few.
+/// Equal candidates differ by jitter of at most a tenth, which never outweighs one more attempt in flight
+/// at a backend with few.
 #[test]
-fn chance_moves_the_cost_by_a_tenth_at_most() {
+fn jitter_raises_the_cost_by_at_most_a_tenth() {
     let costs = (0..1000).map(|step| Candidate { draw: 0.7, step, ..IDLE }.cost());
     let (least, most) = costs.fold((f64::MAX, 0.0), |(least, most), cost| (cost.min(least), cost.max(most)));
-    assert!((1.0..1.01).contains(&least) && (1.09..1.1).contains(&most), "{least} to {most}");
+    assert!(
+        (1.0..1.01).contains(&least) && (1.09..1.1).contains(&most),
+        "the cost ranges from {least} to {most}"
+    );
 }
 
-/// A backend reports a queue of twelve requests. Three gateways take a third of it each as their own load; of
-/// a hundred each takes a quarter, since a queue is a bad sign however many share it.
+/// A backend reports a queue of twelve requests. Each of three gateways counts a third of it as its own
+/// load. With a hundred gateways each counts a quarter, since a queue indicates overload however many
+/// gateways share it.
 #[test]
-fn a_reported_queue_is_divided_among_four_gateways_at_most() {
+fn a_reported_queue_is_divided_among_at_most_four_gateways() {
     let queueing = Candidate { queue_depth: 12.0, ..IDLE };
     assert_eq!(Candidate { fleet_size: 3, ..queueing }.cost(), 5.0);
     assert_eq!(Candidate { fleet_size: 100, ..queueing }.cost(), 4.0);
 }
 
-/// A candidate that is ejected, or fails more than four times in ten, does not end the search for a healthy one. If
-/// it did, requests would go to failing backends while healthy ones stand further on in the list.
+/// An ejected candidate, or one with a failure rate above 0.4, doesn't end the search for a healthy one.
+/// Otherwise requests would be sent to failing backends while there are healthy ones further on in the
+/// list.
 #[test]
 fn candidates_that_are_ejected_or_fail_often_are_suspect() {
     assert!(!Candidate { failure_rate: 0.4, ..IDLE }.is_suspect());
--- a/src/policy/load_balancing/slow_start/tests.rs
+++ b/src/policy/load_balancing/slow_start/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 use crate::{BackendId, Endpoint, GatewayId, Rules};
 
-/// When the backend starts.
+/// Start of the backend.
 const START: Instant = Instant::from_micros(100_000_000);
-/// How long it is in slow start.
+/// Duration of slow start.
 const DURATION: Duration = Duration::from_secs(20);
-/// It falls over when sent twice its capacity for this long.
+/// Time within which twice its capacity overloads a backend.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// The limits of a gateway.
+/// Returns the limits of one gateway in a fleet of `fleet_size`.
 fn slow_start(own_id: u16, fleet_size: u64) -> SlowStart {
     let rules = Rules {
         slow_start_floor: 0.2,
@@ -22,13 +22,12 @@
     SlowStart::new(&Settings { own_id: GatewayId(own_id), rules, ..Settings::default() }, fleet_size)
 }
 
-/// A backend that was started at a time.
 fn backend(started_at: Option<Instant>) -> Backend {
     let endpoint = Endpoint { backend: BackendId(7), started_at, ..Endpoint::default() };
     Backend { endpoint, size: 1.0, ready: true, ..Backend::default() }
 }
 
-/// Sends a backend as many attempts as it may be sent at a time, a thousand at most.
+/// Sends a backend as many attempts as are allowed at `now`, at most 1000. Returns their number.
 fn send_all_allowed(
     slow_start: &SlowStart,
     backend: &mut Backend,
@@ -39,11 +38,10 @@
     (0..1000).take_while(|_| may_send(backend).then(|| backend.begin_attempt(now, WINDOW)).is_some()).count()
 }
 
-/// A backend starts and can bear a fifth of its usual load; after twenty seconds it can bear all of it. With more
-/// load in between it would be overloaded by its own start, with less the other backends would bear its part for
-/// longer than needed.
+/// A backend starts with a fifth of its capacity and has all of it after 20 s. More load in between would
+/// overload it; less would burden the other backends for longer than needed.
 #[test]
-fn the_capacity_grows_from_the_floor() {
+fn the_capacity_share_grows_from_the_floor_to_one() {
     let (slow_start, starting) = (slow_start(0, 1), backend(Some(START)));
     let shares =
         [0, 10, 20, 30].map(|age| slow_start.capacity_share(&starting, START + Duration::from_secs(age)));
@@ -53,11 +51,11 @@
     assert_eq!(slow_start.capacity_share(&backend(None), START), 1.0);
 }
 
-/// One gateway sends a thousand attempts a second to ten backends, one of which has just started. In one
-/// window it may be sent 35% of twice its present capacity, which is a fifth of its fair share of a hundred:
-/// fourteen. In the next window it may be sent as many again.
+/// One gateway sends 1000 attempts per second to ten backends, one of which has just started. In one window
+/// the starting backend may receive 35% of twice its current capacity, which is a fifth of its fair share
+/// of 100: 14. In the next window it may receive as many again.
 #[test]
-fn a_starting_backend_is_sent_a_part_of_its_budget_in_each_window() {
+fn a_starting_backend_is_sent_a_limited_number_of_attempts_per_window() {
     let mut slow_start = slow_start(0, 1);
     (0..20_000u64).for_each(|step| slow_start.record_send(START - Duration::from_millis(20_000 - step)));
     let mut starting = backend(Some(START));
@@ -68,21 +66,20 @@
     assert!(send_all_allowed(&slow_start, &mut starting, 10.0, START + WINDOW) > 5);
 }
 
-/// A hundred gateways find a backend that has just started, and each has less than one attempt to give it.
-/// Were each to send one, the backend would fall over: it is drawn who may, one of them or a few.
+/// A hundred gateways discover a backend that has just started, and the budget of each is less than one
+/// attempt. One attempt from each would overload the backend, so draws allow only a few gateways to send.
 #[test]
-fn the_gateways_of_a_large_fleet_draw_who_may_send() {
+fn only_a_few_gateways_of_a_large_fleet_may_send_at_once() {
     let sent: usize = (0..100)
         .map(|own_id| send_all_allowed(&slow_start(own_id, 100), &mut backend(Some(START)), 1.0, START))
         .sum();
     assert!(sent <= 5, "{sent}");
 }
 
-/// The gateways of a large fleet draw who may send to a starting backend. The draw is repeated as time passes, so
-/// that every gateway may send it something sooner or later; a gateway that never could would have no backend at
-/// all where all of them have just started.
+/// The draws are repeated over time, so that every gateway may send to a starting backend at some point. A
+/// gateway that never may would have no backend at all after all of them have restarted.
 #[test]
-fn another_gateway_may_send_after_a_while() {
+fn every_gateway_may_send_in_some_draws() {
     let times = || (0..100).map(|draw| START + WINDOW * DRAW_WINDOWS * draw);
     for own_id in 0..10 {
         let slow_start = slow_start(own_id, 10);
@@ -91,10 +88,10 @@
     }
 }
 
-/// A backend has run for long. Its warm-up no longer limits it, however many attempts it gets; a limit that stayed
-/// would reject requests that it could serve.
+/// A backend has run for long, so slow start no longer limits its attempts; the limit would reject requests
+/// that it could serve.
 #[test]
-fn a_backend_out_of_slow_start_is_sent_any_number() {
+fn a_backend_after_slow_start_is_not_limited() {
     let mut running = backend(Some(START));
     assert_eq!(send_all_allowed(&slow_start(0, 100), &mut running, 1.0, START + DURATION), 1000);
 }
--- a/src/policy/load_balancing/subset/tests.rs
+++ b/src/policy/load_balancing/subset/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::{Endpoint, IdempotencyScope};
 
-/// Three gateways share five backends. Each compares all of them, once: with so few, looking at a part only could
-/// miss the one idle backend.
+/// Three gateways share five backends. Each gateway compares all of them once; a part of so few could miss
+/// the only idle backend.
 #[test]
 fn few_backends_are_all_compared() {
     let subset = Subset::new(5, 3, &RetryScope::Anywhere);
@@ -13,17 +13,17 @@
     assert_eq!(subset.steps(), 5);
 }
 
-/// A hundred gateways share as many backends. Each keeps to 32 of them, and two healthy candidates are
-/// enough.
+/// A hundred gateways share a hundred backends. Each uses a subset of 32 of them, and five healthy
+/// candidates are enough.
 #[test]
-fn many_gateways_use_the_smallest_subset() {
+fn many_gateways_use_the_minimum_subset_size() {
     let subset = Subset::new(100, 100, &RetryScope::Anywhere);
     assert_eq!(subset, Subset { ready: 100, target_candidates: 5, size: 32 });
     assert!(subset.is_sampled() && subset.has_enough(5, 0) && !subset.has_enough(4, 0));
 }
 
-/// There are 2400 backends for forty gateways. The subsets are so large that each backend is in eight of
-/// them, but a choice compares no more than eight healthy candidates.
+/// Forty gateways share 2400 backends. The subsets are large enough that each backend is in eight of them,
+/// but a choice compares at most eight healthy candidates.
 #[test]
 fn each_backend_of_a_long_list_is_in_eight_subsets() {
     let subset = Subset::new(2400, 40, &RetryScope::Anywhere);
@@ -31,24 +31,24 @@
     assert_eq!(subset.size * 40 / 2400, 8);
 }
 
-/// A keyed request is retried, and only few backends know its key. They may be outside the gateway's usual subset,
-/// so all backends are looked at; otherwise the client would get an error although a retry was possible.
+/// A keyed request is retried, and the few backends that have its key may be outside of the gateway's usual
+/// subset. All backends are examined; otherwise the client would get an error although a retry is possible.
 #[test]
-fn a_limited_scope_is_looked_for_among_all_backends() {
+fn a_limited_scope_uses_all_backends() {
     let scope = RetryScope::Within(IdempotencyScope::Cell, Endpoint::default());
     assert_eq!(Subset::new(2400, 40, &scope).size, 2400);
 }
 
-/// Most backends fail. The choice ends after four times as many suspect candidates as healthy ones are
-/// wanted: it must not go through the whole list for each request.
+/// Most backends fail. The choice ends after four suspect candidates for each healthy one wanted, instead
+/// of examining the whole list for each request.
 #[test]
-fn a_choice_among_failing_backends_ends() {
+fn a_choice_among_suspect_backends_ends() {
     let subset = Subset::new(2400, 40, &RetryScope::Anywhere);
     assert!(!subset.has_enough(0, 32) && subset.has_enough(0, 33));
 }
 
-/// A choice starts anywhere in the subset and goes on at its beginning from its end. A search that stopped at the
-/// end would hardly ever find the first backends, and load the last ones.
+/// A choice starts anywhere in the subset and wraps around at its end. Otherwise the first backends would
+/// hardly ever be chosen, and the last ones would get too much load.
 #[test]
 fn positions_wrap_at_the_end_of_the_subset() {
     let subset = Subset::new(100, 100, &RetryScope::Anywhere);
--- a/src/policy/outlier_detection/health_signal/tests.rs
+++ b/src/policy/outlier_detection/health_signal/tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-/// Attempts end in every possible way. A timeout, a cancelled attempt and one that was never sent may have causes
-/// that are not the backend's, and a rejection only says that its queue is full; if these counted as failures,
-/// healthy backends would be ejected under load.
+/// A timeout, a cancelled attempt and one that was never sent may have causes other than the backend, and a
+/// rejection only means that its queue is full. If these counted as failures, healthy backends would be
+/// ejected under load.
 #[test]
-fn outcomes_that_the_backend_did_not_determine_are_no_evidence() {
+fn outcomes_that_the_backend_did_not_determine_give_no_signal() {
     let is_failure = |outcome| HealthSignal::from_outcome(outcome).map(HealthSignal::is_failure);
     assert_eq!(is_failure(Outcome::Ok), Some(Some(false)));
     assert_eq!(is_failure(Outcome::Rejected), Some(None));
--- a/src/policy/outlier_detection/tests.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -4,23 +4,19 @@
 use crate::policy::EjectionReason;
 use crate::{Duration, Idempotency};
 
-/// Some time after the start of the clock.
 const START: Instant = Instant::from_micros(100_000_000);
-/// The latency objective of the classes.
 const OBJECTIVE: Duration = Duration::from_millis(400);
-/// The class that the tests send requests of, unless they say otherwise.
+/// Class of the requests in these tests unless stated otherwise.
 const CLASS: usize = 0;
-/// Another class.
 const OTHER_CLASS: usize = 1;
-/// The zone of the backends.
 const ZONE: u8 = 3;
 
-/// The time this many milliseconds after [`START`].
+/// Returns the time this many milliseconds after [`START`].
 fn after_millis(millis: u64) -> Instant {
     START + Duration::from_millis(millis)
 }
 
-/// A detector for two classes.
+/// Returns a detector for two classes.
 fn detector() -> OutlierDetector {
     let class = Class {
         latency_objective: OBJECTIVE,
@@ -33,12 +29,12 @@
     OutlierDetector::new(&[class.clone(), class], START)
 }
 
-/// A backend without any recorded attempt.
+/// Returns the health of a backend without recorded attempts.
 fn backend() -> BackendHealth {
     BackendHealth::new(2)
 }
 
-/// An attempt of [`CLASS`] that ended.
+/// Returns the end of an attempt of [`CLASS`].
 fn ended(signal: HealthSignal, now: Instant) -> EndedAttempt {
     EndedAttempt { now, class: CLASS, zone: ZONE, signal }
 }
@@ -56,16 +52,16 @@
     }
 }
 
-/// The ejection in a change of health.
+/// Returns the ejection in a change of health.
 fn ejection(change: Option<HealthChange>) -> Ejection {
     match change {
         Some(HealthChange::Ejected(ejection)) => ejection,
-        other => panic!("no ejection: {other:?}"),
+        other => panic!("expected an ejection, got {other:?}"),
     }
 }
 
-/// A backend answers with an error once: that may be chance. With the second error in a row more than a
-/// quarter of its recent attempts have failed, and it is ejected, for the class that failed alone.
+/// One error may be a coincidence. After a second one more than a quarter of the backend's recent attempts
+/// have failed, so it is ejected for the class that failed.
 #[test]
 fn repeated_failures_eject_a_backend_for_their_class() {
     let (mut detector, mut health) = (detector(), backend());
@@ -78,10 +74,10 @@
     assert!(!health.is_ejected(OTHER_CLASS, 0, START));
 }
 
-/// An overloaded backend rejects every attempt unseen. It answers, so it is neither ejected nor silent: it
-/// only needs less load.
+/// An overloaded backend rejects every attempt. It answers, so it is neither ejected nor silent; it only
+/// needs less load.
 #[test]
-fn rejections_by_a_backend_eject_nothing() {
+fn rejections_do_not_eject_a_backend() {
     let (mut detector, mut health) = (detector(), backend());
     for _ in 0..20 {
         assert_eq!(detector.record_outcome(&mut health, &ended(HealthSignal::Rejection, START)), None);
@@ -90,9 +86,8 @@
     assert_eq!(detector.failure_rate(&health, CLASS, ZONE, START), 0.0);
 }
 
-/// An attempt was sent, and for a good while its backend has answered nothing of its class. One such attempt
-/// ejects the backend. Those that were sent with it find it ejected already: the ejection is not made longer
-/// by each of them.
+/// A backend has answered no attempt of a class for too long, which ejects it. Other attempts that were
+/// sent at the same time don't extend the ejection.
 #[test]
 fn silence_ejects_a_backend_once_for_all_its_attempts() {
     let mut health = backend();
@@ -103,19 +98,19 @@
     assert_eq!(next, SilenceCheck::Silent { ejection: None });
 }
 
-/// A request is late, but its backend has answered another one since: the request is slow, and the backend is
-/// not silent.
+/// A request is late, but its backend has answered another one since: the request is slow, and the backend
+/// is not silent.
 #[test]
-fn an_answer_after_the_send_is_proof_against_silence() {
+fn a_backend_that_answered_after_the_send_is_not_silent() {
     let (mut detector, mut health) = (detector(), backend());
     detector.record_outcome(&mut health, &ended(HealthSignal::Success, after_millis(50)));
     assert_eq!(health.eject_if_silent(CLASS, START, after_millis(100)), SilenceCheck::Answering);
     assert!(health.eject_if_silent(CLASS, after_millis(60), after_millis(100)).is_silent());
 }
 
-/// A backend fails whenever it is tried again after its ejection. Each ejection lasts twice as long as the
-/// one before, up to eight times the first one: it costs fewer and fewer attempts, and is still found once it
-/// has recovered.
+/// A backend fails each time it is tried after an ejection. Each ejection lasts twice as long as the
+/// previous one, up to eight times the first, so that a failing backend costs few attempts and is still
+/// found once it recovers.
 #[test]
 fn the_ejection_time_doubles_up_to_a_limit() {
     let (mut detector, mut health) = (detector(), backend());
@@ -130,15 +125,15 @@
     }
 }
 
-/// The ejection time is over. One attempt at a time tries the backend; it succeeds, and as few of the recent
-/// attempts had failed, the backend is in service again. The next ejection is as short as a first one.
+/// After the ejection time a single attempt at a time tries the backend. It succeeds while the failure rate
+/// is low, so the backend returns to service, and the next ejection is as short as a first one.
 #[test]
 fn a_success_after_the_ejection_time_returns_a_backend_to_service() {
     let (mut detector, mut health) = (detector(), backend());
     end_attempts(&mut detector, &mut health, 2, HealthSignal::Failure, START);
     let later = after_millis(2000);
-    assert!(!health.is_ejected(CLASS, 0, later), "it may be tried");
-    assert!(health.is_ejected(CLASS, 1, later), "but by one attempt only");
+    assert!(!health.is_ejected(CLASS, 0, later), "one attempt may try the backend");
+    assert!(health.is_ejected(CLASS, 1, later), "a second attempt may not");
     let change = detector.record_outcome(&mut health, &ended(HealthSignal::Success, later));
     assert!(
         matches!(change, Some(HealthChange::Returned { failure_rate }) if failure_rate < 0.25),
@@ -150,8 +145,8 @@
     assert_eq!(ejection.until, after_millis(3600));
 }
 
-/// A backend has failed so often that one success proves little: it stays ejected until successes are the
-/// rule again.
+/// A backend with a high failure rate stays ejected after one success, until enough attempts have
+/// succeeded.
 #[test]
 fn a_backend_returns_only_once_its_failure_rate_is_low() {
     let (mut detector, mut health) = (detector(), backend());
@@ -164,10 +159,10 @@
     assert!((3..12).contains(&successes.unwrap_or(0)), "{successes:?}");
 }
 
-/// Peers report that a backend fails. It is known as failing for every class, before this gateway has lost a
-/// request to it, but only this gateway's own attempts eject it.
+/// Peers report that a backend fails. Its failure rate rises for every class before this gateway has lost a
+/// request there, but only this gateway's own attempts eject it.
 #[test]
-fn failures_seen_by_peers_count_for_all_classes_but_eject_nothing() {
+fn failures_reported_by_peers_count_for_all_classes_but_do_not_eject() {
     let (detector, mut health) = (detector(), backend());
     (0..20).for_each(|_| health.record_peer_attempt(START, true));
     for class in [CLASS, OTHER_CLASS] {
@@ -176,8 +171,8 @@
     }
 }
 
-/// A zone is cut off. After a few failed connections all its backends are avoided, those too that were not
-/// tried yet. One connection that is made proves that the zone can be reached again.
+/// A zone is unreachable. After a few failed connections all its backends are avoided, including those that
+/// were not tried yet. One established connection proves that the zone can be reached again.
 #[test]
 fn failed_connections_count_for_all_backends_of_the_zone() {
     let (mut detector, mut tried, untried) = (detector(), backend(), backend());
@@ -188,10 +183,10 @@
     assert_eq!(detector.failure_rate(&untried, CLASS, ZONE, START), 0.0);
 }
 
-/// A backend that failed is left alone. Its failure rate falls by itself: else nothing would ever try it
-/// again.
+/// A backend that failed gets no attempts. Its failure rate decays with time; otherwise it would never be
+/// tried again.
 #[test]
-fn the_failure_rate_falls_with_time_alone() {
+fn the_failure_rate_decays_without_attempts() {
     let (mut detector, mut health) = (detector(), backend());
     end_attempts(&mut detector, &mut health, 10, HealthSignal::Failure, START);
     let then = detector.failure_rate(&health, CLASS, ZONE, START);
@@ -199,8 +194,8 @@
     assert!((later / then - (-1f64).exp()).abs() < 1e-9, "{then} fell to {later} within one time constant");
 }
 
-/// All answers take 40 ms but those of one backend, which take 80 ms: it is known as twice as slow as usual,
-/// and a latency far beyond the unloaded one is above the highest normal one although the objective is met.
+/// All answers take 40 ms, except those of one backend, which take 80 ms: its relative latency is 2. A
+/// latency far above the unloaded one exceeds the highest normal latency even if the objective is met.
 #[test]
 fn latencies_are_compared_with_those_of_all_backends() {
     let (mut detector, mut usual, mut slow) = (detector(), backend(), backend());
