--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -1,17 +1,17 @@
-//! The errors that end the adapter: input that is cut short or malformed, and output that cannot be written.
+//! Errors of the adapter: truncated or malformed input, and failures to read or write.
 
 use ingress::SettingsError;
 use std::io;
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// Why the adapter ended before the input did.
+/// An error that terminates the adapter.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// The input ended within the header of a batch.
     #[error("input ended after {read} bytes of a batch header")]
     TruncatedHeader {
-        /// Bytes of the header that were read.
+        /// Number of header bytes that were read.
         read: usize,
     },
     /// Reading the header of a batch failed.
@@ -23,15 +23,15 @@
     /// The input ended within a batch.
     #[error("input ended inside a batch: {read} of {expected} bytes after its header")]
     TruncatedBatch {
-        /// Bytes after the header that were read.
+        /// Number of bytes after the header that were read.
         read: usize,
-        /// Bytes after the header that it promised.
+        /// Number of bytes after the header according to its length.
         expected: u64,
     },
     /// Writing a reply failed.
     #[error("cannot write a reply: {0}")]
     WriteReply(#[source] io::Error),
-    /// The header of a batch contradicts itself.
+    /// The length in a batch's header is too short for the records.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// A record of a batch is malformed.
@@ -39,61 +39,61 @@
     Record(#[from] RecordError),
 }
 
-/// A batch that is too short for the records that its header promises.
+/// A batch header whose length is too short for its number of records.
 #[derive(Debug, Error)]
 #[error("batch {batch}: length {length} is too short for its {records} records")]
 pub struct FrameError {
-    /// The batch's number.
+    /// Number of the batch.
     pub batch: u32,
-    /// The frame's length by the header.
+    /// Length of the frame in bytes according to the header.
     pub length: usize,
-    /// The number of records by the header.
+    /// Number of records according to the header.
     pub records: u32,
 }
 
-/// An error in a field of a record, with its place.
+/// An invalid field of a record, with its location in the input.
 #[derive(Debug, Error)]
 #[error("batch {batch}, record {index}, field {field}: {problem}")]
 pub struct RecordError {
-    /// The batch's number.
+    /// Number of the batch.
     pub batch: u32,
-    /// The record's index in its batch.
+    /// Index of the record in its batch.
     pub index: usize,
-    /// The field's name.
+    /// Name of the field on the wire.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Reason for which the field is invalid.
     pub problem: FieldProblem,
 }
 
-/// What is wrong with a field.
+/// The reason for which a field is invalid.
 #[derive(Debug, Error)]
 pub enum FieldProblem {
-    /// It refers to a place outside the tail of its batch.
-    #[error("offset {offset} and count {count} leave the tail of {tail_length} bytes")]
+    /// The field refers to bytes outside the tail of its batch.
+    #[error("offset {offset} and count {count} exceed the tail of {tail_length} bytes")]
     OutsideTail {
-        /// The place's beginning in the tail.
+        /// Offset of the referenced bytes in the tail.
         offset: usize,
-        /// The number of items there.
+        /// Number of items at the offset.
         count: usize,
-        /// The length of the tail in bytes.
+        /// Length of the tail in bytes.
         tail_length: usize,
     },
-    /// No outcome has this code.
+    /// The code is not that of an outcome.
     #[error("unknown code {0}")]
     UnknownOutcome(u16),
-    /// No kind of endpoint update has this code.
+    /// The code is not that of a kind of endpoint update.
     #[error("unknown kind {0}")]
     UnknownEndpointUpdate(u8),
-    /// No availability has this code.
-    #[error("unknown state {0}")]
+    /// The code is not that of an availability.
+    #[error("unknown availability {0}")]
     UnknownAvailability(u8),
-    /// It is not text.
+    /// The bytes are not valid UTF-8.
     #[error(transparent)]
     NotUtf8(#[from] Utf8Error),
-    /// The settings in it cannot be used.
+    /// The settings in the field are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// It names an instance that is not running.
-    #[error("no such instance is running; ignored")]
+    /// The instance of the record is not running.
+    #[error("instance is not running; record ignored")]
     InstanceNotRunning,
 }
--- a/src/bin/simulator-adapter/input.rs
+++ b/src/bin/simulator-adapter/input.rs
@@ -1,14 +1,14 @@
-//! Reads whole frames from the input.
+//! Reader of the frames on standard input.
 
 use crate::error::AdapterError;
 use crate::wire;
 use std::io::{self, Read};
 
-/// Reads the next frame; none at the end of the input.
+/// Reads the next frame. Returns `None` at the end of the input.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
     let Some(mut frame) = read_header(input)? else { return Ok(None) };
     let expected = (wire::frame_size(&frame)? - wire::BATCH_HEADER_SIZE) as u64;
-    // Memory grows with what arrives, not with what the header claims: a false length claims none.
+    // `read_to_end` allocates memory as bytes arrive, so that a wrong length in a header allocates none.
     let read = input.take(expected).read_to_end(&mut frame).map_err(AdapterError::ReadBatch)?;
     if (read as u64) < expected {
         return Err(AdapterError::TruncatedBatch { read, expected });
@@ -16,7 +16,7 @@
     Ok(Some(frame))
 }
 
-/// Reads the header of a batch; none at the end of the input.
+/// Reads the header of a batch. Returns `None` at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
     let mut header = vec![0; wire::BATCH_HEADER_SIZE];
     let mut read = 0;
--- a/src/bin/simulator-adapter/instances.rs
+++ b/src/bin/simulator-adapter/instances.rs
@@ -1,20 +1,19 @@
-//! The running instances: each is the gateway of one simulated process.
+//! The running instances, each with the gateway of one simulated process.
 
 use crate::error::{FieldProblem, RecordError};
 use crate::wire::{Batch, InstanceId, Record, RecordContent, Reply};
 use ingress::{Action, Event, Gateway, Instant, LoadReportField, SettingsError, SettingsReader};
 use std::collections::BTreeMap;
 
-/// A running instance.
+/// A running instance with its gateway and the layout of its load reports.
 struct Instance {
-    /// The instance's decisions.
     gateway: Gateway,
-    /// The values in a load report, in the order of the wire.
+    /// Fields of a load report, in the order of the wire.
     report_fields: Vec<LoadReportField>,
 }
 
 impl Instance {
-    /// Starts an instance with the settings that the simulator gives as text.
+    /// Starts an instance with settings in lines of the form `path=value`.
     fn start(settings: &str, seed: u64, now: Instant) -> Result<Instance, SettingsError> {
         let reader = SettingsReader::from_lines(settings)?;
         let (settings, report_fields) = (reader.settings()?, reader.load_report_fields()?);
@@ -22,17 +21,16 @@
     }
 }
 
-/// All running instances by their numbers on the wire.
+/// All running instances, by their number on the wire.
 #[derive(Default)]
 pub struct Instances {
-    /// Instances that were started and not stopped.
     running: BTreeMap<InstanceId, Instance>,
-    /// A reused buffer for the actions of one event.
+    /// Buffer for the actions of one event, reused between events.
     actions: Vec<Action>,
 }
 
 impl Instances {
-    /// Passes the records of a batch to their instances in order, and returns the frame of the reply.
+    /// Handles the records of a batch in order, and returns the frame of the reply.
     pub fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, RecordError> {
         let mut reply = Reply::new(batch.number);
         for record in batch.records() {
@@ -41,7 +39,7 @@
         Ok(reply.finish())
     }
 
-    /// Starts or stops an instance, or passes an event to it.
+    /// Starts or stops the instance of a record, or passes an event to it. Unknown records are ignored.
     fn handle_record(&mut self, record: &Record, now: Instant, reply: &mut Reply) -> Result<(), RecordError> {
         let id = record.instance();
         let report_fields =
@@ -61,7 +59,8 @@
         Ok(())
     }
 
-    /// Passes an event to its instance, and adds the instance's actions to the reply.
+    /// Passes an event to its instance and adds the actions to the reply. An event for an instance that is
+    /// not running is reported on standard error and ignored.
     fn handle_event(&mut self, record: &Record, event: Event, now: Instant, reply: &mut Reply) {
         let id = record.instance();
         match self.running.get_mut(&id) {
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,5 +1,6 @@
-//! The adapter between the simulator's wire protocol and the library. It translates and decides
-//! nothing.
+//! Adapter between the simulator's wire protocol and the library.
+//!
+//! It only translates batches of events into calls of gateways, and their actions into replies.
 
 mod error;
 mod input;
@@ -21,7 +22,7 @@
     }
 }
 
-/// Answers each batch on standard input with a reply on standard output, until the input ends.
+/// Writes a reply to standard output for each batch on standard input, until the input ends.
 fn run() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,10 +1,10 @@
-//! The simulator's frames: batches of events in, replies with actions out. All numbers are little-endian, and
-//! every length and offset that comes from outside is checked.
+//! The simulator's wire protocol: batches of events as input, replies with actions as output.
 //!
-//! A frame is a header, records of a fixed size, and a tail that holds what has no fixed size; records point
-//! into it.
+//! A frame consists of a header, records of a fixed size, and a tail with the data of variable size, to which
+//! records refer by offset. All integers are little-endian, and all lengths and offsets in the input are
+//! checked.
 //!
-//! This module is the one place that knows the names and codes of the wire, which its errors use. Where they
+//! The names and codes of the wire are defined in this module alone, and its errors use them. Those that
 //! differ from the terms in the code:
 //!
 //! | name on the wire | term in the code |
@@ -17,7 +17,7 @@
 //! | `width`, `from_no` | `gateway_set_size`, `gateway_set_start` |
 //! | `Settled` | [`Event::AttemptEnded`] |
 //! | `round_no`, `wait_time_us`, `complete`, `charged` | attempt, elapsed, `request_closed`, `charged_units` |
-//! | `usage`, a load report | `reported_queue_depth` |
+//! | `usage`: a load report | `reported_queue_depth` |
 //! | `Withdrawn` | [`Event::RequestClosed`] |
 //! | `RosterChange` with `scope` and `rows` | [`Event::Endpoints`] with its kind and endpoints |
 //! | `DeadlineHit`, `SetAlarm` | [`Event::Timer`], [`Action::SetTimer`] |
@@ -52,7 +52,7 @@
 pub use record::{Record, RecordContent};
 pub use reply::Reply;
 
-/// The number of an instance on the wire.
+/// Identifies a simulated process on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceId(pub u16);
 
--- a/src/bin/simulator-adapter/wire/batch.rs
+++ b/src/bin/simulator-adapter/wire/batch.rs
@@ -1,18 +1,17 @@
-//! Batches: a header with count, length, clock and number, then the records of events, then the tail.
+//! Decoding of batches: a header with count, length, clock and number, the records of events, and the tail.
 
 use super::field_reader::FieldReader;
 use super::record::{Record, RECORD_SIZE};
 use crate::error::FrameError;
 use ingress::Instant;
 
-/// Bytes of a batch's header.
+/// Length of a batch's header in bytes.
 pub const BATCH_HEADER_SIZE: usize = 20;
 
-/// A batch's header.
+/// The decoded header of a batch.
 struct Header {
-    /// How many records follow.
     record_count: u32,
-    /// Bytes of the whole frame, this header included.
+    /// Length of the whole frame in bytes, including this header.
     frame_size: usize,
     /// See [`Batch::clock`].
     clock: Instant,
@@ -21,7 +20,7 @@
 }
 
 impl Header {
-    /// Reads a header; its length must hold the records that it promises.
+    /// Decodes a header, and checks that its length is sufficient for its records.
     fn parse(bytes: &[u8]) -> Result<Header, FrameError> {
         let mut fields = FieldReader::new(bytes);
         let header = Header {
@@ -40,31 +39,31 @@
         Ok(header)
     }
 
-    /// Where the tail starts in the frame.
+    /// Returns the offset of the tail in the frame.
     fn tail_start(&self) -> usize {
         BATCH_HEADER_SIZE + self.record_count as usize * RECORD_SIZE
     }
 }
 
-/// The size of the whole frame that starts with this header.
+/// Returns the length in bytes of the frame that starts with this header.
 pub fn frame_size(header: &[u8]) -> Result<usize, FrameError> {
     Ok(Header::parse(header)?.frame_size)
 }
 
-/// A batch of records.
+/// A batch of records with the same time.
 pub struct Batch<'a> {
-    /// Its number, which the reply repeats.
+    /// Number of the batch, repeated in the reply.
     pub number: u32,
-    /// The time of its records.
+    /// Time of all records.
     pub clock: Instant,
-    /// The bytes of all records.
+    /// Encoded records.
     records: &'a [u8],
-    /// The tail, which records point into.
+    /// Data of variable size, to which records refer by offset.
     tail: &'a [u8],
 }
 
 impl<'a> Batch<'a> {
-    /// Splits a whole frame, as [`frame_size`] measured it.
+    /// Splits a whole frame, whose length is that returned by [`frame_size`].
     pub fn parse(frame: &'a [u8]) -> Result<Self, FrameError> {
         let header = Header::parse(frame)?;
         let tail_start = header.tail_start();
@@ -73,7 +72,7 @@
         Ok(Batch { number: header.number, clock: header.clock, records, tail })
     }
 
-    /// The records in their order.
+    /// Returns the records in order.
     pub fn records(&self) -> impl Iterator<Item = Record<'a>> + '_ {
         let bodies = self.records.chunks_exact(RECORD_SIZE).enumerate();
         bodies.map(|(index, body)| Record { batch: self.number, index, body, tail: self.tail })
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -1,4 +1,4 @@
-//! Records of a batch: a code, the number of an instance, and the fields that belong to the code.
+//! Decoding of the records of a batch: a code, the number of an instance, and the fields of that code.
 
 use super::field_reader::{FieldReader, BACKEND_ID_SIZE};
 use super::InstanceId;
@@ -8,23 +8,23 @@
     Outcome, Request, RequestId,
 };
 
-/// Bytes of a record.
+/// Length of a record in bytes.
 pub const RECORD_SIZE: usize = 48;
-/// Bytes of an endpoint in the tail.
+/// Length of an endpoint in the tail, in bytes.
 const ENDPOINT_SIZE: usize = 24;
-/// Bytes of an endpoint update between its kind and its rows, which no decision uses: the version of the
-/// list.
+/// Length of the version of an endpoint list, between its kind and its rows, in bytes. The version is
+/// ignored.
 const ENDPOINT_UPDATE_SKIPPED: usize = 8;
-/// Bytes before the outcome of a health check: the backend.
+/// Length of the backend, before the outcome of a health check, in bytes.
 const HEALTH_CHECK_OUTCOME_OFFSET: usize = BACKEND_ID_SIZE;
-/// Bytes before the outcome of a call to the shared counter: the name of the number.
+/// Length of the counter's name, before the outcome of a call to the shared counter, in bytes.
 const COUNTER_OUTCOME_OFFSET: usize = size_of::<u64>();
-/// The most values that a load report has on the wire.
+/// Maximum number of values in a load report on the wire.
 const MAX_REPORT_VALUES: usize = 4;
-/// Bytes of the metered use of a customer, which no decision uses.
+/// Length of a customer's metered usage in bytes, which is ignored.
 const METERED_USE_SIZE: usize = size_of::<u16>();
 
-/// The codes of records, with their names on the wire.
+/// Codes of records, each documented with its name on the wire.
 mod code {
     /// `Call`.
     pub const REQUEST: u8 = 10;
@@ -50,49 +50,49 @@
     pub const STOP: u8 = 110;
 }
 
-/// A record of a batch.
+/// An undecoded record of a batch.
 pub struct Record<'a> {
-    /// The number of its batch.
+    /// Number of the batch.
     pub batch: u32,
-    /// Its index in the batch.
+    /// Index of the record in the batch.
     pub index: usize,
-    /// Its bytes.
+    /// Encoded record.
     pub body: &'a [u8],
-    /// The tail of its batch.
+    /// Tail of the batch.
     pub tail: &'a [u8],
 }
 
-/// The content of a record.
+/// A decoded record: the start or stop of an instance, or an event for it.
 pub enum RecordContent<'a> {
-    /// The instance starts.
+    /// An instance has to be started.
     Start {
-        /// The seed of its random numbers.
+        /// Seed of the gateway's random draws.
         seed: u64,
-        /// Its settings, one on each line.
+        /// Settings in lines of the form `path=value`.
         settings: &'a str,
     },
-    /// The instance was killed.
+    /// The simulated process was killed.
     Stop,
-    /// An event for the instance.
+    /// An event has to be passed to the instance.
     Event(Event),
-    /// A code that this adapter does not know.
+    /// The code is not defined in this adapter.
     Unknown,
 }
 
 impl<'a> Record<'a> {
-    /// The instance that the record is for.
+    /// Returns the instance that the record is addressed to.
     pub fn instance(&self) -> InstanceId {
         let mut fields = FieldReader::new(self.body);
         fields.skip(1);
         InstanceId(fields.u16())
     }
 
-    /// An error about a field of this record.
+    /// Creates an error for a field of this record.
     pub fn error(&self, field: &'static str, problem: FieldProblem) -> RecordError {
         RecordError { batch: self.batch, index: self.index, field, problem }
     }
 
-    /// Decodes the record. `report_fields` are the values in a load report.
+    /// Decodes the record. `report_fields` are the fields of a load report, in order.
     pub fn decode(&self, report_fields: &[LoadReportField]) -> Result<RecordContent<'a>, RecordError> {
         let mut fields = FieldReader::new(self.body);
         let code = fields.u8();
@@ -114,7 +114,7 @@
         Ok(RecordContent::Event(event))
     }
 
-    /// Reads a seed and the place of the settings.
+    /// Reads the seed and the settings of an instance.
     fn start(&self, fields: &mut FieldReader) -> Result<RecordContent<'a>, RecordError> {
         let seed = fields.u64();
         let text = self.tail_slice(fields, "conf", 1)?;
@@ -123,7 +123,7 @@
         Ok(RecordContent::Start { seed, settings })
     }
 
-    /// Reads the kind of an endpoint update and the place of its rows.
+    /// Reads the kind and the rows of an endpoint update.
     fn endpoints(&self, fields: &mut FieldReader) -> Result<Event, RecordError> {
         let update = match fields.u8() {
             0 => EndpointUpdate::Delta,
@@ -153,7 +153,7 @@
         })
     }
 
-    /// Reads an endpoint's availability.
+    /// Reads the availability of an endpoint.
     fn availability(&self, fields: &mut FieldReader) -> Result<Availability, RecordError> {
         match fields.u8() {
             0 => Ok(Availability::Draining),
@@ -163,14 +163,14 @@
         }
     }
 
-    /// Reads an event that no decision uses; only its outcome, at this offset, is checked.
+    /// Reads an event that is ignored, and checks its outcome at this offset.
     fn unused_event(&self, fields: &mut FieldReader, outcome_offset: usize) -> Result<Event, RecordError> {
         fields.skip(outcome_offset);
         self.outcome(fields)?;
         Ok(Event::Unused)
     }
 
-    /// Reads the end of an attempt.
+    /// Reads the fields of an attempt's end, in their order on the wire.
     fn attempt_ended(
         &self,
         fields: &mut FieldReader,
@@ -197,14 +197,14 @@
         }))
     }
 
-    /// Reads a sender and the place of its message.
+    /// Reads the sender and the bytes of a peer's message.
     fn peer_message(&self, fields: &mut FieldReader) -> Result<Event, RecordError> {
         let from = GatewayId(fields.u16());
         let bytes = self.tail_slice(fields, "octets", 1)?.to_vec();
         Ok(Event::PeerMessage { from, bytes })
     }
 
-    /// Reads an outcome.
+    /// Reads the code of an outcome.
     fn outcome(&self, fields: &mut FieldReader) -> Result<Outcome, RecordError> {
         Ok(match fields.u16() {
             200 => Outcome::Ok,
@@ -219,8 +219,8 @@
         })
     }
 
-    /// The part of the tail that the next two fields point to: an offset, and a count of items of `item_size`
-    /// bytes.
+    /// Returns the part of the tail given by the next two fields: an offset in bytes, and a count of items of
+    /// `item_size` bytes.
     fn tail_slice(
         &self,
         fields: &mut FieldReader,
@@ -235,7 +235,7 @@
     }
 }
 
-/// Reads a client's request.
+/// Reads the fields of a request, in their order on the wire.
 fn request(fields: &mut FieldReader) -> Request {
     Request {
         id: RequestId(fields.u64()),
@@ -249,7 +249,7 @@
     }
 }
 
-/// Reads a load report, a count and as many values, and returns the queue depth in it.
+/// Reads a load report, a count and that number of values, and returns the queue depth in it.
 fn queue_depth(fields: &mut FieldReader, report_fields: &[LoadReportField]) -> Option<f64> {
     let count = usize::from(fields.u8()).min(MAX_REPORT_VALUES);
     let mut queue_depth = None;
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -1,19 +1,20 @@
-//! Replies: a header with count, length and the batch's number, then the records of actions, then the tail.
+//! Encoding of replies: a header with count, length and the batch's number, the records of actions, and the
+//! tail.
 
 use super::field_writer::FieldWriter;
 use super::InstanceId;
 use ingress::{Action, GatewayId, Instant};
 
-/// Bytes of a reply's header.
+/// Length of a reply's header in bytes.
 pub const REPLY_HEADER_SIZE: usize = 12;
-/// Bytes of an action's record.
+/// Length of an action's record in bytes.
 pub const ACTION_SIZE: usize = 32;
-/// The receiver of a message to all peers.
+/// Receiver of messages to all peers.
 const ALL_PEERS: GatewayId = GatewayId(u16::MAX);
-/// What the byte of a call to discovery says: that it subscribes, and does not unsubscribe.
+/// Flag of a call to discovery that subscribes rather than unsubscribes.
 const SUBSCRIBE: u8 = 1;
 
-/// The codes of actions, with their names on the wire.
+/// Codes of actions, each documented with its name on the wire.
 mod code {
     /// `Deliver`.
     pub const SEND: u8 = 10;
@@ -33,23 +34,23 @@
     pub const POLL_DISCOVERY: u8 = 110;
 }
 
-/// A reply under construction.
+/// A reply to a batch, under construction.
 pub struct Reply {
-    /// The batch's number.
+    /// Number of the batch.
     batch: u32,
-    /// The records so far.
+    /// Encoded records.
     records: Vec<u8>,
-    /// The tail so far, which records point into.
+    /// Data of variable size, to which records refer by offset.
     tail: Vec<u8>,
 }
 
 impl Reply {
-    /// A reply to the batch with this number.
+    /// Creates an empty reply to the batch with this number.
     pub fn new(batch: u32) -> Self {
         Reply { batch, records: Vec::new(), tail: Vec::new() }
     }
 
-    /// Adds an instance's actions.
+    /// Appends records of an instance's actions.
     pub fn push(&mut self, instance: InstanceId, actions: &[Action]) {
         for action in actions {
             let mut record = FieldWriter::<ACTION_SIZE>::new();
@@ -59,11 +60,11 @@
         }
     }
 
-    /// Writes what follows an action's code and instance.
+    /// Writes the fields of an action, which follow its code and instance.
     fn write_fields(&mut self, record: &mut FieldWriter<ACTION_SIZE>, action: &Action) {
         match action {
             Action::Send { id, backend, expires_at } => {
-                // 0 stands for the client's deadline.
+                // 0 means the client's deadline.
                 let expires_at = expires_at.map_or(0, Instant::as_micros);
                 record.request(*id).u64(expires_at).backend(*backend);
             }
@@ -90,13 +91,13 @@
         }
     }
 
-    /// Appends bytes to the tail, and writes their place there into the record.
+    /// Appends bytes to the tail, and writes their offset and length to the record.
     fn write_tail(&mut self, record: &mut FieldWriter<ACTION_SIZE>, bytes: &[u8]) {
         record.u32(self.tail.len() as u32).u32(bytes.len() as u32);
         self.tail.extend_from_slice(bytes);
     }
 
-    /// The whole frame.
+    /// Encodes the whole frame.
     pub fn finish(self) -> Vec<u8> {
         let size = REPLY_HEADER_SIZE + self.records.len() + self.tail.len();
         let mut header = FieldWriter::<REPLY_HEADER_SIZE>::new();
@@ -109,7 +110,7 @@
     }
 }
 
-/// The code that the wire has for an action.
+/// Returns the code of an action on the wire.
 fn action_code(action: &Action) -> u8 {
     match action {
         Action::Send { .. } => code::SEND,
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -9,10 +9,10 @@
     GatewayId, Instant, LoadReportField, Outcome, Request, RequestId,
 };
 
-/// Each kind of action is written with the code and at the offsets that the simulator reads. One field at a wrong
-/// place would send a request to another backend or answer another client, and the simulator could not tell.
+/// A field of an action at a wrong offset would send a request to another backend or answer another client,
+/// and the simulator could not detect it.
 #[test]
-fn every_action_has_its_code_and_its_fields_in_place() {
+fn actions_are_encoded_with_their_codes_and_offsets() {
     let (id, backend) = (RequestId(0x0a_0b0c), BackendId(0x0605_0403_0201));
     let actions = [
         (
@@ -45,12 +45,12 @@
         let record = &frame[REPLY_HEADER_SIZE + ACTION_SIZE * index..][..ACTION_SIZE];
         assert_eq!(record[..3], [*code, 3, 0], "{action:?}");
         for (at, value) in fields {
-            assert_eq!(record[*at], *value, "{action:?} at {at}");
+            assert_eq!(record[*at], *value, "{action:?} at offset {at}");
         }
     }
 }
 
-/// A record of an event at instance 1, with the given bytes at the given offsets.
+/// Encodes an event for instance 1, with the given bytes at the given offsets.
 fn event_record(code: u8, parts: &[(usize, &[u8])]) -> [u8; RECORD_SIZE] {
     let mut record = [0; RECORD_SIZE];
     (record[0], record[1]) = (code, 1);
@@ -60,13 +60,13 @@
     record
 }
 
-/// Decodes the event of a record.
+/// Decodes a record, and asserts that it is an event for instance 1.
 fn read_event(body: [u8; RECORD_SIZE]) -> Event {
     let record = Record { batch: 1, index: 0, body: &body, tail: &[4, 5, 6] };
     assert_eq!(record.instance(), InstanceId(1));
     match record.decode(&[LoadReportField::QueueDepth]) {
         Ok(RecordContent::Event(event)) => event,
-        _ => panic!("not an event"),
+        _ => panic!("record is not an event"),
     }
 }
 
@@ -74,10 +74,9 @@
     value.to_le_bytes()
 }
 
-/// A request's fields are read from the offsets at which the simulator writes them. Read from elsewhere, a request
-/// would count for another customer, plan or deadline.
+/// Decoded from wrong offsets, a request would have another customer, plan or deadline.
 #[test]
-fn a_request_is_read_from_its_places() {
+fn request_is_decoded_from_its_offsets() {
     let request = event_record(
         10,
         &[
@@ -91,17 +90,17 @@
             (38, &float(7.0)),
         ],
     );
-    let Event::Request(request) = read_event(request) else { panic!("not a request") };
+    let Event::Request(request) = read_event(request) else { panic!("event is not a request") };
     let Request { id, class, plan, customer, deadline, units, gateway_set_size, gateway_set_start } = request;
     assert_eq!((id, class, plan, customer), (RequestId(9), 2, 3, CustomerId(4)));
     assert_eq!(deadline, Instant::from_micros(5));
     assert_eq!((units, gateway_set_size, gateway_set_start), (2.0, 3.0, 7.0));
 }
 
-/// The fields of an attempt's end are read from the offsets at which the simulator writes them. A wrong outcome
-/// would have a request retried that was executed, or fail one that was served.
+/// With an outcome decoded from a wrong offset, a request that was executed could be retried, or one that was
+/// served could be failed.
 #[test]
-fn the_end_of_an_attempt_is_read_from_its_places() {
+fn end_of_an_attempt_is_decoded_from_its_offsets() {
     let attempt_ended = event_record(
         20,
         &[
@@ -128,24 +127,23 @@
         reported_queue_depth,
     }) = read_event(attempt_ended)
     else {
-        panic!("not the end of an attempt")
+        panic!("event is not the end of an attempt")
     };
     assert_eq!((id, attempt, backend), (RequestId(9), 2, BackendId(8)));
     assert_eq!((outcome, request_closed, elapsed), (Outcome::Ok, true, Duration::from_micros(7)));
     assert_eq!((charged_units, reported_queue_depth), (Some(3.0), Some(6.0)));
 }
 
-/// Disconnects, timers, first bytes and messages of peers each have their own fields at their own offsets. Read
-/// from elsewhere, they would concern another request or peer. Health checks and counters are read as well, though
-/// no decision uses them.
+/// Decoded from wrong offsets, disconnects, timers, first bytes and peer messages would concern another
+/// request or peer. Health checks and counters are decoded as well, though they are ignored.
 #[test]
-fn other_events_are_read_from_their_places() {
+fn other_events_are_decoded_from_their_offsets() {
     assert!(matches!(read_event(event_record(90, &[(3, &[6])])), Event::RequestClosed(RequestId(6))));
     assert!(matches!(read_event(event_record(70, &[(3, &[6])])), Event::Timer(6)));
     let first_byte = read_event(event_record(100, &[(3, &[6]), (11, &[2])]));
     assert!(matches!(first_byte, Event::FirstByte { id: RequestId(6), attempt: 2 }));
     let message = read_event(event_record(80, &[(3, &[2]), (5, &[1]), (9, &[2])]));
-    let Event::PeerMessage { from, bytes } = message else { panic!("not a peer's message") };
+    let Event::PeerMessage { from, bytes } = message else { panic!("event is not a peer message") };
     assert_eq!((from, bytes), (GatewayId(2), vec![5, 6]));
     let health_check = event_record(30, &[(3, &[8]), (9, &[0x99, 1]), (11, &[7])]);
     assert!(matches!(read_event(health_check), Event::Unused));
@@ -153,22 +151,22 @@
     assert!(matches!(read_event(counter), Event::Unused));
 }
 
-/// An event that no decision uses arrives with an outcome that does not exist, so the frame was read at the wrong
-/// places. It is an error that names the field, as whatever follows in that frame would be read wrongly too.
+/// An unknown outcome in an ignored event means that the layout of the frame differs from the expected one.
+/// Without an error, the following records would be decoded wrongly.
 #[test]
-fn an_unused_event_with_an_unknown_outcome_is_refused() {
+fn unused_event_with_an_unknown_outcome_is_rejected() {
     for (code, outcome_at) in [(30, 9), (40, 11)] {
         let body = event_record(code, &[(outcome_at, &[0x9a, 1])]);
         let record = Record { batch: 1, index: 0, body: &body, tail: &[] };
-        let Err(error) = record.decode(&[]) else { panic!("code {code}: accepted") };
+        let Err(error) = record.decode(&[]) else { panic!("code {code}: record was accepted") };
         assert_eq!(error.to_string(), "batch 1, record 0, field outcome: unknown code 410");
     }
 }
 
-/// The rows of an endpoint list follow the records of a batch, 24 bytes each. A row read from elsewhere would name
-/// a backend that does not exist, or take a draining one for ready.
+/// The rows of an endpoint list are in the tail of a batch, 24 bytes each. Decoded from wrong offsets, a row
+/// would contain an unknown backend, or a draining one as ready.
 #[test]
-fn an_endpoint_list_is_read_from_the_tail() {
+fn endpoint_list_is_decoded_from_the_tail() {
     let mut row = [0; 24];
     row[0] = 7;
     (row[6], row[7], row[9], row[11]) = (2, 3, 4, 1);
@@ -179,7 +177,7 @@
     let record = Record { batch: 1, index: 0, body: &body, tail: &row };
     assert_eq!(record.instance(), InstanceId(1));
     let Ok(RecordContent::Event(Event::Endpoints(update, endpoints))) = record.decode(&[]) else {
-        panic!("not an endpoint list")
+        panic!("event is not an endpoint list")
     };
     assert_eq!((update, endpoints.len()), (EndpointUpdate::Snapshot, 1));
     let Endpoint { backend, zone, cell, machine_type, availability, size, started_at } = endpoints[0];
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,7 +22,8 @@
 //!     late_weight: 0.0, idempotency: Idempotency::Idempotent, streaming: false,
 //! };
 //! let settings = Settings {
-//!     gateway_count: 1, tick: Duration::from_millis(4), classes: vec![class], plans: vec![plan], ..Settings::default()
+//!     gateway_count: 1, tick: Duration::from_millis(4), classes: vec![class], plans: vec![plan],
+//!     ..Settings::default()
 //! };
 //! let start = Instant::from_micros(1_000_000);
 //! let mut gateway = Gateway::new(settings, 42, start);
@@ -44,8 +45,8 @@
 //!
 //! actions.clear();
 //! let answer = Event::AttemptEnded(AttemptEnded {
-//!     id, attempt: 0, backend, outcome: Outcome::Ok, request_closed: true, elapsed: Duration::from_millis(12),
-//!     charged_units: None, reported_queue_depth: None,
+//!     id, attempt: 0, backend, outcome: Outcome::Ok, request_closed: true,
+//!     elapsed: Duration::from_millis(12), charged_units: None, reported_queue_depth: None,
 //! });
 //! gateway.handle(start + Duration::from_millis(16), answer, &mut actions);
 //! assert!(actions.is_empty(), "the host has answered the client, so no action is left");
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! The built adapter tested through the frames on its standard input and output.
+//! Tests of the adapter's program with frames on standard input and output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -6,7 +6,7 @@
 const HEADER_SIZE: usize = 20;
 const RECORD_SIZE: usize = 48;
 
-/// Runs the adapter on this input to its end.
+/// Runs the adapter with this standard input until it exits.
 fn run(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -14,12 +14,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may end before it has read all: that is what some of these tests are about.
+    // The write fails if the adapter exits on an error before it has read all input.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
 
-/// A frame of a batch: header, records and tail.
+/// Encodes a batch as header, records and tail.
 fn batch(number: u32, clock: u64, records: &[[u8; RECORD_SIZE]], tail: &[u8]) -> Vec<u8> {
     let size = HEADER_SIZE + records.len() * RECORD_SIZE + tail.len();
     let mut frame = Vec::new();
@@ -34,7 +34,7 @@
     frame
 }
 
-/// A record of an event: its code, followed by its fields.
+/// Encodes a record as a code followed by fields, padded with zeros.
 fn record(code: u8, fields: &[u8]) -> [u8; RECORD_SIZE] {
     let mut record = [0; RECORD_SIZE];
     record[0] = code;
@@ -42,7 +42,7 @@
     record
 }
 
-/// Asserts that the adapter ended without a panic and with an error that names all of these parts.
+/// Asserts that the adapter failed without a panic, with an error that contains all `parts`.
 fn assert_fails_with(output: &Output, parts: &[&str]) {
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success(), "{text}");
@@ -52,18 +52,17 @@
     }
 }
 
-/// The simulator sends a batch without events and then closes the input. The adapter answers the batch, since the
-/// simulator waits for an answer to each, and exits with success, since this is how a run ends.
+/// The simulator waits for a reply to each batch, including one without events, and ends a run by closing the
+/// input. Without the reply it would hang, and with another exit status the run would fail.
 #[test]
-fn an_empty_batch_is_answered_and_the_end_of_input_is_a_success() {
+fn empty_batch_is_answered_and_end_of_input_is_a_success() {
     let output = run(&batch(9, 5, &[], &[]));
     assert!(output.status.success());
     assert_eq!(output.stdout, [0, 0, 0, 0, 12, 0, 0, 0, 9, 0, 0, 0]);
 }
 
-/// A frame ends too early, or its size contradicts its contents. The adapter exits with an error that says what is
-/// missing, and neither panics nor answers; whoever runs a simulation learns that the input is at fault and not a
-/// decision.
+/// A frame is truncated, or its length contradicts its contents. Without an error that states what is
+/// missing, the failure of the run would be attributed to the gateway's decisions.
 #[test]
 fn truncated_or_inconsistent_frames_are_reported_without_a_reply() {
     assert_fails_with(&run(&batch(1, 5, &[], &[])[..13]), &["13 bytes of a batch header"]);
@@ -76,11 +75,11 @@
     assert_fails_with(&run(&short), &["batch 1", "too short"]);
 }
 
-/// One field of one record among many is invalid. The error names batch, record and field, without which the person
-/// who runs the simulation would have to search the input byte by byte.
+/// One field of a record is invalid. Without batch, record and field in the error, the input would have to be
+/// searched byte by byte.
 #[test]
 fn invalid_fields_are_reported_by_batch_record_and_field() {
-    // A message whose bytes exceed the tail.
+    // A peer message whose bytes exceed the tail.
     let peer = record(80, &[0, 0, 1, 0, 200, 0, 0, 0, 9, 0, 0, 0]);
     assert_fails_with(
         &run(&batch(4, 5, &[record(70, &[0; 6]), peer], b"abc")),
@@ -95,13 +94,12 @@
     );
 }
 
-/// A batch holds an event of a kind that the adapter does not know, and events for instances that are not running.
-/// The adapter skips them, answers the batch as usual and says so on its error output; one event that it cannot use
-/// must not end the whole run.
+/// A batch contains a record with an unknown code, and records for instances that are not running. These must
+/// not terminate the run: the batch is answered, and the error output reports the ignored event.
 #[test]
-fn unknown_codes_and_instances_that_are_not_running_do_no_harm() {
+fn records_of_unknown_codes_and_stopped_instances_are_ignored() {
     let output = run(&batch(3, 5, &[record(222, &[1; 40]), record(90, &[7, 0]), record(110, &[7, 0])], &[]));
     assert!(output.status.success());
     assert_eq!(output.stdout, [0, 0, 0, 0, 12, 0, 0, 0, 3, 0, 0, 0]);
-    assert!(String::from_utf8_lossy(&output.stderr).contains("no such instance"));
+    assert!(String::from_utf8_lossy(&output.stderr).contains("instance is not running"));
 }
