--- a/tests/gateway/admission.rs
+++ b/tests/gateway/admission.rs
@@ -4,9 +4,9 @@
 use crate::support::settings::{settings, IDEMPOTENT, NON_IDEMPOTENT, RATE_QUOTA, SECOND, START, UNLIMITED};
 use ingress::*;
 
-/// A client retries with a few milliseconds left, and no backend is available. If the request were queued, the next
-/// timer would come after its deadline and the client would give up without an answer; so it is rejected at once.
-/// One with more time left is queued, and still answered before its deadline.
+/// A client retries with a few milliseconds left while no backend is available. If the request were queued,
+/// the next timer would run after its deadline and the client would get no answer, so it is rejected
+/// immediately. A request with more time left is queued, and answered before its deadline.
 #[test]
 fn a_request_close_to_its_deadline_is_rejected_immediately() {
     let mut harness = GatewayHarness::new(settings(), 1);
@@ -18,13 +18,12 @@
     assert!(!is_rejected(&harness.handle(Event::Request(waiting))));
     assert!(
         is_rejected(&harness.advance(Duration::from_millis(80))),
-        "it waits, and is answered before its deadline"
+        "a queued request is rejected before its deadline"
     );
 }
 
-/// A request is queued when the whole process stalls, and its deadline passes. Formerly the next timer after the stall
-/// came 12 ms too late, so that its client got no answer at all; now the first event after the stall, whatever it is,
-/// answers it.
+/// The process stalls beyond the deadline of a queued request. If only timers rejected it, the next one
+/// could run 12 ms after the client gave up, so the first event after the stall answers it, whatever it is.
 #[test]
 fn requests_that_expired_during_a_stall_are_rejected_by_the_first_event_after_it() {
     let mut harness = GatewayHarness::new(settings(), 1);
@@ -42,9 +41,9 @@
     assert!(is_rejected(&harness.handle(Event::RequestClosed(RequestId(99)))));
 }
 
-/// A client disconnects while its request waits for the concurrency limit, for a quota grant or for a retry.
-/// Nothing of it may reach a backend after that, since the backend would work for nobody; and because nothing is in
-/// flight yet, this holds even where the settings do not permit cancelling attempts.
+/// A client disconnects while its request waits for the concurrency limit, a grant or a retry. No attempt
+/// may be sent after that, since the backend would do useless work. Nothing is in flight yet, so this holds
+/// even if the settings forbid cancellation.
 #[test]
 fn a_request_of_a_disconnected_client_is_not_sent() {
     for cancellation in [true, false] {
@@ -55,7 +54,7 @@
     }
 }
 
-/// The client disconnects while the concurrency limit is reached at the only backend.
+/// Disconnects clients while the concurrency limit is reached at the only backend.
 fn disconnects_while_waiting_for_the_concurrency_limit(settings: Settings) {
     let mut harness = GatewayHarness::new(Settings { gateway_count: 1, ..settings }, 1);
     let requests: Vec<_> =
@@ -65,7 +64,7 @@
     let waiting: Vec<_> = others.into_iter().filter(|request| !is_rejected(&request.actions)).collect();
     assert!(
         !in_flight.is_empty() && !waiting.is_empty(),
-        "{} in flight, {} waiting",
+        "{} requests are in flight, {} are waiting",
         in_flight.len(),
         waiting.len()
     );
@@ -74,12 +73,12 @@
     }
     for request in &in_flight {
         let after_end = harness.end_attempt(request.id, 0, sent_to(&request.actions)[0], Outcome::Ok);
-        assert!(sent_to(&after_end).is_empty(), "sent for a client that had disconnected");
+        assert!(sent_to(&after_end).is_empty(), "an attempt was sent for a disconnected client");
     }
     assert!(sent_to(&harness.advance(SECOND)).is_empty());
 }
 
-/// The client disconnects while its request waits for a grant, in a fleet where each customer has one quota owner.
+/// Disconnects clients while their requests wait for a grant, in a fleet with one quota owner per customer.
 fn disconnects_while_waiting_for_a_grant(settings: Settings) {
     let mut harness = GatewayHarness::new(Settings { gateway_count: 100, ..settings }, 6);
     let requests: Vec<_> =
@@ -88,14 +87,14 @@
         .iter()
         .filter(|request| sent_to(&request.actions).is_empty() && !is_rejected(&request.actions))
         .collect();
-    assert!(waiting.len() > 5, "{} of 20 are waiting", waiting.len());
+    assert!(waiting.len() > 5, "{} of 20 requests are waiting", waiting.len());
     for request in &waiting {
         assert!(sent_to(&harness.handle(Event::RequestClosed(request.id))).is_empty());
     }
     assert!(sent_to(&harness.advance(SECOND)).is_empty());
 }
 
-/// The client disconnects, and then the attempt in flight fails, which would be followed by a retry.
+/// Disconnects a client before its attempt in flight fails, which would otherwise cause a retry.
 fn disconnects_before_the_attempt_fails(settings: Settings) {
     let mut harness = GatewayHarness::new(settings, 6);
     let SubmittedRequest { id, actions } = harness.request(IDEMPOTENT, UNLIMITED, 1, 1.0);
@@ -104,8 +103,8 @@
     assert!(sent_to(&end).is_empty() && sent_to(&harness.advance(SECOND)).is_empty());
 }
 
-/// A client disconnects, and its attempt times out afterwards. No answer, rejection or retry follows, as nobody is
-/// there to receive it.
+/// A client disconnects, and its attempt times out afterwards. No answer, rejection or retry follows, since
+/// nobody would receive it.
 #[test]
 fn an_attempt_that_ends_after_a_disconnect_gets_no_final_answer() {
     let mut harness = GatewayHarness::new(settings(), 4);
@@ -116,9 +115,9 @@
     assert!(harness.handle(Event::RequestClosed(id)).is_empty());
 }
 
-/// Peers send garbage, requests name classes, plans, units or sets that do not exist, and attempts end that never
-/// began. The gateway must not panic, answer a request twice or send it to a backend; one such event would
-/// otherwise take down the ingress for all its clients.
+/// Peers send garbage, requests contain classes, plans, units or gateway sets that don't exist, and
+/// attempts end that never began. The gateway must not panic, answer twice, or send to a backend; a panic
+/// would take down the ingress for all its clients.
 #[test]
 fn malformed_events_get_at_most_one_final_answer() {
     let mut harness = GatewayHarness::new(settings(), 2);
--- a/tests/gateway/load_balancing.rs
+++ b/tests/gateway/load_balancing.rs
@@ -4,8 +4,8 @@
 use crate::support::settings::{endpoint, settings, settings_of, IDEMPOTENT, SECOND, START, UNLIMITED};
 use ingress::*;
 
-/// One backend is draining and the other one is removed. Requests go only to a backend that takes new work; once
-/// there is none, a request waits for a while and is then rejected before its client gives up.
+/// One backend is draining and the other one is removed. Requests are sent only to a backend that accepts
+/// new ones; without one a request waits and is rejected before its client gives up.
 #[test]
 fn a_draining_backend_gets_no_new_requests() {
     let mut harness = GatewayHarness::new(settings(), 2);
@@ -22,14 +22,17 @@
     let waiting = harness.request(IDEMPOTENT, UNLIMITED, 1, 1.0).actions;
     assert!(sent_to(&waiting).is_empty());
     let later = harness.advance(SECOND);
-    assert!(sent_to(&later).is_empty() && is_rejected(&later), "it waits, then is rejected in time");
+    assert!(
+        sent_to(&later).is_empty() && is_rejected(&later),
+        "the request waits and is then rejected before its deadline"
+    );
 }
 
-/// A backend has just started and can bear only a few requests. A hundred and fifty gateways do not know of each
-/// other's requests; if each sent at least one at once, the backend would be overloaded before it is warm. Together
-/// they send a handful, and more once its slow start is over.
+/// A backend has just started and can serve only a few requests, and 150 gateways don't see each other's
+/// attempts. If each sent one at once, they would overload the backend. Together they send at most six, and
+/// more once slow start is over.
 #[test]
-fn slow_start_holds_over_a_hundred_and_fifty_gateways() {
+fn slow_start_limits_the_attempts_of_a_hundred_and_fifty_gateways() {
     let (mut sent_at_once, mut sent_later) = (0, 0);
     for own_id in 0..150 {
         let mut harness = GatewayHarness::new(settings_of(own_id, 150), 1);
@@ -45,13 +48,15 @@
                 + sent_to(&harness.request(IDEMPOTENT, UNLIMITED, customer, 1.0).actions).len();
         }
     }
-    assert!(sent_at_once <= 6, "{sent_at_once} sent at once to a backend that has just started");
-    assert!(sent_later > 100, "{sent_later}: slow start ends, and it is used");
+    assert!(
+        sent_at_once <= 6,
+        "{sent_at_once} attempts were sent at once to a backend that has just started"
+    );
+    assert!(sent_later > 100, "only {sent_later} attempts were sent after slow start");
 }
 
-/// There are sixty times as many backends as gateways, and each gateway sends only to a subset of them. Formerly
-/// subsets had 32 backends, so that three in five backends had nothing to do while the others bore all the load; now
-/// nearly all backends are used, and none far more than its share.
+/// There are sixty times as many backends as gateways, and each gateway sends only to a subset. With a
+/// fixed subset size of 32 three in five backends would be idle while the others receive all the load.
 #[test]
 fn every_backend_of_a_large_fleet_is_in_a_subset() {
     let (gateways, backends) = (40u16, 2_400);
@@ -71,8 +76,8 @@
         (attempts_by_backend.values().max().unwrap(), attempts_by_backend.values().sum::<u64>());
     assert!(
         attempts_by_backend.len() as u64 * 1000 >= backends * 999,
-        "{} of {backends} are used",
+        "only {} of {backends} backends are used",
         attempts_by_backend.len()
     );
-    assert!(*most < 6 * all / backends, "{most} of {all} at one backend");
+    assert!(*most < 6 * all / backends, "{most} of {all} attempts were sent to one backend");
 }
--- a/tests/gateway/load_shedding.rs
+++ b/tests/gateway/load_shedding.rs
@@ -4,9 +4,9 @@
 use crate::support::settings::{plan, settings, settings_of, IDEMPOTENT, UNLIMITED};
 use ingress::*;
 
-/// Backends become slow and later fast again. The gateway raises its shedding stage while they are slow, so that
-/// the requests it does admit are served in time, and lowers it afterwards; an operator sees both in the log. A
-/// stage that stayed up would reject customers for nothing.
+/// Backends become slow and later fast again. The gateway raises its shedding stage while they are slow, so
+/// that admitted requests are served in time, and lowers it afterwards; a stage that stayed up would reject
+/// customers without need. Both changes are logged for the operator.
 #[test]
 fn the_shedding_stage_rises_with_latency_and_falls_again() {
     let mut harness = GatewayHarness::new(settings(), 4);
@@ -24,19 +24,19 @@
             _ => None,
         }));
     }
-    let up = log.iter().find(|(_, line)| line.contains("from=0, to=1")).expect("an alert");
+    let up = log.iter().find(|(_, line)| line.contains("from=0, to=1")).expect("the stage rises to 1");
     assert!((100..300).contains(&up.0));
     let down =
-        log.iter().rev().find(|(_, line)| line.contains("from=1, to=0")).expect("the end of the alert");
+        log.iter().rev().find(|(_, line)| line.contains("from=1, to=0")).expect("the stage falls to 0");
     assert!(down.0 > 300);
 }
 
-/// All backends are slow, and gateways reject part of the customers. If each gateway chose for itself, a rejected
-/// client that retries elsewhere would be admitted there, and the load would not fall; so all of them reject the
-/// same customers.
+/// Gateways reject part of the customers while all backends are slow. If each gateway chose its own
+/// customers, a rejected client that retries at another gateway would be admitted there, and the load would
+/// not fall.
 #[test]
 fn all_gateways_shed_the_same_customers() {
-    let verdicts = |own_id: u16| {
+    let rejections = |own_id: u16| {
         let mut settings = settings_of(own_id, 3);
         settings.plans = vec![plan(1e6, 1e6)];
         let mut harness = GatewayHarness::new(settings, 4);
@@ -52,14 +52,17 @@
             .map(|customer| is_rejected(&harness.request(IDEMPOTENT, UNLIMITED, customer, 1.0).actions))
             .collect::<Vec<_>>()
     };
-    let (here, there) = (verdicts(0), verdicts(1));
+    let (here, there) = (rejections(0), rejections(1));
     assert_eq!(here, there);
-    assert!(here.contains(&true) && here.contains(&false), "half of a priority passes in the third stage");
+    assert!(
+        here.contains(&true) && here.contains(&false),
+        "the stage admits some customers and rejects others"
+    );
 }
 
-/// Half of the backends disappear while the load stays the same. If the other half took over all requests, it would
-/// be overloaded and fail as well; the limit on requests in flight halves with the backends, and the rest is
-/// rejected.
+/// Half of the backends are removed while the load stays the same. If the remaining ones received all
+/// requests, they would be overloaded and fail as well; the concurrency limit halves with the number of
+/// backends.
 #[test]
 fn remaining_backends_do_not_take_over_the_load_of_removed_ones() {
     let in_flight = |backends: u64| {
@@ -78,19 +81,19 @@
     );
 }
 
-/// More customers come than the concurrency limit has room for. Who is rejected depends on the customer and not on
-/// who came last: if a retry had another chance, rejected clients would all retry at once and add to the load.
+/// The concurrency limit is exceeded. Rejection depends on the customer and not on the order of arrival: if
+/// each retry had another chance, all rejected clients would retry at once and add to the load.
 #[test]
 fn the_concurrency_limit_rejects_the_same_customers_again() {
     let mut harness = GatewayHarness::new(settings(), 12);
-    let verdicts: Vec<bool> = (0..80)
+    let rejections: Vec<bool> = (0..80)
         .map(|customer| is_rejected(&harness.request(IDEMPOTENT, UNLIMITED, customer, 1.0).actions))
         .collect();
-    let first_rejected = verdicts.iter().position(|rejected| *rejected).expect("the limit is reached");
-    let last_admitted = verdicts.iter().rposition(|rejected| !*rejected).expect("some are admitted");
+    let first_rejected = rejections.iter().position(|rejected| *rejected).expect("the limit is reached");
+    let last_admitted = rejections.iter().rposition(|rejected| !*rejected).expect("some are admitted");
     assert!(first_rejected < last_admitted, "some are rejected before the limit is reached");
     assert!(
         is_rejected(&harness.request(IDEMPOTENT, UNLIMITED, first_rejected as u64, 1.0).actions),
-        "a retry changes nothing"
+        "a retry is rejected again"
     );
 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The decisions of one gateway, or of a few, by events and actions on a clock of the test; a module for each concern.
+//! Decisions of one gateway or of a few, driven by events and a simulated clock; one module per concern.
 
 use test_support as support;
 
--- a/tests/gateway/outlier_detection.rs
+++ b/tests/gateway/outlier_detection.rs
@@ -1,13 +1,13 @@
-//! Ejection of backends that fail or stay silent.
+//! Ejection of backends that fail or are silent.
 
 use crate::support::fleet::Fleet;
 use crate::support::gateway::{sent_to, GatewayHarness, SubmittedRequest};
 use crate::support::settings::{settings, IDEMPOTENT, NON_IDEMPOTENT, SECOND, START, UNLIMITED};
 use ingress::*;
 
-/// The gateway itself stalls for two seconds while a request is in flight. The backend has answered meanwhile, and
-/// its reply waits to be read; if the gateway took its own stall for silence of the backend, it would eject a
-/// healthy backend and send the request a second time.
+/// The gateway stalls for two seconds while a request is in flight, and the backend's reply waits to be
+/// read. If the stall were taken for silence of the backend, the gateway would eject a healthy backend and
+/// send the request a second time.
 #[test]
 fn a_stall_of_the_gateway_ejects_no_backend() {
     let mut harness = GatewayHarness::new(settings(), 1);
@@ -23,13 +23,13 @@
     assert_eq!(
         sent_to(&harness.request(IDEMPOTENT, UNLIMITED, 2, 1.0).actions).len(),
         1,
-        "its answer had come: it is not ejected"
+        "the backend answered during the stall and is not ejected"
     );
 }
 
-/// A backend does not answer one class of requests, for example because the database behind that class is down. That
-/// silence ejects it for the class, whose requests go to other backends; its timeouts by themselves count as no
-/// failure. It still serves the other classes: ejecting it altogether would take away capacity for no reason.
+/// A backend doesn't answer one class of requests, for example because the database behind that class is
+/// down. The silence ejects it for that class only; its timeouts alone don't count as failures. It still
+/// serves the other classes, so ejecting it for all of them would waste capacity.
 #[test]
 fn silence_to_one_class_ejects_a_backend_for_that_class_only() {
     let mut harness = GatewayHarness::new(settings(), 2);
@@ -65,14 +65,15 @@
     assert!(idempotent[0] >= 3, "{idempotent:?}");
 }
 
-/// How many attempts were sent to backends that answer, and to the silent one.
+/// Numbers of attempts sent to backends that answer and to the silent one.
 #[derive(Default)]
 struct AttemptCounts {
     answered: usize,
     at_silent_backend: usize,
 }
 
-/// Executes the actions of a gateway and those that follow from them. Backend 0 never answers, the others answer at once.
+/// Executes the actions of a gateway and those that follow from them. Backend 0 never answers; the others
+/// answer immediately.
 fn execute_with_silent_backend(fleet: &mut Fleet, from: usize, actions: Vec<Action>) -> AttemptCounts {
     let mut counts = AttemptCounts::default();
     let mut queue: Vec<(usize, Action)> = actions.into_iter().map(|action| (from, action)).collect();
@@ -96,9 +97,9 @@
     counts
 }
 
-/// One of 30 backends stops answering. Each of a hundred gateways sends it only a request now and then. Formerly each
-/// had to find out for itself, the backend went on getting a good part of its share, and those clients waited in vain;
-/// now gateways notify each other, and after some seconds hardly any request goes there.
+/// One of 30 backends stops answering, and each of 100 gateways sends it a request only rarely. If each
+/// gateway had to detect this by itself, many clients would wait in vain; with shared observations the
+/// backend receives hardly any request after some seconds.
 #[test]
 fn a_hundred_gateways_share_observations_of_a_silent_backend() {
     let mut fleet = Fleet::new(100);
@@ -111,9 +112,9 @@
             let harness = &mut fleet.gateways[at];
             let customer = 7000 + step as u64 * 31 % 400;
             let mut actions = harness.request_from_set(IDEMPOTENT, UNLIMITED, customer, 1.0, 100.0).actions;
-            actions.extend(harness.advance(Duration::from_millis(20))); // its timers, too
+            actions.extend(harness.advance(Duration::from_millis(20))); // and runs its timers
             let counts = execute_with_silent_backend(&mut fleet, at, actions);
-            // In the first five seconds the gateways observe it.
+            // The gateways detect the silence during the first five seconds.
             if step >= 500 {
                 all += counts.answered;
                 silent += counts.at_silent_backend;
@@ -124,6 +125,6 @@
     }
     assert!(
         all > 5000 && silent * 300 < all,
-        "{silent} of {all} sent to one of 30 backends, which is silent"
+        "{silent} of {all} attempts were sent to the silent one of 30 backends"
     );
 }
--- a/tests/gateway/retry.rs
+++ b/tests/gateway/retry.rs
@@ -6,9 +6,9 @@
 };
 use ingress::*;
 
-/// A backend does not answer a customer's order, and the attempt times out. The order may have been executed, so it
-/// is neither hedged nor retried, and the client gets an error rather than a rejection, which would say that
-/// sending it again is harmless.
+/// A backend doesn't answer a customer's order, and the attempt times out. The order may have been
+/// executed, so it is neither hedged nor retried. The client gets an error, since a rejection would mean
+/// that a retry is safe.
 #[test]
 fn a_non_idempotent_request_fails_after_a_timeout_without_a_retry() {
     let mut harness = GatewayHarness::new(settings(), 4);
@@ -20,9 +20,9 @@
     assert!(is_failed(&end) && !is_rejected(&end) && sent_to(&end).is_empty());
 }
 
-/// One backend rejects a customer's order, which it has therefore not executed, and the order goes to another
-/// backend. That one resets the connection, after which the order may have been executed; the client gets an error,
-/// and no third backend gets the order.
+/// A backend rejects a customer's order without executing it, so it is retried at another backend. That one
+/// resets the connection and may have executed the order, so the client gets an error and no third backend
+/// receives the order.
 #[test]
 fn a_non_idempotent_request_is_retried_only_if_never_executed() {
     let mut harness = GatewayHarness::new(settings(), 4);
@@ -33,8 +33,8 @@
     assert!(is_failed(&end) && !is_rejected(&end), "the second attempt may have been executed");
 }
 
-/// The actions at the end of a keyed request's only attempt, whose connection is reset this long after it was sent.
-/// Its latency objective lets it be retried for longer than the window of its key lasts.
+/// Returns the actions at the end of a keyed request's only attempt, whose connection is reset this long
+/// after it was sent. The latency objective permits retries for longer than the window of the key.
 fn reset_keyed_request_after(delay: Duration) -> Vec<Action> {
     let mut settings = settings();
     settings.classes[usize::from(KEYED)].latency_objective = SECOND * 4;
@@ -46,9 +46,8 @@
     harness.end_attempt(id, 0, sent_to(&actions)[0], Outcome::Reset)
 }
 
-/// A keyed request fails at a backend that may have executed it. Only the backends of its cell know its idempotency
-/// key, and only for some time, so a retry goes to one of those or to none; any other backend would execute the
-/// request a second time.
+/// A keyed request fails at a backend that may have executed it. Only the backends of its cell store its
+/// idempotency key, and only for the window, so any other retry would execute the request a second time.
 #[test]
 fn a_keyed_retry_stays_in_its_cell_and_window() {
     let mut harness = GatewayHarness::new(settings(), 6);
@@ -56,15 +55,15 @@
     let first = sent_to(&actions)[0];
     let retry = harness.end_attempt(id, 0, first, Outcome::Error);
     assert_eq!(sent_to(&retry).len(), 1);
-    assert_eq!(sent_to(&retry)[0].0 % 2, first.0 % 2, "same cell");
+    assert_eq!(sent_to(&retry)[0].0 % 2, first.0 % 2, "the retry stays in its cell");
 
     let end = reset_keyed_request_after(SECOND * 2);
-    assert!(sent_to(&end).is_empty() && is_failed(&end) && !is_rejected(&end), "outside the window");
+    assert!(sent_to(&end).is_empty() && is_failed(&end) && !is_rejected(&end), "the key has expired");
 }
 
-/// A keyed request fails when the window of its idempotency key is nearly over. An attempt begins only once its
-/// connection is established, which may take a quarter of a second; if that is longer than the window lasts, the
-/// backend has forgotten the key and would execute the request again, so there is no retry.
+/// A keyed request fails when the window of its idempotency key is nearly over. An attempt begins only once
+/// its connection is established, which may take 250 ms; if the key expires before that, a retry would
+/// execute the request a second time.
 #[test]
 fn a_keyed_retry_needs_time_to_connect_within_its_window() {
     for (delay, expected_retries) in [(Duration::from_millis(1600), 1), (Duration::from_millis(1800), 0)] {
@@ -79,11 +78,11 @@
     }
 }
 
-/// A keyed request fails, and all backends of its cell have been removed from the list meanwhile, the one that got
-/// it included. The ingress still has to know which cell that was: the backends that are left do not know the key
-/// and would execute the request again, so the client gets an error.
+/// A keyed request fails after all backends of its cell were removed, including the one that received it.
+/// The cell must still be recorded: the remaining backends don't have the key and would execute the request
+/// a second time, so the client gets an error.
 #[test]
-fn a_keyed_retry_keeps_to_its_cell_after_its_first_backend_is_removed() {
+fn a_keyed_retry_stays_in_its_cell_after_its_first_backend_is_removed() {
     let mut harness = GatewayHarness::new(settings(), 6);
     let SubmittedRequest { id, actions } = harness.request(KEYED, UNLIMITED, 1, 1.0);
     let first = sent_to(&actions)[0];
@@ -91,12 +90,12 @@
         (0..6).map(endpoint).filter(|endpoint| endpoint.cell != (first.0 % 2) as u16).collect();
     harness.handle(Event::Endpoints(EndpointUpdate::Snapshot, remaining));
     let end = harness.end_attempt(id, 0, first, Outcome::Reset);
-    assert!(sent_to(&end).is_empty() && is_failed(&end), "no backend left that knows the key");
+    assert!(sent_to(&end).is_empty() && is_failed(&end), "no listed backend has the key");
 }
 
-/// All backends become slow just after a fleet of a hundred gateways has started. Formerly each gateway had a small
-/// budget for hedged requests, harmless by itself, but a hundred of them were spent at once and kept the backends slow;
-/// now the gateways together hedge only a part of the requests.
+/// All backends become slow just after a fleet of 100 gateways has started. If each gateway had its own
+/// small hedging budget, all of them together would spend it at once and keep the backends slow, so the
+/// budget is divided among the fleet.
 #[test]
 fn hedging_of_a_hundred_gateways_does_not_double_the_load_of_slow_backends() {
     let (mut first_attempts, mut hedges) = (0, 0);
@@ -108,9 +107,13 @@
             first_attempts +=
                 sent_to(&harness.request_from_set(IDEMPOTENT, UNLIMITED, 6 + number, 1.0, 1.0).actions).len();
         }
-        first_attempts += sent_to(&harness.advance(Duration::from_millis(200))).len(); // waited for a grant that does not come
+        // Requests whose wait for a grant timed out are sent now.
+        first_attempts += sent_to(&harness.advance(Duration::from_millis(200))).len();
         hedges += sent_to(&harness.advance(SECOND / 2)).len();
     }
-    assert!(first_attempts >= 1500, "{first_attempts} sent");
-    assert!((100..=450).contains(&hedges), "{hedges} hedges of {first_attempts} attempts that stay silent");
+    assert!(first_attempts >= 1500, "only {first_attempts} attempts were sent");
+    assert!(
+        (100..=450).contains(&hedges),
+        "{hedges} hedges were sent for {first_attempts} unanswered attempts"
+    );
 }
--- a/tests/gateway_properties.rs
+++ b/tests/gateway_properties.rs
@@ -1,4 +1,4 @@
-//! Properties over arbitrary sequences of events, legal and malformed, with a fixed seed.
+//! Properties over arbitrary sequences of valid and malformed events, with a fixed seed.
 
 use test_support as support;
 
@@ -59,17 +59,17 @@
 enum Step {
     /// A request whose class and plan may not exist.
     Request { class: u8, plan: u16, customer: u64, units: f64, set_size: f64, time_left: Duration },
-    /// An attempt in flight ends, or one that the gateway never sent.
+    /// The end of an attempt in flight, or of one that the gateway never sent.
     EndAttempt { pick: usize, outcome: usize, is_unknown: bool },
-    /// The client of a request that may not exist disconnects.
+    /// The client of a request, which may not exist, disconnects.
     Disconnect(usize),
     /// A message from a peer, or from a gateway that does not exist.
     PeerMessage { from: u16, bytes: Vec<u8> },
-    /// An endpoint list, or a change of it.
+    /// A snapshot, a delta, or a failed poll of the endpoint list.
     UpdateEndpoints { update: u8, availabilities: Vec<u8>, in_slow_start: bool },
     /// This many timers run.
     Advance(u64),
-    /// Events that the gateway did not ask for.
+    /// Events that the gateway did not request.
     Unsolicited(u64),
 }
 
@@ -97,7 +97,6 @@
     ]
 }
 
-/// An attempt in flight.
 #[derive(Clone, Copy)]
 struct Attempt {
     id: RequestId,
@@ -105,7 +104,7 @@
     backend: BackendId,
 }
 
-/// What the host knows of a request.
+/// Properties of a request that the checks depend on.
 #[derive(Clone, Copy)]
 struct RequestRecord {
     class: u8,
@@ -114,17 +113,17 @@
     units: f64,
 }
 
-/// What the host knows, to check the gateway's actions against the rules.
+/// State of the host against which the gateway's actions are checked.
 #[derive(Default)]
 struct Host {
     requests: BTreeMap<RequestId, RequestRecord>,
-    /// Requests with a final answer, or without a client.
+    /// Requests with a final answer, or whose client has disconnected.
     ended: BTreeSet<RequestId>,
     attempts_sent: BTreeMap<RequestId, u16>,
     in_flight: Vec<Attempt>,
-    /// Attempts of a request that may have been executed.
+    /// Number of attempts that may have been executed, by request.
     maybe_executed: BTreeMap<RequestId, u16>,
-    /// Backends that are draining or not on the list.
+    /// Backends that are draining or not listed.
     unavailable: BTreeSet<BackendId>,
     /// Units sent under the hard limit, by customer.
     hard_limit_usage: BTreeMap<u64, f64>,
@@ -138,30 +137,37 @@
             match action {
                 Action::Send { id, backend, .. } => self.check_send(*id, *backend),
                 Action::Reject { id, .. } => {
-                    assert!(self.ended.insert(*id), "a second answer");
+                    assert!(self.ended.insert(*id), "a request got a second answer");
                     let maybe_executed = self.maybe_executed.get(id).copied().unwrap_or(0);
                     let is_idempotent = self.requests[id].class == IDEMPOTENT;
-                    assert!(is_idempotent || maybe_executed == 0, "rejected what may have been executed");
+                    assert!(
+                        is_idempotent || maybe_executed == 0,
+                        "a request that may have been executed was rejected"
+                    );
                 }
-                Action::Fail(id) => assert!(self.ended.insert(*id), "a second answer"),
+                Action::Fail(id) => assert!(self.ended.insert(*id), "a request got a second answer"),
                 _ => {}
             }
         }
-        // A third of the hard limit is this gateway's, from nothing at its start; sets of 2 allow a half.
+        // This gateway's share is a third of the hard limit, or half of it in a set of two, and starts at
+        // zero, so its usage never exceeds the whole limit.
         let seconds = now.duration_since(START).as_secs_f64();
         for used in self.hard_limit_usage.values() {
             let allowed = HARD_LIMIT_RATE * seconds + HARD_LIMIT_BURST + 1e-6;
-            assert!(*used <= allowed, "the share of the hard limit is overdrawn");
+            assert!(*used <= allowed, "the hard limit is exceeded");
         }
     }
 
     fn check_send(&mut self, id: RequestId, backend: BackendId) {
-        assert!(!self.ended.contains(&id), "sent after its end");
-        assert!(!self.unavailable.contains(&backend), "sent to a draining or removed backend");
-        assert!(!self.in_flight.iter().any(|attempt| attempt.id == id), "two attempts at once");
+        assert!(!self.ended.contains(&id), "an attempt was sent after the request ended");
+        assert!(!self.unavailable.contains(&backend), "an attempt was sent to a draining or removed backend");
+        assert!(
+            !self.in_flight.iter().any(|attempt| attempt.id == id),
+            "a request has two attempts in flight"
+        );
         let request = &self.requests[&id];
         let attempts_sent = self.attempts_sent.entry(id).or_insert(0);
-        assert!(*attempts_sent < MAX_ATTEMPTS, "more attempts than allowed");
+        assert!(*attempts_sent < MAX_ATTEMPTS, "a request has more attempts than allowed");
         let maybe_executed = self.maybe_executed.entry(id).or_insert(0);
         assert!(
             request.class != NON_IDEMPOTENT || *maybe_executed == 0,
@@ -175,7 +181,8 @@
         }
     }
 
-    /// Removes one of the attempts in flight; gives one that was never sent if none is, or if `is_unknown` is set.
+    /// Removes an attempt in flight. Returns one that was never sent if none is in flight or `is_unknown`
+    /// is set.
     fn take_attempt(&mut self, pick: usize, is_unknown: bool) -> Attempt {
         if is_unknown || self.in_flight.is_empty() {
             return Attempt { id: RequestId(1 << 40), number: 7, backend: BackendId(77) };
@@ -212,7 +219,7 @@
     }
 }
 
-/// A gateway with its host, through a sequence of steps.
+/// A gateway and its host in a sequence of steps.
 struct Run {
     gateway: Gateway,
     host: Host,
@@ -290,7 +297,8 @@
             gateway_set_size,
             gateway_set_start: 0.0,
         };
-        // A class that does not exist is never sent; its rejection is as harmless as an idempotent one's.
+        // A request of a class that doesn't exist is never sent, so its rejection is as safe as that of an
+        // idempotent one.
         let class = if record.class < CLASSES { record.class } else { IDEMPOTENT };
         self.host.requests.insert(id, RequestRecord { class, ..record });
         self.handle(Event::Request(request));
@@ -338,7 +346,8 @@
         self.handle(Event::Unused);
     }
 
-    /// Times out all attempts in flight until every deadline is over, and asserts that every request has its answer.
+    /// Times out all attempts in flight until every deadline has passed, and asserts that every request has
+    /// its answer.
     fn finish(&mut self) {
         for _ in 0..150 {
             self.tick();
@@ -352,7 +361,7 @@
     }
 }
 
-/// The log of all actions.
+/// Runs the steps and returns the log of all actions.
 fn run(steps: &[Step]) -> Vec<String> {
     let mut run = Run::new();
     for step in steps {
@@ -362,10 +371,10 @@
     run.host.log
 }
 
-/// Clients, backends, peers and discovery send legal and malformed events in any order. A gateway that loses track
-/// of them would leave a client without its answer or give it two, execute an order twice, send to a backend that
-/// is draining, or exceed a hard limit; after each event the test checks all of that. Equal events have to give
-/// equal actions, as a failure could not be reproduced from its seed otherwise.
+/// Clients, backends, peers and discovery send valid and malformed events in any order. After each event
+/// the test checks that no client is left without an answer or gets two, no order is executed twice,
+/// nothing is sent to a draining backend, and no hard limit is exceeded. Equal events have to give equal
+/// actions, since a failure could not be reproduced from its seed otherwise.
 #[test]
 fn rules_hold_under_arbitrary_events_and_equal_events_give_equal_actions() {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
