--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -1,5 +1,6 @@
-//! Idle clients use up the descriptors while discovery is down. It must be polled again all the same, a connection to a
-//! backend must be established and a reload take effect, whether discovery pushes the endpoint list or has to be polled.
+//! Tests of an ingress whose descriptors are used up by idle clients while discovery is down. Polls, a new
+//! connection to a backend and a reload have to succeed, whether discovery pushes the endpoint list or has to
+//! be polled.
 
 use test_support as support;
 
@@ -13,25 +14,25 @@
 use support::resp::encode_command;
 use support::wait::wait_until;
 
-/// More than there are descriptors.
+/// Number of idle clients, more than [`DESCRIPTORS`].
 const CLIENTS: usize = 300;
 const DESCRIPTORS: usize = 256;
 
-/// What limits the descriptors of the ingress.
+/// Origin of the limit on the ingress's descriptors.
 #[derive(Clone, Copy, Debug)]
 enum DescriptorLimit {
     Configuration,
     System,
 }
 
-/// When discovery is down.
+/// Start of the outage of discovery.
 #[derive(Clone, Copy, Debug)]
 enum Outage {
     FromTheStart,
     OnceConnected,
 }
 
-/// A client that has sent a PING, and sends nothing more.
+/// A client that has sent a PING and then stays idle.
 struct IdleClient {
     stream: TcpStream,
     is_settled: bool,
@@ -45,27 +46,27 @@
         IdleClient { stream: client.stream, is_settled: false }
     }
 
-    /// Records whether it got its reply, or was disconnected to make room for others.
+    /// Records whether the client has received its reply or was disconnected.
     fn settle(&mut self) {
         self.is_settled |=
             !matches!(self.stream.read(&mut [0; 16]), Err(error) if error.kind() == ErrorKind::WouldBlock);
     }
 }
 
-/// Waits until each idle client got its reply or was disconnected.
+/// Waits until each idle client has received its reply or was disconnected.
 fn settle(clients: &mut [IdleClient]) {
-    wait_until("all are answered or closed", || {
+    wait_until("all idle clients are answered or disconnected", || {
         clients.iter_mut().for_each(IdleClient::settle);
         clients.iter().all(|client| client.is_settled)
     });
 }
 
-/// How many descriptors the ingress has open.
+/// Returns the number of descriptors that the ingress has open.
 fn open_descriptors(ingress: &IngressProcess) -> usize {
     fs::read_dir(format!("/proc/{}/fd", ingress.child.id())).unwrap().count()
 }
 
-/// Settings for a mode of discovery, which they call `push` or `ask`, and for a limit on descriptors.
+/// Returns a setup with a mode of discovery, `push` or `ask` in the settings, and a limit on descriptors.
 fn setup(discovery_mode: &str, limit: DescriptorLimit) -> IngressSetup {
     let mut setup = IngressSetup::with_backends(&[]);
     setup.replace_setting("\"push\"", &format!("\"{discovery_mode}\""));
@@ -76,7 +77,8 @@
     setup
 }
 
-/// Brings discovery back with a backend that was added meanwhile, and asserts that it is polled again.
+/// Ends the outage of discovery, which then lists an added backend, and asserts that discovery is polled
+/// again.
 fn assert_polled_again(discovery: &DiscoveryServer, added: &Backend, case: &str) {
     let polls_before = discovery.poll_count();
     discovery.publish(added.endpoint_json("s-0", "up"));
@@ -84,19 +86,20 @@
     wait_until(&format!("discovery is polled again; {case}"), || discovery.poll_count() > polls_before);
 }
 
-/// Asserts that a request is served, which needs a new connection to a backend.
+/// Asserts that a request which needs a new connection to a backend is served.
 fn assert_served(client: &mut Client, case: &str) {
     let mut reply = String::new();
     for number in 0..100 {
         reply = client.round_trip(&encode_request("quote", &format!("r{number}"), 900));
         if reply.starts_with("value") {
-            break; // until then the list may still be on its way
+            break; // earlier requests may precede the arrival of the endpoint list
         }
     }
     assert!(reply.starts_with("value"), "{reply}; {case}");
 }
 
-/// Asserts that discovery and a reload work with more idle clients than descriptors, once discovery is back.
+/// Asserts that polls and a reload succeed after an outage of discovery with more idle clients than
+/// descriptors.
 fn assert_discovery_and_reload_work(discovery_mode: &str, limit: DescriptorLimit, outage: Outage) {
     let case = format!("{discovery_mode}, {limit:?}, {outage:?}");
     let (backend, other_backend) = (Backend::start(reply_with_value), Backend::start(reply_with_value));
@@ -113,13 +116,13 @@
     assert_polled_again(&discovery, &backend, &case);
     let mut client = ingress.client();
     assert_served(&mut client, &case);
-    // A new configuration names another discovery, which knows only another backend.
+    // The new configuration has the address of another discovery, which lists only another backend.
     other_discovery.publish(other_backend.endpoint_json("s-1", "up"));
     setup.discovery = Some(other_discovery.address);
     ingress.write_config(&setup.config_json(ingress.address));
     ingress.signal("HUP");
     let mut number = 0;
-    wait_until(&format!("a backend from there is used; {case}"), || {
+    wait_until(&format!("the backend of the new discovery is used; {case}"), || {
         number += 1;
         client.round_trip(&encode_request("quote", &format!("m{number}"), 900));
         other_backend.command_count() > 0
@@ -129,26 +132,26 @@
     }
 }
 
-/// Idle clients hold every descriptor while discovery, which pushes its changes, is down. When it is back the
-/// ingress needs descriptors for the watch, for a backend and for a reload; without them it would serve from an
-/// outdated list, and an operator could not change that.
+/// Idle clients hold all descriptors while discovery, which pushes changes, is down. After the outage the
+/// ingress needs descriptors for the watch, a backend and a reload; without them it would use an outdated
+/// endpoint list that an operator cannot replace.
 #[test]
 fn idle_clients_do_not_block_discovery_that_pushes_changes() {
     assert_discovery_and_reload_work("push", DescriptorLimit::Configuration, Outage::OnceConnected);
     assert_discovery_and_reload_work("push", DescriptorLimit::System, Outage::FromTheStart);
 }
 
-/// The same where discovery has to be polled: idle clients hold every descriptor and discovery comes back. It must
-/// be polled again, the backend added meanwhile must get requests, and a reload must take effect.
+/// Idle clients hold all descriptors during an outage of discovery that has to be polled. After the outage it
+/// has to be polled again, the added backend has to receive requests, and a reload has to take effect.
 #[test]
 fn idle_clients_do_not_block_discovery_that_is_polled() {
     assert_discovery_and_reload_work("ask", DescriptorLimit::System, Outage::OnceConnected);
     assert_discovery_and_reload_work("ask", DescriptorLimit::Configuration, Outage::FromTheStart);
 }
 
-/// The operating system allows fewer descriptors than the configuration, and idle clients use up all of them while
-/// discovery is down. The ingress learns of that limit only from calls that fail, and still has to poll discovery,
-/// connect to a backend and reload.
+/// The operating system allows fewer descriptors than the configuration, and idle clients use up all of them
+/// during an outage of discovery. The ingress detects this limit only by failed calls, and still has to poll
+/// discovery, connect to a backend and reload.
 #[test]
 fn idle_clients_do_not_block_discovery_under_a_system_limit() {
     assert_discovery_and_reload_work("push", DescriptorLimit::System, Outage::OnceConnected);
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -1,5 +1,5 @@
-//! Races between a request and something that ends at the same time: a backend, a client or a configuration. Each is
-//! forced by a backend that accepts or replies at a chosen step.
+//! Tests of races between a request and a concurrent change: a removed backend, a disconnecting client or a
+//! reload. Each race is forced by a backend that accepts or replies at a given step.
 
 use test_support as support;
 
@@ -13,14 +13,14 @@
 use support::ingress::IngressSetup;
 use support::wait::wait_until;
 
-/// Settings with a long timeout for connections, so that one is still being established when the test interferes.
+/// Sets a long connect timeout, so that a connection is still being established when the race occurs.
 fn with_long_connect_timeout(mut setup: IngressSetup) -> IngressSetup {
     setup.replace_setting("\"connect_timeout_us\":250000", "\"connect_timeout_us\":8000000");
     setup
 }
 
-/// Changes the status of a backend while a request waits for its connection to it, and asserts that nothing of the
-/// request is sent there.
+/// Changes the status of a backend while a request waits for a connection to it, and asserts that the request
+/// is sent to another backend only.
 fn assert_attempt_ends_when_its_backend_becomes(status: &str) {
     let (slow, good, discovery) =
         (UnreachableBackend::new(), Backend::start(reply_with_value), DiscoveryServer::start());
@@ -33,8 +33,9 @@
     ingress.wait_until_input_is_processed();
     discovery.publish(good.endpoint_json("s-1", "up"));
     discovery.publish_and_wait(endpoint_json("s-0", slow.address, status));
-    assert_eq!(client.read_reply(), "value of r1", "it was never executed, and is retried elsewhere");
-    // Connections are established in the order of their beginning: one left over from r1 would precede that for r2.
+    assert_eq!(client.read_reply(), "value of r1", "the request was never executed and is retried elsewhere");
+    // Connections are established in the order in which they are opened: a remaining one for r1 would precede
+    // r2.
     discovery.publish(endpoint_json("s-0", slow.address, "up"));
     discovery.publish_and_wait(good.endpoint_json("s-1", "draining"));
     client.send(&encode_request("refer", "r2", 7000));
@@ -44,25 +45,24 @@
     assert_eq!((slow.request_ids(), good.request_ids()), (vec!["r2".into()], vec!["r1".into()]));
 }
 
-/// A request waits for its connection to a backend that is slow to accept, and the backend is drained. Formerly the
-/// request was sent there once the connection was established; now it goes to another backend at once, and the draining
-/// one gets nothing.
+/// A request waits for its connection to a backend, and the backend is drained. If the attempt continued, the
+/// request would be sent to the draining backend once the connection is established.
 #[test]
 fn an_attempt_without_a_connection_ends_when_its_backend_drains() {
     assert_attempt_ends_when_its_backend_becomes("draining");
 }
 
-/// A request waits for its connection to a backend, and the backend is removed from the list. Its address may
-/// belong to another program when the connection is established, so the request must not be sent there; it goes to
-/// another backend at once.
+/// A request waits for its connection to a backend, and the backend is removed from the endpoint list. Its
+/// address may belong to another program when the connection is established, so the request must not be sent
+/// there.
 #[test]
 fn an_attempt_without_a_connection_ends_when_its_backend_is_removed() {
     assert_attempt_ends_when_its_backend_becomes("removed");
 }
 
-/// A request waits for its connection to a backend, and its client disconnects. Formerly, where the settings do not
-/// permit cancelling, the request was sent once the connection was established, and the backend worked for nobody; now
-/// nothing of it is sent, with or without that permission.
+/// A request waits for its connection to a backend, and its client disconnects. If the attempt continued, the
+/// backend would execute the request for no client. It has to end even where the settings do not permit
+/// cancelling, since nothing is sent yet.
 #[test]
 fn an_attempt_without_a_connection_ends_when_its_client_disconnects() {
     for cancelling in ["true", "false"] {
@@ -79,12 +79,12 @@
         staying.send(&encode_request("refer", "r2", 7000));
         ingress.wait_until_input_is_processed();
         let slow = slow.accept_connections();
-        assert_eq!(staying.read_reply(), "value of r2", "cancelling {cancelling}");
-        assert_eq!(slow.request_ids(), ["r2"], "cancelling {cancelling}");
+        assert_eq!(staying.read_reply(), "value of r2", "cancelling: {cancelling}");
+        assert_eq!(slow.request_ids(), ["r2"], "cancelling: {cancelling}");
     }
 }
 
-/// A backend that replies to nothing until its gate is opened.
+/// A backend that holds back its replies until its gate is opened.
 struct GatedBackend {
     backend: Backend,
     is_open: Arc<AtomicBool>,
@@ -103,15 +103,15 @@
         GatedBackend { backend, is_open }
     }
 
-    /// Lets the backend reply to all that it has received, and to what comes later.
+    /// Lets the backend reply to all received and later requests.
     fn open_gate(&self) {
         self.is_open.store(true, Ordering::SeqCst);
     }
 }
 
-/// A client sends 400 requests at once and disconnects while the first ten are in flight. Formerly the rest of its
-/// input was not read any further, so that the ingress did not notice, and sent one waiting request after another to
-/// backends for a client that was gone; now it sends no more than those that were in flight.
+/// A client pipelines 400 requests and disconnects while the first ten are in flight. Without reading the
+/// rest of the input the ingress does not detect the disconnect, and sends the waiting requests to backends
+/// for no client.
 #[test]
 fn pipelined_requests_are_not_sent_once_their_client_has_disconnected() {
     let gated = GatedBackend::start();
@@ -131,11 +131,11 @@
     assert!(sent.len() == 11 && sent[10] == "last", "{sent:?}");
 }
 
-/// A reload brings an endpoint list without the backends of two requests. One backend is executing its request, and
-/// the client gets that reply; the connection to the other was not yet established, so that request goes to a
-/// backend of the new list. Neither client may lose its request to the operator's change.
+/// A reload leads to an endpoint list without the backends of two requests in flight, neither of which may be
+/// lost. The first backend is executing its request, whose reply has to be delivered. The connection to the
+/// second one is not yet established, so its request has to be sent to a backend of the new list.
 #[test]
-fn a_reload_does_not_disturb_requests_in_flight() {
+fn a_reload_does_not_affect_requests_in_flight() {
     let (gated, slow, other) =
         (GatedBackend::start(), UnreachableBackend::new(), Backend::start(reply_with_value));
     let working = &gated.backend;
@@ -158,7 +158,7 @@
     assert_eq!(other.request_ids(), ["r2"]);
     gated.open_gate();
     assert_eq!(first.read_reply(), "value of r1");
-    // The first connection that is established to the old address is for the next request, and for no earlier one.
+    // The first connection established to the old address has to be for r3 instead of an earlier request.
     new.publish(endpoint_json("s-1", slow.address, "up"));
     new.publish_and_wait(other.endpoint_json("s-9", "draining"));
     second.send(&encode_request("refer", "r3", 7000));
@@ -168,11 +168,10 @@
     assert_eq!(slow.request_ids(), ["r3"]);
 }
 
-/// A connection to a backend takes 400 ms to be established. Formerly the command stated the time that was left when
-/// the connection was begun, so that the backend could work on the request after its client had given up; now it states
-/// what is left when the command is written.
+/// A connection to a backend takes 400 ms to be established. If the command stated the time left when the
+/// connection was opened, the backend could execute the request after the client's deadline.
 #[test]
-fn an_attempt_carries_the_time_left_when_its_connection_is_established() {
+fn a_command_states_the_time_left_when_its_connection_is_established() {
     let slow = UnreachableBackend::new();
     let mut setup = with_long_connect_timeout(IngressSetup::with_backends(&[]));
     setup.known_endpoints.push(endpoint_json("s-0", slow.address, "up"));
@@ -181,7 +180,7 @@
     let sent_at = Instant::now();
     client.send(&encode_request("refer", "r1", 7000));
     ingress.wait_until_input_is_processed();
-    thread::sleep(Duration::from_millis(400)); // at the least: the time left must have fallen by as much
+    thread::sleep(Duration::from_millis(400)); // the time left has to decrease by at least this
     let waited = sent_at.elapsed().as_millis() as u64;
     let slow = slow.accept_connections();
     assert_eq!(client.read_reply(), "value of r1");
@@ -190,21 +189,21 @@
         options.split(',').find_map(|option| option.strip_prefix("d=")).unwrap().parse::<u64>().unwrap();
     assert!(
         (1..=7000 - waited).contains(&time_left_ms),
-        "{time_left_ms} ms left, {waited} ms after it was asked for 7000"
+        "{time_left_ms} ms left of 7000, {waited} ms after the request"
     );
 }
 
-/// The value of an option of a command, such as `d`.
+/// Returns the value of a numeric option of a command, such as `d`.
 fn option_of(command: &[String], name: &str) -> u64 {
     let value = command[3].split(',').find_map(|option| option.strip_prefix(name)?.strip_prefix('='));
     value.unwrap().parse().unwrap()
 }
 
-/// A machine is overloaded and the ingress stands still for 0.8 s, while a request waits in its socket. Formerly the
-/// ingress counted the client's time from when it read the request, gave the backend more time than the client had
-/// left, and would have answered too late; now the time of waiting counts.
+/// The ingress stalls for 0.8 s while a request waits in its socket. If the client's timeout were counted
+/// from the read of the request, the backend would get more time than the client has left, and the answer
+/// could be late.
 #[test]
-fn the_time_that_a_request_waited_for_a_stalled_ingress_counts() {
+fn the_time_left_excludes_the_time_waited_for_a_stalled_ingress() {
     const TIMEOUT_MS: u64 = 6000;
     const SLACK_MS: u64 = 150;
     let backend = Backend::start(reply_with_value);
@@ -221,5 +220,5 @@
     assert_eq!(client.read_reply(), "value of r1");
     let stated = option_of(&backend.commands()[0], "d");
     let left = TIMEOUT_MS - stalled.as_millis() as u64;
-    assert!(stated <= left + SLACK_MS, "the command states {stated} ms of {left}");
+    assert!(stated <= left + SLACK_MS, "the command states {stated} ms, the client has {left} ms left");
 }
--- a/tests/system_call_faults.rs
+++ b/tests/system_call_faults.rs
@@ -1,4 +1,5 @@
-//! The ingress where system calls fail in ways that Linux documents, and where the wall clock is stepped.
+//! Tests of the ingress with injected system call faults that Linux documents, and with steps of the wall
+//! clock.
 
 use test_support as support;
 
@@ -14,11 +15,11 @@
 use support::ingress::{built_program, IngressSetup};
 use support::wait::wait_until;
 
-/// Every read returns fewer bytes than have arrived, as the kernel may do. Formerly the ingress took a short read for
-/// an empty socket and waited for more to arrive; with the rest of a request left in the socket nothing more came, and
-/// no client got an answer. Now it reads until a read finds nothing.
+/// Every read returns fewer bytes than have arrived, as the kernel may do. If a short read counted as an
+/// empty socket, the rest of the request would stay unread and no client would get an answer. The ingress has
+/// to read until a read would block.
 #[test]
-fn requests_are_answered_though_every_read_is_short() {
+fn requests_are_served_despite_short_reads() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
     setup.faults = Some(FaultPlan::single(SystemCallFault::ShortRead, 1.0));
@@ -30,11 +31,11 @@
     }
 }
 
-/// Accepting a connection fails for a moment, for example for want of memory. Formerly the ingress closed clients that
-/// had just connected and whose first command was on its way, and those requests were lost; now it waits and accepts
-/// again.
+/// Accepting a connection fails temporarily, for example without free memory. If the ingress disconnected
+/// clients that have just connected to make room, their first commands would be lost. It has to wait and
+/// accept again.
 #[test]
-fn new_clients_are_served_though_accepting_fails_for_a_moment() {
+fn new_clients_are_served_despite_temporary_accept_failures() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
     setup.faults = Some(FaultPlan::single(SystemCallFault::FailedAccept, 0.5));
@@ -47,10 +48,10 @@
     }
 }
 
-/// How many requests are sent at once.
+/// Number of requests that are sent concurrently.
 const BATCH_SIZE: usize = 8;
 
-/// Sends one request from each client at once, reads the replies, and repeats that for each batch.
+/// Sends this number of batches, each with one request from every client, and reads the replies.
 fn send_batches(clients: &mut [Client], batches: usize, name: &str) {
     for batch in 0..batches {
         let id = |number: usize| format!("{name}-{batch}-{number}");
@@ -63,8 +64,8 @@
     }
 }
 
-/// Steps the ingress's wall clock and then starts a backend, whose start time is read from the stepped clock. Returns
-/// how many requests it gets next to a backend that has run for long.
+/// Steps the ingress's wall clock and then adds a backend whose start time was read from the stepped clock.
+/// Returns the number of requests that it receives beside a backend that has run for long.
 fn requests_at_restarted_backend(step_ms: i64, batches: usize) -> usize {
     let step_at = Duration::from_millis(500);
     let working =
@@ -75,7 +76,7 @@
     let steps = vec![ClockStep { at_ms: step_at.as_millis() as u64, by_ms: step_ms }];
     setup.faults = Some(FaultPlan { clock_steps: steps, ..FaultPlan::default() });
     let ingress = setup.start();
-    // The step comes this long after the process started, which was before it answered.
+    // The step occurs this long after the start of the process, which precedes the return of `start`.
     thread::sleep(step_at);
     let mut clients: Vec<Client> = (0..BATCH_SIZE).map(|_| ingress.client()).collect();
     send_batches(&mut clients, 4, "before");
@@ -87,20 +88,20 @@
     restarted.command_count()
 }
 
-/// The wall clock is set back by an hour, and then a backend starts. By a clock reading from before that step it seems
-/// to have run for an hour already. Formerly it got half of all requests before it was warmed up; now it gets no more
-/// than a small part of them.
+/// The wall clock is set back by an hour, and then a backend starts. By a clock reading from before the step
+/// it seems to have run for an hour, so it would skip slow start and receive half of all requests before it
+/// is warmed up.
 #[test]
-fn a_backend_is_in_slow_start_though_the_clock_was_set_back() {
+fn a_backend_is_in_slow_start_after_the_clock_was_set_back() {
     let sent = requests_at_restarted_backend(-3_600_000, 10);
     assert!(sent <= BATCH_SIZE * 10 / 4, "{sent} of {} went to the backend in slow start", BATCH_SIZE * 10);
 }
 
-/// A backend sends a reply of 60,000 bytes, and every read returns only a few of them. Formerly the ingress gave up on
-/// the reply after eight reads, and its client got an error, though the request was executed and the value was on its
-/// way; now the reply is read to its end.
+/// A backend sends a reply of 60,000 bytes, and every read returns only a few of them. With a limit of eight
+/// reads per reply, the client would get an error for a request that was executed; the reply has to be read
+/// completely.
 #[test]
-fn a_long_reply_is_taken_though_every_read_is_short() {
+fn a_long_reply_is_received_despite_short_reads() {
     let value = "v".repeat(60_000);
     let reply = format!("*3\r\n${}\r\n{value}\r\n$-1\r\n$-1\r\n", value.len());
     let backend = Backend::start(move |_| BackendReply::Bytes(reply.clone().into_bytes()));
@@ -111,10 +112,10 @@
     assert!(reply == value, "{} bytes, beginning with {:.40}", reply.len(), reply);
 }
 
-/// The log is a pipe that nobody reads, and it is full. Formerly the ingress waited for room in it and stood still for
-/// good, with all its clients; now it goes on serving, drops log lines, and stops on SIGTERM.
+/// The log is written to a full pipe without a reader. A blocking write would stop the ingress and all its
+/// clients permanently. It has to drop log lines, keep serving, and stop on SIGTERM.
 #[test]
-fn requests_are_answered_though_the_log_is_full() {
+fn requests_are_served_while_the_log_pipe_is_full() {
     let (mut log, _unread) = UnixStream::pair().unwrap();
     log.set_nonblocking(true).unwrap();
     while log.write(&[b'x'; 4096]).is_ok() {}
@@ -127,10 +128,10 @@
     ingress.stop();
 }
 
-/// Every write to the log fails, for example because the disk is full. Clients are served all the same, and the
-/// ingress stops on SIGTERM as usual; a log is no reason for a process to end.
+/// Every write to the log fails, for example because the disk is full. The process must not end: clients have
+/// to be served, and the ingress has to stop on SIGTERM.
 #[test]
-fn requests_are_answered_though_the_log_cannot_be_written() {
+fn requests_are_served_while_writes_to_the_log_fail() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
     setup.faults = Some(FaultPlan::single(SystemCallFault::FailedLog, 1.0));
@@ -138,10 +139,10 @@
     ingress.signal("HUP");
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q1", 900)), "value of q1");
     ingress.stop();
-    assert_eq!(ingress.log(), "", "the log fails");
+    assert_eq!(ingress.log(), "", "no line can be written to the log");
 }
 
-/// Asserts that each of many clients that come one after another gets an answer of any kind.
+/// Asserts that each of 30 consecutive clients gets an answer of any kind.
 fn assert_all_are_answered(faults: FaultPlan) {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
@@ -153,38 +154,39 @@
     }
 }
 
-/// The kernel has no buffer for a moment, and writing a reply fails. Formerly the ingress closed the connection, and
-/// the client lost the replies that it was owed; now it writes them a moment later.
+/// Writing a reply fails because the kernel temporarily has no buffer. If the ingress closed the connection,
+/// the client would lose its replies; it has to write them a moment later.
 #[test]
-fn replies_are_written_though_there_is_no_buffer_for_a_moment() {
+fn replies_are_written_despite_temporary_buffer_shortages() {
     assert_all_are_answered(FaultPlan::single(SystemCallFault::NoBufferForWrite, 0.5));
 }
 
-/// A client is accepted, and registering its socket with the poll fails for a moment. Formerly its connection was
-/// closed without a word, and a command on its way was lost; now the registration is tried again.
+/// A client is accepted, and registering its socket with the poll fails temporarily. If the connection were
+/// closed, a command that the client has already sent would be lost; the registration has to be retried.
 #[test]
-fn clients_are_served_though_registering_fails_for_a_moment() {
+fn clients_are_served_despite_temporary_registration_failures() {
     assert_all_are_answered(FaultPlan::single(SystemCallFault::FailedRegistration, 0.5));
 }
 
-/// Writing to a connection takes no byte and reports no error. Formerly the ingress tried again without end, so that no
-/// other client was served and SIGTERM had no effect; now such a connection is closed.
+/// A write accepts no byte and reports no error. If the ingress retried endlessly, no other client would be
+/// served and SIGTERM would have no effect; it has to close the connection.
 #[test]
-fn a_write_that_takes_nothing_does_not_stop_the_ingress() {
+fn a_write_of_zero_bytes_does_not_block_the_ingress() {
     let mut setup = IngressSetup::with_backends(&[]);
     let zero_writes =
         ScheduledFault { from_ms: 1000, ..ScheduledFault::always(SystemCallFault::ZeroWrite, 1.0) };
     setup.faults = Some(FaultPlan { faults: vec![zero_writes], ..FaultPlan::default() });
     let mut ingress = setup.start();
-    // Until the fault begins a PING is answered; from then on the connection is closed.
-    wait_until("the fault has begun", || ingress.client().ping().is_empty());
+    // A PING is answered until the fault starts; from then on the connection is closed.
+    wait_until("the fault has started", || ingress.client().ping().is_empty());
     ingress.stop();
 }
 
-/// No socket can be opened during the first 0.4 s of a start, as on a machine that is short of descriptors or buffers.
-/// Formerly the process ended with an error, and an operator had to start it again; now it tries until it is ready.
+/// No socket can be opened during the first 0.4 s after the start, as on a machine short of descriptors or
+/// buffers. If the process exited with an error, an operator would have to start it again; it has to retry
+/// until it is ready.
 #[test]
-fn the_ingress_starts_though_no_socket_can_be_made_for_a_moment() {
+fn the_ingress_starts_despite_a_temporary_socket_shortage() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
     let no_sockets =
@@ -194,14 +196,14 @@
     assert_eq!(ingress.client().round_trip(&encode_request("quote", "q1", 900)), "value of q1");
 }
 
-/// The ingress cannot open sockets for a while, so that no request reaches its backend. Formerly it counted that as
-/// failures of the backend, ejected it, suspected its whole zone and notified its peers: a healthy backend lost
-/// requests everywhere for a shortage on one machine. Now it counts against no backend.
+/// The ingress temporarily cannot open sockets, so no request reaches its backend. If that counted as
+/// failures of the backend, the ingress would eject it, suspect its whole zone and notify its peers, and a
+/// healthy backend would lose requests of the whole fleet because of a shortage on one machine.
 #[test]
-fn no_backend_is_blamed_for_a_socket_that_cannot_be_made() {
+fn a_local_socket_shortage_does_not_count_as_a_backend_failure() {
     let backend = Backend::start(reply_with_value);
     let mut setup = IngressSetup::with_backends(&[&backend]);
-    // Each request needs a connection of its own, which fails for nothing else.
+    // Each request needs a new connection, which fails for no other reason.
     setup.replace_setting("\"keepalive_us\":15000000", "\"keepalive_us\":20000");
     setup.replace_setting("\"connect_timeout_us\":250000", "\"connect_timeout_us\":8000000");
     let no_sockets =
@@ -210,7 +212,7 @@
     let mut ingress = setup.start();
     let mut client = ingress.client();
     let mut requests = 0;
-    wait_until("a request meets the fault", || {
+    wait_until("the fault affects a request", || {
         requests += 1;
         client.round_trip(&encode_request("quote", &format!("q{requests}"), 900)).starts_with("-BUSY")
     });
