--- a/src/action.rs
+++ b/src/action.rs
@@ -10,7 +10,7 @@
     /// The attempts of a request are numbered from 0 in order of their `Send`s, which host and gateway both
     /// count. [`Action::Cancel`] and [`AttemptEnded`](crate::AttemptEnded) refer to an attempt by its number.
     Send {
-        /// Request to send.
+        /// Request for which an attempt is sent.
         id: RequestId,
         /// Receiving backend.
         backend: BackendId,
@@ -19,7 +19,7 @@
     },
     /// Answer the request as rejected: it was not executed, and the client may safely retry it.
     Reject {
-        /// Request to reject.
+        /// Request that receives this final answer.
         id: RequestId,
         /// Advised time until the client's retry; zero for no advice.
         retry_after: Duration,
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -73,9 +73,9 @@
 #[derive(Default)]
 pub struct Auditor {
     rules: AuditRules,
-    /// Number of violations by kind.
+    /// Indexed by the discriminant of the kind.
     counts: [u64; ViolationKind::ALL.len()],
-    /// Time of the last logged violation by kind.
+    /// Indexed by the discriminant of the kind; `None` before the first violation.
     last_logged_at: [Option<Instant>; ViolationKind::ALL.len()],
     /// Locations of the listed backends.
     locations: HashMap<BackendId, Location>,
--- a/src/audit/violation.rs
+++ b/src/audit/violation.rs
@@ -61,7 +61,7 @@
 /// One occurrence of a violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Kind of the violation.
+    /// Invariant that was violated.
     pub kind: ViolationKind,
     /// Request concerned; `None` if the violation concerns a whole connection.
     pub request: Option<RequestId>,
--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Error)]
 #[error("batch {batch}: length {length} is too short for its {records} records")]
 pub struct FrameError {
-    /// Number of the batch.
+    /// Number of the batch, repeated from its header.
     pub batch: u32,
     /// Length of the frame in bytes according to the header.
     pub length: usize,
@@ -55,7 +55,7 @@
 #[derive(Debug, Error)]
 #[error("batch {batch}, record {index}, field {field}: {problem}")]
 pub struct RecordError {
-    /// Number of the batch.
+    /// Number of the batch, repeated from its header.
     pub batch: u32,
     /// Index of the record in its batch.
     pub index: usize,
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -44,7 +44,7 @@
     pub const PEER_MESSAGE: u8 = 80;
     /// `Withdrawn`.
     pub const CLIENT_DISCONNECTED: u8 = 90;
-    /// `FirstByte`.
+    /// `FirstByte`, as in the library.
     pub const FIRST_BYTE: u8 = 100;
     /// `PowerOff`.
     pub const STOP: u8 = 110;
@@ -52,7 +52,7 @@
 
 /// An undecoded record of a batch.
 pub struct Record<'a> {
-    /// Number of the batch.
+    /// Number in the header of the batch.
     pub batch: u32,
     /// Index of the record in the batch.
     pub index: usize,
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -20,7 +20,7 @@
     pub const SEND: u8 = 10;
     /// `TurnAway`.
     pub const REJECT: u8 = 20;
-    /// `Fail`.
+    /// `Fail`, as in the library.
     pub const FAIL: u8 = 30;
     /// `Revoke`.
     pub const CANCEL: u8 = 40;
@@ -36,7 +36,7 @@
 
 /// A reply to a batch, under construction.
 pub struct Reply {
-    /// Number of the batch.
+    /// Number in the header of the batch to which this replies.
     batch: u32,
     /// Encoded records.
     records: Vec<u8>,
--- a/src/event.rs
+++ b/src/event.rs
@@ -59,7 +59,7 @@
 /// The end of an attempt, with its outcome and the backend's report.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnded {
-    /// Request of the attempt.
+    /// Request for which the attempt was sent.
     pub id: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u16,
--- a/src/gossip/units.rs
+++ b/src/gossip/units.rs
@@ -1,12 +1,12 @@
 //! Quantities as encoded in messages: units in quarters, token levels and latencies in steps.
 
-/// Number of wire units per unit.
+/// Messages encode units in quarters.
 const WIRE_UNITS_PER_UNIT: f64 = 4.0;
 /// Number of steps of a [`TokenLevel`]; the last one is a full bucket.
 const LEVEL_STEPS: f64 = 254.0;
 /// Lower bound of divisors and of arguments of logarithms, so that both are defined for 0.
 const EPSILON: f64 = 1e-9;
-/// Number of latency steps per octave.
+/// Messages encode latencies on a logarithmic scale with this resolution.
 const LATENCY_STEPS_PER_OCTAVE: f64 = 5.0;
 /// Distance of the first latency step below the latency objective, in octaves.
 const OCTAVES_BELOW_OBJECTIVE: f64 = 5.0;
--- a/src/state/arithmetic.rs
+++ b/src/state/arithmetic.rs
@@ -57,7 +57,7 @@
 }
 
 impl DecayingRate {
-    /// Returns the rate at `now`, in events per second.
+    /// Returns the rate after its decay until `now`, in events per second.
     pub(crate) fn at(&self, now: Instant, time_constant: Duration) -> f64 {
         self.per_second * decay(self.updated_at, now, time_constant)
     }
@@ -79,7 +79,7 @@
 }
 
 impl DecayingAverage {
-    /// Returns the average at `now`.
+    /// Returns the average after its decay until `now`.
     pub(crate) fn at(&self, now: Instant, time_constant: Duration) -> f64 {
         self.value * decay(self.updated_at, now, time_constant)
     }
--- a/src/state/request_table.rs
+++ b/src/state/request_table.rs
@@ -43,7 +43,6 @@
         self.requests.remove(&id);
     }
 
-    /// Schedules a check of a request.
     pub(crate) fn schedule_check(&mut self, time: Instant, id: RequestId) {
         self.checks.push(Reverse((time, id)));
     }
