--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Closes all idle connections to a backend.
+    /// Empties the pool of a backend and closes its connections.
     pub(super) fn close_idle(&mut self, backend: BackendId, reason: BackendCloseReason) {
         let idle = self.pools.get_mut(&backend).map(|pool| std::mem::take(&mut pool.idle));
         for key in idle.into_iter().flatten() {
--- a/src/bin/ingress/backends/idle_reuse/tests.rs
+++ b/src/bin/ingress/backends/idle_reuse/tests.rs
@@ -7,7 +7,7 @@
 /// Lower bound of that bucket.
 const BUCKET_START: Duration = Duration::from_millis(256);
 
-/// Returns a tracker with this number of stale reuses after [`IDLE_TIME`].
+/// Returns a tracker that has recorded this number of stale reuses, all after [`IDLE_TIME`].
 fn tracker_after_stale_uses(stale_uses: usize) -> IdleReuseTracker {
     let mut tracker = IdleReuseTracker::default();
     (0..stale_uses).for_each(|_| tracker.record(IDLE_TIME, ReuseOutcome::Stale));
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -37,7 +37,7 @@
     pub idle: Vec<usize>,
 }
 
-/// The connections to all backends.
+/// The open connections to all backends, busy or idle, and results that the event loop has not processed yet.
 pub struct BackendConnections {
     /// All connections, idle or not, by key.
     pub(super) connections: Slab<BackendConnection>,
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -19,7 +19,6 @@
     AttemptId { request: RequestId(request), number: 0 }
 }
 
-/// Returns a stated timeout of zero.
 fn zero_timeout(stated_at: Instant) -> StatedTimeout {
     StatedTimeout { stated_at, timeout: Duration::ZERO }
 }
--- a/src/bin/ingress/config.rs
+++ b/src/bin/ingress/config.rs
@@ -171,7 +171,6 @@
     text.parse().map_err(|_| ConfigError::NotAnAddress { key, text: text.to_string() })
 }
 
-/// Returns the string at a key.
 fn text_at<'a>(json: &'a Value, key: &'static str) -> Result<&'a str, ConfigError> {
     json.get(key).and_then(Value::as_str).ok_or(ConfigError::NotAString(key))
 }
--- a/src/bin/ingress/discovery/tests.rs
+++ b/src/bin/ingress/discovery/tests.rs
@@ -10,7 +10,7 @@
 /// Maximum size of a response's body for ingresses with little memory.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Returns a snapshot with this number of backends in JSON.
+/// Returns an endpoint list with this number of entries.
 pub fn snapshot_json(backends: usize) -> String {
     let entry = |number| {
         format!(
--- a/src/bin/ingress/peers.rs
+++ b/src/bin/ingress/peers.rs
@@ -71,7 +71,6 @@
         self.gateway_at(sender).ok_or(DropReason::UnknownAddress)
     }
 
-    /// Returns the gateway with an address, if there is one.
     fn gateway_at(&self, address: SocketAddr) -> Option<GatewayId> {
         let index = self.addresses.by_gateway.iter().position(|known| *known == address)?;
         u16::try_from(index).ok().map(GatewayId)
--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -61,7 +61,7 @@
     });
 }
 
-/// Returns the number of descriptors that the ingress has open.
+/// Counts the descriptors of the ingress's process.
 fn open_descriptors(ingress: &IngressProcess) -> usize {
     fs::read_dir(format!("/proc/{}/fd", ingress.child.id())).unwrap().count()
 }
