--- a/tests/decision_digest/deployment.rs
+++ b/tests/decision_digest/deployment.rs
@@ -1,12 +1,12 @@
-//! The settings and endpoint lists of the fleets.
+//! Settings and endpoint lists of the simulated fleets.
 
 use crate::support::settings::{class, limits, plan, rules, SECOND, START};
 use ingress::*;
 
-/// A millisecond.
+/// Unit of the delays of events.
 pub const MILLISECOND: Duration = Duration::from_millis(1);
 
-/// How many gateways the settings name, how many of them run, and what they run with.
+/// Number of gateways in the settings and of running ones, with the number of backends and the message limit.
 #[derive(Clone, Copy)]
 pub struct FleetSize {
     pub gateway_count: u16,
@@ -15,26 +15,26 @@
     pub peer_messages_per_second: f64,
 }
 
-/// Every gateway of the fleet runs, and owns the quota of each customer.
+/// All gateways run, and each is a quota owner of every customer.
 pub const THREE: FleetSize =
     FleetSize { gateway_count: 3, live_gateways: 3, backends: 15, peer_messages_per_second: 60.0 };
-/// The largest fleet in which each of a customer's gateways is one of its quota owners.
+/// Largest fleet in which each gateway of a customer's set is one of its quota owners.
 pub const THIRTY: FleetSize =
     FleetSize { gateway_count: 30, live_gateways: 5, backends: 60, peer_messages_per_second: 130.0 };
-/// A customer has one quota owner, which is asked for grants.
+/// A customer has one quota owner, from which the other gateways request grants.
 pub const THREE_HUNDRED: FleetSize =
     FleetSize { gateway_count: 300, live_gateways: 6, backends: 300, peer_messages_per_second: 60.0 };
 
-/// The two deployments that each fleet is driven in.
+/// The deployment of a fleet; each fleet runs in both.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Deployment {
-    /// Hedging, a pushed endpoint list, equal backends.
+    /// With hedging, a pushed endpoint list and backends of equal size.
     Hedged,
-    /// No hedging, discovery has to be polled, sizes are capacities, units are settled with the answer.
+    /// Without hedging; discovery is polled, sizes are capacities, and units are corrected with the answer.
     Single,
 }
 
-/// Idempotent, keyed by cell and by zone, non-idempotent, streamed.
+/// Returns one class each of idempotent, keyed by cell, keyed by zone, non-idempotent and streamed requests.
 fn classes() -> Vec<Class> {
     let keyed = |scope| Idempotency::Keyed { scope, window: SECOND * 2 };
     vec![
@@ -52,7 +52,7 @@
     ]
 }
 
-/// Unlimited, with a rate quota, with a hard limit, with a concurrency quota; at several prices.
+/// Returns plans without limit, with a rate quota, a hard limit and a concurrency quota, at different prices.
 fn plans() -> Vec<Plan> {
     let unlimited = plan(1e6, 1e6);
     vec![
@@ -70,7 +70,7 @@
     ]
 }
 
-/// The settings of one gateway.
+/// Returns the settings of the gateway with this index.
 pub fn settings(size: FleetSize, deployment: Deployment, own_id: u16) -> Settings {
     let single = deployment == Deployment::Single;
     Settings {
@@ -92,7 +92,8 @@
     }
 }
 
-/// The entry of a backend in the endpoint list at a time of the run; none while it is not on the list.
+/// Returns the entry of a backend in the endpoint list at a time of the run, or `None` while it is not
+/// listed.
 fn endpoint_at(backend: u64, elapsed: Duration, size: FleetSize) -> Option<Endpoint> {
     let is_away = (SECOND * 18..SECOND * 22).contains(&elapsed) && backend + 2 >= size.backends;
     let (availability, started_at) = match (backend, elapsed.as_secs()) {
@@ -113,7 +114,7 @@
     (!is_away).then_some(entry)
 }
 
-/// The event by which a gateway gets the endpoint list.
+/// Returns the event with the endpoint list at a time of the run.
 pub fn endpoint_event(kind: EndpointUpdate, elapsed: Duration, size: FleetSize) -> Event {
     let backends = match kind {
         EndpointUpdate::Delta => 2..4,
--- a/tests/decision_digest/digest.rs
+++ b/tests/decision_digest/digest.rs
@@ -1,9 +1,9 @@
-//! The digest of what gateways decide, and counts of it.
+//! Digest and counts of the actions of gateways.
 
 use crate::deployment::MILLISECOND;
 use ingress::*;
 
-/// How often each kind of action occurred.
+/// Number of actions of each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub sends: u32,
@@ -38,14 +38,14 @@
     }
 }
 
-/// What is pinned for a fleet.
+/// Expected digest and counts of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pinned {
     pub digest: u64,
     pub counts: Counts,
 }
 
-/// 64-bit FNV-1a over actions' values.
+/// 64-bit FNV-1a hash of the values of actions.
 pub struct Digest {
     pub state: u64,
     pub counts: Counts,
@@ -68,12 +68,13 @@
         }
     }
 
-    /// A span that was computed with `exp`, whose last bit may differ between processors, in milliseconds.
+    /// Rounds a duration to milliseconds. It was computed with `exp`, whose last bit differs between
+    /// processors.
     fn rounded(span: Duration) -> u64 {
         (span + MILLISECOND / 2).as_millis()
     }
 
-    /// Folds an action in. The numbers of the kinds are of this file only and never change.
+    /// Hashes an action. The numbers of the kinds are defined here only and must not change.
     pub fn fold_action(&mut self, action: &Action) {
         self.counts.add(action);
         match action {
--- a/tests/decision_digest/fleet.rs
+++ b/tests/decision_digest/fleet.rs
@@ -1,4 +1,4 @@
-//! Gateways with their hosts, clients, backends and network, driven by a seeded stream of events.
+//! Simulation of gateways with their hosts, clients, backends and network, with seeded random events.
 
 use crate::deployment::{endpoint_event, settings, Deployment, FleetSize, MILLISECOND};
 use crate::digest::Digest;
@@ -11,12 +11,12 @@
 
 const EVENT_SEED: u64 = 41;
 
-/// Backends are slower and more requests come between these times of the run.
+/// Period of the run with slower backends and more requests.
 const OVERLOAD: std::ops::Range<Duration> = Duration::from_secs(10)..Duration::from_secs(17);
 
 const RESTART_AT: Duration = Duration::from_secs(14);
 
-/// When discovery sends an endpoint list or a change of it.
+/// Snapshots, deltas and failed polls of discovery.
 const ENDPOINT_UPDATES: [ScheduledUpdate; 8] = [
     ScheduledUpdate { at: Duration::from_secs(5), kind: EndpointUpdate::Delta },
     ScheduledUpdate { at: Duration::from_secs(6), kind: EndpointUpdate::Delta },
@@ -33,14 +33,14 @@
     kind: EndpointUpdate,
 }
 
-/// An attempt, as the host sees it.
+/// The host's record of an attempt.
 struct Attempt {
     backend: BackendId,
     sent_at: Instant,
     in_flight: bool,
 }
 
-/// A request that has no final answer yet, or attempts in flight.
+/// A request without a final answer or with attempts in flight.
 struct Pending {
     class: u8,
     units: f64,
@@ -48,19 +48,19 @@
     answered: bool,
 }
 
-/// An event at a gateway's host.
+/// A scheduled event of a gateway's host.
 enum HostEvent {
-    /// The next request arrives.
+    /// A request arrives, and the next arrival is scheduled.
     RequestArrival,
-    /// An event that the host passes on to the gateway.
+    /// The host passes an event to the gateway.
     GatewayEvent(Event),
-    /// A timer of one incarnation of the gateway.
+    /// A timer of one process of the gateway expires; ignored after a restart.
     Timer { restarts: u32, token: u32 },
-    /// An attempt ends, unless it has ended before.
+    /// An attempt ends, unless it has already ended.
     AttemptEnd { id: RequestId, attempt: u16, outcome: Outcome },
-    /// A reply's first byte, unless the attempt has ended.
+    /// The first byte of a reply arrives, unless the attempt has ended.
     FirstByte { id: RequestId, attempt: u16 },
-    /// The client disconnects, unless it has its answer.
+    /// The client disconnects, unless it has received its answer.
     ClientDisconnect(RequestId),
     /// The gateway is replaced by a new one.
     GatewayRestart,
@@ -71,21 +71,21 @@
     event: HostEvent,
 }
 
-/// The order of scheduled events: by time, then by the order of scheduling.
+/// Orders scheduled events by time, then by the order of scheduling.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduleKey {
     at: Instant,
     sequence: u64,
 }
 
-/// A gateway with its host.
+/// The host of one gateway, with its unfinished requests.
 struct Host {
     gateway: Gateway,
     restarts: u32,
     pending: BTreeMap<RequestId, Pending>,
 }
 
-/// Gateways, the clients and backends around them, and the network between them.
+/// A simulated fleet with its clients, backends and network.
 pub struct Fleet {
     size: FleetSize,
     deployment: Deployment,
@@ -100,7 +100,7 @@
 }
 
 impl Fleet {
-    /// A fleet at the start of its run.
+    /// Creates a fleet at the start of its run.
     pub fn new(size: FleetSize, deployment: Deployment, gateway_seed: u64, digest: Digest) -> Fleet {
         let mut fleet = Fleet {
             size,
@@ -146,7 +146,7 @@
         self.scheduled.insert(key, ScheduledEvent { gateway, event });
     }
 
-    /// The time of the run.
+    /// Returns the time since the start of the run.
     fn elapsed(&self) -> Duration {
         self.now.duration_since(START)
     }
@@ -155,7 +155,7 @@
         OVERLOAD.contains(&self.elapsed())
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end, and returns the digest.
     pub fn run(mut self) -> Digest {
         while let Some((key, scheduled)) = self.scheduled.pop_first() {
             if key.at >= START + RUN_LENGTH {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Gives a gateway an event, folds the actions that it asks for into the digest, and executes them.
+    /// Passes an event to a gateway, and hashes and executes the returned actions.
     fn handle(&mut self, gateway: u16, event: Event) {
         let mut actions = Vec::new();
         self.hosts[usize::from(gateway)].gateway.handle(self.now, event, &mut actions);
@@ -239,7 +239,7 @@
         }
     }
 
-    /// A client's request arrives, and the next one is scheduled.
+    /// Passes a client's request to a gateway and schedules the next arrival.
     fn receive_request(&mut self, gateway: u16) {
         let mean = if self.overloaded() { MILLISECOND * 7 } else { MILLISECOND * 16 };
         let gap = self.random.between(Duration::MICROSECOND, mean * 2);
@@ -255,8 +255,8 @@
         self.handle(gateway, Event::Request(request));
     }
 
-    /// Few customers of the limited plans, many of the unlimited one. A few requests name another plan than their customer
-    /// has, come with hardly any time left, or name no class that there is.
+    /// Draws a request from few customers with limited plans or many with the unlimited one. Some requests
+    /// have a wrong plan, too little time, or an invalid class.
     fn next_request(&mut self) -> Request {
         self.last_request_id += 1;
         let customer =
@@ -278,7 +278,7 @@
         }
     }
 
-    /// How long a backend takes, and how the attempt ends there.
+    /// Draws the time that a backend takes, and the outcome of the attempt.
     fn backend_reply(&mut self, backend: BackendId) -> (Duration, Outcome) {
         let slow = if self.overloaded() { 8 } else { 1 };
         let duration = self.random.between(MILLISECOND * 50, MILLISECOND * 160) * slow;
@@ -339,7 +339,7 @@
         self.remove_if_finished(gateway, id);
     }
 
-    /// A request has its final answer, or needs none.
+    /// Marks a request that has its final answer, or whose client has disconnected.
     fn mark_answered(&mut self, gateway: u16, id: RequestId) {
         if let Some(pending) = self.hosts[usize::from(gateway)].pending.get_mut(&id) {
             pending.answered = true;
@@ -347,7 +347,7 @@
         self.remove_if_finished(gateway, id);
     }
 
-    /// Removes a request that is answered and has no attempt in flight.
+    /// Removes a request that is answered and has no attempts in flight.
     fn remove_if_finished(&mut self, gateway: u16, id: RequestId) {
         let pending = &mut self.hosts[usize::from(gateway)].pending;
         let over =
@@ -357,7 +357,7 @@
         }
     }
 
-    /// The network between gateways: it drops, delays, duplicates and corrupts some messages.
+    /// Simulates the network between gateways, which drops, delays, duplicates and corrupts messages.
     fn deliver_message(&mut self, from: u16, to: Option<GatewayId>, bytes: Vec<u8>) {
         let GatewayId(to) = to.expect("messages go to one peer each");
         if to >= self.size.live_gateways || self.random.percent(10) {
@@ -381,7 +381,7 @@
         self.schedule(delay, to, HostEvent::GatewayEvent(Event::PeerMessage { from, bytes }));
     }
 
-    /// A message that no gateway can have sent: truncated, of another version, or random.
+    /// Returns an invalid message: truncated, of another version, or random.
     fn corrupted(&mut self, bytes: &[u8]) -> Vec<u8> {
         match self.random.below(3) {
             0 => bytes[..self.random.below(bytes.len() as u64) as usize].to_vec(),
--- a/tests/decision_digest/main.rs
+++ b/tests/decision_digest/main.rs
@@ -1,11 +1,13 @@
-//! Pins what gateways decide and tell each other. Fleets of three sizes are driven by a seeded stream of events on a
-//! simulated clock; every action is folded into a 64-bit FNV-1a hash by its values alone: a number that this file gives
-//! to its kind, ids, integers, the bytes of messages. Names and texts do not enter, so that renaming types, fields or
-//! files leaves the digests as they are, while a change of any decision or of the wire format moves them.
+//! Regression test of all decisions and messages of gateways.
 //!
-//! The crate's names stand in few places: [`Digest::fold_action`] reads actions, `deployment` builds the settings, and
-//! [`Fleet`] makes the events. Where a decision is meant to change, the pinned [`Pinned`] values change in the same
-//! commit, which says so.
+//! Fleets of three sizes handle a seeded stream of events on a simulated clock. Each action is hashed with
+//! 64-bit FNV-1a by its values: a number for its kind, ids, integers, and the bytes of messages. Names and
+//! texts are not hashed, so renaming does not change the digests, while a change of any decision or of the
+//! wire format does.
+//!
+//! A commit that changes decisions on purpose updates the [`Pinned`] values and says so. The names of the
+//! library are used in few places: [`Digest::fold_action`] reads actions, `deployment` builds the settings,
+//! and [`Fleet`] creates the events.
 
 use test_support as support;
 
@@ -20,14 +22,14 @@
 
 const GATEWAY_SEED: u64 = 7;
 
-/// Runs a fleet in each deployment.
+/// Runs a fleet in both deployments, and returns the digest and counts of all actions.
 fn drive(size: FleetSize, gateway_seed: u64) -> Pinned {
     let hedged = Fleet::new(size, Deployment::Hedged, gateway_seed, Digest::new()).run();
     let both = Fleet::new(size, Deployment::Single, gateway_seed, hedged).run();
     Pinned { digest: both.state, counts: both.counts }
 }
 
-/// Asserts that every kind of action that decisions ask for occurs more than once.
+/// Asserts that every kind of action occurs at least three times.
 fn assert_all_occur(counts: Counts) {
     let occurring = [
         counts.sends,
@@ -54,8 +56,7 @@
     );
 }
 
-/// Three gateways get a fixed stream of events, and the digest of all their actions is pinned. A change of code
-/// that was meant to change no decision, such as a rename, shows here if it did.
+/// Detects a change of decisions by a commit that is not meant to change any, such as a rename.
 #[test]
 fn three_gateways_decide_as_pinned() {
     let counts = Counts {
@@ -73,7 +74,7 @@
     assert_pinned(THREE, Pinned { digest: 0x7C3D_0817_9925_D4C0, counts });
 }
 
-/// The same in a fleet of thirty, whose gateways report to each other less often than three do.
+/// The same for a fleet of thirty, whose gateways report to each other less often than three do.
 #[test]
 fn gateways_of_thirty_decide_as_pinned() {
     let counts = Counts {
@@ -91,8 +92,8 @@
     assert_pinned(THIRTY, Pinned { digest: 0x5135_22E7_BE53_26D3, counts });
 }
 
-/// The same in a fleet of three hundred, where one or two gateways count a customer's usage for all others, which
-/// request grants from them.
+/// The same for a fleet of three hundred, where one or two quota owners count a customer's usage and the
+/// other gateways request grants from them.
 #[test]
 fn gateways_of_three_hundred_decide_as_pinned() {
     let counts = Counts {
@@ -110,8 +111,8 @@
     assert_pinned(THREE_HUNDRED, Pinned { digest: 0x8931_D61E_8E33_B64F, counts });
 }
 
-/// Gateways with another seed get the same stream of events. Their digest has to differ, since one that did not
-/// depend on what gateways decide would pass whatever they do.
+/// A digest that did not depend on the decisions would never fail. With another gateway seed, the same stream
+/// of events has to give another digest.
 #[test]
 fn another_seed_gives_another_digest() {
     assert_ne!(drive(THREE, GATEWAY_SEED).digest, drive(THREE, GATEWAY_SEED + 1).digest);
--- a/tests/decision_digest/random.rs
+++ b/tests/decision_digest/random.rs
@@ -1,8 +1,8 @@
-//! The random numbers by which the stream of events is drawn.
+//! Pseudo-random numbers for the stream of events.
 
 use ingress::*;
 
-/// splitmix64.
+/// A splitmix64 generator.
 pub struct Random {
     state: u64,
 }
@@ -20,17 +20,17 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A number below a bound.
+    /// Returns a number below `bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
 
-    /// Whether a draw falls into this many cases of a hundred.
+    /// Returns `true` with a probability of `share` percent.
     pub fn percent(&mut self, share: u64) -> bool {
         self.below(100) < share
     }
 
-    /// A time from `least` to just below `most`.
+    /// Returns a duration of at least `least` and less than `most`.
     pub fn between(&mut self, least: Duration, most: Duration) -> Duration {
         least + Duration::from_micros(self.below((most - least).as_micros()))
     }
