--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -55,7 +55,10 @@
             arrived_at: state.arrived_at,
             class: self.class_of(&state.request),
             has_concurrency_quota: self.plan_of(&state.request).concurrency_quota > 0,
-            gives_up_worthless_attempts: self.quota.ownership().expires_attempts_at_latency_objective(),
+            expires_attempts_at_latency_objective: self
+                .quota
+                .ownership()
+                .expires_attempts_at_latency_objective(),
             tick: self.settings.tick,
         })
     }
--- a/src/policy/attempt_expiry.rs
+++ b/src/policy/attempt_expiry.rs
@@ -11,8 +11,8 @@
     pub class: &'a Class,
     /// Whether the customer's plan limits the number of attempts in flight.
     pub has_concurrency_quota: bool,
-    /// Whether the quota ownership demands that attempts whose late answer has no value expire early.
-    pub gives_up_worthless_attempts: bool,
+    /// Whether attempts expire at the latency objective if a late answer has no value.
+    pub expires_attempts_at_latency_objective: bool,
     /// Minimum time between two events with different clock readings; an attempt lasts at least this long.
     pub tick: Duration,
 }
@@ -23,8 +23,9 @@
 /// concurrency quota; its expiry makes room for another attempt.
 pub(crate) fn attempt_expiry(context: &ExpiryContext<'_>) -> Option<Instant> {
     let ExpiryContext { now, arrived_at, class, tick, .. } = *context;
-    let is_worthless_when_late = class.late_weight == 0.0 && class.latency_objective_stretch == 0.0;
-    if !context.gives_up_worthless_attempts || !context.has_concurrency_quota || !is_worthless_when_late {
+    let has_no_late_value = class.late_weight == 0.0 && class.latency_objective_stretch == 0.0;
+    if !context.expires_attempts_at_latency_objective || !context.has_concurrency_quota || !has_no_late_value
+    {
         return None;
     }
     Some((arrived_at + class.latency_objective).max(now + tick))
--- a/src/policy/attempt_expiry/tests.rs
+++ b/src/policy/attempt_expiry/tests.rs
@@ -26,7 +26,7 @@
         arrived_at: ARRIVAL,
         class,
         has_concurrency_quota: true,
-        gives_up_worthless_attempts: true,
+        expires_attempts_at_latency_objective: true,
         tick: TICK,
     }
 }
@@ -58,7 +58,10 @@
         None
     );
     assert_eq!(
-        attempt_expiry(&ExpiryContext { gives_up_worthless_attempts: false, ..context(&without_late_value) }),
+        attempt_expiry(&ExpiryContext {
+            expires_attempts_at_latency_objective: false,
+            ..context(&without_late_value)
+        }),
         None
     );
 }
