--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -113,7 +113,7 @@
 
     /// Returns whether a connection is open with an incompletely written command, which the backend cannot
     /// have started to execute.
-    pub fn is_incomplete(&self, id: ConnectionId) -> bool {
+    pub fn has_incomplete_command(&self, id: ConnectionId) -> bool {
         self.connection(id).is_some_and(|connection| connection.command_state() == CommandState::Incomplete)
     }
 
@@ -143,7 +143,7 @@
     pub fn on_connect_timeout(&mut self, id: ConnectionId, attempt: AttemptId) {
         let carries_attempt =
             self.connection(id).is_some_and(|connection| connection.attempt == Some(attempt));
-        if carries_attempt && self.is_incomplete(id) {
+        if carries_attempt && self.has_incomplete_command(id) {
             self.complete(id.key, ExchangeResult::without_reply(Outcome::ConnectFailed), None);
             self.remove(id.key, BackendCloseReason::ConnectTimeout);
         }
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -47,7 +47,7 @@
         let registry = self.poll.registry();
         let assigned =
             self.connections.assign(registry, BACKEND, attempt(request), zero_timeout(now), encode).unwrap();
-        while self.connections.is_incomplete(assigned.connection) {
+        while self.connections.has_incomplete_command(assigned.connection) {
             self.connections.on_ready(assigned.connection.key, now, Readiness::Writable);
         }
         assigned.connection
@@ -117,7 +117,7 @@
     harness.connections.on_ready(connection.key, START, Readiness::Writable);
     assert_eq!(assigned.command, CommandState::Incomplete);
     assert!(harness.connections.connections[connection.key].is_connected);
-    assert!(harness.connections.is_incomplete(connection));
+    assert!(harness.connections.has_incomplete_command(connection));
     harness.connections.on_connect_timeout(connection, attempt(1));
     let completion = harness.connections.completions.pop().expect("the attempt completes");
     assert_eq!((completion.attempt, completion.outcome), (attempt(1), Outcome::ConnectFailed));
@@ -155,9 +155,9 @@
         .unwrap();
     assert_eq!((second.connection, second.command), (first, CommandState::Incomplete));
     harness.connections.on_connect_timeout(first, attempt(1));
-    assert!(harness.connections.is_incomplete(first), "the later attempt continues");
+    assert!(harness.connections.has_incomplete_command(first), "the later attempt continues");
     harness.connections.on_connect_timeout(first, attempt(2));
-    assert!(!harness.connections.is_incomplete(first));
+    assert!(!harness.connections.has_incomplete_command(first));
 }
 
 /// A backend is draining or removed when an attempt is assigned to it. The attempt has to end as not sent, so
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -237,8 +237,9 @@
         let Some(request) = self.requests.get_mut(id).filter(|request| request.closed) else { return };
         let mut ended = Vec::new();
         for (number, attempt) in (0u16..).zip(&mut request.attempts) {
-            let incomplete =
-                attempt.connection.filter(|connection| self.backend_connections.is_incomplete(*connection));
+            let incomplete = attempt
+                .connection
+                .filter(|connection| self.backend_connections.has_incomplete_command(*connection));
             let Some(connection) = incomplete else { continue };
             let attempt_id = AttemptId { request: id, number };
             self.backend_connections.cancel(connection, attempt_id, BackendCloseReason::RequestClosed);
--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -47,16 +47,16 @@
     }
 
     /// Records whether the client has received its reply or was disconnected.
-    fn settle(&mut self) {
+    fn update(&mut self) {
         self.is_settled |=
             !matches!(self.stream.read(&mut [0; 16]), Err(error) if error.kind() == ErrorKind::WouldBlock);
     }
 }
 
 /// Waits until each idle client has received its reply or was disconnected.
-fn settle(clients: &mut [IdleClient]) {
+fn wait_until_settled(clients: &mut [IdleClient]) {
     wait_until("all idle clients are answered or disconnected", || {
-        clients.iter_mut().for_each(IdleClient::settle);
+        clients.iter_mut().for_each(IdleClient::update);
         clients.iter().all(|client| client.is_settled)
     });
 }
@@ -110,7 +110,7 @@
     let ingress = setup.start();
     let mut idle_clients: Vec<_> = (0..CLIENTS).map(|_| IdleClient::connect(&ingress)).collect();
     discovery.set_down(true);
-    settle(&mut idle_clients);
+    wait_until_settled(&mut idle_clients);
     let open = open_descriptors(&ingress);
     assert!((DESCRIPTORS / 2..=DESCRIPTORS).contains(&open), "{open} descriptors; {case}");
     assert_polled_again(&discovery, &backend, &case);
