--- a/src/audit.rs
+++ b/src/audit.rs
@@ -15,7 +15,7 @@
 
 /// Minimum time between two logged violations of a kind.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for which a backend that takes no new work is kept; exceeds the wait of an attempt for its
+/// Time for which a backend that takes no new work is kept. It exceeds the time that an attempt waits for its
 /// connection.
 const CLOSED_BACKEND_RETENTION: Duration = Duration::from_secs(60);
 
--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -61,11 +61,11 @@
     pub index: usize,
     /// Name of the field on the wire.
     pub field: &'static str,
-    /// Reason for which the field is invalid.
+    /// Reason why the field is invalid.
     pub problem: FieldProblem,
 }
 
-/// The reason for which a field is invalid.
+/// The reason why a field is invalid.
 #[derive(Debug, Error)]
 pub enum FieldProblem {
     /// The field refers to bytes outside the tail of its batch.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -57,7 +57,7 @@
     pub(crate) quota: QuotaManager,
     /// State of the other gateways, and the messages queued for them.
     pub(crate) peers: PeerExchange,
-    /// Backends with their health, indexed by readiness.
+    /// Backends with their health, and the index of the ready ones.
     pub(crate) backends: BackendTable,
     /// Detects failing backends and zones, and outlier latencies.
     pub(crate) outlier_detector: OutlierDetector,
@@ -182,7 +182,7 @@
         self.concurrency_limiter.on_answer(&self.pressure, self.load());
     }
 
-    /// Returns the number of attempts in flight, and of the backends and gateways that share the load.
+    /// Returns the attempts in flight, and the number of ready backends and gateways that share them.
     pub(crate) fn load(&self) -> GatewayLoad {
         GatewayLoad {
             in_flight: self.requests.in_flight,
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// The reason for which the request is rejected.
+    /// The reason why the request is rejected.
     fn screen(&self, request: &Request) -> Result<(), RejectReason> {
         let context = ScreeningContext {
             now: self.now,
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Rejects or fails a request that exceeded its queue time.
+    /// Rejects or fails a request if it exceeded its queue time.
     fn expire_if_overdue(&mut self, id: RequestId, actions: &mut Vec<Action>) -> QueueCheck {
         let Some(state) = self.requests.get(id).filter(|state| state.awaits_attempt()) else {
             return QueueCheck::NotQueued;
@@ -286,7 +286,7 @@
         QueueCheck::Expired
     }
 
-    /// Sends queued requests in order of arrival, while the concurrency limit and the backends permit.
+    /// Sends queued requests, first in, first out, while the concurrency limit and the backends permit.
     pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         while let Some(id) = self.requests.queue.front().copied() {
             let waits = self.requests.get(id).is_some_and(RequestState::awaits_attempt);
--- a/src/gateway/closing.rs
+++ b/src/gateway/closing.rs
@@ -5,8 +5,8 @@
 use crate::{Action, Duration, Gateway, Request, RequestId};
 
 impl Gateway {
-    /// Sends the final answer of a request that is not served: rejected, or failed if it may have been
-    /// executed.
+    /// Rejects a request that is not served, or fails it if it may have been executed and a retry by the
+    /// client is not safe.
     pub(crate) fn reject_or_fail(&mut self, id: RequestId, reason: RejectReason, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get(id) else { return };
         let idempotency = self.class_of(&state.request).idempotency;
--- a/src/gossip/bytes.rs
+++ b/src/gossip/bytes.rs
@@ -1,4 +1,4 @@
-//! Writer and reader of the little-endian integers of a message. Both are bounds-checked.
+//! Writer and reader of the little-endian integers of a message. The reader never reads past the end.
 
 use crate::CustomerId;
 
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -17,7 +17,7 @@
     pub sender_age: PeerAge,
 }
 
-/// The reason for which a received message is ignored.
+/// The reason why a received message is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum IgnoredMessage {
     /// The bytes cannot be decoded.
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// The reason for which the message has to be ignored.
+    /// The reason why the message has to be ignored.
     pub(crate) fn receive(
         &mut self,
         now: Instant,
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -81,7 +81,7 @@
 pub(crate) struct Message {
     /// Incarnation of the sender, see [`incarnation_of`].
     pub incarnation: u32,
-    /// Number of messages from the sender to this receiver, wrapping.
+    /// Number of messages from the sender to this receiver including this one, wrapping.
     pub sequence: u16,
     /// Latencies and failures of the sender's latest attempts.
     pub samples: Vec<LatencySample>,
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -43,8 +43,8 @@
 
 /// Maximum network delay of a message.
 ///
-/// After this time, a message of a superseded incarnation means that this process still runs, and a sequence
-/// number that is not higher means that the numbers have wrapped.
+/// After this time, a message of a superseded incarnation means that the superseded process still runs, and a
+/// sequence number that is not higher means that the numbers have wrapped.
 const MAX_MESSAGE_DELAY: Duration = Duration::from_secs(1);
 /// Minimum sequence number of the first message received from a peer that started before this gateway.
 ///
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a gateway: request classes, plans, limits and rules of the deployment.
 //!
-//! There are no default values: [`SettingsReader`] reads them from the configuration of the deployment.
+//! All values are specific to the deployment; [`SettingsReader`] reads them from its configuration.
 
 mod error;
 mod reader;
@@ -150,7 +150,7 @@
     Live,
 }
 
-/// The settings of a gateway, fixed at its start.
+/// The settings of a gateway, passed to [`Gateway::new`](crate::Gateway::new).
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of gateways in the fleet.
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,6 +1,6 @@
 //! Errors in the settings. Each message contains the key or line at fault.
 
-/// The reason for which settings are rejected.
+/// The reason why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A line is not of the form `path=value`.
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -136,7 +136,8 @@
     ///
     /// # Errors
     ///
-    /// If the count of the classes is missing or invalid, a class has no name, or an index exceeds the count.
+    /// If the count of the classes is missing or invalid, a class has no name, or an index is beyond the
+    /// count.
     pub fn class_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.names(CLASSES)
     }
@@ -145,7 +146,7 @@
     ///
     /// # Errors
     ///
-    /// If the count of the plans is missing or invalid, a plan has no name, or an index exceeds the count.
+    /// If the count of the plans is missing or invalid, a plan has no name, or an index is beyond the count.
     pub fn plan_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.names(PLANS)
     }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -8,7 +8,7 @@
     pub endpoint: Endpoint,
     /// Time at which the host was asked to send it.
     pub sent_at: Instant,
-    /// Whether the host has not reported its end yet.
+    /// Whether its end has not been reported yet.
     pub in_flight: bool,
     /// Whether the host was asked to cancel it.
     pub cancelled: bool,
--- a/tests/decision_digest/random.rs
+++ b/tests/decision_digest/random.rs
@@ -20,7 +20,7 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// Returns a number below `bound`.
+    /// Returns the next number modulo `bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -17,7 +17,7 @@
 
 /// Files and folders, relative to the root of the workspace, whose comments may still repeat names.
 const MAY_REPEAT_NAMES: &[&str] =
-    &["tests/decision_digest", "tests/support", "stand-ins", "fault-shim", "fault-soak", "fleet-experiments"];
+    &["tests/support", "stand-ins", "fault-shim", "fault-soak", "fleet-experiments"];
 
 /// Words of a comment that say nothing about the item that it belongs to.
 const FILLERS: &[&str] = &[
