--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// Returns whether a request names a plan with a hard limit that is not the plan in its customer's record.
+/// Returns whether a request claims a plan with a hard limit that is not the plan in its customer's record.
 /// Either the plan has changed and the change has not reached this gateway yet, or the client tries to
 /// bypass the limit.
 pub(crate) fn has_plan_mismatch(plans: &[Plan], claimed_plan: u16, recorded_plan: u16) -> bool {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Returns whether usage is counted at this gateway or a grant is recent enough to decide by.
+    /// Returns whether usage is counted at this gateway or a grant answer is recent enough to decide by.
     fn is_quota_known(&self) -> bool {
         let is_over_rate_quota = self.shortages.quota.is_some() && self.plan.concurrency_quota == 0;
         let freshness =
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -67,8 +67,8 @@
     /// Raises the limit at an answer if the limit is in use and the pressure is low enough. Everything that
     /// [`Pressure`] records counts as an answer, including samples of peers.
     pub(crate) fn on_answer(&mut self, pressure: &Pressure, load: GatewayLoad) {
-        // A reduced limit returns to its initial value at any pressure that doesn't raise the shedding
-        // stage: with the stricter threshold a limit that was once reduced would stay reduced.
+        // A reduced limit grows back to its initial value at any pressure below `LOW_PRESSURE`: with the
+        // stricter threshold a limit that was once reduced would stay reduced.
         let is_reduced = self.attempts_per_backend < INITIAL_ATTEMPTS_PER_BACKEND;
         let growth_pressure = if is_reduced { LOW_PRESSURE } else { GROWTH_PRESSURE };
         let limit = self.limit(load);
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -25,7 +25,7 @@
 /// A failed periodic poll is repeated after the interval divided by this number.
 const RETRIES_PER_INTERVAL: u64 = 8;
 
-/// Delays before a retry; jitter varies each of them by half in either direction.
+/// Delays before a retry; jitter changes each of them by up to 50% in either direction.
 #[derive(Clone, Copy, Debug)]
 struct RetryDelays {
     /// Delay before the first retry; it doubles with each further one.
@@ -50,9 +50,10 @@
 }
 
 impl PollTimings {
-    /// Polls of an agent on the same host, which receives every change itself. Their wait is short, since a
-    /// dead connection can only be detected after it. What the agent has counts as delivered whether or not
-    /// a poll is pending, so every delay must be shorter than the grace period of a change.
+    /// Polls of an agent on the same host, which receives every change itself. They wait for a short time,
+    /// since a dead connection can only be detected after it. Changes that the agent has received count as
+    /// delivered whether or not a poll is pending, so every delay must be shorter than the grace period of
+    /// a change.
     pub const LOCAL_AGENT: PollTimings = PollTimings {
         poll_timeout: Duration::from_secs(2),
         response_timeout: Duration::from_secs(1),
--- a/src/policy/load_balancing/slow_start.rs
+++ b/src/policy/load_balancing/slow_start.rs
@@ -7,8 +7,8 @@
 
 /// Time constant of the send rate from which the fair share of a backend is computed.
 const SEND_RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
-/// Share of the overload rule's budget that is used. The rest covers that more is sent under overload than
-/// the backends can handle, and that several gateways may send at the same time.
+/// Share of the attempts permitted by the overload rule that is used. The rest is a margin for overload,
+/// when more is sent than the backends can handle, and for gateways that happen to send at the same time.
 const BUDGET_SHARE: f64 = 0.35;
 /// Overload windows per draw. The window slides, so a new draw for each window would let two gateways send
 /// within the same window.
@@ -79,9 +79,9 @@
         (age < self.duration).then_some(age)
     }
 
-    /// Returns the number of attempts that this gateway may send to a backend within the overload window:
-    /// its share of the backend's current limit, in proportion to the backend's fair share of this
-    /// gateway's send rate. The result may be less than 1.
+    /// Returns the number of attempts that this gateway may send to a backend within the overload window,
+    /// from the backend's fair share of this gateway's send rate, its current capacity and the overload
+    /// factor. The result may be less than 1.
     fn budget(&self, backend: &Backend, ready_capacity: f64, now: Instant) -> f64 {
         let sends_per_second = self.send_rate.at(now, SEND_RATE_TIME_CONSTANT);
         let fair_rate = sends_per_second * backend.size / ready_capacity.max(backend.size);
--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -20,8 +20,8 @@
 /// given backend and receives few reports about it, so these few must be able to make it suspect.
 const PEER_WEIGHT: f64 = 0.2;
 
-/// An ejection: it raises the backend's cost for a time, so that the backend is chosen only if the others
-/// cost even more.
+/// Ejection of a backend. It raises the backend's cost for a time, so that the backend is chosen only if
+/// the others cost even more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Ejection {
     pub reason: EjectionReason,
@@ -43,7 +43,7 @@
     },
 }
 
-/// Result of the check whether a backend with an attempt in flight is silent.
+/// Result of checking whether a backend with an attempt in flight is silent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum SilenceCheck {
     /// The backend has answered an attempt of the class since this one was sent.
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -25,15 +25,15 @@
 /// backend that answers other attempts.
 const LATE_ATTEMPT_SHARE: f64 = 0.6;
 
-/// Time after which a client whose request was not served may retry; the shedding stage can have risen by
-/// then.
+/// Time after which a client whose request was not served is advised to retry; the shedding stage may have
+/// risen by then.
 pub(crate) const NOT_SERVED_RETRY_AFTER: Duration = MIN_STAGE_TIME_UP;
 
 /// Input of the decision on a further attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryContext {
     pub now: Instant,
-    /// The end of the latency objective or the client's deadline, whichever is earlier.
+    /// The earlier of the end of the latency objective and the client's deadline.
     pub answer_due_at: Instant,
     /// Whether and where the request may be executed again.
     pub idempotency: Idempotency,
@@ -77,7 +77,7 @@
     pub idempotency: Idempotency,
 }
 
-/// Measure taken for an attempt that is in flight.
+/// Decision on an attempt that has no answer yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptCheck {
     /// The attempt is not late yet and is checked again at this time.
