--- a/src/bin/ingress/backends/attempt.rs
+++ b/src/bin/ingress/backends/attempt.rs
@@ -13,7 +13,7 @@
 /// Progress of writing a command. A backend cannot start executing a command before its last byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandState {
-    /// At least one byte is still to be written.
+    /// At least one byte is not written yet.
     Incomplete,
     /// All bytes are written.
     Sent,
@@ -43,7 +43,7 @@
     pub command: CommandState,
 }
 
-/// Reports that the first byte of an attempt's command was written.
+/// Notification that the first byte of an attempt's command was written.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstByteWritten {
     pub attempt: AttemptId,
@@ -54,7 +54,7 @@
 /// The timeout that a command states to its backend, relative to the time at which the command was encoded.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StatedTimeout {
-    /// When the command was encoded.
+    /// Time at which the command was encoded.
     pub stated_at: Instant,
     /// Time that the attempt had left at `stated_at`.
     pub timeout: Duration,
@@ -65,7 +65,7 @@
     pub attempt: AttemptId,
     pub backend: BackendId,
     pub outcome: Outcome,
-    /// When the attempt was assigned to its connection.
+    /// Time at which the attempt was assigned to its connection.
     pub started_at: Instant,
     /// Number of requests queued at the backend, if the backend reported it.
     pub reported_queue_depth: Option<f64>,
--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -7,14 +7,15 @@
 /// Maximum time from the first byte of a reply to its last.
 const MAX_REPLY_DURATION: Duration = Duration::from_millis(500);
 
-/// Why a connection to a backend was closed.
+/// Reason for closing a connection to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendCloseReason {
     /// The gateway cancelled the attempt.
     Cancelled,
     /// The attempt timed out.
     TimedOut,
-    /// It became too late to write the first byte of the command, or the request was closed before that.
+    /// The first byte of the command may not be written: the attempt expired, the connection was established
+    /// too late, or the request was closed.
     WriteRefused,
     /// The request was closed before the command was completely written.
     RequestClosed,
--- a/src/bin/ingress/backends/connection.rs
+++ b/src/bin/ingress/backends/connection.rs
@@ -18,13 +18,13 @@
     pub is_connected: bool,
     /// The current attempt; `None` while the connection is idle.
     pub attempt: Option<AttemptId>,
-    /// When the latest attempt was assigned; initially when the connection was opened.
+    /// Time at which the latest attempt was assigned; initially the time of opening.
     pub assigned_at: Instant,
-    /// When the connection became idle after its latest attempt; initially when it was opened.
+    /// Time at which the connection became idle after its latest attempt; initially the time of opening.
     pub idle_since: Instant,
     /// Idle time before the current attempt; `None` for the first attempt on the connection.
     pub idle_time_before_attempt: Option<Duration>,
-    /// When the first byte of the reply arrived.
+    /// Arrival time of the first byte of the reply.
     pub reply_started_at: Instant,
     pub command: Vec<u8>,
     pub stated_timeout: StatedTimeout,
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange of a command and its reply on a connection.
+//! Writes the commands of attempts to connections, reads the replies and records the results.
 
 use super::closing::BackendCloseReason;
 use super::connection::{BackendConnection, ReadStep};
@@ -19,7 +19,7 @@
 /// A reused connection that fails within this time after an attempt is assigned counts as stale.
 const IMMEDIATE_FAILURE_THRESHOLD: Duration = Duration::from_millis(10);
 
-/// Whether a connection can still be used.
+/// Result of processing received bytes or releasing a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Usability {
     /// The connection stays open.
--- a/src/bin/ingress/backends/idle_reuse.rs
+++ b/src/bin/ingress/backends/idle_reuse.rs
@@ -9,7 +9,8 @@
 /// Factor applied to all counts at each sweep. Halves them in 23 sweeps, which take 11.5 s with
 /// `SWEEP_INTERVAL` of `event_loop/timers.rs`.
 const DECAY_FACTOR_PER_SWEEP: f64 = 0.97;
-/// Number of buckets by idle time. The first one ends at 2 ms, and each is twice as wide as the one before.
+/// Number of buckets by idle time. The first one ends at 2 ms, each further one at twice the end of the
+/// previous one.
 const BUCKET_COUNT: usize = 16;
 
 /// Outcome of reusing an idle connection.
@@ -29,7 +30,7 @@
 }
 
 impl Bucket {
-    /// Returns whether connections should not be reused after this idle time.
+    /// Returns whether connections should not be reused after the idle times of this bucket.
     fn is_stale(&self) -> bool {
         self.uses >= MIN_USES && self.stale_uses > self.uses * MAX_STALE_FRACTION
     }
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -49,7 +49,7 @@
     configured_max_idle_time: Duration,
     /// Lowers the maximum idle time when reused connections turn out to be stale.
     pub(super) idle_reuse: IdleReuseTracker,
-    /// Returns the poll token for a connection's key.
+    /// Maps a connection's key to the token of its readiness events.
     token: fn(usize) -> Token,
     /// Results of attempts since the last [`BackendConnections::take_completions`].
     pub(super) completions: Vec<ExchangeCompletion>,
@@ -61,7 +61,7 @@
 
 impl BackendConnections {
     /// Creates an empty set of pools. Backends close connections that have been idle for `keepalive_timeout`;
-    /// `token` returns the poll token for a connection's key.
+    /// `token` maps a connection's key to the token of its readiness events.
     pub fn new(keepalive_timeout: Duration, token: fn(usize) -> Token) -> Self {
         BackendConnections {
             connections: Slab::new(),
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -125,9 +125,9 @@
     drop(peer);
 }
 
-/// A connection has nearly reached the backend's short keep-alive timeout. A command written to it could
-/// cross the close, and its execution would be unknown. The periodic sweep is too infrequent to close it
-/// first, so the idle time is checked before reuse.
+/// A connection has nearly reached the backend's short keep-alive timeout. If the backend closed it while a
+/// command is in transit, the execution of the command would be unknown. The periodic sweep is too infrequent
+/// to close the connection first, so the idle time is checked before reuse.
 #[test]
 fn a_connection_close_to_the_keepalive_timeout_is_not_reused() {
     let mut harness = Harness::new(Duration::from_millis(400));
--- a/src/bin/ingress/config/error.rs
+++ b/src/bin/ingress/config/error.rs
@@ -5,7 +5,7 @@
 use std::io;
 use thiserror::Error;
 
-/// Reason for which a configuration file is rejected.
+/// Reason for rejecting a configuration file.
 #[derive(Debug, Error)]
 pub enum ConfigFileError {
     /// The file cannot be read.
@@ -26,7 +26,7 @@
     },
 }
 
-/// Reason for which the content of a configuration file is rejected.
+/// Reason for rejecting the content of a configuration file.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The content cannot be parsed as JSON.
--- a/src/bin/ingress/discovery/connection.rs
+++ b/src/bin/ingress/discovery/connection.rs
@@ -29,7 +29,7 @@
 }
 
 impl DiscoveryConnection {
-    /// Starts opening a connection and registers it with the poll.
+    /// Starts opening a connection and registers it for readiness events.
     pub fn open(address: SocketAddr, registry: &Registry, token: Token) -> io::Result<DiscoveryConnection> {
         let mut stream = TcpStream::connect(address)?;
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
@@ -68,8 +68,8 @@
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // Not connected yet, or the send buffer is full. The poll reports when the socket becomes
-                // writable.
+                // Not connected yet, or the send buffer is full. A readiness event follows when the socket
+                // becomes writable.
                 Err(error) if is_not_ready(&error) => break,
                 Err(error) => return Err(error),
             }
--- a/src/bin/ingress/discovery/error.rs
+++ b/src/bin/ingress/discovery/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use thiserror::Error;
 
-/// Reason for which an endpoint list is rejected.
+/// Reason for rejecting an endpoint list.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum EndpointListError {
     /// The list's version is missing or not a whole number.
@@ -28,7 +28,7 @@
     },
 }
 
-/// Reason for which an HTTP response is rejected.
+/// Reason for rejecting an HTTP response.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum HttpError {
     /// The head cannot be parsed.
@@ -51,7 +51,7 @@
     TooLong,
 }
 
-/// Reason for which a poll of discovery failed.
+/// Reason for the failure of a poll of discovery.
 #[derive(Debug, Error)]
 pub enum PollError {
     /// The connection could not be opened or registered.
--- a/src/bin/ingress/discovery/http.rs
+++ b/src/bin/ingress/discovery/http.rs
@@ -23,7 +23,7 @@
     (memory / BODY_MEMORY_DIVISOR).max(MIN_BODY_LIMIT_BYTES)
 }
 
-/// Whether more bytes may arrive on a connection.
+/// State of the receiving side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamState {
     /// More bytes may arrive.
@@ -32,7 +32,7 @@
     Ended,
 }
 
-/// Whether a connection can serve another request.
+/// Use of a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persistence {
     /// The connection stays open for another request.
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -12,8 +12,8 @@
 use mio::{Registry, Token};
 use std::net::SocketAddr;
 
-/// Time that a response may arrive after the poll's timeout. Changes in a lost response count as delivered 2
-/// s after the timeout, so the next poll has to be answered by then.
+/// Additional time to wait for a response after the poll's timeout. Changes in a lost response count as
+/// delivered 2 s after the timeout, so the next poll has to be answered by then.
 const RESPONSE_GRACE: Duration = Duration::from_millis(750);
 /// Delay before the next poll after an immediate empty response. A watch counts as uninterrupted if the next
 /// poll follows within 200 ms.
@@ -21,10 +21,10 @@
 /// A response that arrives faster than this did not wait for changes.
 const IMMEDIATE_RESPONSE_THRESHOLD: Duration = Duration::from_millis(20);
 
-/// Change in the success of polls.
+/// Change in the health of polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollHealth {
-    /// Polls continue to succeed or continue to fail, or have recovered.
+    /// Polls continue to succeed or to fail, or have recovered.
     Unchanged,
     /// A poll failed and the one before it did not.
     FirstFailure,
@@ -63,20 +63,20 @@
     /// Address of discovery.
     address: SocketAddr,
     location_names: LocationNames,
-    /// Poll token of the connection.
+    /// Token of the connection's readiness events.
     token: Token,
     /// The open connection, which is reused for further polls if discovery keeps it open.
     connection: Option<DiscoveryConnection>,
     /// Version of the latest list. With `None` the next poll requests a snapshot.
     index: Option<u64>,
-    /// When the pending poll was started; `None` if no poll is pending.
+    /// Start time of the pending poll; `None` if no poll is pending.
     poll_started_at: Option<Instant>,
-    /// When the pending poll times out, once its request is written.
+    /// Time at which the pending poll times out, once its request is written.
     response_due_at: Instant,
     schedule: PollSchedule,
     /// Maximum size of a response's body.
     max_body_bytes: usize,
-    /// When [`Watch::on_timer`] has to be called next.
+    /// Time at which [`Watch::on_timer`] has to be called next.
     pub next_timer_at: Instant,
     /// Whether the last poll timed out. The next one then does not wait for changes, so that missed changes
     /// are sent at once and a second timeout is detected soon.
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -216,11 +216,11 @@
 /// seconds are rejected but still take service time.
 struct SharedDiscovery {
     service_time: Duration,
-    /// When the last poll in the queue is served.
+    /// Time at which the last poll in the queue is served.
     free_at: Instant,
 }
 
-/// The end of a poll of [`SharedDiscovery`].
+/// Time and result of the end of a poll of [`SharedDiscovery`].
 struct PollEnd {
     at: Instant,
     is_answered: bool,
@@ -387,11 +387,11 @@
     }
 }
 
-/// Discovery is down for 8 s, and part of the fleet restarts meanwhile. A change counts as delivered after 6
-/// s, so retry delays of up to 12 s, or first polls up to 58 s after a start with 2,900 ingresses, are too
-/// slow. Polls that are too frequent are as harmful: a hundred ingresses that poll about once a second keep
-/// the queue of a discovery that serves 20 polls per second full, and no poll is answered. Each ingress has
-/// to poll in time, with few polls unanswered.
+/// Discovery is down for 8 s, and part of the fleet restarts meanwhile. Retry delays of up to 12 s, or first
+/// polls up to 58 s after a start with 2,900 ingresses, are too slow, since a change counts as delivered
+/// after 6 s. Polls that are too frequent are harmful as well: a hundred ingresses that poll about once a
+/// second keep the queue of a discovery that serves 20 polls per second full, and no poll is answered. Each
+/// ingress has to poll in time, with few polls unanswered.
 #[test]
 fn a_recovered_discovery_is_polled_within_five_seconds_without_overload() {
     for (ingresses, polls_per_second) in [(100, 22), (300, 66), (2900, 640)] {
@@ -416,9 +416,8 @@
     }
 }
 
-/// Discovery is cut off from the network, so a connection to it is never established. If this had the long
-/// timeout of a poll that waits for changes, the ingress would receive changes only long after the network
-/// recovers.
+/// Discovery is cut off from the network, so a connection to it is never established. With the long timeout
+/// of a poll that waits for changes, the ingress would receive changes only long after the network recovers.
 #[test]
 fn a_poll_without_an_established_connection_is_retried_within_five_seconds() {
     let poll = mio::Poll::new().unwrap();
--- a/src/bin/ingress/peers.rs
+++ b/src/bin/ingress/peers.rs
@@ -16,7 +16,7 @@
     addresses: PeerAddresses,
 }
 
-/// Reason for which a datagram is dropped.
+/// Reason for dropping a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DropReason {
     /// The datagram exceeds the maximum length of a message.
@@ -35,7 +35,7 @@
 }
 
 impl PeerSocket {
-    /// Binds the socket and registers it with the poll.
+    /// Binds the socket and registers it for readiness events.
     pub fn bind(addresses: PeerAddresses, registry: &Registry, token: Token) -> io::Result<Self> {
         let mut socket = UdpSocket::bind(addresses.listen_address)?;
         registry.register(&mut socket, token, Interest::READABLE)?;
--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -61,7 +61,7 @@
     });
 }
 
-/// Counts the descriptors of the ingress's process.
+/// Counts the entries of `/proc/PID/fd` of the ingress.
 fn open_descriptors(ingress: &IngressProcess) -> usize {
     fs::read_dir(format!("/proc/{}/fd", ingress.child.id())).unwrap().count()
 }
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -61,8 +61,8 @@
 }
 
 /// A request waits for its connection to a backend, and its client disconnects. If the attempt continued, the
-/// backend would execute the request for no client. It has to end even where the settings do not permit
-/// cancelling, since nothing is sent yet.
+/// backend would execute the request in vain. It has to end even where the settings do not permit cancelling,
+/// since nothing is sent yet.
 #[test]
 fn an_attempt_without_a_connection_ends_when_its_client_disconnects() {
     for cancelling in ["true", "false"] {
@@ -109,9 +109,9 @@
     }
 }
 
-/// A client pipelines 400 requests and disconnects while the first ten are in flight. Without reading the
-/// rest of the input the ingress does not detect the disconnect, and sends the waiting requests to backends
-/// for no client.
+/// A client pipelines 400 requests and disconnects while the first ten are in flight. Unless the ingress
+/// reads the rest of the input, it does not detect the disconnect and sends the waiting requests to backends
+/// in vain.
 #[test]
 fn pipelined_requests_are_not_sent_once_their_client_has_disconnected() {
     let gated = GatedBackend::start();
