--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -108,7 +108,7 @@
     fn begin_shutdown(&mut self) {
         let Some(reply_deadline) = self.shutdown.begin(self.now) else { return };
         let reply_time_ms = reply_deadline.duration_since(self.now).as_millis();
-        tracing::info!(target: "shutdown", reply_time_ms, "started");
+        tracing::info!(target: "shutdown", reply_time_ms, "graceful shutdown started");
         self.timers.schedule(self.now + MIN_ACCEPTING_TIME, Timer::CheckAccepting);
         self.timers.schedule(reply_deadline, Timer::ReplyDeadline);
     }
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -58,7 +58,7 @@
         let mut event_loop = EventLoop::build(config, sockets, Clock::new(), reload)?;
         event_loop.timers.schedule(event_loop.now + SWEEP_INTERVAL, Timer::Sweep);
         event_loop.run_gateway();
-        tracing::info!(target: "event_loop", %address, "listening");
+        tracing::info!(target: "event_loop", %address, "listening for clients");
         Ok(event_loop)
     }
 
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -96,7 +96,7 @@
     /// Logs the exit of the process: `drained`, or forced because the time for the shutdown is over.
     pub(super) fn log_finished(&self, drained: bool) {
         let (open_requests, clients) = (self.requests.open_ids().len(), self.clients.len());
-        tracing::info!(target: "shutdown", drained, open_requests, clients, "finished");
+        tracing::info!(target: "shutdown", drained, open_requests, clients, "graceful shutdown finished");
     }
 
     /// Returns whether the listener is closed, all requests read so far are answered, and no client is left
--- a/src/bin/ingress/logging.rs
+++ b/src/bin/ingress/logging.rs
@@ -37,7 +37,7 @@
     subscriber.event_format(LineFormat).init();
     if parsed.is_err() {
         let given = level.unwrap_or_default();
-        tracing::warn!(target: "log", given, used = %max_level, "{LEVEL_VARIABLE} is no level");
+        tracing::warn!(target: "log", given, used = %max_level, "invalid log level in {LEVEL_VARIABLE}");
     }
     guard
 }
--- a/src/bin/ingress/logging/tests.rs
+++ b/src/bin/ingress/logging/tests.rs
@@ -37,12 +37,12 @@
     let subscriber = tracing_subscriber::fmt().with_max_level(LevelFilter::INFO);
     let subscriber = subscriber.with_writer(recorded.clone()).event_format(LineFormat).finish();
     tracing::subscriber::with_default(subscriber, || {
-        tracing::info!(target: "reload", address = %"127.0.0.1:1", attempts = 2, "configuration read");
+        tracing::info!(target: "reload", address = %"127.0.0.1:1", attempts = 2, "configuration reloaded");
         tracing::info!(target: NO_TARGET, "load_shedding: stage changed");
         tracing::debug!(target: "reload", "not logged");
     });
     let log = String::from_utf8(recorded.0.lock().unwrap().clone()).unwrap();
-    let expected = "ingress: reload: configuration read, address=127.0.0.1:1 attempts=2\n\
+    let expected = "ingress: reload: configuration reloaded, address=127.0.0.1:1 attempts=2\n\
                     ingress: load_shedding: stage changed\n";
     assert_eq!(log, expected);
 }
--- a/src/bin/ingress/reload.rs
+++ b/src/bin/ingress/reload.rs
@@ -54,7 +54,7 @@
         let variable = |name: &str| environment_variable(name).filter(|_| name != DISCOVERY_VARIABLE);
         match Config::read(&self.path, variable) {
             Ok(config) => {
-                tracing::info!(target: "reload", discovery = %config.discovery_address, "configuration read");
+                tracing::info!(target: "reload", discovery = %config.discovery_address, "configuration reloaded");
                 self.retry_delay = None;
                 ReloadOutcome::Applied(config.discovery_address)
             }
@@ -73,6 +73,6 @@
             return;
         }
         let retry_in_ms = retry_delay.as_millis();
-        tracing::info!(target: "reload", retry_in_ms, error = %ErrorChain(error), "configuration kept");
+        tracing::info!(target: "reload", retry_in_ms, error = %ErrorChain(error), "configuration reload failed; current configuration kept");
     }
 }
--- a/tests/ingress/logging.rs
+++ b/tests/ingress/logging.rs
@@ -87,6 +87,6 @@
     let mut ingress = ingress.start_with(&format!("export LB_LOG=loud; {}", built_program()));
     ingress.stop();
     let log = ingress.log();
-    assert!(log.contains("log: LB_LOG is no level, given=loud used=info"), "{log}");
-    assert!(log.contains("event_loop: listening"), "{log}");
+    assert!(log.contains("log: invalid log level in LB_LOG, given=loud used=info"), "{log}");
+    assert!(log.contains("event_loop: listening for clients, address="), "{log}");
 }
--- a/tests/ingress/shutdown.rs
+++ b/tests/ingress/shutdown.rs
@@ -44,7 +44,10 @@
     let log = ingress.log();
     assert!(!log.contains("panicked"));
     assert!(log.contains("shutdown: listener closed, open_requests="), "{log}");
-    assert!(log.contains("shutdown: finished, drained=true open_requests=0 clients=0"), "{log}");
+    assert!(
+        log.contains("shutdown: graceful shutdown finished, drained=true open_requests=0 clients=0"),
+        "{log}"
+    );
 }
 
 /// Clients that are not notified of the shutdown keep connecting after SIGTERM, and would be refused if the
