--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -95,7 +95,7 @@
         if self.requests.close(id).is_none() {
             return;
         }
-        tracing::debug!(target: "request", request = id.0, "client disconnected");
+        tracing::debug!(target: "request", request = id.0, "client disconnected before the answer");
         self.counters.requests_disconnected += 1;
         if let Some(request) = self.requests.get_mut(id) {
             request.audit.client_disconnected();
@@ -154,7 +154,7 @@
             timeout_ms = timeout.as_millis(),
             waited_ms = self.now.duration_since(arrived_at).as_millis_f64(),
             client = reply_to.client(),
-            "opened"
+            "request opened"
         );
         self.counters.requests_opened += 1;
         let audit = RequestAudit::new(&self.auditor, request.class.into(), client_deadline);
@@ -186,7 +186,7 @@
             client_request_id = %String::from_utf8_lossy(command.client_request_id()),
             client = reply_to.client(),
             ?refusal,
-            "not opened"
+            "request refused"
         );
         match refusal {
             OpenRefusal::DuplicateId => {
@@ -208,7 +208,7 @@
 
     /// Logs, counts and audits a request's final reply.
     fn record_answer(&mut self, id: RequestId, answer: Answer) {
-        tracing::debug!(target: "request", request = id.0, ?answer, "answered");
+        tracing::debug!(target: "request", request = id.0, ?answer, "request answered");
         self.counters.requests_answered += 1;
         self.counters.requests_rejected += u64::from(answer == Answer::Rejected);
         self.counters.requests_failed += u64::from(answer == Answer::Failed);
@@ -224,7 +224,7 @@
     /// still receives a reply.
     pub(super) fn fail_unanswered(&mut self, id: RequestId, reason: MissedAnswer) {
         if self.requests.is_open(id) {
-            tracing::debug!(target: "request", request = id.0, ?reason, "not answered in time");
+            tracing::debug!(target: "request", request = id.0, ?reason, "request failed: no answer before the deadline");
             self.reply(id, FAILED_REPLY, Answer::Failed);
             self.pending_events.push_back(Event::RequestClosed(id));
         }
