--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -76,7 +76,7 @@
                 attempt = attempt.number,
                 backend = backend.0,
                 ?refusal,
-                "backend unavailable"
+                "attempt not sent: backend unavailable"
             );
             return Err(Outcome::NotSent);
         }
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -80,7 +80,7 @@
             let refusal = refusal.map(tracing::field::debug);
             tracing::debug!(
                 target: "attempt", request = id.0, attempt = number, backend = backend.0, refusal, has_expired,
-                "not permitted"
+                "attempt not sent: refused or expired"
             );
             return self.end_attempt(AttemptEndReport {
                 request_closed,
@@ -89,7 +89,8 @@
         }
         if !self.reserve_descriptor(backend) {
             tracing::debug!(
-                target: "attempt", request = id.0, attempt = number, backend = backend.0, "no descriptor"
+                target: "attempt", request = id.0, attempt = number, backend = backend.0,
+                "attempt not sent: no file descriptor available"
             );
             return self.end_attempt(AttemptEndReport::not_sent(attempt, backend));
         }
@@ -136,7 +137,7 @@
                 connection = assigned.connection.serial(),
                 command = ?assigned.command,
                 time_left_ms = timeout.as_millis(),
-                "started"
+                "attempt started"
             );
             attempt.connection = Some(assigned.connection);
             self.timers.schedule(attempt.expires_at, Timer::AttemptTimeout(attempt_id));
@@ -224,7 +225,7 @@
             backend = end.backend.0,
             outcome = ?end.outcome,
             elapsed_ms = end.elapsed.as_millis_f64(),
-            "ended"
+            "attempt ended"
         );
         self.counters.record_outcome(end.outcome);
         self.record_attempt_end(end.attempt, end.outcome);
@@ -278,7 +279,7 @@
     /// Ends an attempt whose first byte may no longer be written.
     fn refuse_to_write(&mut self, attempt: AttemptId, refusal: WriteRefusal) {
         let (request, number) = (attempt.request.0, attempt.number);
-        tracing::debug!(target: "attempt", request, attempt = number, ?refusal, "not begun");
+        tracing::debug!(target: "attempt", request, attempt = number, ?refusal, "command not written");
         let outcome = match refusal {
             // A closed request is not a failure of the backend.
             WriteRefusal::Closed => Outcome::NotSent,
--- a/tests/ingress/logging.rs
+++ b/tests/ingress/logging.rs
@@ -26,8 +26,8 @@
     let trace: Vec<&str> =
         log.lines().filter(|line| line.split([' ', ',']).any(|word| word == request)).collect();
     for (event, detail) in [
-        ("attempt: started", "command=Sent"),
-        ("attempt: ended", "outcome=Rejected"),
+        ("attempt: attempt started", "command=Sent"),
+        ("attempt: attempt ended", "outcome=Rejected"),
         ("policy: retry considered", "permission="),
         ("policy: rejected", "reason=AttemptsExhausted"),
         ("request: request answered", "answer=Rejected"),
