--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -46,7 +46,7 @@
             request = connection.attempt.map(|attempt| attempt.request.0),
             attempt = connection.attempt.map(|attempt| attempt.number),
             ?reason,
-            "closed"
+            "backend connection closed"
         );
         if connection.attempt.is_none() {
             if let Some(pool) = self.pools.get_mut(&connection.backend) {
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -209,7 +209,9 @@
     fn connect(&mut self, registry: &Registry, backend: BackendId, now: Instant) -> Result<usize, Outcome> {
         let address = self.pools.get(&backend).and_then(|pool| pool.address).ok_or(Outcome::ConnectFailed)?;
         let mut stream = TcpStream::connect(address).map_err(|error| {
-            tracing::debug!(target: "backend_connection", backend = backend.0, %error, "not connected");
+            tracing::debug!(
+                target: "backend_connection", backend = backend.0, %error, "could not connect to backend"
+            );
             if is_local_shortage(&error) {
                 Outcome::NotSent
             } else {
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -194,7 +194,7 @@
             cause = connection.closing_cause.map(tracing::field::debug),
             replies_owed,
             unwritten_bytes,
-            "closed"
+            "client connection closed"
         );
         self.close_counts[reason as usize] += 1;
         if connection.is_busy() && !reason.may_drop_replies() {
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -160,7 +160,10 @@
         let bytes = &connection.input[position];
         match Command::parse(bytes, &self.argument_ranges, &self.schema) {
             Some(Ok(_)) if connection.is_over_limit() => {
-                tracing::debug!(target: "client_connection", client = connection.serial, "over the limit");
+                tracing::debug!(
+                    target: "client_connection", client = connection.serial,
+                    "request rejected: connection over the file descriptor limit"
+                );
                 connection.start_closing(ClosingCause::OverLimit);
                 self.reply_immediately(key, BUSY_REPLY);
             }
@@ -189,7 +192,9 @@
     /// Replies with an error to an invalid command.
     fn refuse_command(&mut self, key: usize, error: ClientError) {
         let connection = &mut self.connections[key];
-        tracing::debug!(target: "client_connection", client = connection.serial, %error, "command refused");
+        tracing::debug!(
+            target: "client_connection", client = connection.serial, %error, "invalid command refused"
+        );
         connection.record_invalid_command();
         self.reply_error(key, error);
     }
--- a/src/bin/ingress/discovery/endpoint_list.rs
+++ b/src/bin/ingress/discovery/endpoint_list.rs
@@ -148,8 +148,9 @@
         // Backends without a group belong to cell 0.
         let group = json.get("group").and_then(Value::as_u64).unwrap_or(0);
         let backend = backend_id(name);
-        // At `trace` because the lines of a long snapshot would displace all others from the log's buffer.
-        tracing::trace!(target: "discovery", backend = backend.0, name, "backend named");
+        // At `trace` because the lines of a long snapshot would fill the log's buffer, and later lines would
+        // be dropped.
+        tracing::trace!(target: "discovery", backend = backend.0, name, "endpoint parsed");
         let endpoint = Endpoint {
             backend,
             zone: location_names.zone(text("zone")),
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -93,7 +93,8 @@
         self.is_drained()
     }
 
-    /// Logs the exit of the process: `drained`, or forced because the time for the shutdown is over.
+    /// Logs the end of the graceful shutdown. `drained` is `false` if the process exits because the time for
+    /// the shutdown is over.
     pub(super) fn log_finished(&self, drained: bool) {
         let (open_requests, clients) = (self.requests.open_ids().len(), self.clients.len());
         tracing::info!(target: "shutdown", drained, open_requests, clients, "graceful shutdown finished");
--- a/tests/ingress/logging.rs
+++ b/tests/ingress/logging.rs
@@ -53,10 +53,11 @@
     ingress.signal("TERM");
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
     let log = ingress.log();
-    let closed =
-        |line: &&str| line.contains("client_connection: closed") && line.contains("cause=ProtocolError");
+    let closed = |line: &&str| {
+        line.contains("client_connection: client connection closed") && line.contains("cause=ProtocolError")
+    };
     assert_eq!(log.lines().filter(closed).count(), 1, "{log}");
-    let named = log.lines().find(|line| line.contains("discovery: backend named"));
+    let named = log.lines().find(|line| line.contains("discovery: endpoint parsed"));
     assert!(named.is_some_and(|line| line.contains("backend=") && line.contains("name=")), "{log}");
 }
 
