--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -39,7 +39,7 @@
         if has_plan_mismatch(&self.settings.plans, claimed_plan, observed.plan) {
             tracing::debug!(
                 target: "policy", request = request.id.0, claimed_plan, recorded_plan = observed.plan,
-                "claimed plan differs from record"
+                "claimed plan differs from recorded plan"
             );
             return self.push_rejection(
                 request.id,
@@ -145,7 +145,9 @@
         timing: GrantTiming,
         actions: &mut Vec<Action>,
     ) {
-        tracing::debug!(target: "policy", request = request.id.0, ?scope, ?timing, "awaits a quota grant");
+        tracing::debug!(
+            target: "policy", request = request.id.0, ?scope, ?timing, "request waits for a quota grant"
+        );
         let wait = self.grant_wait(request, self.now) / self.quota.ownership().grant_attempts();
         self.requests.schedule_check(self.now + wait, request.id);
         if self.quota.await_grant(self.now, request, scope, timing) == GrantRequestStep::RequestGrant {
--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -75,10 +75,12 @@
     match change {
         HealthChange::Ejected(Ejection { reason, failure_rate, until }) => {
             let for_ms = until.duration_since(now).as_millis();
-            tracing::debug!(target: "policy", backend, class, ?reason, failure_rate, for_ms, "ejected");
+            tracing::debug!(
+                target: "policy", backend, class, ?reason, failure_rate, for_ms, "backend ejected"
+            );
         }
         HealthChange::Returned { failure_rate } => {
-            tracing::debug!(target: "policy", backend, class, failure_rate, "returned to service");
+            tracing::debug!(target: "policy", backend, class, failure_rate, "backend returned to service");
         }
     }
 }
--- a/src/gateway/closing.rs
+++ b/src/gateway/closing.rs
@@ -15,7 +15,9 @@
                 self.push_rejection(id, reason, RetryAdvice::After(NOT_SERVED_RETRY_AFTER), actions);
             }
             FinalAnswer::Failed => {
-                tracing::debug!(target: "policy", request = id.0, attempts = state.attempts.len(), "failed");
+                tracing::debug!(
+                    target: "policy", request = id.0, attempts = state.attempts.len(), "request failed"
+                );
                 actions.push(Action::Fail(id));
             }
         }
@@ -39,7 +41,7 @@
         let attempts = state.map(|state| state.attempts.len());
         let age_ms = state.map(|state| self.now.duration_since(state.arrived_at).as_millis());
         tracing::debug!(
-            target: "policy", request = id.0, ?reason, retry_after_ms, attempts, age_ms, "rejected"
+            target: "policy", request = id.0, ?reason, retry_after_ms, attempts, age_ms, "request rejected"
         );
         actions.push(Action::Reject { id, retry_after });
     }
--- a/tests/ingress/logging.rs
+++ b/tests/ingress/logging.rs
@@ -29,7 +29,7 @@
         ("attempt: attempt started", "command=Sent"),
         ("attempt: attempt ended", "outcome=Rejected"),
         ("policy: retry considered", "permission="),
-        ("policy: rejected", "reason=AttemptsExhausted"),
+        ("policy: request rejected", "reason=AttemptsExhausted"),
         ("request: request answered", "answer=Rejected"),
     ] {
         assert!(
