--- a/fault-soak/src/bin/fault-soak/main.rs
+++ b/fault-soak/src/bin/fault-soak/main.rs
@@ -69,7 +69,7 @@
             index += 1;
         }
     }
-    println!("{rule:?} remains with:");
+    println!("{rule:?} is still violated with these faults:");
     print_faults(&smallest);
     Ok(())
 }
--- a/fault-soak/src/ingress.rs
+++ b/fault-soak/src/ingress.rs
@@ -99,7 +99,7 @@
     /// Records what happened to the process.
     fn record(&self, event: ProcessEvent) {
         let record = ProcessRecord { ingress: self.number, event, at: self.context.recorder.now() };
-        tracing::debug!(ingress = self.number, ?event, "process");
+        tracing::debug!(ingress = self.number, ?event, "ingress process event");
         self.context.recorder.observations().processes.push(record);
     }
 
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -86,7 +86,7 @@
         for (fault, progress) in plan.faults.iter().zip(&mut progress) {
             let now = context.recorder.now_ms();
             if now >= fault.from_ms && !std::mem::replace(&mut progress.begun, true) {
-                tracing::debug!(?fault, "begins");
+                tracing::debug!(?fault, "fault injection started");
                 threads.extend(testbed.begin(fault));
             }
             if now >= fault.until_ms && !std::mem::replace(&mut progress.ended, true) {
--- a/fault-soak/src/stand_in/discovery.rs
+++ b/fault-soak/src/stand_in/discovery.rs
@@ -202,7 +202,7 @@
             return trickle(stream, response);
         }
         trickle(stream, &response[..response.len() / 2])?;
-        tracing::debug!(version, "a response is truncated");
+        tracing::debug!(version, "discovery response truncated");
         Err(Error::from(ErrorKind::ConnectionAborted))
     }
 }
