--- a/fleet-experiments/src/experiment.rs
+++ b/fleet-experiments/src/experiment.rs
@@ -18,7 +18,7 @@
     fn name(&self) -> &'static str;
 
     /// All sizes that it was given, to be checked before anything runs.
-    fn sizes(&self) -> Vec<Sizes>;
+    fn parameters(&self) -> Vec<Parameter>;
 
     /// Measures at each size and records the points.
     ///
@@ -30,27 +30,27 @@
 
 /// The sizes under one key of an experiment's table.
 #[derive(Clone, Debug)]
-pub struct Sizes {
+pub struct Parameter {
     /// The key.
     pub key: &'static str,
     /// The values.
     pub values: Vec<f64>,
 }
 
-impl Sizes {
+impl Parameter {
     /// A key with one integer.
-    pub fn one(key: &'static str, value: u64) -> Sizes {
-        Sizes { key, values: vec![value as f64] }
+    pub fn integer(key: &'static str, value: u64) -> Parameter {
+        Parameter { key, values: vec![value as f64] }
     }
 
     /// A key with a list of integers.
-    pub fn list(key: &'static str, values: &[u64]) -> Sizes {
-        Sizes { key, values: values.iter().map(|value| *value as f64).collect() }
+    pub fn integers(key: &'static str, values: &[u64]) -> Parameter {
+        Parameter { key, values: values.iter().map(|value| *value as f64).collect() }
     }
 
     /// A key with a list of numbers that may be as small as a tenth; `key` has to say that they are in
     /// tenths.
-    pub fn tenths(key: &'static str, values: &[f64]) -> Sizes {
-        Sizes { key, values: values.iter().map(|value| value * 10.0).collect() }
+    pub fn tenths(key: &'static str, values: &[f64]) -> Parameter {
+        Parameter { key, values: values.iter().map(|value| value * 10.0).collect() }
     }
 }
--- a/fleet-experiments/src/experiment_file.rs
+++ b/fleet-experiments/src/experiment_file.rs
@@ -2,7 +2,7 @@
 //!
 //! Former names of tables and keys are read too.
 
-use crate::experiment::{Environment, Experiment, Sizes};
+use crate::experiment::{Environment, Experiment, Parameter};
 use crate::experiments::discovery_outage::DiscoveryOutageExperiment;
 use crate::experiments::endpoint_list::EndpointListExperiment;
 use crate::experiments::ingress_endpoint_list::IngressEndpointListExperiment;
@@ -17,7 +17,7 @@
 use thiserror::Error;
 
 /// The largest size that a file may have: beyond it a run would not end within hours, or not fit in memory.
-const MAX_SIZE: u64 = 1_000_000;
+const MAX_VALUE: u64 = 1_000_000;
 
 /// Why an experiment file cannot be used; the text is one line that names key and reason.
 #[derive(Debug, Error)]
@@ -46,7 +46,7 @@
         key: &'static str,
     },
     /// A size is too small or too large.
-    #[error("{experiment}.{key}: {value} is not from 1 to {MAX_SIZE}")]
+    #[error("{experiment}.{key}: {value} is not from 1 to {MAX_VALUE}")]
     OutOfRange {
         /// The experiment's table.
         experiment: &'static str,
@@ -136,8 +136,8 @@
             return Err(ExperimentFileError::NoExperiment);
         }
         for experiment in experiments {
-            for sizes in experiment.sizes() {
-                check_sizes(experiment.name(), &sizes)?;
+            for parameter in experiment.parameters() {
+                check_parameter(experiment.name(), &parameter)?;
             }
         }
         Ok(())
@@ -162,14 +162,14 @@
     table.map(|experiment| experiment as &dyn Experiment)
 }
 
-/// Checks that there are sizes, each from 1 to [`MAX_SIZE`].
-fn check_sizes(experiment: &'static str, sizes: &Sizes) -> Result<(), ExperimentFileError> {
-    let key = sizes.key;
-    if sizes.values.is_empty() {
+/// Checks that there are sizes, each from 1 to [`MAX_VALUE`].
+fn check_parameter(experiment: &'static str, parameter: &Parameter) -> Result<(), ExperimentFileError> {
+    let key = parameter.key;
+    if parameter.values.is_empty() {
         return Err(ExperimentFileError::Empty { experiment, key });
     }
-    let allowed = 1.0..=MAX_SIZE as f64;
-    match sizes.values.iter().find(|value| !allowed.contains(*value)) {
+    let allowed = 1.0..=MAX_VALUE as f64;
+    match parameter.values.iter().find(|value| !allowed.contains(*value)) {
         Some(&value) => Err(ExperimentFileError::OutOfRange { experiment, key, value }),
         None => Ok(()),
     }
--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -1,6 +1,6 @@
 //! Polls of a shared discovery through an outage and a mass restart, where discovery serves so many a second.
 
-use crate::experiment::{Environment, Experiment, Sizes};
+use crate::experiment::{Environment, Experiment, Parameter};
 use crate::report::Report;
 use crate::simulation::{EventQueue, SECOND, START};
 use crate::statistics::quantile;
@@ -18,7 +18,7 @@
 /// The interval of the settings within which ingresses poll discovery.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Sizes of the fleet, and how strong discovery is.
+/// Parameter of the fleet, and how strong discovery is.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryOutageExperiment {
@@ -94,12 +94,12 @@
         "discovery"
     }
 
-    fn sizes(&self) -> Vec<Sizes> {
+    fn parameters(&self) -> Vec<Parameter> {
         vec![
-            Sizes::list("ingresses", &self.ingresses),
-            Sizes { key: "fleet_poll_s", values: self.fleet_poll_s.clone() },
-            Sizes::one("killed_of_ten", self.killed_of_ten),
-            Sizes::one("outage_s", self.outage_s),
+            Parameter::integers("ingresses", &self.ingresses),
+            Parameter { key: "fleet_poll_s", values: self.fleet_poll_s.clone() },
+            Parameter::integer("killed_of_ten", self.killed_of_ten),
+            Parameter::integer("outage_s", self.outage_s),
         ]
     }
 
--- a/fleet-experiments/src/experiments/endpoint_list.rs
+++ b/fleet-experiments/src/experiments/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list in the library: the costs of a snapshot, of the change of one backend, and of a
 //! zone that is lost and returns, at each size of the list.
 
-use crate::experiment::{Environment, Experiment, Sizes};
+use crate::experiment::{Environment, Experiment, Parameter};
 use crate::procfs;
 use crate::report::Report;
 use crate::simulation::{endpoint, ingress_settings, ready_endpoints, START, ZONES};
@@ -16,7 +16,7 @@
 /// Changes go to backends this far apart in the list.
 const CHANGE_STRIDE: u64 = 7919;
 
-/// Sizes of the list to measure at.
+/// Parameter of the list to measure at.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointListExperiment {
@@ -58,11 +58,11 @@
         "endpoint_list"
     }
 
-    fn sizes(&self) -> Vec<Sizes> {
+    fn parameters(&self) -> Vec<Parameter> {
         vec![
-            Sizes::list("backends", &self.backends),
-            Sizes::one("ingresses", u64::from(self.ingresses)),
-            Sizes::one("changes", self.changes),
+            Parameter::integers("backends", &self.backends),
+            Parameter::integer("ingresses", u64::from(self.ingresses)),
+            Parameter::integer("changes", self.changes),
         ]
     }
 
--- a/fleet-experiments/src/experiments/ingress_endpoint_list.rs
+++ b/fleet-experiments/src/experiments/ingress_endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list at a real ingress, which is notified by an agent of its own: time, processor time and
 //! memory by its size.
 
-use crate::experiment::{Environment, Experiment, Sizes};
+use crate::experiment::{Environment, Experiment, Parameter};
 use crate::ingress_process::{check_capacity, DiscoveryMode, IngressConfig, IngressProcess, InitialList};
 use crate::report::Report;
 use crate::stand_in::discovery::{endpoint_json, list_json, Discovery, EndpointStatus, ListKind};
@@ -25,7 +25,7 @@
 /// Changes go to backends this far apart in the list.
 const CHANGE_STRIDE: u64 = 7919;
 
-/// Sizes of the list to measure at.
+/// Parameter of the list to measure at.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IngressEndpointListExperiment {
@@ -80,11 +80,11 @@
         "ingress_endpoint_list"
     }
 
-    fn sizes(&self) -> Vec<Sizes> {
+    fn parameters(&self) -> Vec<Parameter> {
         vec![
-            Sizes::list("backends", &self.backends),
-            Sizes::one("changes", self.changes),
-            Sizes::one("memory_mb", self.memory_mb),
+            Parameter::integers("backends", &self.backends),
+            Parameter::integer("changes", self.changes),
+            Parameter::integer("memory_mb", self.memory_mb),
         ]
     }
 
--- a/fleet-experiments/src/experiments/ingress_latency.rs
+++ b/fleet-experiments/src/experiments/ingress_latency.rs
@@ -1,7 +1,7 @@
 //! The latency that a real ingress adds, in front of a backend with a constant service time.
 
 use crate::client::Client;
-use crate::experiment::{Environment, Experiment, Sizes};
+use crate::experiment::{Environment, Experiment, Parameter};
 use crate::ingress_process::{check_capacity, DiscoveryMode, IngressConfig, IngressProcess, InitialList};
 use crate::report::Report;
 use crate::stand_in::backend;
@@ -77,12 +77,12 @@
         "ingress_latency"
     }
 
-    fn sizes(&self) -> Vec<Sizes> {
+    fn parameters(&self) -> Vec<Parameter> {
         vec![
-            Sizes::list("rates", &self.rates),
-            Sizes::one("connections", self.connections),
-            Sizes::one("requests", self.requests),
-            Sizes::one("backends", self.backends),
+            Parameter::integers("rates", &self.rates),
+            Parameter::integer("connections", self.connections),
+            Parameter::integer("requests", self.requests),
+            Parameter::integer("backends", self.backends),
         ]
     }
 
--- a/fleet-experiments/src/experiments/ingress_restart.rs
+++ b/fleet-experiments/src/experiments/ingress_restart.rs
@@ -1,7 +1,7 @@
 //! A restart of most of a fleet of real ingresses under load, and then a new configuration for all.
 
 use crate::client::BackgroundLoad;
-use crate::experiment::{Environment, Experiment, Sizes};
+use crate::experiment::{Environment, Experiment, Parameter};
 use crate::ingress_process::{check_capacity, DiscoveryMode, IngressConfig, IngressProcess, InitialList};
 use crate::report::Report;
 use crate::stand_in::backend;
@@ -33,7 +33,7 @@
 pub struct IngressRestartExperiment {
     /// Ingresses that run here.
     pub processes: u64,
-    /// Sizes of the fleet by their settings.
+    /// Parameter of the fleet by their settings.
     #[serde(alias = "fleets")]
     pub fleet_sizes: Vec<u64>,
     /// Backends in the list that each starts with.
@@ -81,12 +81,12 @@
         "ingress_restart"
     }
 
-    fn sizes(&self) -> Vec<Sizes> {
+    fn parameters(&self) -> Vec<Parameter> {
         vec![
-            Sizes::one("processes", self.processes),
-            Sizes::list("fleet_sizes", &self.fleet_sizes),
-            Sizes::one("initial_backends", self.initial_backends),
-            Sizes::one("clients", self.clients),
+            Parameter::integer("processes", self.processes),
+            Parameter::integers("fleet_sizes", &self.fleet_sizes),
+            Parameter::integer("initial_backends", self.initial_backends),
+            Parameter::integer("clients", self.clients),
         ]
     }
 
--- a/fleet-experiments/src/experiments/quota_messages.rs
+++ b/fleet-experiments/src/experiments/quota_messages.rs
@@ -3,7 +3,7 @@
 
 mod simulation;
 
-use crate::experiment::{Environment, Experiment, Sizes};
+use crate::experiment::{Environment, Experiment, Parameter};
 use crate::report::Report;
 use serde::{Deserialize, Serialize};
 use simulation::Simulation;
@@ -11,7 +11,7 @@
 /// Seconds at the start of a simulation that are not counted.
 const WARM_UP_SECONDS: u64 = 1;
 
-/// Sizes of the fleet, rates, and for how long.
+/// Parameter of the fleet, rates, and for how long.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaMessagesExperiment {
@@ -89,13 +89,13 @@
         "quota"
     }
 
-    fn sizes(&self) -> Vec<Sizes> {
+    fn parameters(&self) -> Vec<Parameter> {
         vec![
-            Sizes::list("ingresses", &self.ingresses),
-            Sizes::list("rates", &self.rates),
-            Sizes::one("gateway_set_size", u64::from(self.gateway_set_size)),
-            Sizes::one("customers_per_ingress", self.customers_per_ingress),
-            Sizes::one("seconds", self.seconds),
+            Parameter::integers("ingresses", &self.ingresses),
+            Parameter::integers("rates", &self.rates),
+            Parameter::integer("gateway_set_size", u64::from(self.gateway_set_size)),
+            Parameter::integer("customers_per_ingress", self.customers_per_ingress),
+            Parameter::integer("seconds", self.seconds),
         ]
     }
 
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -1,6 +1,6 @@
 //! Requests through the library: the cost of one by the number of backends, customers and ingresses.
 
-use crate::experiment::{Environment, Experiment, Sizes};
+use crate::experiment::{Environment, Experiment, Parameter};
 use crate::procfs;
 use crate::report::Report;
 use crate::simulation::{attempt_served, ingress_settings, ready_endpoints, REQUEST_DEADLINE, SECOND, START};
@@ -19,7 +19,7 @@
 /// One warm-up request is sent for so many that are measured.
 const WARM_UP_SHARE: u64 = 10;
 
-/// Sizes to measure at: each list is varied with the others at their first value.
+/// Parameter to measure at: each list is varied with the others at their first value.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestCostExperiment {
@@ -79,12 +79,12 @@
         "request"
     }
 
-    fn sizes(&self) -> Vec<Sizes> {
+    fn parameters(&self) -> Vec<Parameter> {
         vec![
-            Sizes::list("backends", &self.backends),
-            Sizes::list("customers", &self.customers),
-            Sizes::list("ingresses", &self.ingresses),
-            Sizes::one("requests", self.requests),
+            Parameter::integers("backends", &self.backends),
+            Parameter::integers("customers", &self.customers),
+            Parameter::integers("ingresses", &self.ingresses),
+            Parameter::integer("requests", self.requests),
         ]
     }
 
--- a/fleet-experiments/src/experiments/slow_start.rs
+++ b/fleet-experiments/src/experiments/slow_start.rs
@@ -4,7 +4,7 @@
 mod overload_rule;
 mod simulation;
 
-use crate::experiment::{Environment, Experiment, Sizes};
+use crate::experiment::{Environment, Experiment, Parameter};
 use crate::report::Report;
 use serde::{Deserialize, Serialize};
 
@@ -98,14 +98,14 @@
         "slow_start"
     }
 
-    fn sizes(&self) -> Vec<Sizes> {
+    fn parameters(&self) -> Vec<Parameter> {
         vec![
-            Sizes::one("ingresses", u64::from(self.ingresses)),
-            Sizes::one("backends", self.backends),
-            Sizes { key: "capacity", values: vec![self.capacity] },
-            Sizes::tenths("overload_factors, in tenths", &self.overload_factors),
-            Sizes::tenths("loads, in tenths", &self.loads),
-            Sizes::one("runs", self.runs),
+            Parameter::integer("ingresses", u64::from(self.ingresses)),
+            Parameter::integer("backends", self.backends),
+            Parameter { key: "capacity", values: vec![self.capacity] },
+            Parameter::tenths("overload_factors, in tenths", &self.overload_factors),
+            Parameter::tenths("loads, in tenths", &self.loads),
+            Parameter::integer("runs", self.runs),
         ]
     }
 
