--- a/fleet-experiments/src/fit.rs
+++ b/fleet-experiments/src/fit.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     /// The value at size 0.
-    pub base: f64,
+    pub intercept: f64,
     /// Growth of the value for each one of the size.
     pub slope: f64,
     /// The largest distance of a point from the line, as a share of the point.
@@ -33,7 +33,7 @@
 impl Line {
     /// The value of the line at a size.
     fn at(&self, size: f64) -> f64 {
-        self.base + self.slope * size
+        self.intercept + self.slope * size
     }
 }
 
@@ -56,7 +56,7 @@
         return None;
     }
     let slope = (weight * products - sizes * values) / spread;
-    let mut line = Line { base: (values - slope * sizes) / weight, slope, max_relative_error: 0.0 };
+    let mut line = Line { intercept: (values - slope * sizes) / weight, slope, max_relative_error: 0.0 };
     let error = |point: &Point| ((line.at(point.size) - point.value) / point.value).abs();
     line.max_relative_error = points.iter().map(error).fold(0.0, f64::max);
     Some(line)
@@ -69,7 +69,7 @@
     /// The key of the size.
     size: &'static str,
     /// The keys that have to be equal among the points of one line.
-    equal: &'static [&'static str],
+    group_by: &'static [&'static str],
     /// The keys of the values.
     values: &'static [&'static str],
 }
@@ -79,27 +79,32 @@
     Fit {
         experiment: "endpoint_list",
         size: "backends",
-        equal: &[],
+        group_by: &[],
         values: &["snapshot_us", "change_us", "zone_lost_us", "memory_bytes"],
     },
     Fit {
         experiment: "request",
         size: "backends",
-        equal: &["customers", "ingresses"],
+        group_by: &["customers", "ingresses"],
         values: &["mean_us", "p99_us"],
     },
     Fit {
         experiment: "request",
         size: "customers",
-        equal: &["backends", "ingresses"],
+        group_by: &["backends", "ingresses"],
         values: &["mean_us", "memory_bytes"],
     },
-    Fit { experiment: "request", size: "ingresses", equal: &["backends", "customers"], values: &["mean_us"] },
-    Fit { experiment: "quota", size: "rate", equal: &["ingresses"], values: &["messages", "bytes"] },
+    Fit {
+        experiment: "request",
+        size: "ingresses",
+        group_by: &["backends", "customers"],
+        values: &["mean_us"],
+    },
+    Fit { experiment: "quota", size: "rate", group_by: &["ingresses"], values: &["messages", "bytes"] },
     Fit {
         experiment: "ingress_endpoint_list",
         size: "backends",
-        equal: &[],
+        group_by: &[],
         values: &["apply_s", "peak_memory_bytes", "change_cpu_us"],
     },
 ];
@@ -136,7 +141,7 @@
 }
 
 /// Whether a line of results is of this experiment, by its present or its former name.
-fn is_of(result: &Value, experiment: &str) -> bool {
+fn is_from_experiment(result: &Value, experiment: &str) -> bool {
     let name = result["experiment"].as_str();
     name == Some(experiment) || name.is_some() && name == former_name(experiment)
 }
@@ -166,11 +171,12 @@
 /// The points of a value, grouped by what has to be equal among the points of one line.
 fn groups(results: &[Value], fit: &Fit, key: &str) -> BTreeMap<String, Vec<Point>> {
     let mut groups: BTreeMap<String, Vec<Point>> = BTreeMap::new();
-    for result in results.iter().filter(|result| is_of(result, fit.experiment)) {
+    for result in results.iter().filter(|result| is_from_experiment(result, fit.experiment)) {
         let point = &result["point"];
-        let equal: Vec<String> = fit.equal.iter().map(|key| format!("{key} {}", value(point, key))).collect();
+        let labels: Vec<String> =
+            fit.group_by.iter().map(|key| format!("{key} {}", value(point, key))).collect();
         if let (Some(size), Some(value)) = (value(point, fit.size).as_f64(), value(point, key).as_f64()) {
-            groups.entry(equal.join(", ")).or_default().push(Point { size, value });
+            groups.entry(labels.join(", ")).or_default().push(Point { size, value });
         }
     }
     groups
@@ -179,11 +185,11 @@
 /// Describes the line through the points of a group; none if there are too few, or no line fits.
 fn describe(fit: &Fit, key: &str, group: &str, points: &[Point]) -> Option<String> {
     let count = points.len();
-    let Line { base, slope, max_relative_error } = fit_line(points).filter(|_| count >= MIN_POINTS)?;
+    let Line { intercept, slope, max_relative_error } = fit_line(points).filter(|_| count >= MIN_POINTS)?;
     let experiment = fit.experiment;
     let size = fit.size;
     let percent = max_relative_error * 100.0;
     Some(format!(
-        "{experiment} {key} by {size} ({group}): {base:.3e} + {slope:.3e} each, {count} points, off by {percent:.0}% at most"
+        "{experiment} {key} by {size} ({group}): {intercept:.3e} + {slope:.3e} each, {count} points, off by {percent:.0}% at most"
     ))
 }
--- a/fleet-experiments/tests/fit.rs
+++ b/fleet-experiments/tests/fit.rs
@@ -12,7 +12,7 @@
     let straight = points([1.0, 10.0, 1e3, 1e5], &|size| 3.0 + 0.5 * size);
     let found = fit_line(&straight).unwrap();
     assert!(
-        (found.base - 3.0).abs() < 1e-6
+        (found.intercept - 3.0).abs() < 1e-6
             && (found.slope - 0.5).abs() < 1e-9
             && found.max_relative_error < 1e-6,
         "{found:?}"
