--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -14,7 +14,7 @@
 /// How long before the end of the outage killed ingresses restart.
 const RESTART_LEAD: Duration = Duration::from_secs(2);
 /// How long the fleet is observed after the outage.
-const WATCHED: Duration = Duration::from_secs(60);
+const OBSERVATION_TIME: Duration = Duration::from_secs(60);
 /// The interval of the settings within which ingresses poll discovery.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
@@ -41,7 +41,7 @@
     /// Ingresses in the fleet.
     pub ingresses: u64,
     /// How long discovery works on a poll, in microseconds.
-    pub poll_work: f64,
+    pub poll_service_time_us: f64,
     /// How many of ten ingresses are killed during the outage.
     pub killed_of_ten: u64,
     /// For how long discovery is down.
@@ -118,7 +118,7 @@
     fn measure(&self, ingresses: u64, fleet_poll_s: f64, seed: u64) -> Point {
         let recovery = simulate(&Outage {
             ingresses,
-            poll_work: fleet_poll_s * SECOND.as_micros_f64() / ingresses as f64,
+            poll_service_time_us: fleet_poll_s * SECOND.as_micros_f64() / ingresses as f64,
             killed_of_ten: self.killed_of_ten,
             duration: Duration::from_secs(self.outage_s),
             seed,
@@ -154,15 +154,15 @@
 /// A fleet that is simulated.
 struct Simulation {
     /// When discovery is back.
-    back_at: Instant,
+    outage_end: Instant,
     /// How long discovery works on a poll, in microseconds.
-    poll_work: f64,
+    poll_service_time_us: f64,
     /// The ingresses of the fleet.
     pollers: Vec<Poller>,
     /// The next poll of each ingress, by its index.
     queue: EventQueue<usize>,
     /// When discovery has worked on all polls that reached it, in microseconds.
-    idle_at: f64,
+    idle_at_us: f64,
     /// When ingresses had their answers, from the return.
     answered: Vec<Duration>,
     /// What happened so far.
@@ -172,14 +172,14 @@
 impl Simulation {
     /// A fleet with its first polls to come.
     fn new(outage: &Outage) -> Simulation {
-        let back_at = START + outage.duration;
-        let restarted_at = (back_at - RESTART_LEAD).max(START);
+        let outage_end = START + outage.duration;
+        let restarted_at = (outage_end - RESTART_LEAD).max(START);
         let mut simulation = Simulation {
-            back_at,
-            poll_work: outage.poll_work,
+            outage_end,
+            poll_service_time_us: outage.poll_service_time_us,
             pollers: Vec::new(),
             queue: EventQueue::default(),
-            idle_at: 0.0,
+            idle_at_us: 0.0,
             answered: Vec::new(),
             recovery: Recovery::default(),
         };
@@ -200,11 +200,11 @@
     /// Runs until each ingress has its answer, or the time is over.
     fn run(mut self) -> Recovery {
         while let Some((now, index)) = self.queue.pop() {
-            if now > self.back_at + WATCHED {
+            if now > self.outage_end + OBSERVATION_TIME {
                 break;
             }
             self.record_gap(index, now);
-            let rejected_at = if now < self.back_at { Some(now) } else { self.poll(now) };
+            let rejected_at = if now < self.outage_end { Some(now) } else { self.poll(now) };
             if let Some(rejected_at) = rejected_at {
                 let failed = FailedPoll { started_at: now, request_sent: true };
                 let next_poll = self.pollers[index].schedule.on_failure(rejected_at, Some(failed));
@@ -218,17 +218,17 @@
     fn record_gap(&mut self, index: usize, now: Instant) {
         let poller = &mut self.pollers[index];
         let last_poll_at = poller.last_poll_at.replace(now);
-        let gap = now.duration_since(last_poll_at.map_or(self.back_at, |at| at.max(self.back_at)));
+        let gap = now.duration_since(last_poll_at.map_or(self.outage_end, |at| at.max(self.outage_end)));
         self.recovery.longest_gap = self.recovery.longest_gap.max(gap);
     }
 
     /// A poll that reaches discovery now; when it is rejected, if it is.
     fn poll(&mut self, now: Instant) -> Option<Instant> {
         self.recovery.polls += 1;
-        let served_from = f64::max(self.idle_at, now.as_micros() as f64);
-        self.idle_at = served_from + self.poll_work;
+        let served_from = f64::max(self.idle_at_us, now.as_micros() as f64);
+        self.idle_at_us = served_from + self.poll_service_time_us;
         if served_from <= (now + MAX_QUEUEING).as_micros() as f64 {
-            self.answered.push(Instant::from_micros(self.idle_at as u64).duration_since(self.back_at));
+            self.answered.push(Instant::from_micros(self.idle_at_us as u64).duration_since(self.outage_end));
             return None;
         }
         self.recovery.rejected_polls += 1;
--- a/fleet-experiments/src/experiments/quota_messages/simulation.rs
+++ b/fleet-experiments/src/experiments/quota_messages/simulation.rs
@@ -2,8 +2,8 @@
 
 use super::{FleetLoad, Traffic, WARM_UP_SECONDS};
 use crate::simulation::{
-    attempt_served, draw_span, ingress_settings, poisson_interval, ready_endpoints, EventQueue, FIRST_TIMER,
-    REQUEST_DEADLINE, SECOND, SERVICE_TIME, START,
+    attempt_served, draw_duration, ingress_settings, poisson_interval, ready_endpoints, EventQueue,
+    FIRST_TIMER_DELAY, REQUEST_DEADLINE, SECOND, SERVICE_TIME, START,
 };
 use ingress::{
     Action, BackendId, CustomerId, Duration, EndpointUpdate, Event, Gateway, GatewayId, Instant, Request,
@@ -85,7 +85,7 @@
     /// Messages that arrived so far.
     received: HashMap<ReceiveInterval, u64>,
     /// The most messages that an ingress takes within one part of a second.
-    max_received: u64,
+    max_messages_per_interval: u64,
     /// What was counted so far.
     traffic: Traffic,
     /// The actions of one event; the allocation is reused.
@@ -103,7 +103,7 @@
             fleet: Vec::new(),
             last_request: 0,
             received: HashMap::new(),
-            max_received: messages_per_second.div_ceil(INTERVALS_PER_SECOND),
+            max_messages_per_interval: messages_per_second.div_ceil(INTERVALS_PER_SECOND),
             traffic: Traffic::default(),
             actions: Vec::new(),
         };
@@ -122,7 +122,7 @@
         gateway.handle(START, endpoints, &mut self.actions);
         self.actions.clear();
         self.fleet.push(gateway);
-        let first_timer = START + draw_span(&mut self.random, FIRST_TIMER);
+        let first_timer = START + draw_duration(&mut self.random, FIRST_TIMER_DELAY);
         self.queue.schedule(first_timer, Scheduled::Timer { ingress, token: 0 });
         let first_arrival = START + poisson_interval(&mut self.random, load.rate);
         self.queue.schedule(first_arrival, Scheduled::Arrival { ingress });
@@ -142,7 +142,7 @@
                     (ingress, attempt_served(id, 0, backend, now.duration_since(sent_at)))
                 }
                 Scheduled::Message { ingress, from, bytes } => {
-                    if !self.receives(ingress, now) {
+                    if !self.accept_message(ingress, now) {
                         self.traffic.dropped += counted;
                         continue;
                     }
@@ -150,7 +150,7 @@
                 }
                 Scheduled::Arrival { ingress } => {
                     self.traffic.requests += counted;
-                    (ingress, Event::Request(self.arrive(ingress, now)))
+                    (ingress, Event::Request(self.next_request(ingress, now)))
                 }
             };
             self.fleet[ingress].handle(now, event, &mut self.actions);
@@ -160,15 +160,15 @@
     }
 
     /// Whether an ingress takes one more message now.
-    fn receives(&mut self, ingress: usize, now: Instant) -> bool {
+    fn accept_message(&mut self, ingress: usize, now: Instant) -> bool {
         let interval = ReceiveInterval { ingress, number: now.period_index(SECOND / INTERVALS_PER_SECOND) };
         let received = self.received.entry(interval).or_default();
         *received += 1;
-        *received <= self.max_received
+        *received <= self.max_messages_per_interval
     }
 
     /// The request that arrives at an ingress now, with the one after it scheduled.
-    fn arrive(&mut self, ingress: usize, now: Instant) -> Request {
+    fn next_request(&mut self, ingress: usize, now: Instant) -> Request {
         let next_arrival = now + poisson_interval(&mut self.random, self.load.rate);
         self.queue.schedule(next_arrival, Scheduled::Arrival { ingress });
         self.last_request += 1;
@@ -197,14 +197,14 @@
                 }
                 Action::Send { id, backend, .. } => {
                     self.traffic.sent += counted;
-                    let answered_at = now + draw_span(&mut self.random, SERVICE_TIME);
+                    let answered_at = now + draw_duration(&mut self.random, SERVICE_TIME);
                     let answer = Scheduled::Answer { ingress, id, backend, sent_at: now };
                     self.queue.schedule(answered_at, answer);
                 }
                 Action::SendToPeer { to: Some(to), bytes } => {
                     self.traffic.messages += counted;
                     self.traffic.bytes += counted * bytes.len() as u64;
-                    let received_at = now + draw_span(&mut self.random, MESSAGE_DELAY);
+                    let received_at = now + draw_duration(&mut self.random, MESSAGE_DELAY);
                     let receiver = usize::from(to.0);
                     let from = GatewayId(ingress as u16);
                     self.queue.schedule(received_at, Scheduled::Message { ingress: receiver, from, bytes });
--- a/fleet-experiments/src/experiments/slow_start/overload_rule.rs
+++ b/fleet-experiments/src/experiments/slow_start/overload_rule.rs
@@ -5,7 +5,7 @@
 use ingress::{Duration, Instant};
 
 /// The window that the rule is about.
-pub const WINDOW: Duration = Duration::from_secs(3);
+pub const OVERLOAD_WINDOW: Duration = Duration::from_secs(3);
 /// The share of its capacity that a backend serves as it starts.
 pub const SLOW_START_FLOOR: f64 = 0.23;
 /// How long a backend takes from its start until it serves its capacity.
@@ -36,7 +36,7 @@
 pub fn peak_window(scenario: &SlowStartScenario, sends: &[Instant]) -> f64 {
     let mut peak = 0.0;
     for (first, window_start) in sends.iter().enumerate() {
-        let window_end = *window_start + WINDOW;
+        let window_end = *window_start + OVERLOAD_WINDOW;
         if window_end > SLOW_START_END {
             break;
         }
--- a/fleet-experiments/src/experiments/slow_start/simulation.rs
+++ b/fleet-experiments/src/experiments/slow_start/simulation.rs
@@ -1,12 +1,12 @@
 //! The simulation of a fleet before backends of which half restart.
 
 use super::overload_rule::{
-    budget_used, peak_window, RESTART, SLOW_START_DURATION, SLOW_START_END, SLOW_START_FLOOR, WINDOW,
+    budget_used, peak_window, OVERLOAD_WINDOW, RESTART, SLOW_START_DURATION, SLOW_START_END, SLOW_START_FLOOR,
 };
 use super::{SlowStartOutcome, SlowStartScenario};
 use crate::simulation::{
-    attempt_served, draw_span, endpoint, ingress_settings, poisson_interval, EventQueue, FIRST_TIMER,
-    REQUEST_DEADLINE, SECOND, SERVICE_TIME, START,
+    attempt_served, draw_duration, endpoint, ingress_settings, poisson_interval, EventQueue,
+    FIRST_TIMER_DELAY, REQUEST_DEADLINE, SECOND, SERVICE_TIME, START,
 };
 use ingress::{
     Action, Availability, BackendId, CustomerId, Duration, Endpoint, EndpointUpdate, Event, Gateway, Instant,
@@ -63,7 +63,7 @@
 #[derive(Clone, Default)]
 struct Backend {
     /// When it has worked on all requests that were sent to it, in microseconds.
-    idle_at: f64,
+    idle_at_us: f64,
     /// When it was sent requests in its slow start.
     slow_start_sends: Vec<Instant>,
 }
@@ -140,7 +140,7 @@
         gateway.handle(START, Event::Endpoints(EndpointUpdate::CachedSnapshot, list), &mut self.actions);
         self.actions.clear();
         self.fleet.push(SimulatedIngress { gateway, rate });
-        let first_timer = START + draw_span(&mut self.random, FIRST_TIMER);
+        let first_timer = START + draw_duration(&mut self.random, FIRST_TIMER_DELAY);
         self.queue.schedule(first_timer, Scheduled::Timer { ingress, token: 0 });
         let first_arrival = START + poisson_interval(&mut self.random, rate);
         self.queue.schedule(first_arrival, Scheduled::Arrival { ingress });
@@ -162,7 +162,7 @@
                     let backend = endpoint_at(backend, now).backend;
                     (ingress, attempt_served(id, attempt, backend, now.duration_since(sent_at)))
                 }
-                Scheduled::Arrival { ingress } => (ingress, Event::Request(self.arrive(ingress, now))),
+                Scheduled::Arrival { ingress } => (ingress, Event::Request(self.next_request(ingress, now))),
             };
             self.fleet[ingress].gateway.handle(now, event, &mut self.actions);
             self.execute(ingress, now);
@@ -178,7 +178,7 @@
     }
 
     /// The request that arrives at an ingress now, with the one after it scheduled.
-    fn arrive(&mut self, ingress: usize, now: Instant) -> Request {
+    fn next_request(&mut self, ingress: usize, now: Instant) -> Request {
         let next_arrival = now + poisson_interval(&mut self.random, self.fleet[ingress].rate);
         self.queue.schedule(next_arrival, Scheduled::Arrival { ingress });
         self.last_request += 1;
@@ -211,14 +211,14 @@
 
     /// Sends a request to a backend, whose answer is scheduled.
     fn send(&mut self, ingress: usize, id: RequestId, index: usize, now: Instant) {
-        let mut answered_at = now + draw_span(&mut self.random, SERVICE_TIME);
+        let mut answered_at = now + draw_duration(&mut self.random, SERVICE_TIME);
         let backend = &mut self.backends[index];
         let restarted_at = started_at(index, now);
         if self.scenario.queueing {
             let capacity_share = restarted_at.map_or(1.0, |at| capacity_share(now.duration_since(at)));
             let work = SECOND.as_micros_f64() / self.scenario.capacity / capacity_share;
-            backend.idle_at = f64::max(backend.idle_at, now.as_micros() as f64) + work;
-            answered_at += Instant::from_micros(backend.idle_at as u64).duration_since(now);
+            backend.idle_at_us = f64::max(backend.idle_at_us, now.as_micros() as f64) + work;
+            answered_at += Instant::from_micros(backend.idle_at_us as u64).duration_since(now);
         }
         if restarted_at.is_some() {
             backend.slow_start_sends.push(now);
@@ -247,7 +247,7 @@
     settings.rules.slow_start_floor = SLOW_START_FLOOR;
     settings.rules.slow_start_duration = SLOW_START_DURATION;
     settings.rules.overload_factor = scenario.overload_factor;
-    settings.rules.overload_window = WINDOW;
+    settings.rules.overload_window = OVERLOAD_WINDOW;
     settings
 }
 
--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -21,7 +21,7 @@
 /// How long backends take to answer: drawn from this range.
 pub const SERVICE_TIME: Range<Duration> = Duration::from_millis(60)..Duration::from_millis(160);
 /// When the first timer of a simulated ingress is due, from the start: drawn from this range.
-pub const FIRST_TIMER: Range<Duration> = Duration::MICROSECOND..Duration::from_millis(20);
+pub const FIRST_TIMER_DELAY: Range<Duration> = Duration::MICROSECOND..Duration::from_millis(20);
 /// Multiplier that spreads the backends' numbers over all identifiers: 2^64 by the golden ratio.
 const IDENTIFIER_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
@@ -120,6 +120,6 @@
 }
 
 /// A span drawn from a range.
-pub fn draw_span(random: &mut fastrand::Rng, range: Range<Duration>) -> Duration {
+pub fn draw_duration(random: &mut fastrand::Rng, range: Range<Duration>) -> Duration {
     Duration::from_micros(random.u64(range.start.as_micros()..range.end.as_micros()))
 }
