--- a/fleet-experiments/src/experiments/endpoint_list.rs
+++ b/fleet-experiments/src/experiments/endpoint_list.rs
@@ -91,9 +91,10 @@
         let snapshot_us = ingress.update(EndpointUpdate::Snapshot, ready_endpoints(backends));
         let memory_bytes = procfs::own_resident_memory().saturating_sub(memory_before);
         let repeated_snapshot_us = ingress.update(EndpointUpdate::Snapshot, ready_endpoints(backends));
-        let change_ns = self.changes_in_ns(ingress, backends)?;
-        let zone_lost_us = ingress.update(EndpointUpdate::Delta, zone(backends, Availability::Gone, None));
-        let returned = zone(backends, Availability::Ready, Some(START));
+        let change_ns = self.measure_changes(ingress, backends)?;
+        let zone_lost_us =
+            ingress.update(EndpointUpdate::Delta, first_zone_endpoints(backends, Availability::Gone, None));
+        let returned = first_zone_endpoints(backends, Availability::Ready, Some(START));
         Ok(Point {
             backends,
             snapshot_us,
@@ -109,7 +110,7 @@
     }
 
     /// Drains one backend after another, each ready again by the next change; the times in nanoseconds.
-    fn changes_in_ns(&self, ingress: &mut TimedIngress, backends: u64) -> anyhow::Result<Histogram<u64>> {
+    fn measure_changes(&self, ingress: &mut TimedIngress, backends: u64) -> anyhow::Result<Histogram<u64>> {
         let mut times = Histogram::new(3)?;
         for change in 0..self.changes {
             let availability = if change % 2 == 0 { Availability::Draining } else { Availability::Ready };
@@ -122,7 +123,11 @@
 }
 
 /// All endpoints of the first zone.
-fn zone(backends: u64, availability: Availability, started_at: Option<Instant>) -> Vec<Endpoint> {
+fn first_zone_endpoints(
+    backends: u64,
+    availability: Availability,
+    started_at: Option<Instant>,
+) -> Vec<Endpoint> {
     let numbers = (0..backends).step_by(ZONES as usize);
     numbers.map(|number| endpoint(number, availability, started_at)).collect()
 }
--- a/fleet-experiments/src/experiments/ingress_endpoint_list.rs
+++ b/fleet-experiments/src/experiments/ingress_endpoint_list.rs
@@ -110,7 +110,7 @@
         let change_cpu_us =
             if snapshot.applied { Some(self.publish_changes(&discovery, &ingress, backends)?) } else { None };
         let running = ingress.is_running();
-        let log = ingress.end();
+        let log = ingress.kill_and_read_log();
         let reason = log.lines().find(|line| line.contains("discovery:")).map(str::to_string);
         let log = reason.filter(|_| !snapshot.applied);
         Ok(Point { backends, snapshot, changes: self.changes, change_cpu_us, running, log })
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -17,7 +17,7 @@
 /// The time in flight that an answer reports.
 const REPORTED_ELAPSED: Duration = Duration::from_millis(100);
 /// One warm-up request is sent for so many that are measured.
-const WARM_UP_SHARE: u64 = 10;
+const REQUESTS_PER_WARM_UP_REQUEST: u64 = 10;
 
 /// Parameter to measure at: each list is varied with the others at their first value.
 #[derive(Debug, PartialEq, Deserialize)]
@@ -94,7 +94,7 @@
         let mut measured = Vec::new();
         for size in self.points() {
             let mut ingress = LoadedIngress::new(size, environment.seed)?;
-            let cost = ingress.drive(self.requests)?;
+            let cost = ingress.measure_requests(self.requests)?;
             let point = Point {
                 size,
                 requests: self.requests,
@@ -151,10 +151,10 @@
     }
 
     /// Sends it requests, the first of which are not counted.
-    fn drive(&mut self, requests: u64) -> anyhow::Result<RequestCost> {
+    fn measure_requests(&mut self, requests: u64) -> anyhow::Result<RequestCost> {
         let mut time_ns = Histogram::new(3)?;
         let mut sent = 0;
-        let warm_up = requests / WARM_UP_SHARE;
+        let warm_up = requests / REQUESTS_PER_WARM_UP_REQUEST;
         let memory_before = procfs::own_resident_memory();
         for number in 0..requests + warm_up {
             self.now += SECOND / REQUESTS_PER_SECOND;
--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -147,7 +147,7 @@
     }
 
     /// Kills it; returns its log.
-    pub fn end(mut self) -> String {
+    pub fn kill_and_read_log(mut self) -> String {
         let _ = self.child.kill();
         let mut log = String::new();
         if let Some(mut stderr) = self.child.stderr.take() {
--- a/fleet-experiments/src/stand_in/discovery.rs
+++ b/fleet-experiments/src/stand_in/discovery.rs
@@ -87,14 +87,14 @@
             }
             match self.wait_for_change(state, end) {
                 Some(changed) => state = changed,
-                None => return unchanged(poll),
+                None => return unchanged_list(poll),
             }
         }
     }
 }
 
 /// The answer to a poll that nothing is newer for; an empty snapshot if there is none yet.
-fn unchanged(poll: Poll) -> String {
+fn unchanged_list(poll: Poll) -> String {
     let kind = if poll.since.is_none() { ListKind::Snapshot } else { ListKind::Delta };
     list_json(poll.since.unwrap_or(1), kind, &[])
 }
