--- a/fault-soak/src/bin/fault-soak/main.rs
+++ b/fault-soak/src/bin/fault-soak/main.rs
@@ -6,7 +6,7 @@
 use anyhow::{bail, Context};
 use arguments::{Arguments, Command, RunOptions, SeedRange};
 use clap::Parser;
-use fault_soak::oracle::{judge, judge_logs};
+use fault_soak::oracle::{check, check_logs};
 use fault_soak::plan::SoakPlan;
 use fault_soak::report::{page, RunResult};
 use fault_soak::run::run;
@@ -37,7 +37,7 @@
     let SeedRange { first, last } = seeds;
     let mut broken = 0;
     for seed in first..=last {
-        let result = run_and_judge(options, options.plan(seed))?;
+        let result = run_and_check(options, options.plan(seed))?;
         broken += usize::from(!result.counts.is_empty());
         print_summary(&result);
     }
@@ -48,7 +48,7 @@
 /// Runs the plan of a seed with detailed logs, and prints all about its violations.
 fn replay(seed: u64, options: RunOptions) -> anyhow::Result<()> {
     let options = RunOptions { log_level: "debug".into(), ..options };
-    let result = run_and_judge(&options, options.plan(seed))?;
+    let result = run_and_check(&options, options.plan(seed))?;
     print_summary(&result);
     print_in_full(&result, &options.programs());
     Ok(())
@@ -56,12 +56,12 @@
 
 /// Removes faults one by one for as long as the same rule stays broken.
 fn shrink(seed: u64, options: &RunOptions) -> anyhow::Result<()> {
-    let mut smallest = run_and_judge(options, options.plan(seed))?;
+    let mut smallest = run_and_check(options, options.plan(seed))?;
     print_summary(&smallest);
     let Some(rule) = smallest.counts.keys().next().copied() else { bail!("seed {seed} breaks no rule") };
     let mut index = 0;
     while index < smallest.plan.faults.len() {
-        let result = run_and_judge(options, smallest.plan.without(index))?;
+        let result = run_and_check(options, smallest.plan.without(index))?;
         print_summary(&result);
         if result.counts.contains_key(&rule) {
             smallest = result;
@@ -75,7 +75,7 @@
 }
 
 /// Runs a plan, judges it, and writes its line.
-fn run_and_judge(options: &RunOptions, plan: SoakPlan) -> anyhow::Result<RunResult> {
+fn run_and_check(options: &RunOptions, plan: SoakPlan) -> anyhow::Result<RunResult> {
     for file in [&options.ingress, &options.shim] {
         if !file.exists() {
             bail!("{} does not exist; build it first", file.display());
@@ -89,8 +89,8 @@
     if programs.interrupted.load(Ordering::SeqCst) {
         bail!("interrupted in the run of seed {}", plan.seed);
     }
-    let mut violations = judge(&plan, &observations);
-    violations.extend(judge_logs(&programs.folder, plan.shape.ingresses));
+    let mut violations = check(&plan, &observations);
+    violations.extend(check_logs(&programs.folder, plan.shape.ingresses));
     if !violations.is_empty() {
         let file = programs.folder.join(format!("observations-{}.json", plan.seed));
         std::fs::write(file, serde_json::to_string(&observations)?)?;
--- a/fault-soak/src/ingress.rs
+++ b/fault-soak/src/ingress.rs
@@ -158,7 +158,7 @@
     }
 
     /// Records an exit that nobody requested.
-    pub fn check(&mut self) {
+    pub fn record_unexpected_exit(&mut self) {
         if self.child.is_some() && self.has_exited() {
             self.record(ProcessEvent::Crashed);
             self.child = None;
--- a/fault-soak/src/oracle.rs
+++ b/fault-soak/src/oracle.rs
@@ -6,7 +6,7 @@
 mod requests;
 mod rule;
 
-pub use ingresses::{judge_logs, quota_use};
+pub use ingresses::{check_logs, quota_use};
 pub use rule::{Rule, Violation};
 
 use crate::plan::SoakPlan;
@@ -20,20 +20,20 @@
 const MAX_PAUSE: Micros = 150_000;
 
 /// Finds every violation in what was observed.
-pub fn judge(plan: &SoakPlan, observations: &Observations) -> Vec<Violation> {
+pub fn check(plan: &SoakPlan, observations: &Observations) -> Vec<Violation> {
     let mut oracle = Oracle { plan, observations, violations: Vec::new() };
-    oracle.judge_requests();
-    oracle.judge_stray_bytes();
-    oracle.judge_draining();
-    oracle.judge_slow_start();
-    oracle.judge_invalid_input();
-    oracle.judge_processes();
-    oracle.judge_quotas();
-    oracle.judge_counters();
+    oracle.check_requests();
+    oracle.check_stray_bytes();
+    oracle.check_draining();
+    oracle.check_slow_start();
+    oracle.check_invalid_input();
+    oracle.check_processes();
+    oracle.check_quotas();
+    oracle.check_counters();
     oracle.violations
 }
 
-/// The judge of one run.
+/// The check of one run.
 struct Oracle<'a> {
     /// The plan of the run.
     plan: &'a SoakPlan,
--- a/fault-soak/src/oracle/backends.rs
+++ b/fault-soak/src/oracle/backends.rs
@@ -78,18 +78,18 @@
     }
 
     /// Whether draining backends got nothing new after the grace period.
-    pub(super) fn judge_draining(&mut self) {
+    pub(super) fn check_draining(&mut self) {
         let observations = self.observations;
         for change in observations.changes.iter().filter(|change| change.status == EndpointStatus::Draining) {
             let until = self.next_change_at(change).unwrap_or(Micros::MAX);
             for arrival in observations.arrivals.iter().filter(|arrival| arrival.backend == change.backend) {
-                self.judge_arrival_at_draining(change, until, arrival);
+                self.check_arrival_at_draining(change, until, arrival);
             }
         }
     }
 
     /// Whether a backend that drains until `until` was allowed to get a request.
-    fn judge_arrival_at_draining(&mut self, change: &EndpointChange, until: Micros, arrival: &ArrivalRecord) {
+    fn check_arrival_at_draining(&mut self, change: &EndpointChange, until: Micros, arrival: &ArrivalRecord) {
         let Some(notified_at) = self.sender_notified_at(arrival, change) else { return };
         let limit = notified_at + DRAIN_GRACE + self.slack();
         if arrival.at > limit && arrival.at < until {
@@ -99,7 +99,7 @@
     }
 
     /// Whether backends got no more than their budgets during their slow start.
-    pub(super) fn judge_slow_start(&mut self) {
+    pub(super) fn check_slow_start(&mut self) {
         let observations = self.observations;
         let shape = self.plan.shape;
         let even_part =
--- a/fault-soak/src/oracle/ingresses.rs
+++ b/fault-soak/src/oracle/ingresses.rs
@@ -63,7 +63,7 @@
 
 impl Oracle<'_> {
     /// Whether incomplete and malformed commands got an error or a close in time.
-    pub(super) fn judge_invalid_input(&mut self) {
+    pub(super) fn check_invalid_input(&mut self) {
         let observations = self.observations;
         for input in &observations.invalid_inputs {
             let limit = input.at + INVALID_INPUT_TIMEOUT + self.slack();
@@ -76,7 +76,7 @@
     }
 
     /// Whether processes started in time, and ended only when they were to.
-    pub(super) fn judge_processes(&mut self) {
+    pub(super) fn check_processes(&mut self) {
         let observations = self.observations;
         for record in &observations.processes {
             let rule = match record.event {
@@ -91,7 +91,7 @@
     }
 
     /// Whether quotas held over all ingresses, restarts and losses included.
-    pub(super) fn judge_quotas(&mut self) {
+    pub(super) fn check_quotas(&mut self) {
         let quota_use = quota_use(self.plan, self.observations);
         if quota_use > QUOTA_TOLERANCE {
             let detail = format!("{quota_use:.2} times what the quotas allow was forwarded");
@@ -100,7 +100,7 @@
     }
 
     /// Whether the counters of each ingress cover what was observed of it.
-    pub(super) fn judge_counters(&mut self) {
+    pub(super) fn check_counters(&mut self) {
         let observations = self.observations;
         for counters in &observations.counters {
             let observed = ObservedCounts::of(observations, counters.ingress);
@@ -113,7 +113,7 @@
 
 /// The violations and panics in the logs of the ingresses. A late answer is left to the observations of its
 /// client, since a process that the plan pauses reports one itself.
-pub fn judge_logs(folder: &Path, ingresses: usize) -> Vec<Violation> {
+pub fn check_logs(folder: &Path, ingresses: usize) -> Vec<Violation> {
     let mut violations = Vec::new();
     for number in 0..ingresses {
         let log = std::fs::read_to_string(Ingress::log_file(folder, number)).unwrap_or_default();
--- a/fault-soak/src/oracle/requests.rs
+++ b/fault-soak/src/oracle/requests.rs
@@ -26,18 +26,18 @@
 
 impl Oracle<'_> {
     /// Judges the answer and the attempts of every request.
-    pub(super) fn judge_requests(&mut self) {
+    pub(super) fn check_requests(&mut self) {
         let observations = self.observations;
         let arrivals = arrivals_by_request(observations);
         for request in &observations.requests {
             let arrivals = arrivals.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
-            self.judge_answer(request, arrivals);
-            self.judge_attempts(request, arrivals);
+            self.check_answer(request, arrivals);
+            self.check_attempts(request, arrivals);
         }
     }
 
     /// Nothing may follow a final answer.
-    pub(super) fn judge_stray_bytes(&mut self) {
+    pub(super) fn check_stray_bytes(&mut self) {
         let observations = self.observations;
         for bytes in &observations.stray_bytes {
             self.report_general(Rule::SecondAnswer, format!("after an answer: {bytes:?}"));
@@ -59,7 +59,7 @@
     }
 
     /// Whether a request got its answer.
-    fn judge_answer(&mut self, request: &RequestRecord, arrivals: &[&ArrivalRecord]) {
+    fn check_answer(&mut self, request: &RequestRecord, arrivals: &[&ArrivalRecord]) {
         let excused = self.was_ended(request.ingress, request.sent_at, request.ended_at);
         let waited_ms = to_millis(request.ended_at.saturating_sub(request.sent_at));
         match request.outcome {
@@ -81,19 +81,19 @@
     }
 
     /// Whether the attempts of a request were allowed.
-    fn judge_attempts(&mut self, request: &RequestRecord, arrivals: &[&ArrivalRecord]) {
+    fn check_attempts(&mut self, request: &RequestRecord, arrivals: &[&ArrivalRecord]) {
         if arrivals.len() > MAX_ATTEMPTS {
             self.report(Rule::TooManyAttempts, &request.id, format!("{} attempts", arrivals.len()));
         }
         for (index, arrival) in arrivals.iter().enumerate() {
-            self.judge_time_budget(request, arrival);
-            self.judge_disconnect(request, arrival);
-            self.judge_repeat(request, &arrivals[..index], arrival);
+            self.check_time_budget(request, arrival);
+            self.check_disconnect(request, arrival);
+            self.check_repeat(request, &arrivals[..index], arrival);
         }
     }
 
     /// Whether the timeout that an attempt stated was no longer than its client had left.
-    fn judge_time_budget(&mut self, request: &RequestRecord, arrival: &ArrivalRecord) {
+    fn check_time_budget(&mut self, request: &RequestRecord, arrival: &ArrivalRecord) {
         let time_left = (request.sent_at + request.timeout).saturating_sub(arrival.at);
         if arrival.time_budget > time_left + TIME_SLACK + self.slack() {
             let detail =
@@ -103,7 +103,7 @@
     }
 
     /// Whether a client was still connected as an attempt began.
-    fn judge_disconnect(&mut self, request: &RequestRecord, arrival: &ArrivalRecord) {
+    fn check_disconnect(&mut self, request: &RequestRecord, arrival: &ArrivalRecord) {
         let disconnected = request.outcome == Outcome::Disconnected;
         if disconnected && arrival.at > request.ended_at + DISCONNECT_SLACK + self.slack() {
             let detail =
@@ -113,7 +113,7 @@
     }
 
     /// Whether an attempt was allowed beside or after earlier ones.
-    fn judge_repeat(&mut self, request: &RequestRecord, earlier: &[&ArrivalRecord], arrival: &ArrivalRecord) {
+    fn check_repeat(&mut self, request: &RequestRecord, earlier: &[&ArrivalRecord], arrival: &ArrivalRecord) {
         let Some(first) = earlier.iter().find(|earlier| !earlier.rejected) else { return };
         let after_ms = to_millis(arrival.at - first.at);
         if request.class == RequestClass::NonIdempotent {
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -93,7 +93,7 @@
                 testbed.end(fault);
             }
         }
-        testbed.check_ingresses();
+        testbed.record_unexpected_exits();
         thread::sleep(TICK);
     }
     for thread in threads {
--- a/fault-soak/src/testbed.rs
+++ b/fault-soak/src/testbed.rs
@@ -238,10 +238,10 @@
     }
 
     /// Records the ingresses that have exited by themselves, except for those that a fault is busy with.
-    pub fn check_ingresses(&self) {
+    pub fn record_unexpected_exits(&self) {
         for ingress in &self.ingresses {
             if let Ok(mut ingress) = ingress.try_lock() {
-                ingress.check();
+                ingress.record_unexpected_exit();
             }
         }
     }
@@ -250,7 +250,7 @@
     pub fn log_counters(&self) {
         for ingress in &self.ingresses {
             let mut ingress = lock(ingress);
-            ingress.check();
+            ingress.record_unexpected_exit();
             ingress.log_counters();
         }
     }
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -1,6 +1,6 @@
 //! The oracle finds each violation in the observations, and none where there is none.
 
-use fault_soak::oracle::{judge, Rule};
+use fault_soak::oracle::{check, Rule};
 use fault_soak::plan::{InjectedFault, Shape, SoakPlan};
 use fault_soak::record::*;
 use fault_soak::scenario::FaultScenario;
@@ -50,7 +50,7 @@
 }
 
 fn rules(hedging: bool, observations: &Observations) -> Vec<Rule> {
-    judge(&plan_without_pauses(hedging), observations).into_iter().map(|violation| violation.rule).collect()
+    check(&plan_without_pauses(hedging), observations).into_iter().map(|violation| violation.rule).collect()
 }
 
 fn observations(request: RequestRecord, arrivals: Vec<ArrivalRecord>) -> Observations {
@@ -217,7 +217,7 @@
     let mut paused = plan_without_pauses(true);
     let pause = InjectedFault { kind: FaultScenario::Pauses, from_ms: 0, until_ms: 1000, target: 0 };
     paused.faults.push(pause);
-    assert_eq!(judge(&paused, &observations), []);
+    assert_eq!(check(&paused, &observations), []);
     assert_eq!(rules(true, &observations), [Rule::AttemptAfterDisconnect]);
 }
 
