--- a/fault-soak/src/bin/fault-soak/main.rs
+++ b/fault-soak/src/bin/fault-soak/main.rs
@@ -10,7 +10,7 @@
 use fault_soak::plan::SoakPlan;
 use fault_soak::report::{page, RunResult};
 use fault_soak::run::run;
-use output::{print_faults, print_in_full, print_summary};
+use output::{print_details, print_faults, print_summary};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -50,7 +50,7 @@
     let options = RunOptions { log_level: "debug".into(), ..options };
     let result = run_and_check(&options, options.plan(seed))?;
     print_summary(&result);
-    print_in_full(&result, &options.programs());
+    print_details(&result, &options.programs());
     Ok(())
 }
 
@@ -61,7 +61,7 @@
     let Some(rule) = smallest.counts.keys().next().copied() else { bail!("seed {seed} breaks no rule") };
     let mut index = 0;
     while index < smallest.plan.faults.len() {
-        let result = run_and_check(options, smallest.plan.without(index))?;
+        let result = run_and_check(options, smallest.plan.without_fault(index))?;
         print_summary(&result);
         if result.counts.contains_key(&rule) {
             smallest = result;
--- a/fault-soak/src/bin/fault-soak/output.rs
+++ b/fault-soak/src/bin/fault-soak/output.rs
@@ -28,7 +28,7 @@
 }
 
 /// Prints the faults of a run, and each violation with the log lines of its request.
-pub fn print_in_full(result: &RunResult, programs: &Programs) {
+pub fn print_details(result: &RunResult, programs: &Programs) {
     print_faults(result);
     for violation in &result.violations {
         println!("{:?} {:?}: {}", violation.rule, violation.request, violation.detail);
--- a/fault-soak/src/ingress.rs
+++ b/fault-soak/src/ingress.rs
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// If the file cannot be read or written.
-    pub fn write_half_a_config(&self) -> anyhow::Result<()> {
+    pub fn write_truncated_config(&self) -> anyhow::Result<()> {
         let text = fs::read_to_string(self.config_file())?;
         fs::write(self.config_file(), &text[..text.len() / 2]).context("cannot write a configuration")
     }
--- a/fault-soak/src/oracle/backends.rs
+++ b/fault-soak/src/oracle/backends.rs
@@ -5,7 +5,7 @@
 use crate::settings::{DRAIN_GRACE, OVERLOAD_FACTOR, OVERLOAD_WINDOW, SLOW_START_DURATION, SLOW_START_FLOOR};
 
 /// For how long after a start the budget of a backend is checked.
-const SLOW_START_CHECKED: Micros = 3_000_000;
+const SLOW_START_CHECK_DURATION: Micros = 3_000_000;
 /// The capacity of a backend, in its even part of all requests.
 const CAPACITY_FACTOR: f64 = 1.25;
 /// Below so many expected requests chance may add three standard deviations, else two, as the overload rule
@@ -47,7 +47,7 @@
 }
 
 /// The fullest window after a start, by its ratio, of those that exceed their bounds.
-fn fullest_window(started_at: Micros, times: &[Micros], capacity: f64) -> Option<WindowLoad> {
+fn most_overloaded_window(started_at: Micros, times: &[Micros], capacity: f64) -> Option<WindowLoad> {
     let loads = times.iter().enumerate().map(|(index, end)| {
         let begin = end.saturating_sub(OVERLOAD_WINDOW);
         let count = times[..=index].iter().filter(|at| **at > begin).count() as f64;
@@ -61,7 +61,8 @@
     /// When an ingress was first notified of a version of the list, or of a later one.
     fn notified_at(&self, ingress: usize, version: u64) -> Option<Micros> {
         let notifications = self.observations.notifications.iter();
-        let of_version = notifications.filter(|one| one.ingress == ingress && one.version >= version);
+        let of_version = notifications
+            .filter(|notification| notification.ingress == ingress && notification.version >= version);
         of_version.map(|notification| notification.at).min()
     }
 
@@ -102,12 +103,12 @@
     pub(super) fn check_slow_start(&mut self) {
         let observations = self.observations;
         let shape = self.plan.shape;
-        let even_part =
+        let even_share =
             observations.arrivals.len() as f64 / shape.backends as f64 / shape.seconds.max(1) as f64;
-        let capacity = even_part * CAPACITY_FACTOR;
+        let capacity = even_share * CAPACITY_FACTOR;
         for start in observations.changes.iter().filter(|change| change.restarted) {
             let times = self.arrivals_in_slow_start(start);
-            if let Some(WindowLoad { count, bound }) = fullest_window(start.at, &times, capacity) {
+            if let Some(WindowLoad { count, bound }) = most_overloaded_window(start.at, &times, capacity) {
                 let detail = format!("backend {}: {count} in a window of {bound:.1}", start.backend);
                 self.report_general(Rule::SlowStartExceeded, detail);
             }
@@ -116,7 +117,7 @@
 
     /// When requests arrived at a backend that has started, from ingresses that were notified of its start.
     fn arrivals_in_slow_start(&self, start: &EndpointChange) -> Vec<Micros> {
-        let checked = start.at..start.at + SLOW_START_CHECKED;
+        let checked = start.at..start.at + SLOW_START_CHECK_DURATION;
         let is_notified = |arrival: &ArrivalRecord| {
             self.sender_notified_at(arrival, start).is_some_and(|notified_at| notified_at <= arrival.at)
         };
--- a/fault-soak/src/oracle/requests.rs
+++ b/fault-soak/src/oracle/requests.rs
@@ -46,21 +46,21 @@
 
     /// Whether an ingress was ended by force in a span: the requests that it had then are excused, or judged
     /// as a crash.
-    fn was_ended(&self, ingress: usize, from: Micros, until: Micros) -> bool {
+    fn terminated_abnormally(&self, ingress: usize, from: Micros, until: Micros) -> bool {
         let slack = self.observation_slack();
         self.observations.processes.iter().any(|record| {
-            let by_force = matches!(
+            let is_abnormal = matches!(
                 record.event,
                 ProcessEvent::Killed | ProcessEvent::Crashed | ProcessEvent::Overdue | ProcessEvent::NotReady
             );
             let in_span = record.at + slack >= from && record.at <= until + slack;
-            record.ingress == ingress && by_force && in_span
+            record.ingress == ingress && is_abnormal && in_span
         })
     }
 
     /// Whether a request got its answer.
     fn check_answer(&mut self, request: &RequestRecord, arrivals: &[&ArrivalRecord]) {
-        let excused = self.was_ended(request.ingress, request.sent_at, request.ended_at);
+        let excused = self.terminated_abnormally(request.ingress, request.sent_at, request.ended_at);
         let waited_ms = to_millis(request.ended_at.saturating_sub(request.sent_at));
         match request.outcome {
             Outcome::WrongValue => {
--- a/fault-soak/src/plan.rs
+++ b/fault-soak/src/plan.rs
@@ -14,13 +14,13 @@
 /// When the first fault begins, in milliseconds: clients have had answers by then.
 const FIRST_FAULT_MS: u64 = 1500;
 /// The time without faults at the end, in milliseconds, in which their consequences are still observed.
-const QUIET_END_MS: u64 = 1500;
+const RECOVERY_PERIOD_MS: u64 = 1500;
 /// The least time between the first begin and the last end of a fault, in milliseconds.
 const MIN_FAULT_SPAN_MS: u64 = 1000;
 /// Milliseconds in a second.
 const MILLIS_PER_SECOND: u64 = 1000;
 /// How many groups of faults a plan has.
-const GROUPS: RangeInclusive<usize> = 1..=2;
+const GROUP_COUNT: RangeInclusive<usize> = 1..=2;
 /// How many faults overlap in a group.
 const GROUP_SIZE: RangeInclusive<usize> = 2..=3;
 /// The least time from the first fault to the middle of a group, in milliseconds.
@@ -113,10 +113,10 @@
     pub fn draw(seed: u64, shape: Shape, scenarios: &[FaultScenario]) -> SoakPlan {
         let mut random = StdRng::seed_from_u64(seed);
         let last_ms =
-            shape.duration_ms().saturating_sub(QUIET_END_MS).max(FIRST_FAULT_MS + MIN_FAULT_SPAN_MS);
+            shape.duration_ms().saturating_sub(RECOVERY_PERIOD_MS).max(FIRST_FAULT_MS + MIN_FAULT_SPAN_MS);
         let hedging = random.random_bool(0.5);
         let cancellation = random.random_bool(0.7);
-        let groups = random.random_range(GROUPS);
+        let groups = random.random_range(GROUP_COUNT);
         let mut faults = Vec::new();
         for _ in 0..groups {
             let middle_ms = random.random_range(FIRST_FAULT_MS + MIN_LEAD_MS..last_ms);
@@ -200,7 +200,7 @@
 
     /// The plan without one of its faults.
     #[must_use]
-    pub fn without(&self, index: usize) -> SoakPlan {
+    pub fn without_fault(&self, index: usize) -> SoakPlan {
         let mut plan = self.clone();
         plan.faults.remove(index);
         plan
--- a/fault-soak/src/report.rs
+++ b/fault-soak/src/report.rs
@@ -16,7 +16,7 @@
 /// The significant digits of answer times in the histogram.
 const HISTOGRAM_DIGITS: u8 = 2;
 /// How many violations the result of a run has in full.
-const MAX_VIOLATIONS_IN_FULL: usize = 12;
+const MAX_REPORTED_VIOLATIONS: usize = 12;
 
 /// How the requests of a run ended, and how long their answers took in milliseconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
         for violation in &violations {
             *counts.entry(violation.rule).or_default() += 1;
         }
-        let violations = violations.into_iter().take(MAX_VIOLATIONS_IN_FULL).collect();
+        let violations = violations.into_iter().take(MAX_REPORTED_VIOLATIONS).collect();
         RunResult {
             longest_stall_ms: to_millis(observations.longest_stall),
             totals: Totals::of(observations),
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -15,7 +15,7 @@
 /// How often the supervisor looks for faults that begin or end.
 const TICK: Duration = Duration::from_millis(5);
 /// How long ingresses have to log their counters at the end.
-const COUNTER_TIME: Duration = Duration::from_millis(50);
+const COUNTER_LOG_DELAY: Duration = Duration::from_millis(50);
 /// How long clients may take to end after the load.
 const CLIENT_END_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -34,9 +34,9 @@
     let clients = testbed.start_clients();
     inject_faults(&context, &testbed, &programs.interrupted);
     context.end_load();
-    await_clients(&clients);
+    wait_for_clients(&clients);
     testbed.log_counters();
-    thread::sleep(COUNTER_TIME);
+    thread::sleep(COUNTER_LOG_DELAY);
     context.end_run();
     let _ = watchdog.join();
     testbed.terminate_ingresses();
@@ -102,7 +102,7 @@
 }
 
 /// Waits until all clients have ended, or for as long as that may take.
-fn await_clients(clients: &[JoinHandle<()>]) {
+fn wait_for_clients(clients: &[JoinHandle<()>]) {
     let deadline = Instant::now() + CLIENT_END_TIMEOUT;
     while clients.iter().any(|client| !client.is_finished()) && Instant::now() < deadline {
         thread::sleep(TICK);
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -114,7 +114,7 @@
     }
 
     /// Whether the connection has to be closed: the run has ended, or the backend was restarted.
-    fn is_to_be_closed(&self) -> bool {
+    fn should_close(&self) -> bool {
         self.shared.context.has_run_ended()
             || self.shared.generation.load(Ordering::SeqCst) != self.generation
     }
@@ -128,10 +128,10 @@
                 self.received.drain(..command.length);
                 return Ok(command.words);
             }
-            self.stay_partitioned()?;
+            self.wait_while_partitioned()?;
             let closes_idle =
                 self.received.is_empty() && self.is_affected_by(FaultScenario::IdleClosingBackend);
-            if self.is_to_be_closed() || closes_idle || self.resets_early() {
+            if self.should_close() || closes_idle || self.should_reset_early() {
                 return Err(Closed);
             }
             match self.stream.read(&mut chunk) {
@@ -145,14 +145,14 @@
 
     /// Whether the connection is reset at the first bytes of a command: closing it with unread bytes does
     /// that.
-    fn resets_early(&self) -> bool {
+    fn should_reset_early(&self) -> bool {
         self.is_affected_by(FaultScenario::EarlyResettingBackend)
             && matches!(self.stream.peek(&mut [0]), Ok(1..))
     }
 
     /// Waits while the backend is partitioned from the network; then the connection is reset. Closes it at
     /// once where the other side has closed it.
-    fn stay_partitioned(&self) -> Result<(), Closed> {
+    fn wait_while_partitioned(&self) -> Result<(), Closed> {
         if !self.is_affected_by(FaultScenario::PartitionedBackend) {
             return Ok(());
         }
@@ -173,7 +173,7 @@
                 Err(error) if is_timeout(&error) => {}
                 Err(_) => return Err(Closed),
             }
-            if self.is_to_be_closed() {
+            if self.should_close() {
                 return Err(Closed);
             }
         }
@@ -223,13 +223,13 @@
         }
         let is_slow = self.is_affected_by(FaultScenario::SlowBackend);
         self.wait(if is_slow { SLOW_SERVICE_TIME } else { SERVICE_TIME })?;
-        self.stay_partitioned()?;
+        self.wait_while_partitioned()?;
         if self.is_affected_by(FaultScenario::FailingBackend) {
             return self.write(b"-ERR failed\r\n");
         }
         let reply = served(id);
         if self.is_affected_by(FaultScenario::ResettingBackend) {
-            return self.reset_in_reply(&reply);
+            return self.reset_during_reply(&reply);
         }
         if self.is_affected_by(FaultScenario::TricklingBackend) {
             return self.trickle(&reply);
@@ -238,7 +238,7 @@
     }
 
     /// Resets the connection in the middle of a reply, or before it, depending on its length.
-    fn reset_in_reply(&mut self, reply: &[u8]) -> Result<(), Closed> {
+    fn reset_during_reply(&mut self, reply: &[u8]) -> Result<(), Closed> {
         let length = if reply.len() % 2 == 0 { reply.len() / 2 } else { 0 };
         let _ = self.write(&reply[..length]);
         Err(Closed)
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 /// Each scenario of clients affects one in so many clients.
-const AFFECTED_STEP: usize = 4;
+const CLIENT_GROUP_COUNT: usize = 4;
 /// The part of the requests that are sent on a new connection.
 const NEW_CONNECTION_SHARE: f64 = 0.1;
 /// How long the first command of a new connection may take to follow, in milliseconds.
@@ -35,7 +35,7 @@
 /// How long a client that disconnects waits before that at most, in milliseconds.
 const MAX_TIME_TO_DISCONNECT_MS: u64 = 60;
 /// How long a client with an incomplete or malformed command waits for an error or a close, in microseconds.
-const INVALID_INPUT_PATIENCE: Micros = 4_500_000;
+const INVALID_INPUT_RESPONSE_TIMEOUT: Micros = 4_500_000;
 /// How many bytes a client that trickles writes at once.
 const TRICKLE_SIZE: usize = 7;
 /// The pause between two pieces of a command that trickles.
@@ -69,7 +69,7 @@
 
 /// How a pending request ended.
 #[derive(Clone, Copy)]
-struct Ending {
+struct Completion {
     /// The ingress that it was sent to.
     ingress: usize,
     /// How it ended.
@@ -130,7 +130,7 @@
 
     /// Whether a scenario of clients affects this one now.
     fn is_affected_by(&self, scenario: FaultScenario) -> bool {
-        self.context.affects(scenario, self.number % AFFECTED_STEP, AFFECTED_STEP)
+        self.context.affects(scenario, self.number % CLIENT_GROUP_COUNT, CLIENT_GROUP_COUNT)
     }
 
     /// Connects to an ingress, unless it is out of rotation.
@@ -172,7 +172,7 @@
         if self.is_affected_by(FaultScenario::DisconnectingClients) {
             return self.disconnect(ingress, connection, pending);
         }
-        if self.await_answers(ingress, &mut connection, pending) {
+        if self.wait_for_answers(ingress, &mut connection, pending) {
             self.connections.insert(ingress, connection);
         }
     }
@@ -205,8 +205,8 @@
     /// Draws a customer with a quota within reach that an ingress serves.
     fn draw_metered_customer(&mut self, ingress: usize) -> Customer {
         let ingresses = self.addresses.len();
-        let place = self.random.random_range(0..METERED_SET_SIZE).min(ingresses - 1);
-        metered((ingress + ingresses - place) % ingresses, ingresses)
+        let offset = self.random.random_range(0..METERED_SET_SIZE).min(ingresses - 1);
+        metered((ingress + ingresses - offset) % ingresses, ingresses)
     }
 
     /// The command of a request.
@@ -228,7 +228,7 @@
     }
 
     /// Waits for the answers to all requests; whether the connection can be used again.
-    fn await_answers(
+    fn wait_for_answers(
         &mut self,
         ingress: usize,
         connection: &mut Connection,
@@ -240,7 +240,7 @@
         for (position, request) in pending.into_iter().enumerate() {
             let limit = request.sent_at.max(ended_at) + request.timeout + ANSWER_SLACK;
             let outcome = if is_open {
-                connection.await_outcome(&self.context.recorder, &request.id, limit)
+                connection.wait_for_outcome(&self.context.recorder, &request.id, limit)
             } else {
                 Outcome::Closed
             };
@@ -250,8 +250,9 @@
             }
             ended_at = self.context.recorder.now();
             let may_cross_close = was_reused || position > 0;
-            let ending = Ending { ingress, outcome, ended_at, may_cross_close, pipelined_behind: position };
-            self.record(request, ending);
+            let completion =
+                Completion { ingress, outcome, ended_at, may_cross_close, pipelined_behind: position };
+            self.record(request, completion);
         }
         is_open
     }
@@ -261,22 +262,22 @@
         let time_ms = self.random.random_range(0..=MAX_TIME_TO_DISCONNECT_MS);
         let disconnects_at = self.context.recorder.now() + time_ms * MICROS_PER_MILLI;
         let Some(first) = pending.first() else { return };
-        let first_outcome = connection.await_outcome(&self.context.recorder, &first.id, disconnects_at);
+        let first_outcome = connection.wait_for_outcome(&self.context.recorder, &first.id, disconnects_at);
         drop(connection);
         let ended_at = self.context.recorder.now();
         for (position, request) in pending.into_iter().enumerate() {
             let has_ended = position == 0 && first_outcome != Outcome::Unanswered;
             let outcome = if has_ended { first_outcome } else { Outcome::Disconnected };
-            let ending =
-                Ending { ingress, outcome, ended_at, may_cross_close: true, pipelined_behind: position };
-            self.record(request, ending);
+            let completion =
+                Completion { ingress, outcome, ended_at, may_cross_close: true, pipelined_behind: position };
+            self.record(request, completion);
         }
     }
 
     /// Records how a request ended.
-    fn record(&self, request: PendingRequest, ending: Ending) {
+    fn record(&self, request: PendingRequest, completion: Completion) {
         let PendingRequest { id, class, sent_at, timeout, metered } = request;
-        let Ending { ingress, outcome, ended_at, may_cross_close, pipelined_behind } = ending;
+        let Completion { ingress, outcome, ended_at, may_cross_close, pipelined_behind } = completion;
         self.context.recorder.observations().requests.push(RequestRecord {
             id,
             class,
@@ -299,7 +300,7 @@
         }
         let at = self.context.recorder.now();
         let mut responded_at = None;
-        while responded_at.is_none() && self.context.recorder.now() < at + INVALID_INPUT_PATIENCE {
+        while responded_at.is_none() && self.context.recorder.now() < at + INVALID_INPUT_RESPONSE_TIMEOUT {
             match stream.read(&mut [0; RESPONSE_CHUNK_SIZE]) {
                 Err(error) if is_timeout(&error) => {}
                 _ => responded_at = Some(self.context.recorder.now()),
--- a/fault-soak/src/stand_in/client/connection.rs
+++ b/fault-soak/src/stand_in/client/connection.rs
@@ -34,7 +34,7 @@
 }
 
 /// How the wait for a reply ended.
-enum Wait {
+enum WaitResult {
     /// With a complete reply.
     Reply(Reply),
     /// With the end of the connection.
@@ -79,31 +79,31 @@
     }
 
     /// Waits for the answer to a request until a time.
-    pub fn await_outcome(&mut self, recorder: &Recorder, id: &str, limit: Micros) -> Outcome {
-        match self.await_reply(recorder, limit) {
-            Wait::Reply(Reply::Value(value)) if value == value_of(id) => Outcome::Served,
-            Wait::Reply(Reply::Value(_)) => Outcome::WrongValue,
-            Wait::Reply(Reply::Line(line)) if line.starts_with(REJECTION) => Outcome::Rejected,
-            Wait::Reply(Reply::Line(_)) => Outcome::Failed,
-            Wait::Closed => Outcome::Closed,
-            Wait::TimedOut => Outcome::Unanswered,
+    pub fn wait_for_outcome(&mut self, recorder: &Recorder, id: &str, limit: Micros) -> Outcome {
+        match self.wait_for_reply(recorder, limit) {
+            WaitResult::Reply(Reply::Value(value)) if value == value_of(id) => Outcome::Served,
+            WaitResult::Reply(Reply::Value(_)) => Outcome::WrongValue,
+            WaitResult::Reply(Reply::Line(line)) if line.starts_with(REJECTION) => Outcome::Rejected,
+            WaitResult::Reply(Reply::Line(_)) => Outcome::Failed,
+            WaitResult::Closed => Outcome::Closed,
+            WaitResult::TimedOut => Outcome::Unanswered,
         }
     }
 
     /// Waits for a reply until a time.
-    fn await_reply(&mut self, recorder: &Recorder, limit: Micros) -> Wait {
+    fn wait_for_reply(&mut self, recorder: &Recorder, limit: Micros) -> WaitResult {
         let mut chunk = [0; CHUNK_SIZE];
         loop {
             if let Some(received) = parse_reply(&self.received) {
                 self.received.drain(..received.length);
-                return Wait::Reply(received.reply);
+                return WaitResult::Reply(received.reply);
             }
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Wait::Closed,
+                Ok(0) => return WaitResult::Closed,
                 Ok(length) => self.received.extend_from_slice(&chunk[..length]),
-                Err(error) if is_timeout(&error) && recorder.now() >= limit => return Wait::TimedOut,
+                Err(error) if is_timeout(&error) && recorder.now() >= limit => return WaitResult::TimedOut,
                 Err(error) if is_timeout(&error) => {}
-                Err(_) => return Wait::Closed,
+                Err(_) => return WaitResult::Closed,
             }
         }
     }
--- a/fault-soak/src/stand_in/discovery.rs
+++ b/fault-soak/src/stand_in/discovery.rs
@@ -25,7 +25,7 @@
 /// The version of the list that a run begins with.
 const FIRST_VERSION: u64 = 1;
 /// One in so many responses is truncated where discovery does that.
-const TRUNCATION_STEP: u64 = 2;
+const TRUNCATION_INTERVAL: u64 = 2;
 
 /// A backend as it is listed.
 struct ListedBackend {
@@ -198,7 +198,7 @@
             return stream.write_all(response);
         }
         let count = self.truncation_count.fetch_add(1, Ordering::SeqCst);
-        if count % TRUNCATION_STEP != 0 {
+        if count % TRUNCATION_INTERVAL != 0 {
             return trickle(stream, response);
         }
         trickle(stream, &response[..response.len() / 2])?;
--- a/fault-soak/src/testbed.rs
+++ b/fault-soak/src/testbed.rs
@@ -31,7 +31,7 @@
 /// How long an ingress still gets new connections after SIGTERM.
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(300);
 /// How long a configuration stays half written.
-const HALF_WRITTEN_TIME: Duration = Duration::from_millis(120);
+const TRUNCATED_CONFIG_DURATION: Duration = Duration::from_millis(120);
 /// How long an ingress is stopped: less than the 150 ms that the oracle allows for, since it may be continued
 /// late.
 const PAUSE: Duration = Duration::from_millis(140);
@@ -40,9 +40,9 @@
 
 /// The addresses of discovery for one ingress.
 #[derive(Clone, Copy)]
-struct Agents {
+struct AgentAddresses {
     /// The one that the ingress starts with.
-    first: SocketAddr,
+    initial: SocketAddr,
     /// The one that a reload names.
     after_reload: SocketAddr,
 }
@@ -58,7 +58,7 @@
     /// Discovery.
     discovery: Arc<Discovery>,
     /// The agents of each ingress.
-    agents: Vec<Agents>,
+    agents: Vec<AgentAddresses>,
     /// The ingresses.
     ingresses: Vec<Arc<Mutex<Ingress>>>,
     /// Which ingresses get new connections.
@@ -104,8 +104,8 @@
         let discovery = Arc::new(Discovery::new(&backend_addresses, context.clone()));
         let mut agents = Vec::new();
         for number in 0..shape.ingresses {
-            let first = discovery.start_agent(number)?;
-            agents.push(Agents { first, after_reload: discovery.start_agent(number)? });
+            let initial = discovery.start_agent(number)?;
+            agents.push(AgentAddresses { initial, after_reload: discovery.start_agent(number)? });
         }
         let ingress =
             |number: usize| Ingress::new(number, programs.clone(), context.clone(), addresses.listen[number]);
@@ -124,7 +124,7 @@
         let known_endpoints = self.discovery.snapshot_json();
         let mut threads = Vec::new();
         for (number, ingress) in self.ingresses.iter().enumerate() {
-            lock(ingress).write_config(&self.addresses, self.agents[number].first, &known_endpoints)?;
+            lock(ingress).write_config(&self.addresses, self.agents[number].initial, &known_endpoints)?;
             let ingress = ingress.clone();
             threads.push(thread::spawn(move || lock(&ingress).start()));
         }
@@ -217,9 +217,9 @@
         let known_endpoints = self.discovery.snapshot_json();
         thread::spawn(move || {
             let ingress = lock(&ingress);
-            let _ = ingress.write_half_a_config();
+            let _ = ingress.write_truncated_config();
             ingress.reload();
-            thread::sleep(HALF_WRITTEN_TIME);
+            thread::sleep(TRUNCATED_CONFIG_DURATION);
             let _ = ingress.write_config(&addresses, agent, &known_endpoints);
             ingress.reload();
         })
