--- a/fault-shim/src/lib.rs
+++ b/fault-shim/src/lib.rs
@@ -31,9 +31,10 @@
     let option = |name: c_int| {
         let mut value: c_int = 0;
         let mut length = size_of::<c_int>() as socklen_t;
-        let place = (&raw mut value).cast::<c_void>();
+        let pointer = (&raw mut value).cast::<c_void>();
         // SAFETY: value and length are locals that outlive the call, and length is the size of value.
-        let result = unsafe { libc::getsockopt(descriptor, libc::SOL_SOCKET, name, place, &raw mut length) };
+        let result =
+            unsafe { libc::getsockopt(descriptor, libc::SOL_SOCKET, name, pointer, &raw mut length) };
         (result == 0).then_some(value)
     };
     option(libc::SO_DOMAIN) == Some(libc::AF_INET) && option(libc::SO_TYPE) == Some(libc::SOCK_STREAM)
--- a/fault-shim/src/real.rs
+++ b/fault-shim/src/real.rs
@@ -4,8 +4,8 @@
 use std::ffi::CStr;
 use std::sync::OnceLock;
 
-/// The address of the next function with this name after this library's own, in the order of symbol lookup.
-fn next(name: &CStr) -> usize {
+/// Returns the address of the next function with this name after this library's own, in the order of symbol lookup.
+fn lookup_next(name: &CStr) -> usize {
     // SAFETY: the name is a string that ends with a zero byte.
     let address = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
     assert!(!address.is_null(), "the C library has no {name:?}");
@@ -18,7 +18,7 @@
         /// The C library's function of this name.
         pub fn $name() -> unsafe extern "C" fn($($argument),*) -> $result {
             static ADDRESS: OnceLock<usize> = OnceLock::new();
-            let address = *ADDRESS.get_or_init(|| next($symbol));
+            let address = *ADDRESS.get_or_init(|| lookup_next($symbol));
             // SAFETY: the address is that of the C library's function of this name, which has this signature.
             unsafe { std::mem::transmute::<usize, unsafe extern "C" fn($($argument),*) -> $result>(address) }
         }
--- a/tests/descriptor_exhaustion.rs
+++ b/tests/descriptor_exhaustion.rs
@@ -82,7 +82,7 @@
 fn assert_polled_again(discovery: &DiscoveryServer, added: &Backend, case: &str) {
     let polls_before = discovery.poll_count();
     discovery.publish(added.endpoint_json("s-0", "up"));
-    discovery.set_down(false);
+    discovery.set_unavailable(false);
     wait_until(&format!("discovery is polled again; {case}"), || discovery.poll_count() > polls_before);
 }
 
@@ -106,10 +106,10 @@
     let (discovery, other_discovery) = (DiscoveryServer::start(), DiscoveryServer::start());
     let mut setup = setup(discovery_mode, limit);
     setup.discovery = Some(discovery.address);
-    discovery.set_down(matches!(outage, Outage::FromTheStart));
+    discovery.set_unavailable(matches!(outage, Outage::FromTheStart));
     let ingress = setup.start();
     let mut idle_clients: Vec<_> = (0..CLIENTS).map(|_| IdleClient::connect(&ingress)).collect();
-    discovery.set_down(true);
+    discovery.set_unavailable(true);
     wait_until_settled(&mut idle_clients);
     let open = open_descriptors(&ingress);
     assert!((DESCRIPTORS / 2..=DESCRIPTORS).contains(&open), "{open} descriptors; {case}");
--- a/tests/ingress/backend_connections.rs
+++ b/tests/ingress/backend_connections.rs
@@ -22,7 +22,7 @@
 fn a_duplicate_reply_is_not_taken_for_the_next_reply() {
     let sent_again = Arc::new(AtomicUsize::new(0));
     let counter = sent_again.clone();
-    let backend = Backend::start(move |args| BackendReply::Twice(value_reply(args), counter.clone()));
+    let backend = Backend::start(move |args| BackendReply::Duplicated(value_reply(args), counter.clone()));
     let ingress = IngressSetup::with_backends(&[&backend]).start();
     let mut client = ingress.client();
     for number in 0..200 {
--- a/tests/ingress/discovery.rs
+++ b/tests/ingress/discovery.rs
@@ -78,12 +78,12 @@
 /// recovers.
 #[test]
 fn the_ingress_recovers_from_refused_connections_to_discovery() {
-    assert_recovers_from(DiscoveryServer::set_down);
+    assert_recovers_from(DiscoveryServer::set_unavailable);
 }
 
 /// Discovery accepts connections for a while but does not respond, and a backend is added meanwhile. The poll
 /// has to time out and be retried, or the ingress would never receive the new backend.
 #[test]
 fn the_ingress_recovers_from_missing_responses_of_discovery() {
-    assert_recovers_from(DiscoveryServer::set_silent);
+    assert_recovers_from(DiscoveryServer::set_unresponsive);
 }
--- a/tests/ingress/reload.rs
+++ b/tests/ingress/reload.rs
@@ -23,7 +23,7 @@
     setup.discovery = Some(old.address);
     let mut ingress = setup.start();
     wait_until("the old discovery is polled", || old.poll_count() > 0);
-    old.set_silent(true);
+    old.set_unresponsive(true);
     new.publish(two.endpoint_json("s-7", "up"));
     // The incomplete file is invalid: the ingress keeps serving and retries the reload.
     setup.discovery = Some(new.address);
--- a/tests/ingress/resource_limits.rs
+++ b/tests/ingress/resource_limits.rs
@@ -54,7 +54,7 @@
 /// try another ingress.
 #[test]
 fn a_connection_over_the_limit_is_rejected_when_none_is_idle() {
-    let slow = Backend::start(|_| BackendReply::Nothing);
+    let slow = Backend::start(|_| BackendReply::NoReply);
     let mut setup = IngressSetup::with_backends(&[&slow]);
     setup.socket_limit = 64;
     let ingress = setup.start();
--- a/tests/ingress/retry.rs
+++ b/tests/ingress/retry.rs
@@ -85,7 +85,7 @@
 /// deadline, and the connection to the backend is closed.
 #[test]
 fn a_non_idempotent_request_without_a_reply_fails_before_its_deadline() {
-    let silent = Backend::start(|_| BackendReply::Nothing);
+    let silent = Backend::start(|_| BackendReply::NoReply);
     let ingress = IngressSetup::with_backends(&[&silent]).start();
     // The reply is sent some 10 ms before the client's deadline, which a busy machine may miss once.
     let delays = (0..4).map(|number| {
--- a/tests/ingress/shutdown.rs
+++ b/tests/ingress/shutdown.rs
@@ -77,7 +77,7 @@
 /// which the request could still be served.
 #[test]
 fn requests_in_flight_at_the_end_of_the_shutdown_grace_period_fail() {
-    let silent = Backend::start(|_| BackendReply::Nothing);
+    let silent = Backend::start(|_| BackendReply::NoReply);
     let mut ingress = IngressSetup::with_backends(&[&silent]).start();
     let mut client = ingress.client();
     client.send(&encode_request("refer", "r1", 7900));
--- a/tests/support/src/backend.rs
+++ b/tests/support/src/backend.rs
@@ -33,9 +33,9 @@
     Delayed(Duration, Vec<u8>),
     /// Sends these bytes, and some milliseconds later the same again, as the protocol page has it. Where the
     /// machine delays that for longer, they are not sent again. Counts those that were.
-    Twice(Vec<u8>, Arc<AtomicUsize>),
+    Duplicated(Vec<u8>, Arc<AtomicUsize>),
     /// Keeps the connection open without a reply.
-    Nothing,
+    NoReply,
     /// Closes the connection.
     Disconnect,
 }
@@ -85,7 +85,7 @@
     ///
     /// If no port can be bound.
     pub fn start(reply: impl Fn(&[String]) -> BackendReply + Send + Sync + 'static) -> Backend {
-        Backend::on(listen().unwrap(), reply)
+        Backend::start_on(listen().unwrap(), reply)
     }
 
     /// Starts a backend on a listener.
@@ -93,7 +93,7 @@
     /// # Panics
     ///
     /// If the listener has no local address.
-    pub fn on(
+    pub fn start_on(
         listener: TcpListener,
         reply: impl Fn(&[String]) -> BackendReply + Send + Sync + 'static,
     ) -> Backend {
@@ -177,7 +177,7 @@
 impl BackendConnection<'_> {
     /// Replies to commands until either side closes the connection.
     fn serve(&mut self) {
-        while self.wait_for_command() && !self.was_idle_for_too_long() {
+        while self.wait_for_command() && !self.exceeded_idle_limit() {
             let Some(args) = read_value(&mut self.stream) else { return };
             self.state.commands.lock().unwrap().push(args.clone());
             let is_open = match (self.reply)(&args) {
@@ -207,7 +207,7 @@
     }
 
     /// Whether the connection is to be reset since it was idle for too long.
-    fn was_idle_for_too_long(&self) -> bool {
+    fn exceeded_idle_limit(&self) -> bool {
         let limit = Duration::from_millis(self.state.reset_after_idle_ms.load(Ordering::SeqCst));
         !limit.is_zero() && self.replied_at.is_some_and(|instant| instant.elapsed() > limit)
     }
@@ -220,17 +220,17 @@
                 thread::sleep(delay);
                 self.stream.write_all(&bytes)
             }
-            BackendReply::Twice(bytes, sent_again) => {
+            BackendReply::Duplicated(bytes, duplicates_sent) => {
                 let first_sent_at = Instant::now();
                 self.stream.write_all(&bytes)?;
                 thread::sleep(DUPLICATE_DELAY);
                 if first_sent_at.elapsed() > MAX_DUPLICATE_DELAY {
                     return Ok(());
                 }
-                sent_again.fetch_add(1, Ordering::SeqCst);
+                duplicates_sent.fetch_add(1, Ordering::SeqCst);
                 self.stream.write_all(&bytes)
             }
-            BackendReply::Nothing | BackendReply::Disconnect => Ok(()),
+            BackendReply::NoReply | BackendReply::Disconnect => Ok(()),
         }
     }
 }
--- a/tests/support/src/backend/unreachable.rs
+++ b/tests/support/src/backend/unreachable.rs
@@ -48,6 +48,6 @@
     /// From now on connections are established, in the order in which they were begun.
     pub fn accept_connections(self) -> Backend {
         drop(self.backlog);
-        Backend::on(self.socket.into(), reply_with_value)
+        Backend::start_on(self.socket.into(), reply_with_value)
     }
 }
--- a/tests/support/src/discovery.rs
+++ b/tests/support/src/discovery.rs
@@ -41,9 +41,9 @@
     /// The endpoint list.
     published: Mutex<PublishedEndpoints>,
     /// No poll is answered.
-    silent: AtomicBool,
+    unresponsive: AtomicBool,
     /// All connections are closed without an answer.
-    down: AtomicBool,
+    unavailable: AtomicBool,
     /// Polls that arrived so far.
     polls: AtomicUsize,
 }
@@ -72,7 +72,7 @@
 impl DiscoveryState {
     /// Answers polls until either side closes the connection.
     fn serve(&self, mut stream: TcpStream) {
-        while let Some(head) = read_head(&mut stream, || !self.is_down()) {
+        while let Some(head) = read_head(&mut stream, || !self.is_unavailable()) {
             let poll = Poll::parse(&head).unwrap();
             let received_at = Instant::now();
             self.polls.fetch_add(1, Ordering::SeqCst);
@@ -85,13 +85,13 @@
     }
 
     /// Whether all connections are closed without an answer.
-    fn is_down(&self) -> bool {
-        self.down.load(Ordering::SeqCst)
+    fn is_unavailable(&self) -> bool {
+        self.unavailable.load(Ordering::SeqCst)
     }
 
     /// Waits until there is an answer to a poll, as in long polling; none once discovery is down.
     fn wait_for_answer(&self, poll: &Poll, deadline: Instant) -> Option<String> {
-        while !self.is_down() {
+        while !self.is_unavailable() {
             let answer = self.answer(poll, deadline);
             if answer.is_some() {
                 return answer;
@@ -105,7 +105,7 @@
     fn answer(&self, poll: &Poll, deadline: Instant) -> Option<String> {
         let published = self.published.lock().unwrap();
         let latest = published.latest_index();
-        if self.silent.load(Ordering::SeqCst) {
+        if self.unresponsive.load(Ordering::SeqCst) {
             return None;
         }
         let Some(since) = poll.since else {
@@ -174,12 +174,12 @@
     }
 
     /// From now on answers no poll, or answers again.
-    pub fn set_silent(&self, enabled: bool) {
-        self.state.silent.store(enabled, Ordering::SeqCst);
+    pub fn set_unresponsive(&self, enabled: bool) {
+        self.state.unresponsive.store(enabled, Ordering::SeqCst);
     }
 
     /// From now on closes all connections without an answer, or serves again.
-    pub fn set_down(&self, enabled: bool) {
-        self.state.down.store(enabled, Ordering::SeqCst);
+    pub fn set_unavailable(&self, enabled: bool) {
+        self.state.unavailable.store(enabled, Ordering::SeqCst);
     }
 }
--- a/tests/support/src/fault_shim.rs
+++ b/tests/support/src/fault_shim.rs
@@ -24,7 +24,7 @@
 }
 
 /// The shell commands that make the next program load the library and execute a plan.
-pub fn exports(plan: &FaultPlan) -> String {
+pub fn export_commands(plan: &FaultPlan) -> String {
     let library = library().display();
     format!("export {PLAN_VARIABLE}='{}'; export LD_PRELOAD='{library}'; ", plan.to_json())
 }
--- a/tests/support/src/ingress/setup.rs
+++ b/tests/support/src/ingress/setup.rs
@@ -108,7 +108,7 @@
     pub fn start(&self) -> IngressProcess {
         let limit =
             self.system_descriptor_limit.map_or(String::new(), |limit| format!("ulimit -n {limit}; "));
-        let faults = self.faults.as_ref().map_or(String::new(), fault_shim::exports);
+        let faults = self.faults.as_ref().map_or(String::new(), fault_shim::export_commands);
         self.start_with(&(limit + &faults + &built_program()))
     }
 
