--- a/fault-plan/src/tests.rs
+++ b/fault-plan/src/tests.rs
@@ -6,7 +6,7 @@
 /// field arrives as it was written, and an unknown kind of fault is an error; a fault that was silently dropped
 /// would let a test pass without its fault.
 #[test]
-fn a_plan_survives_the_environment() {
+fn plan_round_trips_through_json() {
     let plan = FaultPlan {
         seed: 7,
         faults: vec![ScheduledFault {
@@ -24,7 +24,7 @@
 /// A fault is planned for part of a run. Before and after that it must not strike, as a process might not even
 /// start; where two faults of one kind overlap, their probabilities add up.
 #[test]
-fn faults_are_active_between_their_times_only() {
+fn faults_are_active_only_within_their_interval() {
     let fault = |from_ms, until_ms| ScheduledFault {
         from_ms,
         until_ms,
@@ -39,7 +39,7 @@
 /// A plan steps the wall clock twice, forward and then further back. From each step on the process sees the sum of
 /// the steps so far, as on a machine whose clock is corrected repeatedly.
 #[test]
-fn steps_of_the_clock_add_up() {
+fn clock_steps_accumulate() {
     let step = |at_ms, by_ms| ClockStep { at_ms, by_ms };
     let plan = FaultPlan { clock_steps: vec![step(10, 500), step(20, -800)], ..FaultPlan::default() };
     assert_eq!([9, 10, 20].map(|elapsed| plan.clock_offset_ms(elapsed)), [0, 500, -300]);
--- a/fault-soak/src/report/page.rs
+++ b/fault-soak/src/report/page.rs
@@ -7,32 +7,32 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The side of a cell of the picture, in pixels.
-const CELL: usize = 18;
-/// The room for names beside the picture, in pixels.
+/// The side of a cell of the heat_map, in pixels.
+const CELL_SIZE: usize = 18;
+/// The room for names beside the heat_map, in pixels.
 const MARGIN: usize = 150;
 /// The gap between a text and the lower edge of its cell, in pixels.
-const TEXT_RISE: usize = 5;
+const BASELINE_OFFSET: usize = 5;
 /// The gap between a text and the left edge of its cell, in pixels.
 const TEXT_INDENT: usize = 3;
-/// The gap between the names of columns and the picture, in pixels.
-const NAME_GAP: usize = 4;
+/// The gap between the names of columns and the heat_map, in pixels.
+const LABEL_GAP: usize = 4;
 /// The brightness of a cell whose scenarios never overlapped.
 const MAX_BRIGHTNESS: u8 = 255;
 /// By how much the cell of the most frequent pair is darker.
 const BRIGHTNESS_RANGE: f64 = 200.0;
 
 /// How often each pair of scenarios overlapped, each pair in the order of declaration.
-struct PairCounts(BTreeMap<(FaultScenario, FaultScenario), usize>);
+struct OverlapCounts(BTreeMap<(FaultScenario, FaultScenario), usize>);
 
-impl PairCounts {
+impl OverlapCounts {
     /// Counts the pairs of all runs.
-    fn of(results: &[RunResult]) -> PairCounts {
+    fn of(results: &[RunResult]) -> OverlapCounts {
         let mut counts = BTreeMap::new();
         for pair in results.iter().flat_map(|result| result.plan.overlapping_pairs()) {
             *counts.entry(pair).or_default() += 1;
         }
-        PairCounts(counts)
+        OverlapCounts(counts)
     }
 
     /// How often two scenarios overlapped.
@@ -48,7 +48,7 @@
 
 /// How often a rule was broken, and in the runs of which seeds.
 #[derive(Default)]
-struct BrokenRule {
+struct ViolatedRule {
     /// How often.
     count: usize,
     /// The seeds.
@@ -67,23 +67,23 @@
     page += &rule_table(results);
     page += &scenario_table(results);
     page += "<h2>Pairs of faults that overlapped in time</h2>\n";
-    page += &pair_picture(&PairCounts::of(results));
+    page += &overlap_heat_map(&OverlapCounts::of(results));
     page
 }
 
 /// A table of the rules that were broken, and in which seeds.
 fn rule_table(results: &[RunResult]) -> String {
-    let mut broken_rules: BTreeMap<Rule, BrokenRule> = BTreeMap::new();
+    let mut violated_rules: BTreeMap<Rule, ViolatedRule> = BTreeMap::new();
     for result in results {
         for (rule, count) in &result.counts {
-            let broken = broken_rules.entry(*rule).or_default();
+            let broken = violated_rules.entry(*rule).or_default();
             broken.count += count;
             broken.seeds.push(result.plan.seed);
         }
     }
     let mut table =
         String::from("<h2>Violations</h2><table><tr><th>rule</th><th>count</th><th>seeds</th></tr>\n");
-    for (rule, BrokenRule { count, seeds }) in broken_rules {
+    for (rule, ViolatedRule { count, seeds }) in violated_rules {
         let _ = writeln!(table, "<tr><td>{rule:?}</td><td>{count}</td><td>{seeds:?}</td></tr>");
     }
     table + "</table>\n"
@@ -103,23 +103,23 @@
 }
 
 /// A square of cells, the darker the more often two scenarios overlapped.
-fn pair_picture(counts: &PairCounts) -> String {
-    let side = MARGIN + CELL * FaultScenario::all().len();
-    let mut picture = format!("<svg width=\"{side}\" height=\"{side}\" font-size=\"11\">\n");
+fn overlap_heat_map(counts: &OverlapCounts) -> String {
+    let side = MARGIN + CELL_SIZE * FaultScenario::all().len();
+    let mut heat_map = format!("<svg width=\"{side}\" height=\"{side}\" font-size=\"11\">\n");
     for (row, &scenario) in FaultScenario::all().iter().enumerate() {
-        let top = MARGIN + row * CELL;
-        picture += &scenario_names(scenario, top);
+        let top = MARGIN + row * CELL_SIZE;
+        heat_map += &axis_labels(scenario, top);
         for (column, &other) in FaultScenario::all().iter().enumerate() {
-            picture += &pair_cell(counts, scenario, other, MARGIN + column * CELL, top);
+            heat_map += &heat_map_cell(counts, scenario, other, MARGIN + column * CELL_SIZE, top);
         }
     }
-    picture + "</svg>\n"
+    heat_map + "</svg>\n"
 }
 
 /// The names of a scenario, beside its row and above its column.
-fn scenario_names(scenario: FaultScenario, offset: usize) -> String {
-    let baseline = offset + CELL - TEXT_RISE;
-    let column_end = MARGIN - NAME_GAP;
+fn axis_labels(scenario: FaultScenario, offset: usize) -> String {
+    let baseline = offset + CELL_SIZE - BASELINE_OFFSET;
+    let column_end = MARGIN - LABEL_GAP;
     format!(
         "<text x=\"0\" y=\"{baseline}\">{scenario:?}</text>\n\
          <text transform=\"translate({baseline},{column_end}) rotate(-90)\">{scenario:?}</text>\n"
@@ -127,8 +127,8 @@
 }
 
 /// The cell of a pair of scenarios, with its count.
-fn pair_cell(
-    counts: &PairCounts,
+fn heat_map_cell(
+    counts: &OverlapCounts,
     first: FaultScenario,
     second: FaultScenario,
     left: usize,
@@ -137,13 +137,13 @@
     let count = counts.of_pair(first, second);
     let shade = MAX_BRIGHTNESS - (count as f64 / counts.max() as f64 * BRIGHTNESS_RANGE) as u8;
     let mut cell = format!(
-        "<rect x=\"{left}\" y=\"{top}\" width=\"{CELL}\" height=\"{CELL}\" fill=\"rgb({shade},{shade},255)\" \
+        "<rect x=\"{left}\" y=\"{top}\" width=\"{CELL_SIZE}\" height=\"{CELL_SIZE}\" fill=\"rgb({shade},{shade},255)\" \
          stroke=\"#ddd\"><title>{first:?} and {second:?}: {count}</title></rect>\n"
     );
     if count > 0 {
-        let start = left + TEXT_INDENT;
-        let baseline = top + CELL - TEXT_RISE;
-        let _ = writeln!(cell, "<text x=\"{start}\" y=\"{baseline}\">{count}</text>");
+        let text_left = left + TEXT_INDENT;
+        let baseline = top + CELL_SIZE - BASELINE_OFFSET;
+        let _ = writeln!(cell, "<text x=\"{text_left}\" y=\"{baseline}\">{count}</text>");
     }
     cell
 }
--- a/fault-soak/tests/kept_results.rs
+++ b/fault-soak/tests/kept_results.rs
@@ -5,8 +5,8 @@
 use fault_soak::report::{page, RunResult};
 use fault_soak::scenario::FaultScenario;
 
-const FIRST_HUNT: &str = include_str!("../results/2026-12-hunt.jsonl");
-const SECOND_HUNT: &str = include_str!("../results/2026-12-hunt-second.jsonl");
+const FIRST_RESULTS: &str = include_str!("../results/2026-12-hunt.jsonl");
+const SECOND_RESULTS: &str = include_str!("../results/2026-12-hunt-second.jsonl");
 
 /// The runs of a result file, one in each line.
 fn parse(file: &str) -> Vec<RunResult> {
@@ -19,7 +19,7 @@
 /// runs of each file and make a report of them, or nobody could check what the pages say.
 #[test]
 fn kept_result_files_are_read_and_reported() {
-    for file in [FIRST_HUNT, SECOND_HUNT] {
+    for file in [FIRST_RESULTS, SECOND_RESULTS] {
         let results = parse(file);
         assert_eq!(results.len(), 200);
         assert!(results.iter().all(|result| !result.plan.faults.is_empty()));
@@ -30,8 +30,8 @@
 /// Somebody plays a seed of the kept results again. The program has to draw the faults that were injected then, as
 /// the run could not be compared otherwise.
 #[test]
-fn kept_results_have_the_plans_of_their_seeds() {
-    for result in parse(SECOND_HUNT) {
+fn kept_results_match_the_plans_of_their_seeds() {
+    for result in parse(SECOND_RESULTS) {
         let plan = SoakPlan::draw(result.plan.seed, result.plan.shape, FaultScenario::all());
         assert_eq!(result.plan, plan);
     }
@@ -41,7 +41,7 @@
 /// give the faults of each run and its counts; a field that was read as zero would falsify the report.
 #[test]
 fn fields_with_former_names_are_read() {
-    let results = parse(FIRST_HUNT);
+    let results = parse(FIRST_RESULTS);
     let of_seed = |seed| results.iter().find(|result| result.plan.seed == seed).unwrap();
     let scenarios: Vec<FaultScenario> = of_seed(201).plan.faults.iter().map(|fault| fault.kind).collect();
     let expected = [
@@ -59,7 +59,7 @@
 /// one of that rule, and does not get lost in a report.
 #[test]
 fn rules_with_former_names_are_read() {
-    let line = FIRST_HUNT.lines().next().unwrap();
+    let line = FIRST_RESULTS.lines().next().unwrap();
     let broken = line.replace(r#""counts":{}"#, r#""counts":{"bad_client_ignored":1}"#).replace(
         r#""violations":[]"#,
         r#""violations":[{"rule":"bad_client_ignored","request":null,"detail":"-"}]"#,
@@ -72,8 +72,8 @@
 /// The soak writes a result, and the report reads it later. Nothing may be lost or changed in between, or the
 /// report would differ from what was seen.
 #[test]
-fn a_result_that_is_written_is_read_again() {
-    for result in parse(SECOND_HUNT) {
+fn results_round_trip_through_json() {
+    for result in parse(SECOND_RESULTS) {
         let text = serde_json::to_string(&result).unwrap();
         let again: RunResult = serde_json::from_str(&text).unwrap();
         assert_eq!(again.plan, result.plan);
--- a/fault-soak/tests/kept_seeds.rs
+++ b/fault-soak/tests/kept_seeds.rs
@@ -131,7 +131,7 @@
 /// Seeds are noted in pages and commits, to be played again. The plans that these seeds give in a fleet of the
 /// usual size are pinned by a digest, since a seed that draws other faults reproduces nothing.
 #[test]
-fn plans_of_a_fleet_of_the_usual_size_are_pinned() {
+fn plans_of_the_default_fleet_are_pinned() {
     assert_eq!(digest(&[]), 531_458_307_204_901_659);
 }
 
@@ -156,7 +156,7 @@
 /// Somebody plays a seed with some kinds of faults only, by the names that they had first, as noted commands do.
 /// The plan is the same as it was then.
 #[test]
-fn plans_of_chosen_kinds_are_pinned() {
+fn plans_of_selected_kinds_are_pinned() {
     let chosen = ["rude_clients", "cutting_backend", "silent_discovery", "clock_back", "short_reads"];
     let options: Vec<&str> = chosen.iter().flat_map(|kind| ["--only", kind]).collect();
     assert_eq!(digest(&options), 8_849_922_161_013_907_318);
@@ -165,7 +165,7 @@
 /// Kinds of faults were renamed, and commands noted earlier use their first names. Each of them still has to choose
 /// the kind that it chose then, and no other.
 #[test]
-fn first_names_of_kinds_are_accepted() {
+fn former_names_of_kinds_are_accepted_as_options() {
     for (number, names) in KIND_NAMES.iter().enumerate() {
         let plan: Value = serde_json::from_str(&print_plan(1, &["--only", names[0]])).unwrap();
         let faults = FAULT_LIST_NAMES.iter().find_map(|name| plan.get(name)).unwrap().as_array().unwrap();
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -60,7 +60,7 @@
 /// A non-idempotent request is retried after a rejection, and a keyed one within its window; both are allowed. If
 /// the oracle reported them, whoever runs the soak would search for a fault that does not exist.
 #[test]
-fn a_request_that_keeps_the_rules_is_no_violation() {
+fn permitted_retries_are_not_violations() {
     let rejected = ArrivalRecord { rejected: true, ..arrival(SECOND + 1000) };
     let served = request(RequestClass::NonIdempotent, Outcome::Served);
     assert_eq!(rules(false, &observations(served, vec![rejected, arrival(SECOND + 20_000)])), []);
@@ -73,7 +73,7 @@
 /// Each is a fault that a customer would notice, and the oracle has to report it; an error, or a client that left
 /// by itself, is none.
 #[test]
-fn answers_that_are_missing_or_wrong_are_found() {
+fn missing_and_wrong_answers_are_violations() {
     for (outcome, expected) in [
         (Outcome::Unanswered, vec![Rule::Lost]),
         (Outcome::Closed, vec![Rule::Lost]),
@@ -95,7 +95,7 @@
 /// more; that is allowed. If a backend has seen the request, the ingress had read it and the close is a lost
 /// request. An ingress that the soak itself kills answers nobody, which is no fault of the program.
 #[test]
-fn closes_are_excused_where_the_protocol_excuses_them() {
+fn closes_permitted_by_the_protocol_are_not_violations() {
     let crossing = RequestRecord { may_cross_close: true, ..request(RequestClass::Keyed, Outcome::Closed) };
     assert_eq!(rules(false, &observations(crossing.clone(), vec![])), []);
     assert_eq!(rules(false, &observations(crossing.clone(), vec![arrival(SECOND)])), [Rule::Lost]);
@@ -110,7 +110,7 @@
 /// backends get needless load, and the oracle has to report each; two attempts at once are no violation where
 /// hedging is allowed.
 #[test]
-fn repeats_are_judged_by_class_and_settings() {
+fn repeated_attempts_are_checked_by_class_and_settings() {
     let twice = |class, gap| {
         observations(request(class, Outcome::Served), vec![arrival(SECOND), arrival(SECOND + gap)])
     };
@@ -130,7 +130,7 @@
 /// A backend is given more time than the client will wait, or gets a request 0.2 s after its client has
 /// disconnected. It works for nobody in both cases, and the oracle has to report that.
 #[test]
-fn overstated_times_and_attempts_after_a_disconnect_are_found() {
+fn overstated_timeouts_and_attempts_after_a_disconnect_are_violations() {
     let overstated = ArrivalRecord { time_budget: 2 * SECOND, ..arrival(2 * SECOND) };
     let served = request(RequestClass::Keyed, Outcome::Served);
     assert_eq!(rules(true, &observations(served, vec![overstated])), [Rule::TimeOverstated]);
@@ -152,7 +152,7 @@
 /// the time that it takes the soak to see it, is allowed; one request later than that would have failed at a
 /// backend that shuts down, and is reported.
 #[test]
-fn requests_to_a_draining_backend_after_the_grace_period_are_found() {
+fn requests_to_a_draining_backend_after_the_grace_period_are_violations() {
     let at = |at| Observations { arrivals: vec![arrival(at)], ..notified(EndpointStatus::Draining, false) };
     assert_eq!(rules(true, &at(2 * SECOND + 360_000)), []);
     assert_eq!(rules(true, &at(2 * SECOND + 360_001)), [Rule::SentToDraining]);
@@ -162,7 +162,7 @@
 /// it warms up. A real one would be overloaded by its own start, so the oracle has to report it; a backend that
 /// gets none is no violation.
 #[test]
-fn a_backend_in_slow_start_that_gets_an_even_part_is_found() {
+fn an_even_share_during_slow_start_is_a_violation() {
     // 100 requests a second for each of two backends, one of which has just started.
     let even = (0..1000).map(|index| arrival(index * 10_000));
     let other = even.clone().map(|arrival| ArrivalRecord { backend: 1, ..arrival });
@@ -179,7 +179,7 @@
 /// neither answered nor disconnected within 3 s. Each would cost an operator requests or descriptors and has to be
 /// reported; a process that the soak kills is no violation.
 #[test]
-fn processes_and_invalid_input_are_judged() {
+fn crashes_overdue_exits_and_ignored_invalid_input_are_violations() {
     for (event, expected) in [
         (ProcessEvent::Crashed, vec![Rule::Crashed]),
         (ProcessEvent::NotReady, vec![Rule::Crashed]),
@@ -210,7 +210,7 @@
 /// The soak stops an ingress for a moment, so that it notices a disconnect later and sends an attempt behind it.
 /// That delay is the soak's own doing and is allowed; without a stop in the plan the same attempt is a violation.
 #[test]
-fn pauses_of_the_plan_are_allowed_for() {
+fn planned_pauses_extend_the_time_limits() {
     let disconnected = request(RequestClass::Keyed, Outcome::Disconnected);
     let late = arrival(disconnected.ended_at + 300_000);
     let observations = observations(disconnected, vec![late]);
@@ -225,7 +225,7 @@
 /// explain. The operator is paid for the quota only, so the oracle has to report it; what lies within the quotas is
 /// no violation.
 #[test]
-fn quotas_that_are_far_exceeded_are_found() {
+fn far_exceeded_quotas_are_violations() {
     let plan = plan_without_pauses(true);
     let quota = plan.shape.ingresses as f64 * (METERED_BURST + METERED_RATE * plan.shape.seconds as f64);
     let sent = |factor: f64| {
@@ -252,7 +252,7 @@
 /// these counters, and the oracle has to report counters that are wrong; those of an ingress that served nothing
 /// are all zero.
 #[test]
-fn counters_that_miss_something_are_found() {
+fn counters_below_the_observed_counts_are_violations() {
     let counters = CounterRecord { ingress: 0, requests: 1, answers: 1, not_served: 0, attempts_begun: 1 };
     for (counters, expected) in [
         (counters, vec![]),
@@ -274,7 +274,7 @@
 /// The soak reads an ingress's counters from two lines of its log. Without them, as when the log could not be
 /// written, there are no counters to compare; zeros in their place would look like a fault of the ingress.
 #[test]
-fn counters_are_read_from_the_log() {
+fn counters_are_parsed_from_the_log() {
     let log =
         "ingress: counters: requests, requests=7 answers=6 rejections=2 failures=1 disconnected=0 open=1\n\
                ingress: counters: attempts, begun=9 served=3 rejected=0\n";
--- a/fault-soak/tests/plan.rs
+++ b/fault-soak/tests/plan.rs
@@ -9,7 +9,7 @@
 /// A run of the soak fails, and somebody plays its seed again to find the cause. The same seed has to give the same
 /// faults at the same times, and another seed others.
 #[test]
-fn a_seed_gives_one_plan() {
+fn plan_is_determined_by_its_seed() {
     let plan = |seed| SoakPlan::draw(seed, SHAPE, FaultScenario::all());
     assert_eq!(plan(7), plan(7));
     assert_ne!(plan(7).faults, plan(8).faults);
@@ -19,7 +19,7 @@
 /// All end well before the run does, so that the ingresses have time to recover and a request that is lost is not
 /// mistaken for one cut off by the end.
 #[test]
-fn faults_overlap_and_end_before_the_run() {
+fn faults_overlap_and_end_before_the_run_ends() {
     for seed in 1..300 {
         let plan = SoakPlan::draw(seed, SHAPE, FaultScenario::all());
         assert!(plan.faults.len() >= 2, "{plan:?}");
@@ -32,13 +32,13 @@
 /// Somebody who searches for a cause has the soak play one kind of fault only. A fault of another kind in that plan
 /// would lead the search astray.
 #[test]
-fn faults_of_given_kinds_alone_are_drawn() {
+fn only_the_given_kinds_of_faults_are_drawn() {
     let plan = SoakPlan::draw(3, SHAPE, &[FaultScenario::Reload]);
     assert!(plan.faults.iter().all(|fault| fault.kind == FaultScenario::Reload));
 }
 
 /// A plan with these faults.
-fn plan_of(faults: &[InjectedFault]) -> SoakPlan {
+fn plan_with(faults: &[InjectedFault]) -> SoakPlan {
     SoakPlan { faults: faults.to_vec(), ..SoakPlan::draw(1, SHAPE, FaultScenario::all()) }
 }
 
@@ -46,10 +46,10 @@
 /// plan must begin later by as much and include a clock that was stepped before it started; otherwise faults would
 /// strike at other times, or other processes, than the report says.
 #[test]
-fn the_shim_gets_the_faults_of_its_process_by_the_clock_of_its_start() {
+fn shim_plan_holds_the_faults_of_its_process_relative_to_its_start() {
     let short = InjectedFault { kind: FaultScenario::ShortReads, from_ms: 3000, until_ms: 5000, target: 14 };
     let step = InjectedFault { kind: FaultScenario::ClockBack, from_ms: 2000, until_ms: 2500, target: 0 };
-    let plan = plan_of(&[short, step]);
+    let plan = plan_with(&[short, step]);
     let own = plan.shim_plan(4, 2600);
     assert_eq!(own.faults.len(), 1);
     assert_eq!((own.faults[0].kind, own.faults[0].from_ms), (SystemCallFault::ShortRead, 400));
--- a/stand-ins/tests/process.rs
+++ b/stand-ins/tests/process.rs
@@ -5,7 +5,7 @@
 /// An ingress reloads its configuration: it has to find the new text in the same place, and a run that ends must not
 /// leave files behind.
 #[test]
-fn a_configuration_is_replaced_in_place_and_removed_in_the_end() {
+fn config_file_is_replaced_in_place_and_removed_on_drop() {
     let path = std::env::temp_dir().join(format!("stand-ins-{}.json", std::process::id()));
     let file = ConfigFile::create(&path, "old").unwrap();
     assert_eq!(file.path(), path);
--- a/stand-ins/tests/protocols.rs
+++ b/stand-ins/tests/protocols.rs
@@ -9,17 +9,17 @@
 use std::time::Duration;
 
 /// Every part of the bytes that lacks at least the last one.
-fn incomplete_parts(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
+fn incomplete_prefixes(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     (0..bytes.len()).map(|length| &bytes[..length])
 }
 
 /// A command reaches a stand-in for a backend in pieces. It is parsed only when it is complete, and what follows is
 /// left alone; a stand-in that took half a command for a whole one would make the ingress look faulty.
 #[test]
-fn a_command_is_parsed_once_its_last_byte_has_come() {
+fn command_is_parsed_only_when_complete() {
     let bytes = encode_command(&["CALL.GET", "7", "", "c=quote"]);
     assert_eq!(bytes, b"*4\r\n$8\r\nCALL.GET\r\n$1\r\n7\r\n$0\r\n\r\n$7\r\nc=quote\r\n");
-    for part in incomplete_parts(&bytes) {
+    for part in incomplete_prefixes(&bytes) {
         assert_eq!(parse_command(part), None, "{part:?}");
     }
     let words = ["CALL.GET", "7", "", "c=quote"].map(String::from).to_vec();
@@ -34,7 +34,7 @@
 /// A reply of the ingress reaches a stand-in for a client in pieces. It is parsed only when it is complete; a part
 /// taken for the whole would be reported as a wrong value.
 #[test]
-fn a_reply_is_parsed_once_its_last_byte_has_come() {
+fn reply_is_parsed_only_when_complete() {
     let value = |text: &str, length| ReceivedReply { reply: Reply::Value(text.into()), length };
     let line = |text: &str, length| ReceivedReply { reply: Reply::Line(text.into()), length };
     for (bytes, expected) in [
@@ -43,7 +43,7 @@
         (b"-BUSY retry_after_ms=7\r\n", line("-BUSY retry_after_ms=7", 24)),
         (b"$-1\r\n", line("$-1", 5)),
     ] {
-        for part in incomplete_parts(bytes) {
+        for part in incomplete_prefixes(bytes) {
             assert_eq!(parse_reply(part), None, "{part:?}");
         }
         assert_eq!(parse_reply(bytes), Some(expected));
@@ -53,7 +53,7 @@
 /// A stand-in for a backend replies with a value and perhaps a load report, in the bytes of the protocol. With
 /// other bytes the ingress would rightly report an error, and the test would blame it.
 #[test]
-fn the_reply_of_a_backend_has_a_value_and_a_load_report() {
+fn backend_reply_has_value_and_load_report() {
     assert_eq!(encode_served("abc", None), b"*3\r\n$3\r\nabc\r\n$-1\r\n$-1\r\n");
     assert_eq!(encode_served("", Some("util=0.25")), b"*3\r\n$0\r\n\r\n$-1\r\n$9\r\nutil=0.25\r\n");
     let texts = read_value(&mut encode_served("abc", Some("util=0.25")).as_slice());
@@ -84,7 +84,7 @@
 /// A stand-in for discovery answers polls for the whole list and for changes, and refuses anything else. If it
 /// answered any request, an ingress that asks for the wrong thing would pass its tests.
 #[test]
-fn polls_are_parsed_and_other_requests_are_not() {
+fn only_polls_of_the_endpoint_list_are_parsed() {
     let parse = |target: &str| Poll::parse(&format!("GET {target} HTTP/1.1\r\nHost: d\r\n\r\n")).ok();
     let snapshot = Poll { since: None, timeout: Duration::ZERO };
     assert_eq!(parse("/v1/endpoints"), Some(snapshot));
@@ -101,7 +101,7 @@
 /// A stand-in reads a request that arrives completely, breaks off, or comes while the stand-in is being stopped. It
 /// gives a head only in the first case; waiting for the rest in the others would hang the test.
 #[test]
-fn the_head_of_a_request_is_read_until_the_connection_is_to_be_closed() {
+fn request_head_is_read_only_while_the_connection_stays_open() {
     let head = "GET /v1/endpoints HTTP/1.1\r\n\r\n";
     assert_eq!(read_head(&mut head.as_bytes(), || true).as_deref(), Some(head));
     assert_eq!(read_head(&mut head.as_bytes(), || false), None);
@@ -112,7 +112,7 @@
 /// A stand-in for discovery sends its list in the protocol's JSON, with each entry's name, place, status and start.
 /// An entry that was written differently would be refused by the ingress, and no test would get a backend.
 #[test]
-fn lists_have_the_entries_of_their_endpoints() {
+fn endpoint_list_has_the_expected_json() {
     let entry = EndpointEntry {
         name: "s-1",
         address: "127.0.0.1:80".parse().unwrap(),
