--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -50,7 +50,7 @@
     /// Lowers the maximum idle time when reused connections turn out to be stale.
     pub(super) idle_reuse: IdleReuseTracker,
     /// Maps a connection's key to the token of its readiness events.
-    token: fn(usize) -> Token,
+    token_of: fn(usize) -> Token,
     /// Results of attempts since the last [`BackendConnections::take_completions`].
     pub(super) completions: Vec<ExchangeCompletion>,
     /// Attempts started since the last [`BackendConnections::take_first_bytes_written`].
@@ -61,8 +61,8 @@
 
 impl BackendConnections {
     /// Creates an empty set of pools. Backends close connections that have been idle for `keepalive_timeout`;
-    /// `token` maps a connection's key to the token of its readiness events.
-    pub fn new(keepalive_timeout: Duration, token: fn(usize) -> Token) -> Self {
+    /// `token_of` maps a connection's key to the token of its readiness events.
+    pub fn new(keepalive_timeout: Duration, token_of: fn(usize) -> Token) -> Self {
         BackendConnections {
             connections: Slab::new(),
             pools: HashMap::new(),
@@ -71,7 +71,7 @@
             configured_max_idle_time: keepalive_timeout / KEEPALIVE_MARGIN_DIVISOR
                 * (KEEPALIVE_MARGIN_DIVISOR - 1),
             idle_reuse: IdleReuseTracker::default(),
-            token,
+            token_of,
             completions: Vec::new(),
             first_bytes_written: Vec::new(),
             opened_count: 0,
@@ -221,7 +221,7 @@
         let slot = self.connections.vacant_entry();
         let key = slot.key();
         let interest = Interest::READABLE | Interest::WRITABLE;
-        registry.register(&mut stream, (self.token)(key), interest).map_err(|_| Outcome::NotSent)?;
+        registry.register(&mut stream, (self.token_of)(key), interest).map_err(|_| Outcome::NotSent)?;
         // Otherwise the second of two small writes would wait for the acknowledgement of the first.
         let _ = stream.set_nodelay(true);
         self.last_serial += 1;
