--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -101,7 +101,7 @@
         if accepting == Accepting::Stop {
             self.listener = None;
         }
-        let closable = self.keys_of(|connection| {
+        let closable = self.keys_where(|connection| {
             connection.is_idle() && (connection.has_sent_command() || accepting == Accepting::Stop)
         });
         for key in closable {
@@ -116,7 +116,7 @@
         if self.lingering_count == 0 {
             return;
         }
-        for key in self.keys_of(|connection| connection.is_linger_over(now)) {
+        for key in self.keys_where(|connection| connection.is_linger_over(now)) {
             // A client over the limit may have sent its request in the meantime. The request is answered
             // first, and the next call closes the connection.
             self.read(key, now);
@@ -132,8 +132,8 @@
     /// Closes connections that send nothing, leave a command incomplete or do not read their replies for too
     /// long, since they use descriptors and memory.
     fn close_timed_out(&mut self, now: Instant) {
-        let overdue = self.keys_of(|connection| connection.is_command_overdue(now));
-        let not_reading = self.keys_of(|connection| connection.output.is_timed_out(now));
+        let overdue = self.keys_where(|connection| connection.is_command_overdue(now));
+        let not_reading = self.keys_where(|connection| connection.output.is_timed_out(now));
         for key in not_reading {
             self.remove(key, ClientCloseReason::WriteTimeout);
         }
@@ -217,9 +217,9 @@
         }
     }
 
-    /// Returns the keys of the connections that fulfil a condition.
-    fn keys_of(&self, selected: impl Fn(&ClientConnection) -> bool) -> Vec<usize> {
-        let connections = self.connections.iter().filter(|(_, connection)| selected(connection));
+    /// Returns the keys of the connections that satisfy a condition.
+    fn keys_where(&self, condition: impl Fn(&ClientConnection) -> bool) -> Vec<usize> {
+        let connections = self.connections.iter().filter(|(_, connection)| condition(connection));
         connections.map(|(key, _)| key).collect()
     }
 }
