--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -43,7 +43,7 @@
 
 impl ReplyHandle {
     /// Returns the serial number of the client's connection.
-    pub fn client(&self) -> u64 {
+    pub fn connection_serial(&self) -> u64 {
         self.serial
     }
 }
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -153,7 +153,7 @@
             class = request.class,
             timeout_ms = timeout.as_millis(),
             waited_ms = self.now.duration_since(arrived_at).as_millis_f64(),
-            client = reply_to.client(),
+            client = reply_to.connection_serial(),
             "request opened"
         );
         self.counters.requests_opened += 1;
@@ -184,7 +184,7 @@
         tracing::debug!(
             target: "request",
             client_request_id = %String::from_utf8_lossy(command.client_request_id()),
-            client = reply_to.client(),
+            client = reply_to.connection_serial(),
             ?refusal,
             "request refused"
         );
