--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -13,8 +13,8 @@
 /// Maximum number of replies owed on a connection before reading from it pauses. It bounds the memory of all
 /// clients together if they send and never read.
 const MAX_PENDING_REPLIES: usize = 256;
-/// Maximum size of a connection's unread replies before reading from it pauses, in bytes.
-const MAX_UNREAD_BYTES: usize = 64 * 1024;
+/// Maximum size of a connection's unwritten replies before reading from it pauses, in bytes.
+const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
 /// Number of consecutive errors after which a connection is closed: each costs a reply, and some clients
 /// never stop.
 const MAX_CONSECUTIVE_ERRORS: u32 = 8;
@@ -78,7 +78,7 @@
     pub linger_until: Option<Instant>,
     /// The capacity at the time of acceptance.
     capacity: Capacity,
-    /// Whether reading is paused because too many replies are owed or unread.
+    /// Whether reading is paused because too many replies are owed or unwritten.
     pub reading_paused: bool,
     /// The time since which input may be unread, or `None` if the socket was read to its end.
     pub unread_since: Option<Instant>,
@@ -138,10 +138,10 @@
         !self.replies.is_empty() || !self.output.is_empty()
     }
 
-    /// Returns whether the limit on owed or unread replies is reached, so that no further command is parsed.
+    /// Returns whether the limit on owed or unwritten replies is reached, so that no further command is parsed.
     pub fn is_backlogged(&self) -> bool {
-        let unread_bytes = self.replies.ready_bytes() + self.output.unwritten();
-        self.replies.len() >= MAX_PENDING_REPLIES || unread_bytes >= MAX_UNREAD_BYTES
+        let unwritten_bytes = self.replies.ready_bytes() + self.output.unwritten();
+        self.replies.len() >= MAX_PENDING_REPLIES || unwritten_bytes >= MAX_UNWRITTEN_BYTES
     }
 
     /// Returns whether the connection was accepted over the limit, so that its first request is rejected.
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -25,7 +25,7 @@
 enum ReadState {
     /// Further commands are read and parsed.
     Active,
-    /// Too many replies are owed or unread.
+    /// Too many replies are owed or unwritten.
     Paused,
 }
 
