--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -2,7 +2,7 @@
 //! actions.
 
 use crate::policy::admission::{
-    has_plan_mismatch, has_time_to_wait, min_queue_time, AdmissionContext, AdmissionDecision,
+    has_plan_mismatch, has_time_to_wait, min_time_left, AdmissionContext, AdmissionDecision,
 };
 use crate::policy::admission::{ArrivalContext, ArrivalDecision, QueueContext, ScreeningContext};
 use crate::policy::quota::{grant_wait, ReportPurpose, ShortageContext, Shortages};
@@ -90,7 +90,7 @@
             request,
             class_count: self.settings.classes.len(),
             plan_count: self.settings.plans.len(),
-            min_queue_time: min_queue_time(self.settings.tick),
+            min_time_left: min_time_left(self.settings.tick),
         };
         context.screen()
     }
@@ -112,7 +112,7 @@
         let context = ArrivalContext {
             now: self.now,
             deadline: request.deadline,
-            min_queue_time: min_queue_time(self.settings.tick),
+            min_time_left: min_time_left(self.settings.tick),
             plan: self.plan_of(request),
             shortages,
             grant,
@@ -257,7 +257,7 @@
 
     /// Returns whether the deadline of a request leaves time for the queue.
     pub(crate) fn can_be_queued(&self, state: &RequestState, now: Instant) -> bool {
-        has_time_to_wait(now, state.request.deadline, min_queue_time(self.settings.tick))
+        has_time_to_wait(now, state.request.deadline, min_time_left(self.settings.tick))
     }
 
     /// Rejects or fails the queued requests that exceeded their queue time.
@@ -279,7 +279,7 @@
             arrived_at: state.arrived_at,
             deadline: state.request.deadline,
             latency_budget: state.latency_budget(self.class_of(&state.request).latency_objective),
-            min_queue_time: min_queue_time(self.settings.tick),
+            min_time_left: min_time_left(self.settings.tick),
         };
         if !context.is_overdue() {
             return QueueCheck::StillQueued;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -24,14 +24,14 @@
 const MIN_WAKE_UPS: u64 = 2;
 
 /// Returns the minimum time to the deadline with which a request may wait, at a gateway with this tick.
-pub(crate) fn min_queue_time(tick: Duration) -> Duration {
+pub(crate) fn min_time_left(tick: Duration) -> Duration {
     wake_up_interval(tick) * MIN_WAKE_UPS
 }
 
-/// Returns whether enough time is left until the deadline for a request to wait. `min_queue_time` is the
-/// result of [`min_queue_time`].
-pub(crate) fn has_time_to_wait(now: Instant, deadline: Instant, min_queue_time: Duration) -> bool {
-    now + min_queue_time <= deadline
+/// Returns whether enough time is left until the deadline for a request to wait. `min_time_left` is the
+/// result of [`min_time_left`].
+pub(crate) fn has_time_to_wait(now: Instant, deadline: Instant, min_time_left: Duration) -> bool {
+    now + min_time_left <= deadline
 }
 
 /// Input of the checks that every request passes on arrival.
@@ -42,8 +42,8 @@
     pub class_count: usize,
     /// Number of plans in the settings.
     pub plan_count: usize,
-    /// See [`min_queue_time`].
-    pub min_queue_time: Duration,
+    /// See [`min_time_left`].
+    pub min_time_left: Duration,
 }
 
 impl ScreeningContext<'_> {
@@ -52,7 +52,7 @@
         if !self.is_valid() {
             return Err(RejectReason::Invalid);
         }
-        if !has_time_to_wait(self.now, self.request.deadline, self.min_queue_time) {
+        if !has_time_to_wait(self.now, self.request.deadline, self.min_time_left) {
             return Err(RejectReason::NoTime);
         }
         Ok(())
@@ -79,8 +79,8 @@
     pub now: Instant,
     /// Deadline of the request.
     pub deadline: Instant,
-    /// See [`min_queue_time`].
-    pub min_queue_time: Duration,
+    /// See [`min_time_left`].
+    pub min_time_left: Duration,
     pub plan: &'a Plan,
     /// Limits of the customer that lack tokens for the request, by the usage recorded at this gateway.
     pub shortages: Shortages,
@@ -111,7 +111,7 @@
         let needs_hard_limit = self.shortages.hard_limit.is_some();
         let lacks_hard_limit_alone = needs_hard_limit && self.shortages.quota.is_none();
         let needs_grant_request = lacks_hard_limit_alone && self.grant.has_other_granter;
-        let can_wait = has_time_to_wait(self.now, self.deadline, self.min_queue_time);
+        let can_wait = has_time_to_wait(self.now, self.deadline, self.min_time_left);
         if !can_wait || (self.is_quota_known() && !needs_grant_request) {
             return ArrivalDecision::DecideNow;
         }
@@ -196,8 +196,8 @@
     pub deadline: Instant,
     /// Time from arrival within which an answer earns its full weight.
     pub latency_budget: Duration,
-    /// See [`min_queue_time`].
-    pub min_queue_time: Duration,
+    /// See [`min_time_left`].
+    pub min_time_left: Duration,
 }
 
 impl QueueContext {
@@ -205,7 +205,7 @@
     /// wait.
     pub(crate) fn is_overdue(&self) -> bool {
         let queued_until = self.arrived_at + self.latency_budget.mul_f64(MAX_QUEUE_TIME_SHARE);
-        self.now > queued_until || !has_time_to_wait(self.now, self.deadline, self.min_queue_time)
+        self.now > queued_until || !has_time_to_wait(self.now, self.deadline, self.min_time_left)
     }
 }
 
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -4,7 +4,7 @@
 use crate::policy::quota::shortages::QuotaLimit;
 
 const NOW: Instant = Instant::from_micros(100_000_000);
-const MIN_QUEUE_TIME: Duration = Duration::from_millis(40);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(40);
 
 /// Returns a plan with a rate quota, or with a concurrency quota if that is not 0.
 fn plan(concurrency_quota: u32) -> Plan {
@@ -35,7 +35,7 @@
     ArrivalContext {
         now: NOW,
         deadline: NOW + Duration::from_secs(1),
-        min_queue_time: MIN_QUEUE_TIME,
+        min_time_left: MIN_TIME_LEFT,
         plan,
         shortages: Shortages::default(),
         grant: GrantStatus { is_quota_owner: false, answer_age: Some(answer_age), has_other_granter: true },
@@ -60,14 +60,14 @@
 /// that the client would give up before the answer. Both are rejected on arrival.
 #[test]
 fn invalid_and_late_requests_are_rejected_on_arrival() {
-    let valid = Request { units: 1.0, deadline: NOW + MIN_QUEUE_TIME, ..Request::default() };
+    let valid = Request { units: 1.0, deadline: NOW + MIN_TIME_LEFT, ..Request::default() };
     let screen = |request: Request| {
         let context = ScreeningContext {
             now: NOW,
             request: &request,
             class_count: 1,
             plan_count: 1,
-            min_queue_time: MIN_QUEUE_TIME,
+            min_time_left: MIN_TIME_LEFT,
         };
         context.screen()
     };
@@ -76,7 +76,7 @@
     assert_eq!(screen(Request { plan: 1, ..valid }), Err(RejectReason::Invalid));
     assert_eq!(screen(Request { units: -1.0, ..valid }), Err(RejectReason::Invalid));
     assert_eq!(screen(Request { units: f64::NAN, ..valid }), Err(RejectReason::Invalid));
-    let late = Request { deadline: NOW + MIN_QUEUE_TIME - Duration::MICROSECOND, ..valid };
+    let late = Request { deadline: NOW + MIN_TIME_LEFT - Duration::MICROSECOND, ..valid };
     assert_eq!(screen(late), Err(RejectReason::NoTime));
 }
 
@@ -99,7 +99,7 @@
 fn a_request_without_time_does_not_wait_for_a_grant() {
     let plan = plan(0);
     let context = ArrivalContext {
-        deadline: NOW + MIN_QUEUE_TIME - Duration::MICROSECOND,
+        deadline: NOW + MIN_TIME_LEFT - Duration::MICROSECOND,
         ..arrival(&plan, Duration::MAX)
     };
     assert_eq!(context.decide(), ArrivalDecision::DecideNow);
@@ -202,10 +202,10 @@
         arrived_at: NOW - queued_for,
         deadline: NOW + left,
         latency_budget: Duration::from_secs(1),
-        min_queue_time: MIN_QUEUE_TIME,
+        min_time_left: MIN_TIME_LEFT,
     };
     let enough = Duration::from_secs(1);
     assert!(!context(Duration::from_millis(300), enough).is_overdue());
     assert!(context(Duration::from_millis(301), enough).is_overdue());
-    assert!(context(Duration::ZERO, MIN_QUEUE_TIME - Duration::MICROSECOND).is_overdue());
+    assert!(context(Duration::ZERO, MIN_TIME_LEFT - Duration::MICROSECOND).is_overdue());
 }
