--- a/src/policy/load_balancing/slow_start.rs
+++ b/src/policy/load_balancing/slow_start.rs
@@ -12,7 +12,7 @@
 const BUDGET_SHARE: f64 = 0.35;
 /// Overload windows per draw. The window slides, so a new draw for each window would let two gateways send
 /// within the same window.
-const DRAW_WINDOWS: u64 = 4;
+const WINDOWS_PER_DRAW: u64 = 4;
 /// Mixes the number of the draw into its seed.
 const DRAW_NUMBER_SALT: Salt = Salt::from_bit(48);
 /// Mixes the gateway into the seed of a draw.
@@ -95,7 +95,7 @@
     /// send when the budget of each is less than 1: one attempt from every gateway of a large fleet would
     /// overload the backend. Each gateway draws at different times.
     fn draw(&self, backend: &Backend, now: Instant) -> f64 {
-        let period = self.window() * DRAW_WINDOWS;
+        let period = self.window() * WINDOWS_PER_DRAW;
         let offset = period.mul_f64(unit_draw(self.own_id));
         let number = (now + offset).period_index(period);
         let seed = backend.endpoint.backend.0;
--- a/src/policy/load_balancing/slow_start/tests.rs
+++ b/src/policy/load_balancing/slow_start/tests.rs
@@ -80,7 +80,7 @@
 /// gateway that never may would have no backend at all after all of them have restarted.
 #[test]
 fn every_gateway_may_send_in_some_draws() {
-    let times = || (0..100).map(|draw| START + WINDOW * DRAW_WINDOWS * draw);
+    let times = || (0..100).map(|draw| START + WINDOW * WINDOWS_PER_DRAW * draw);
     for own_id in 0..10 {
         let slow_start = slow_start(own_id, 10);
         let allowed = times().filter(|now| slow_start.allows(&backend(Some(*now)), 1.0, *now)).count();
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -196,8 +196,8 @@
     /// Returns whether every granter to which this gateway can send a request has answered.
     fn all_granters_answered(&self, own_id: u16) -> bool {
         let has_answered = |granter: &u16| self.grant_request.answered_by.contains(granter);
-        let can_be_asked = |granter: &u16| *granter != own_id && self.quota_owners.contains(granter);
-        self.granters.iter().all(|granter| !can_be_asked(granter) || has_answered(granter))
+        let can_receive_request = |granter: &u16| *granter != own_id && self.quota_owners.contains(granter);
+        self.granters.iter().all(|granter| !can_receive_request(granter) || has_answered(granter))
     }
 }
 
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -8,7 +8,7 @@
 /// Age of an owner's last answer up to which a reporter includes the level of a bucket in its reports.
 const LEVEL_FRESHNESS: Duration = Duration::from_secs(1);
 /// Time since a customer's last request or report within which its usage is reported to a starting owner.
-const ACTIVE_CUSTOMER_TIME: Duration = Duration::from_secs(2);
+const RECENT_USAGE_TIME: Duration = Duration::from_secs(2);
 /// Probability that units of the hard limit are requested from the second of two granters.
 const SECOND_GRANTER_PROBABILITY: f64 = 0.5;
 
@@ -125,10 +125,9 @@
         let mut to_report = Vec::new();
         for (id, customer) in &mut self.customers {
             customer.remote.remove(peer);
-            let is_active = customer
-                .last_seen_at
-                .is_some_and(|seen_at| now.duration_since(seen_at) < ACTIVE_CUSTOMER_TIME);
-            if reports_again && is_active && customer.quota_owners.contains(&peer) {
+            let has_recent_usage =
+                customer.last_seen_at.is_some_and(|seen_at| now.duration_since(seen_at) < RECENT_USAGE_TIME);
+            if reports_again && has_recent_usage && customer.quota_owners.contains(&peer) {
                 to_report.push(*id);
             }
         }
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -26,7 +26,7 @@
 
 /// The period that the difference between the total in a usage report and the last one covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum TotalScope {
+enum ReportedPeriod {
     /// The time since the sender's last report.
     SinceLastReport,
     /// Possibly time before this gateway's start: the report is the first one of an older gateway.
@@ -53,12 +53,12 @@
         let known_usage = customer.remote.get(from);
         let mut usage = known_usage.unwrap_or_default();
         customer.reset_expired_total(plan, &mut usage, now, from, report);
-        let scope = if may_predate && known_usage.is_none() {
-            TotalScope::MayPredateStart
+        let period = if may_predate && known_usage.is_none() {
+            ReportedPeriod::MayPredateStart
         } else {
-            TotalScope::SinceLastReport
+            ReportedPeriod::SinceLastReport
         };
-        let units = customer.new_units(plan, usage.reported_total, scope, report);
+        let units = customer.new_units(plan, usage.reported_total, period, report);
         let min_tokens = ownership.min_tokens(plan, customer.bucket.tokens());
         customer.bucket.settle_clamped(plan, usage.granted_units, units, min_tokens);
         if ownership.counts_grant_requests(plan) {
@@ -114,9 +114,15 @@
     /// Returns the units used through a gateway since its last report. If a total above
     /// [`MAX_FIRST_REPORT_FRACTION`] of the burst may include usage from before this gateway's start, returns
     /// 0 and adjusts the bucket instead.
-    fn new_units(&mut self, plan: &Plan, last_total: u16, scope: TotalScope, report: &UsageReport) -> f64 {
+    fn new_units(
+        &mut self,
+        plan: &Plan,
+        last_total: u16,
+        period: ReportedPeriod,
+        report: &UsageReport,
+    ) -> f64 {
         let units = wrapping_delta(last_total, report.total_units);
-        let may_predate = scope == TotalScope::MayPredateStart;
+        let may_predate = period == ReportedPeriod::MayPredateStart;
         if may_predate && units.abs() > plan.burst * MAX_FIRST_REPORT_FRACTION {
             // The total does not show when units were used, so the level that the peer reported is applied.
             self.bucket.deduct_withheld(units);
