--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -132,7 +132,7 @@
         self.check_due_requests(actions);
         self.expire_queued_requests(actions);
         self.update_shedding(actions);
-        self.dispatch(actions);
+        self.send_queued_requests(actions);
         self.flush_ready_outboxes(actions);
         self.sweep_customers(actions);
         self.poll_discovery(actions);
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -244,7 +244,7 @@
             self.queue_usage_report(request.customer, purpose, actions);
         }
         self.requests.queue.push_back(request.id);
-        self.dispatch(actions);
+        self.send_queued_requests(actions);
         self.expire_if_overdue(request.id, actions);
     }
 
@@ -289,7 +289,7 @@
     }
 
     /// Sends queued requests, first in, first out, while the concurrency limit and the backends permit.
-    pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
+    pub(crate) fn send_queued_requests(&mut self, actions: &mut Vec<Action>) {
         while let Some(id) = self.requests.queue.front().copied() {
             let waits = self.requests.get(id).is_some_and(RequestState::awaits_attempt);
             let is_saturated = self.concurrency_limiter.is_reached(self.load());
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -38,7 +38,7 @@
         if settled.usage_changed {
             self.queue_usage_report(settled.customer, ReportPurpose::Usage, actions);
         }
-        self.dispatch(actions);
+        self.send_queued_requests(actions);
     }
 
     /// Handles the first byte of a streamed answer: cancels the other attempts of the request, since this one
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -15,7 +15,7 @@
             EndpointUpdate::Delta => endpoints.into_iter().for_each(|one| self.backends.apply_change(one)),
             EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot => self.backends.replace_all(endpoints),
         }
-        self.dispatch(actions);
+        self.send_queued_requests(actions);
     }
 
     /// Requests a poll of discovery when one is due, if changes of the list are not pushed.
