--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -60,7 +60,7 @@
         match self.decide_arrival(&request, grant) {
             ArrivalDecision::DecideNow => {
                 self.requests.insert(state);
-                self.apply_admission(request.id, GrantAnswers::Complete, actions);
+                self.decide_admission(request.id, GrantAnswers::Complete, actions);
             }
             ArrivalDecision::AwaitGrant { scope, timing } => {
                 let draw = unit_draw(self.next_seed());
@@ -166,7 +166,7 @@
         let customer = state.request.customer;
         let wait_ends_at = state.arrived_at + self.grant_wait(&state.request, state.arrived_at);
         if self.now >= wait_ends_at {
-            return self.apply_admission(id, GrantAnswers::TimedOut, actions);
+            return self.decide_admission(id, GrantAnswers::TimedOut, actions);
         }
         self.requests.schedule_check(wait_ends_at, id);
         self.queue_usage_report(customer, ReportPurpose::GrantRequest, actions);
@@ -174,7 +174,7 @@
 
     /// Decides on a request by tokens and capacity with [`AdmissionContext`]: admits it, rejects it, or lets
     /// it wait for the remaining answers of its quota owners.
-    pub(crate) fn apply_admission(
+    pub(crate) fn decide_admission(
         &mut self,
         id: RequestId,
         answers: GrantAnswers,
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -76,7 +76,7 @@
     fn on_quota_grant(&mut self, from: u16, grant: &QuotaGrant, actions: &mut Vec<Action>) {
         let Some(answered) = self.quota.on_grant(self.now, from, grant) else { return };
         for id in answered.waiting {
-            self.apply_admission(id, answered.answers, actions);
+            self.decide_admission(id, answered.answers, actions);
         }
     }
 
