--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -25,7 +25,7 @@
     },
     /// A value is not an integer in its range.
     #[error("setting {key} is not an integer from 0 to {max}: {value}")]
-    NotAWholeNumber {
+    NotAnInteger {
         /// Path of the setting.
         key: String,
         /// Maximum of the setting.
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -116,9 +116,9 @@
         let plan_indices = 0..values.count(PLANS)?;
         let plans = plan_indices.map(|index| self.plan(index)).collect::<Result<Vec<_>, _>>()?;
         let settings = Settings {
-            gateway_count: values.whole_number("n_instances", MAX_COUNT)? as u16,
-            own_id: GatewayId(values.whole_number("slot_no", MAX_COUNT)? as u16),
-            zone: values.whole_number("zone", MAX_ZONE)? as u8,
+            gateway_count: values.integer("n_instances", MAX_COUNT)? as u16,
+            own_id: GatewayId(values.integer("slot_no", MAX_COUNT)? as u16),
+            zone: values.integer("zone", MAX_ZONE)? as u8,
             tick: values.duration("tick_us")?,
             classes,
             plans,
@@ -252,7 +252,7 @@
         let plan = Plan {
             rate: values.number(&key("quota_rate"))?,
             burst: values.number(&key("burst"))?,
-            concurrency_quota: values.whole_number(&key("max_out"), MAX_U32)? as u32,
+            concurrency_quota: values.integer(&key("max_out"), MAX_U32)? as u32,
             hard_limit_rate: values.number(&key("never_over_rate"))?,
             hard_limit_burst: values.number(&key("ceiling_burst"))?,
             price: values.number(&key("worth_factor"))?,
@@ -265,14 +265,14 @@
     fn limits(&self) -> Result<Limits, SettingsError> {
         let SettingsReader(values) = self;
         Ok(Limits {
-            max_attempts: values.whole_number("limits.most_tries", MAX_U32)? as u32,
+            max_attempts: values.integer("limits.most_tries", MAX_U32)? as u32,
             hedging: values.flag("limits.second_copies")?,
             cancellation: values.flag("limits.cancelling")?,
             peer_messages: values.flag("limits.peers")?,
             peer_messages_per_second: values.number("family_info.peer_in_per_s")?,
             retry_after: values.flag("limits.retry_after")?,
             max_retry_after: values.duration("limits.max_retry_after_us")?,
-            max_open_requests: values.whole_number("limits.max_open", MAX_U32)? as u32,
+            max_open_requests: values.integer("limits.max_open", MAX_U32)? as u32,
             connect_timeout: values.duration("limits.connect_timeout_us")?,
         })
     }
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -57,17 +57,17 @@
     }
 
     /// Returns the integer at a path, at most `max`.
-    pub fn whole_number(&self, key: &str, max: u64) -> Result<u64, SettingsError> {
+    pub fn integer(&self, key: &str, max: u64) -> Result<u64, SettingsError> {
         let text = self.text(key)?;
         match text.parse::<u64>() {
             Ok(number) if number <= max => Ok(number),
-            _ => Err(SettingsError::NotAWholeNumber { key: key.to_string(), max, value: text.to_string() }),
+            _ => Err(SettingsError::NotAnInteger { key: key.to_string(), max, value: text.to_string() }),
         }
     }
 
     /// Returns the duration at a path, an integer in microseconds.
     pub fn duration(&self, key: &str) -> Result<Duration, SettingsError> {
-        self.whole_number(key, MAX_MICROS).map(Duration::from_micros)
+        self.integer(key, MAX_MICROS).map(Duration::from_micros)
     }
 
     /// Returns the value `true` or `false` at a path.
@@ -90,7 +90,7 @@
     ///
     /// If the count is missing or invalid, or an item has an index beyond it.
     pub fn count(&self, list: &str) -> Result<u64, SettingsError> {
-        let count = self.whole_number(&format!("{list}.count"), MAX_COUNT)?;
+        let count = self.integer(&format!("{list}.count"), MAX_COUNT)?;
         let prefix = format!("{list}.");
         for key in self.0.keys() {
             let index = key.strip_prefix(&prefix).and_then(|rest| rest.split('.').next());
