--- a/tests/ingress/peers.rs
+++ b/tests/ingress/peers.rs
@@ -54,13 +54,13 @@
 }
 
 /// Sends a message from a socket and returns whether the ingress then sends quota grants to the peer.
-fn triggers_answer(from: &PeerSocket, message: &[u8], peer: &PeerSocket) -> bool {
+fn triggers_grant(from: &PeerSocket, message: &[u8], peer: &PeerSocket) -> bool {
     from.send(message);
     (0..5).filter_map(|_| peer.receive()).any(|answer| kind(&answer) == QUOTA_GRANTS_KIND)
 }
 
-/// Sets the flag that requests an answer in a usage report.
-fn with_answer_requested(mut report: Vec<u8>) -> Vec<u8> {
+/// Sets the flag of a usage report that requests a grant.
+fn with_grant_requested(mut report: Vec<u8>) -> Vec<u8> {
     let first = 9 + 4 * usize::from(report[1] >> 2);
     report[first + 8] |= 2;
     report
@@ -93,21 +93,18 @@
         report.is_some() || start.elapsed() > WAIT_LIMIT
     });
     assert_eq!(client.read_reply(), "value of q1");
-    // The same message with an answer requested is answered only if the peer sends it.
-    let message = with_answer_requested(report.unwrap());
+    // The same message with a grant requested is answered only if the peer sends it.
+    let message = with_grant_requested(report.unwrap());
     while peer.receive().is_some() {}
     assert!(
-        !triggers_answer(&unknown_sender, &message, &peer),
+        !triggers_grant(&unknown_sender, &message, &peer),
         "a message from an unknown sender was accepted"
     );
+    assert!(!triggers_grant(&peer, &message[..message.len() - 1], &peer), "a truncated message was accepted");
     assert!(
-        !triggers_answer(&peer, &message[..message.len() - 1], &peer),
-        "a truncated message was accepted"
-    );
-    assert!(
-        !triggers_answer(&peer, &[&message[..], &[0; 1000]].concat(), &peer),
+        !triggers_grant(&peer, &[&message[..], &[0; 1000]].concat(), &peer),
         "an overlong message was accepted"
     );
-    assert!(triggers_answer(&peer, &message, &peer), "a valid message from the peer was not answered");
+    assert!(triggers_grant(&peer, &message, &peer), "a valid message from the peer was not answered");
     assert_eq!(client.round_trip(&encode_request("quote", "q2", 900)), "value of q2");
 }
