--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -142,8 +142,8 @@
             return Duration::ZERO;
         }
         if self.shutdown.is_past_reply_deadline(self.now) || self.clients.has_write_retries() {
-            // The process has to exit at most a tick late, and no readiness event announces a write that is
-            // to be retried.
+            // The process must exit at most a tick late, and no readiness event follows a write that failed
+            // for lack of memory.
             return self.tick;
         }
         let next_timer_at =
@@ -153,8 +153,10 @@
         wake_at.duration_since(called_at)
     }
 
-    /// Runs one iteration. Discovery is handled first, so that the gateway handles the draining of a backend
-    /// before it sends an attempt; replies are handled before the timers that would time them out.
+    /// Runs one iteration: handles disconnects of clients, discovery, the other sockets, and then the timers.
+    ///
+    /// Discovery precedes the other sockets, so that the gateway handles the draining of a backend before it
+    /// sends an attempt. Replies are handled before the timers that would time out their attempts.
     fn process_ready(&mut self, ready: &mut [ReadySocket]) {
         // Disconnects are handled first, so that no other socket or timer begins an attempt for a
         // disconnected client.
@@ -208,7 +210,8 @@
         }
     }
 
-    /// Passes all pending events to the gateway and executes its actions, until no event is left.
+    /// Records completed exchanges, passes all pending events to the gateway and executes its actions, until
+    /// no event is left.
     fn run_gateway(&mut self) {
         loop {
             for completion in self.backend_connections.take_completions() {
--- a/src/bin/ingress/event_loop/arrival_clock.rs
+++ b/src/bin/ingress/event_loop/arrival_clock.rs
@@ -7,7 +7,7 @@
 
 use ingress::{Duration, Instant};
 
-/// A call of the poll that took at least this long has waited: no input was ready when it began.
+/// Minimum duration of a call of the poll that has waited, which means that no input was ready when it began.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// The calls of the poll, and the arrival time that follows from them.
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -100,19 +100,20 @@
     /// Ends an attempt of a request that was already removed. Only the gateway is notified, since no entry is
     /// left to log, count or audit.
     ///
-    /// This occurs when several requests are closed at once, as at the reply deadline of the shutdown: the
-    /// gateway handles the first of these events and sends an attempt of another request, which is closed
-    /// already. A request from the gateway's queue has had no attempt, so its number is 0. For a hedged
-    /// request, 0 is the number of the attempt that has just ended: the gateway ignores this end and counts
-    /// the hedge as in flight. The wrong count is harmless, since the process exits within `EXIT_MARGIN`.
+    /// This occurs when several requests are closed at once, as at the reply deadline of the shutdown: when
+    /// the gateway handles the first `RequestClosed` event, it may send an attempt of another request that is
+    /// already closed. A request from the gateway's queue has had no attempt, so the number of this one is 0.
+    /// For a hedged request, 0 is the number of the attempt that has just ended: the gateway ignores this end
+    /// and counts the hedge as in flight. The wrong count is harmless, since the process exits within
+    /// `EXIT_MARGIN` of `shutdown.rs`.
     fn end_attempt_of_removed_request(&mut self, id: RequestId, backend: BackendId) {
         let attempt = AttemptId { request: id, number: 0 };
         let end = AttemptEndReport { request_closed: true, ..AttemptEndReport::not_sent(attempt, backend) };
         self.pending_events.push_back(end.into());
     }
 
-    /// Assigns a request's last attempt to a connection and writes the command, as far as the socket accepts
-    /// it.
+    /// Assigns a request's last attempt to a connection and writes as much of the command as the socket
+    /// accepts.
     fn assign_last_attempt(&mut self, attempt_id: AttemptId) {
         let Some(request) = self.requests.get_mut(attempt_id.request) else { return };
         let (command, Some(attempt)) = (&request.command, request.attempts.last_mut()) else { return };
--- a/src/bin/ingress/event_loop/auditing.rs
+++ b/src/bin/ingress/event_loop/auditing.rs
@@ -1,5 +1,7 @@
-//! Reports attempts, answers and closed connections to the audit, and logs violations of invariants. In a
-//! release build a violation does not end the process; in a debug build, as in tests, it panics.
+//! Reports attempts, closed connections and missing answers to the audit, and logs violations of invariants.
+//!
+//! In a release build a violation does not end the process. In a debug build, as in tests, it panics, unless
+//! its kind can be caused by a stall of the machine.
 
 use super::EventLoop;
 use crate::backends::AttemptId;
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -15,7 +15,7 @@
 /// The kind of a final answer, for the log and the counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Answer {
-    /// The value of a backend.
+    /// A value from a backend.
     Served,
     /// A rejection; retrying the request is safe.
     Rejected,
@@ -64,8 +64,8 @@
         match outcome {
             AcceptOutcome::QueueEmpty => {}
             AcceptOutcome::MorePending => self.accept_pending = true,
-            // The poll reports each arrival once. Without a timer, the waiting connections would have to wait
-            // for the next one.
+            // Readiness is edge-triggered: without a timer, the waiting connections would be accepted only
+            // when another one arrives.
             AcceptOutcome::RetryLater => {
                 if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
                     self.timers.schedule(now + ACCEPT_RETRY_DELAY, Timer::RetryAccept);
@@ -164,7 +164,7 @@
         self.pending_events.push_back(Event::Request(request));
     }
 
-    /// Returns an error if a request may not be opened.
+    /// Checks whether a request may be opened.
     fn may_open(&self, command: &Command, id_hash: IdHash) -> Result<(), OpenRefusal> {
         // Backends and clients could not distinguish two requests with the same id.
         if self.requests.is_known(id_hash) {
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Reloads the configuration if that is due, and points the watch at the discovery address in it.
+    /// Reloads the configuration if that is due, and passes the discovery address in it to the watch.
     pub(super) fn reload(&mut self) {
         match self.reload.attempt(self.now) {
             ReloadOutcome::Applied(discovery) => self.watch.set_address(discovery, self.now),
--- a/src/bin/ingress/event_loop/counters.rs
+++ b/src/bin/ingress/event_loop/counters.rs
@@ -23,7 +23,7 @@
     pub attempts_rejected: u64,
     /// Attempts that ended with an error, a reset or a timeout.
     pub attempts_failed: u64,
-    /// Attempts that were not executed because no connection was established.
+    /// Attempts that ended before the command was completely written, as when no connection was established.
     pub attempts_not_connected: u64,
     /// Attempts that were cancelled or not sent.
     pub attempts_not_completed: u64,
--- a/src/bin/ingress/event_loop/request_entries.rs
+++ b/src/bin/ingress/event_loop/request_entries.rs
@@ -68,7 +68,7 @@
 /// A request that has no final reply yet, or has attempts in flight.
 pub struct RequestEntry {
     pub command: Command,
-    /// The place of the reply on the client's connection.
+    /// The handle of the reply that is owed to the client.
     pub reply_to: ReplyHandle,
     /// The latest time for the final reply, before the client's deadline by the time that a reply takes.
     pub deadline: Instant,
@@ -82,8 +82,8 @@
 }
 
 impl RequestEntry {
-    /// Returns an error if no further attempt may be sent. Only attempts whose first byte was written may
-    /// have been executed.
+    /// Checks whether a further attempt may be sent. Only attempts whose first byte was written may have been
+    /// executed.
     pub fn may_send(&self, limits: &AttemptLimits) -> Result<AttemptKind, AttemptRefusal> {
         let class = usize::from(self.command.request.class);
         permissions::may_start_attempt(&AttemptContext {
@@ -216,7 +216,7 @@
         self.requests.values().any(|request| !request.closed)
     }
 
-    /// Closes a request and returns the place of its reply, or `None` if the request is already closed or
+    /// Closes a request and returns the handle of its reply, or `None` if the request is already closed or
     /// removed.
     pub fn close(&mut self, id: RequestId) -> Option<ReplyHandle> {
         let request = self.requests.get_mut(&id).filter(|request| !request.closed)?;
--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -6,14 +6,14 @@
 /// Maximum time after SIGTERM in which clients open new connections, by the protocol for planned restarts, in
 /// milliseconds.
 const CONNECTING_MILLIS: u64 = 400;
-/// Minimum time between the longest deadline of a request, counted from SIGTERM, and SIGKILL, by the
-/// protocol, in milliseconds.
+/// Minimum time from the end of the longest request deadline, counted from SIGTERM, to SIGKILL, by the
+/// protocol for planned restarts, in milliseconds.
 const KILL_DELAY_MILLIS: u64 = 700;
 /// The part of [`KILL_DELAY_MILLIS`] in which requests are still served after the longest deadline, in
 /// milliseconds.
 const REPLY_MARGIN_MILLIS: u64 = 400;
 
-/// Minimum time after the signal in which connections are accepted: 100 ms longer than clients open them,
+/// Minimum time for which connections are accepted after the signal: 100 ms longer than clients open them,
 /// since some clients detect the shutdown late.
 pub const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(CONNECTING_MILLIS + 100);
 /// After [`MIN_ACCEPTING_TIME`], the listener is closed when no connection was accepted for this time.
--- a/src/bin/ingress/event_loop/start.rs
+++ b/src/bin/ingress/event_loop/start.rs
@@ -26,8 +26,8 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Part of the memory that requests may take, as a divisor. The buffers of client connections may take the
-/// same amount.
+/// Divisor of the memory limit that gives the maximum memory of all requests, and that of all buffers of
+/// client connections.
 const MEMORY_DIVISOR: usize = 4;
 
 /// The sockets that are opened at startup.
@@ -173,7 +173,8 @@
         .map_err(|source| EventLoopError::BindPeers { address, source })
 }
 
-/// Returns the timings of polls, by whether discovery is shared by all gateways or an agent on this machine.
+/// Returns the timings of polls for a discovery service that all gateways share, or for an agent on this
+/// machine.
 fn poll_timings(settings: &Settings) -> PollTimings {
     match settings.discovery {
         Discovery::SharedService => {
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -143,7 +143,7 @@
     commands: usize,
 }
 
-/// An event loop between clients and two backends, both played by the test.
+/// An event loop between clients and two backends, which the test implements.
 struct Testbed {
     event_loop: EventLoop,
     backends: [TcpListener; 2],
@@ -353,8 +353,8 @@
 }
 
 /// A client's connection is closed for lack of memory while the commands of an iteration are handled, after
-/// the iteration's disconnects were reported. Without a report of its own, the gateway would continue to
-/// retry the request of a disconnected client.
+/// the iteration's disconnects were reported. Unless this disconnect is reported separately, the gateway
+/// continues to retry the request of a disconnected client.
 #[test]
 fn a_disconnect_between_two_commands_closes_the_request() {
     let mut testbed = Testbed::new("disconnect-between", Cancellation::Allowed);
--- a/src/bin/ingress/event_loop/timers.rs
+++ b/src/bin/ingress/event_loop/timers.rs
@@ -79,13 +79,12 @@
     }
 
     /// Returns whether the process can exit: all requests are answered, and no client is left that the
-    /// process waits for. Once all earlier requests are answered, handles the commands that clients have sent
-    /// since.
+    /// process waits for. Before it returns `true`, it handles the commands that were not read yet.
     pub(super) fn drain_and_check_finished(&mut self) -> bool {
         if !self.is_drained() {
             return false;
         }
-        // Commands that clients have sent but that were not read yet are answered before the exit.
+        // The kernel may have received further commands, which an exit without this read would lose.
         self.clients.read_all(self.now);
         self.process_client_events();
         self.clients.flush(self.now);
