--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Closes connections whose reply is not completed in time, for example a line without a terminator.
+    /// Closes connections whose reply is not completed in time, such as a line or a length without a
+    /// terminator.
     fn close_stalled(&mut self, now: Instant) {
         let is_stalled = |connection: &BackendConnection| {
             !connection.received.is_empty() && now > connection.reply_started_at + MAX_REPLY_DURATION
--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -91,7 +91,8 @@
             .and_then(|connection| connection.attempt)
     }
 
-    /// Replaces the command on a connection by the one that `encode` appends, unless a byte of it is written.
+    /// Replaces the command on a connection with the one that `encode` appends, unless a byte of it is
+    /// written.
     pub fn rewrite_command(
         &mut self,
         key: usize,
--- a/src/bin/ingress/backends/idle_reuse/tests.rs
+++ b/src/bin/ingress/backends/idle_reuse/tests.rs
@@ -33,8 +33,9 @@
 }
 
 /// The firewall is removed later. Unless the ingress retried the idle time, it would open a new connection
-/// for each request permanently. Each retry may fail one request, so after four failures the counts must not
-/// have decayed within 4 s, which are eight sweeps. The test of the program allows for these failures only.
+/// for each request permanently. Each retry may fail one request, so after four failures the idle time must
+/// be avoided for at least 4 s, which are eight sweeps. `tests/ingress/backend_connections.rs` allows only
+/// for these failures.
 #[test]
 fn an_avoided_idle_time_is_retried_after_four_seconds_at_the_earliest() {
     assert!(sweeps_until_reuse(tracker_after_stale_uses(4)) > 8);
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -53,7 +53,7 @@
     token_of: fn(usize) -> Token,
     /// Results of attempts since the last [`BackendConnections::take_completions`].
     pub(super) completions: Vec<ExchangeCompletion>,
-    /// Attempts started since the last [`BackendConnections::take_first_bytes_written`].
+    /// Attempts whose first byte was written since the last [`BackendConnections::take_first_bytes_written`].
     pub(super) first_bytes_written: Vec<FirstByteWritten>,
     /// Number of connections opened since the process started.
     pub opened_count: u64,
@@ -134,8 +134,8 @@
         self.pools.get(&entry.endpoint.backend).is_some_and(|pool| pool.address != entry.address)
     }
 
-    /// Ends attempts at unavailable backends whose commands are still unwritten. Otherwise they would start
-    /// once their connections are established, possibly at another backend with the same address.
+    /// Ends attempts at unavailable backends whose commands are still unwritten. Otherwise the commands would
+    /// be written once the connections are established, possibly to another backend with the same address.
     fn cancel_unwritten(&mut self, unavailable: &HashSet<BackendId>) {
         let is_unwritten = |connection: &BackendConnection| {
             connection.has_unwritten_command() && unavailable.contains(&connection.backend)
@@ -167,7 +167,7 @@
         self.configured_max_idle_time.min(self.idle_reuse.max_idle_time())
     }
 
-    /// Returns the index in a pool of the newest idle connection that may be reused.
+    /// Returns the index in a pool of the most recently used idle connection that may be reused.
     fn newest_reusable(&self, pool: &Pool, now: Instant) -> Option<usize> {
         let limits = ReuseLimits { min_idle_time: MIN_IDLE_TIME, max_idle_time: self.max_idle_time() };
         let idle_time = |key: usize| now.duration_since(self.connections[key].idle_since);
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Removes the newest reusable connection from a backend's pool and returns its key. Connections that
-    /// turn out to be unusable are closed.
+    /// Removes the most recently used connection that may be reused from a backend's pool and returns its
+    /// key. Connections that turn out to be unusable are closed.
     fn take_idle(&mut self, backend: BackendId, now: Instant) -> Option<usize> {
         loop {
             let position = self.newest_reusable(self.pools.get(&backend)?, now)?;
--- a/src/bin/ingress/backends/tests.rs
+++ b/src/bin/ingress/backends/tests.rs
@@ -137,8 +137,8 @@
     assert_ne!(harness.assign(2, START + Duration::from_millis(390)), first);
 }
 
-/// An attempt opens a connection and starts its connect timer, and completes. When the timer expires, the
-/// connection carries a partly written command of the next attempt, which must not be ended by it.
+/// An attempt opens a connection, starts its connect timer, and completes. When the timer expires, the
+/// connection carries a partly written command of the next attempt, which the timer must not end.
 #[test]
 fn the_connect_timeout_of_an_attempt_does_not_end_a_later_attempt() {
     let mut harness = Harness::new(Duration::from_secs(15));
--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -30,7 +30,7 @@
 /// The reply to a rejected request, which is safe to retry.
 pub const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
 
-/// The place of a reply: a connection, and the request's number on it.
+/// Identifies the reply to a request, by the client's connection and the request's number on it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplyHandle {
     /// Key of the connection, which a later connection may reuse.
@@ -138,8 +138,8 @@
     accept_failing_since: Option<Instant>,
     /// Counts of closed connections, indexed by [`ClientCloseReason`].
     close_counts: [u64; ClientCloseReason::ALL.len()],
-    /// Connections that the ingress closed with replies owed, each represented by one unanswered request.
-    /// Such a close violates an invariant.
+    /// Connections that the ingress closed with replies owed or unwritten, which violates an invariant. Each
+    /// is represented by its latest unanswered request, or `None` if all its requests were answered.
     closed_with_replies_owed: Vec<Option<RequestId>>,
 }
 
@@ -220,8 +220,8 @@
         counts.filter(|(_, count)| *count > 0)
     }
 
-    /// Removes and returns the connections that the ingress closed with replies owed, each represented by one
-    /// unanswered request.
+    /// Removes and returns the connections that the ingress closed with replies owed or unwritten. Each is
+    /// represented by its latest unanswered request, or `None` if all its requests were answered.
     pub fn take_closed_with_replies_owed(&mut self) -> Vec<Option<RequestId>> {
         std::mem::take(&mut self.closed_with_replies_owed)
     }
--- a/src/bin/ingress/clients/accepting.rs
+++ b/src/bin/ingress/clients/accepting.rs
@@ -32,7 +32,8 @@
         now: Instant,
         mut capacity: impl FnMut(&mut Self) -> Capacity,
     ) -> AcceptOutcome {
-        // A connection in the queue may have waited since the first one that could not be accepted.
+        // Connections that an earlier call left in the queue have been waiting at least since that call, so
+        // its time is kept until the queue is empty.
         self.queued_since.get_or_insert(self.arrival_time);
         for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             let capacity = capacity(self);
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -59,7 +59,7 @@
     /// Whether the connection has sent a command or was active in this iteration. Other connections are
     /// closed first.
     ///
-    /// A descriptor is freed before the listener reports whether a client is waiting. Without this rule, a
+    /// A descriptor is freed before each call of `accept`, even if no client is waiting. Without this rule, a
     /// connection that was accepted in this iteration would be closed before its first command arrives.
     has_priority: bool,
     last_active_at: Instant,
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -10,13 +10,13 @@
 use mio::net::TcpStream;
 use std::net::Shutdown;
 
-/// Maximum number of replies owed on a connection before reading from it pauses. It bounds the memory of all
-/// clients together if they send and never read.
+/// Maximum number of replies owed on a connection before reading from it pauses. This bounds the total memory
+/// of clients that send requests and never read the replies.
 const MAX_PENDING_REPLIES: usize = 256;
 /// Maximum size of a connection's unwritten replies before reading from it pauses, in bytes.
 const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
-/// Number of consecutive errors after which a connection is closed: each costs a reply, and some clients
-/// never stop.
+/// Number of consecutive invalid commands after which a connection is closed: each of them costs a reply, and
+/// some clients never stop sending them.
 const MAX_CONSECUTIVE_ERRORS: u32 = 8;
 /// Maximum time for the first command, or for the rest of an incomplete one, to arrive.
 pub const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
@@ -63,20 +63,21 @@
     pub output: OutputBuffer,
     /// The connection's part of the accounted memory, in bytes.
     pub accounted_memory: usize,
-    /// The latest of the time of acceptance, of the last command, and of the last write that left no output.
+    /// The time of the last complete command or of the last write that emptied the output, whichever is
+    /// later; initially the time at which the connection was accepted.
     pub last_active_at: Instant,
     /// The time at which the incomplete command in `input` began to arrive; before the first command, the
-    /// time of acceptance.
+    /// time at which the connection was accepted.
     command_started_at: Instant,
     /// The number of invalid commands since the last valid one.
     consecutive_errors: u32,
     close_state: CloseState,
     /// The first cause for closing the connection, for the log.
     pub closing_cause: Option<ClosingCause>,
-    /// The time at which the connection is closed even if the client has not closed its end. A connection
-    /// over the limit has this from its acceptance.
+    /// The time at which the connection is closed even if the client has not closed its end. For a connection
+    /// over the limit it is set when the connection is accepted.
     pub linger_until: Option<Instant>,
-    /// The capacity at the time of acceptance.
+    /// The capacity when the connection was accepted.
     capacity: Capacity,
     /// Whether reading is paused because too many replies are owed or unwritten.
     pub reading_paused: bool,
@@ -122,7 +123,7 @@
         may_close_client(state).is_ok()
     }
 
-    /// Returns how the ingress is ending the connection, as [`may_close_client`] distinguishes it.
+    /// Returns the closing state that [`may_close_client`] checks.
     fn closing(&self) -> ClosingState {
         if self.is_closing() {
             ClosingState::Closing
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -75,8 +75,8 @@
 
     /// Reads from a connection and parses its commands, up to the limit per iteration.
     ///
-    /// A read that would block ends the loop, but a short read does not: the poll reports each arrival once,
-    /// and after a short read the socket may not be empty, so that a request could remain unread.
+    /// A read that would block ends the loop, but a short read does not: readiness is edge-triggered, and the
+    /// socket may not be empty after a short read, so that a request could remain unread.
     fn read_and_parse(&mut self, key: usize, now: Instant) {
         for _ in 0..MAX_READS_PER_ITERATION {
             if self.parse_commands(key, now) == ReadState::Paused {
--- a/src/bin/ingress/clients/reply_queue.rs
+++ b/src/bin/ingress/clients/reply_queue.rs
@@ -3,7 +3,7 @@
 use ingress::RequestId;
 use std::collections::VecDeque;
 
-/// The place of a reply in the queue.
+/// A position in the queue, for the reply to one request.
 enum ReplySlot {
     /// The request is not answered yet.
     Pending(RequestId),
@@ -14,7 +14,7 @@
 /// The replies that are owed on a connection, from the oldest pending request on.
 #[derive(Default)]
 pub struct ReplyQueue {
-    /// The places of the replies, in the order of their requests.
+    /// The slots of the replies, in the order of their requests.
     slots: VecDeque<ReplySlot>,
     /// The sequence number of the first slot, which equals the number of replies that have left the queue.
     first_sequence: u64,
@@ -43,7 +43,7 @@
         self.first_sequence > 0 || !self.slots.is_empty()
     }
 
-    /// Adds a place for a request's reply and returns its sequence number.
+    /// Adds a slot for a request's reply and returns its sequence number.
     pub fn push_pending(&mut self, id: RequestId) -> u64 {
         let sequence = self.first_sequence + self.slots.len() as u64;
         self.slots.push_back(ReplySlot::Pending(id));
