--- a/src/bin/ingress/command.rs
+++ b/src/bin/ingress/command.rs
@@ -11,7 +11,7 @@
 use std::ops::Range;
 use template::CommandTemplate;
 
-/// A class of requests, as named in commands.
+/// The name of a request class in commands, and its idempotency.
 pub struct ClassSchema {
     pub name: String,
     /// Whether a request of this class may be executed more than once.
@@ -20,9 +20,9 @@
 
 /// The constraints on commands from the settings: the names of classes and plans, and the bounds of numbers.
 pub struct CommandSchema {
-    /// The classes of requests; a request's class is an index of this list.
+    /// The classes of requests; a request's class is an index into this list.
     pub classes: Vec<ClassSchema>,
-    /// The names of the plans; a request's plan is an index of this list.
+    /// The names of the plans; a request's plan is an index into this list.
     pub plans: Vec<String>,
     /// Maximum number of units of a request.
     pub max_units: f64,
--- a/src/bin/ingress/config/error.rs
+++ b/src/bin/ingress/config/error.rs
@@ -66,7 +66,7 @@
     /// The interval of the clock's ticks is zero.
     #[error("setting tick_us must not be 0")]
     ZeroTick,
-    /// The cached endpoint list is invalid.
+    /// The cached endpoint list at the key `known` is invalid.
     #[error("known")]
     CachedEndpoints(#[source] EndpointListError),
     /// The number of the peers' addresses differs from the number of gateways.
--- a/src/bin/ingress/discovery/endpoint_list.rs
+++ b/src/bin/ingress/discovery/endpoint_list.rs
@@ -1,6 +1,7 @@
 //! Parses the endpoint list that discovery sends in JSON.
 //!
-//! The fields of the list are mapped here only. These differ from the terms in the code:
+//! No other module uses the names of the fields. These differ from the terms in the code or are not
+//! self-explanatory:
 //!
 //! | field | term in the code |
 //! | --- | --- |
@@ -40,7 +41,7 @@
 pub struct EndpointList {
     /// Version of the list, from which the next poll continues.
     pub index: u64,
-    /// Whether the list is complete instead of a delta.
+    /// Whether the list is complete rather than a delta.
     pub is_snapshot: bool,
     /// The backends in the order of discovery.
     pub entries: Vec<EndpointEntry>,
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -235,7 +235,8 @@
             return PollHealth::FirstFailure;
         }
         let Some(connection) = &mut self.connection else { return PollHealth::Unchanged };
-        // A response without a length is complete when the stream ends.
+        // The parser needs the state of the stream: a response without a length is complete when the stream
+        // ends.
         let stream_state = match connection.receive(self.max_body_bytes) {
             Ok(stream_state) => stream_state,
             Err(error) => return self.fail(now, &error),
--- a/src/bin/ingress/resp/decode.rs
+++ b/src/bin/ingress/resp/decode.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// Parses the command at the beginning of `buffer`, an array of bulk strings. Replaces `arguments` by the
+/// Parses the command at the beginning of `buffer`, an array of bulk strings. Replaces `arguments` with the
 /// ranges of the arguments and returns the command's length.
 pub fn parse_command(buffer: &[u8], arguments: &mut Vec<Range<usize>>) -> Parsed<usize> {
     arguments.clear();
--- a/src/bin/ingress/resp/error.rs
+++ b/src/bin/ingress/resp/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// The reason for rejecting bytes as RESP2. The text of an invalid command is sent to its client.
+/// The reason for rejecting bytes as RESP2. If a client sent them, it receives the text.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ProtocolError {
     /// A line feed does not follow a carriage return.
