--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -15,15 +15,15 @@
 const MAX_QUEUE_TIME_SHARE: f64 = 0.3;
 /// Queue length at which no customer may join the queue, as a share of the concurrency limit.
 const MAX_QUEUE_LENGTH_SHARE: f64 = 0.3;
-/// Maximum age of a grant answer without tokens that still rejects requests. Such an answer may be older
-/// than one that admits a request: otherwise each retry of a customer over its quota would request another
+/// Maximum age at which a quota owner's answer without tokens still rejects requests. It may be older than
+/// an answer that admits a request; otherwise each retry of a customer over its quota would request another
 /// grant.
 const REJECTION_FRESHNESS: Duration = Duration::from_millis(500);
 /// Minimum number of wake-ups before the deadline of a waiting request; with fewer it could not be answered
 /// in time.
 const MIN_WAKE_UPS: u64 = 2;
 
-/// Returns the minimum time to the deadline with which a request may wait, at a gateway with this tick.
+/// Returns the time that must be left until the deadline for a request to wait, at a gateway with this tick.
 pub(crate) fn min_time_left(tick: Duration) -> Duration {
     wake_up_interval(tick) * MIN_WAKE_UPS
 }
@@ -82,11 +82,11 @@
     /// See [`min_time_left`].
     pub min_time_left: Duration,
     pub plan: &'a Plan,
-    /// Limits of the customer that lack tokens for the request, by the usage recorded at this gateway.
+    /// Limits of the customer's plan that do not allow the request, by the usage recorded at this gateway.
     pub shortages: Shortages,
-    /// Grants recorded for the customer.
+    /// State of the grants for the customer.
     pub grant: GrantStatus,
-    /// How the owners of the quota are assigned.
+    /// Mode in which the fleet assigns quota owners.
     pub ownership: QuotaOwnership,
 }
 
@@ -106,7 +106,7 @@
 }
 
 impl ArrivalContext<'_> {
-    /// Returns whether the request has to wait for a grant.
+    /// Decides whether the request waits for a grant, and for which limits.
     pub(crate) fn decide(&self) -> ArrivalDecision {
         let needs_hard_limit = self.shortages.hard_limit.is_some();
         let lacks_hard_limit_alone = needs_hard_limit && self.shortages.quota.is_none();
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Returns whether usage is counted at this gateway or a grant answer is recent enough to decide by.
+    /// Returns whether usage is counted at this gateway or a quota owner's answer is recent enough to decide
+    /// by.
     fn is_quota_known(&self) -> bool {
         let is_over_rate_quota = self.shortages.quota.is_some() && self.plan.concurrency_quota == 0;
         let freshness =
@@ -134,7 +135,7 @@
 pub(crate) struct AdmissionContext {
     pub now: Instant,
     pub customer: CustomerId,
-    /// Limit of the customer's plan that lacks tokens for the request.
+    /// Limit of the customer's plan that does not allow the request.
     pub shortage: Option<Shortage>,
     /// Whether answers to the grant request are outstanding.
     pub answers: GrantAnswers,
@@ -178,9 +179,9 @@
     }
 
     /// Returns whether the queue accepts no further request of this customer. The share of customers that
-    /// may join falls as the queue grows. The same customers are turned away for a whole shedding epoch: if
-    /// each request were drawn separately, the retries of rejected clients would be admitted, too late to
-    /// be of use.
+    /// may join falls as the queue grows. The same customers are rejected for a whole shedding epoch: if each
+    /// request were drawn separately, the retries of rejected clients would be admitted, too late to be of
+    /// use.
     fn is_queue_full_for_customer(&self) -> bool {
         let queue_fill = self.queue_length as f64 / (self.concurrency_limit * MAX_QUEUE_LENGTH_SHARE);
         let is_saturated = f64::from(self.in_flight) >= self.concurrency_limit;
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -105,9 +105,9 @@
     assert_eq!(context.decide(), ArrivalDecision::DecideNow);
 }
 
-/// A customer over its rate quota retries repeatedly. A grant answer without tokens is reused for 500 ms,
-/// so that the retries don't all request a grant. It is not reused for a concurrency quota, since attempts
-/// in flight end at any time.
+/// A customer over its rate quota retries repeatedly. A quota owner's answer without tokens is reused for
+/// 500 ms, so that the retries don't all request a grant. It is not reused for a concurrency quota, since
+/// attempts in flight end at any time.
 #[test]
 fn retries_over_the_rate_quota_request_no_new_grant() {
     let (rate, concurrency) = (plan(0), plan(2));
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -12,8 +12,8 @@
 const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time by which each ingress extends the interval over which first polls are spread.
 const SPREAD_PER_INGRESS: Duration = Duration::from_millis(20);
-/// Maximum length of that interval. A new process, too, counts as informed 6 s after its start; the rest is
-/// left for the response.
+/// Maximum length of that interval. The endpoint list counts as delivered to a new process 6 s after its
+/// start; the rest of that time is left for the response.
 const MAX_SPREAD: Duration = Duration::from_secs(4);
 /// Range from which the maximum time between a failed poll and the next one is drawn. A change counts as
 /// delivered 6 s after discovery had it and could be reached, which may be the moment after the failed
@@ -53,7 +53,7 @@
     /// Polls of an agent on the same host, which receives every change itself. They wait for a short time,
     /// since a dead connection can only be detected after it. Changes that the agent has received count as
     /// delivered whether or not a poll is pending, so every delay must be shorter than the grace period of
-    /// a change.
+    /// a change ([`Rules::drain_grace`](crate::Rules::drain_grace)).
     pub const LOCAL_AGENT: PollTimings = PollTimings {
         poll_timeout: Duration::from_secs(2),
         response_timeout: Duration::from_secs(1),
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -21,7 +21,7 @@
 /// Weight of a backend of mean size and speed. A candidate is drawn with its weight as the probability; a
 /// value below 1 lets better backends be drawn more often than average ones.
 const MEAN_WEIGHT: f64 = 0.5;
-/// Mixes the step of a choice into the seed of its draws.
+/// Salt of the step of a choice in the seed of its draws.
 const STEP_SALT: Salt = Salt::from_bit(40);
 
 /// Reason why no backend was chosen. If several reasons apply, the last one in this order is reported.
--- a/src/policy/load_balancing/slow_start.rs
+++ b/src/policy/load_balancing/slow_start.rs
@@ -7,15 +7,15 @@
 
 /// Time constant of the send rate from which the fair share of a backend is computed.
 const SEND_RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
-/// Share of the attempts permitted by the overload rule that is used. The rest is a margin for overload,
+/// Used share of the attempts that [`SlowStart::overload_factor`] permits. The rest is a margin for overload,
 /// when more is sent than the backends can handle, and for gateways that happen to send at the same time.
 const BUDGET_SHARE: f64 = 0.35;
 /// Overload windows per draw. The window slides, so a new draw for each window would let two gateways send
 /// within the same window.
 const WINDOWS_PER_DRAW: u64 = 4;
-/// Mixes the number of the draw into its seed.
+/// Salt of the number of a draw in its seed.
 const DRAW_NUMBER_SALT: Salt = Salt::from_bit(48);
-/// Mixes the gateway into the seed of a draw.
+/// Salt of the gateway's id in the seed of a draw.
 const GATEWAY_SALT: Salt = Salt::from_bit(32);
 
 /// Limits the attempts that this gateway sends to backends in slow start.
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -6,8 +6,9 @@
 use crate::{CustomerId, Duration, Instant, Plan};
 use std::fmt;
 
-/// Share of the customers on ordinary plans that is admitted, by stage: as for amber traffic in table I of
-/// Demir and Ghose, "Maintaining Useful Server Throughput under Load Attacks Using Active NIC Portals".
+/// Share of the customers on ordinary plans, those below the highest price, that is admitted, by stage. The
+/// shares are those of amber traffic in table I of Demir and Ghose, "Maintaining Useful Server Throughput
+/// under Load Attacks Using Active NIC Portals".
 const ADMITTED_SHARES: [f64; 4] = [1.0, 0.9, 0.7, 0.5];
 /// Stage at which only customers on the highest-priced plan are admitted. Where all prices are equal it
 /// sheds as many customers as the stage below.
@@ -20,19 +21,19 @@
 const MIN_STAGE_TIME_DOWN: Duration = Duration::from_secs(2);
 /// Time for which the same customers are shed; longer than their clients retry.
 const SHEDDING_EPOCH: Duration = Duration::from_secs(10);
-/// Mixes the number of the epoch into a customer's draw.
+/// Salt of the number of the epoch in a customer's draw.
 const EPOCH_SALT: Salt = Salt::from_bit(33);
 /// Share of requests rejected as `Saturated` above which the stage rises, unless the pressure is low.
 const HIGH_SATURATION_RATE: f64 = 0.05;
 /// Weight of one request in the saturation rate.
 const SATURATION_WEIGHT: f64 = 0.05;
 
-/// Whether a customer has sent a request recently.
+/// Activity of a customer, by its requests to this gateway and by usage reports of peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CustomerActivity {
-    /// The customer has sent a request recently.
+    /// A request or usage report named the customer recently.
     Active,
-    /// The customer has sent no request recently, or none at all.
+    /// No request or usage report named the customer recently.
     Inactive,
 }
 
--- a/src/policy/outlier_detection/latency_baseline.rs
+++ b/src/policy/outlier_detection/latency_baseline.rs
@@ -6,7 +6,7 @@
 const INITIAL_LATENCY_SHARE: f64 = 0.15;
 /// Maximum unloaded latency during warm-up, as a share of the latency objective.
 const MAX_INITIAL_UNLOADED_SHARE: f64 = 0.3;
-/// Number of answers from which the recent latency is an exponential average; up to it, it is a plain mean.
+/// Number of answers up to which the recent latency is their mean; afterwards it is an exponential average.
 const RECENT_ANSWERS: f64 = 20.0;
 /// Number of answers during which only the latency objective bounds the unloaded latency.
 const WARM_UP_ANSWERS: f64 = 20.0;
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -9,7 +9,7 @@
 //! | limits that do not allow a request | `shortages.rs` |
 //! | gateways that own a customer's quota | `ownership.rs`, `owner_assignment.rs` |
 //! | plan and gateway set of a customer | `identity.rs` |
-//! | requests for grants, and the owners' answers | `grant_request.rs` |
+//! | grant requests, and the owners' answers | `grant_request.rs` |
 //! | handling of usage reports and grants at an owner | `usage_report.rs` |
 //! | content and recipients of usage reports | `reporting.rs` |
 //! | refilling and charging of token buckets | `customer.rs`, `hard_limit.rs`, `token_bucket.rs` |
@@ -19,14 +19,15 @@
 //!
 //! - `SHARED_GRANT_FRESHNESS` in `ownership.rs`: the age up to which a grant admits further requests where
 //!   all gateways are owners.
-//! - `MAX_GRANT_WAIT` in `grant_request.rs`: the longest wait of a request for a grant, and the age up to
-//!   which later requests share one request for a grant.
+//! - `MAX_GRANT_WAIT` in `grant_request.rs`: the longest time that a request waits for a grant, and the age
+//!   up to which later requests share a grant request.
 //! - `HARD_LIMIT_GRANT_LIFETIME` in `grant_request.rs`: the longest time between a request for units of the
 //!   hard limit and their grant.
-//! - `REJECTION_FRESHNESS` in `policy/admission.rs`: the age up to which a grant without tokens rejects
+//! - `REJECTION_FRESHNESS` in `policy/admission.rs`: the age up to which an answer without tokens rejects
 //!   requests on arrival.
-//! - `LEVEL_FRESHNESS` in `reporting.rs`: the age up to which a grant gives a reporter the level of a bucket.
-//! - `GRANT_LIFETIME` in `shortages.rs`: the age up to which a grant gives the usage of other gateways.
+//! - `LEVEL_FRESHNESS` in `reporting.rs`: the age up to which an answer gives a reporter the level of a
+//!   bucket.
+//! - `GRANT_LIFETIME` in `shortages.rs`: the age up to which an answer gives the usage of other gateways.
 
 mod customer;
 mod gateway_set;
@@ -95,7 +96,7 @@
 }
 
 impl QuotaManager {
-    /// Returns the manager of a gateway that starts now, without customer records.
+    /// Creates the manager of a gateway that starts now, without customer records.
     pub(crate) fn new(settings: &Settings, now: Instant) -> QuotaManager {
         QuotaManager {
             settings: QuotaSettings::new(settings, now),
--- a/src/policy/quota/customer.rs
+++ b/src/policy/quota/customer.rs
@@ -7,12 +7,13 @@
 use crate::state::decay;
 use crate::{CustomerId, Duration, Instant, Plan};
 
-/// Minimum usage rate assumed for this gateway, as a fraction of its even share, if the usage of other
-/// gateways is known.
+/// Minimum usage rate assumed for this gateway, as a fraction of its even share of the plan's rate, if the
+/// usage of other gateways is known.
 const MIN_OWN_RATE_FRACTION: f64 = 0.1;
 /// Minimum total usage rate, in units per second. Prevents a division by zero for an idle customer.
 const MIN_TOTAL_RATE: f64 = 1e-9;
-/// Ratio of a record's lifetime at an owner to the longer of the idle time and the plan's refill time.
+/// Ratio of a record's lifetime at an owner to the longer of [`CUSTOMER_IDLE_TIME`] and the plan's refill
+/// time.
 const OWNER_RECORD_LIFETIME_FACTOR: u64 = 4;
 /// The same ratio at a reporter. It is lower, because an owner that removes its record before the reporters
 /// do would count their continuing totals as new usage.
@@ -75,9 +76,10 @@
     pub role: Role,
     /// The usage through all other gateways.
     pub remote: RemoteUsage,
-    /// When an owner's last answer, a grant or a refusal, was received; `None` at an owner.
+    /// When an owner's last answer, a grant or a refusal, was received; `None` before the first one, and at
+    /// an owner.
     pub answered_at: Option<Instant>,
-    /// The last request for a grant, and the requests that wait for it.
+    /// The last grant request, and the requests that wait for it.
     pub grant_request: GrantRequest,
 }
 
@@ -121,8 +123,8 @@
         self.total_units = old.total_units;
     }
 
-    /// Returns this gateway's share of the customer's usage, from 0 to 1. A remote rate of requests for
-    /// grants is treated as one of units.
+    /// Returns this gateway's share of the customer's usage, from 0 to 1. A remote rate of grant requests is
+    /// treated as one of units.
     ///
     /// A minimum rate is assumed for this gateway, so that it has a share of the tokens even if it has
     /// forwarded few of the customer's requests.
@@ -141,7 +143,7 @@
             self.remote.decay_rate(remaining);
             plan.rate
         } else {
-            // Other gateways' usage continues between two grants without a report, so it reduces the refill.
+            // Other gateways' usage continues unreported between two answers, so it reduces the refill.
             (plan.rate - self.remote.rate()).max(plan.rate * self.own_share(plan))
         };
         let elapsed_seconds = now.duration_since(self.refilled_at).as_secs_f64();
@@ -174,8 +176,8 @@
         in_use || self.last_seen_at.is_some_and(|seen_at| now.duration_since(seen_at) <= lifetime)
     }
 
-    /// Returns a report of the usage, without a request for a grant. The report includes the level of the
-    /// quota's bucket, relative to the plan's `burst`, if that is given.
+    /// Returns a report of the usage, without a grant request. The report includes the level of the quota's
+    /// bucket, relative to the plan's `burst`, if that is given.
     pub(super) fn usage_report(&self, id: CustomerId, burst: Option<f64>) -> UsageReport {
         UsageReport {
             customer: id,
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -5,13 +5,14 @@
 use crate::gossip::{wrap_total, wrapping_delta, QuotaGrant};
 use crate::{CustomerId, Duration, Instant, Plan, Request, RequestId};
 
-/// Maximum time that a request waits for a grant, and the age at which a request for a grant is repeated for
-/// the next request that waits.
+/// Maximum time that a request waits for a grant, and the age up to which later requests share a grant
+/// request.
 const MAX_GRANT_WAIT: Duration = Duration::from_millis(100);
-/// Divisor of a request's time that gives its longest wait for a grant; the rest is left for its attempts.
+/// Divisor of a request's latency objective or time left that gives its longest wait for a grant; the rest
+/// is left for its attempts.
 const GRANT_WAIT_DIVISOR: u64 = 5;
-/// Maximum rate of requests for grants for one customer, as a fraction of the rate of messages that an owner
-/// can receive. Further requests are skipped.
+/// Maximum rate of grant requests for one customer, as a fraction of the rate of messages that an owner can
+/// receive. Further grant requests are skipped.
 const MAX_GRANT_REQUEST_SHARE: f64 = 0.25;
 /// Maximum time between a request for units of the hard limit and their grant; a later grant is ignored.
 const HARD_LIMIT_GRANT_LIFETIME: Duration = Duration::from_millis(250);
@@ -30,20 +31,20 @@
 pub(crate) enum GrantTiming {
     /// Immediately, because the grant requested for the others is insufficient.
     AtOnce,
-    /// Only if the last request for a grant is older than [`MAX_GRANT_WAIT`].
+    /// Only if the last grant request is older than [`MAX_GRANT_WAIT`].
     WithOthers,
 }
 
 /// The next step for a request that waits for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantRequestStep {
-    /// Request a grant now.
+    /// A grant is requested now.
     RequestGrant,
-    /// Wait for the answer to a recent request for a grant, which applies to this request, too.
+    /// The request waits for the answer to a recent grant request, which applies to it, too.
     AwaitAnswer,
 }
 
-/// The progress of a request for a grant, by the answers of the granters.
+/// The progress of a grant request, by the answers of the granters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GrantAnswers {
     /// All granters have answered, or no grant was requested.
@@ -62,7 +63,7 @@
     pub answers: GrantAnswers,
 }
 
-/// The last request for a grant that was sent to a customer's owners, and the requests that wait for it.
+/// The last grant request that was sent to a customer's owners, and the requests that wait for it.
 #[derive(Default)]
 pub(super) struct GrantRequest {
     pub requested_at: Option<Instant>,
@@ -71,13 +72,13 @@
     pub needs_hard_limit: bool,
     /// Owners that have answered.
     pub answered_by: Vec<u16>,
-    /// Whether an owner has already charged the units.
+    /// Whether an owner has already charged the units, which its answer implies if the limits allow them.
     pub charged_by_owner: bool,
     pub waiting: Vec<RequestId>,
 }
 
 impl GrantRequest {
-    /// Starts a new request for a grant, without answers. The waiting requests remain.
+    /// Starts a new grant request, without answers. The waiting requests remain.
     fn start(&mut self, now: Instant, units: f64, scope: GrantScope) {
         self.requested_at = Some(now);
         self.units = units;
@@ -128,9 +129,9 @@
         }
     }
 
-    /// Returns whether a request is rejected without a request for a grant, because the rate of such requests
-    /// for its customer would make the owner lose other messages. `draw`, from 0 to 1, selects the requests
-    /// that are skipped.
+    /// Returns whether a request is rejected without a grant request, because the rate of grant requests for
+    /// its customer would make the owner lose other messages. `draw`, from 0 to 1, selects the requests whose
+    /// grant request is skipped.
     pub(crate) fn skips_grant_request(&self, now: Instant, customer: CustomerId, draw: f64) -> bool {
         let Some(customer) = self.customers.get(&customer) else { return false };
         let has_concurrency_quota = self.settings.plans[customer.plan].concurrency_quota > 0;
--- a/src/policy/quota/grant_request/tests.rs
+++ b/src/policy/quota/grant_request/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 use crate::policy::quota::tests::*;
 
-/// The first request that waits sends a request for a grant. A second one shortly afterwards waits for the
-/// same answer, which applies to both.
+/// The first request that waits causes a grant request. A second one shortly afterwards waits for the same
+/// answer, which applies to both.
 #[test]
-fn waiting_requests_share_one_request_for_a_grant() {
+fn waiting_requests_share_one_grant_request() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, RATE_QUOTA, false);
     let first = request(customer, RATE_QUOTA, 1.0);
@@ -25,7 +25,7 @@
 /// other messages. They are skipped above a quarter of the messages that the owner can receive, here 25 of
 /// 100 per second. None is skipped in a small fleet, before the first grant, or at the owner.
 #[test]
-fn requests_for_grants_are_limited_for_a_customer_far_over_its_quota() {
+fn grant_requests_are_limited_for_a_customer_far_over_its_quota() {
     let mut large = manager(LARGE_FLEET);
     let customer = customer_owned(&mut large, CONCURRENCY_QUOTA, false);
     assert!(!large.skips_grant_request(START, customer, 1.0), "no grant received yet");
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -5,8 +5,8 @@
 use crate::{CustomerId, Duration, Instant, Request};
 use std::collections::btree_map::Entry;
 
-/// Maximum number of consecutive requests or reports with another plan or gateway set after which a
-/// customer's record is still unchanged.
+/// Maximum value of [`Customer::identity_confidence`]: up to this number of consecutive requests or reports
+/// with another plan or gateway set leave a customer's record unchanged.
 const MAX_IDENTITY_CONFIDENCE: u8 = 8;
 /// Time without a request or report after which a customer counts as inactive.
 pub(super) const CUSTOMER_IDLE_TIME: Duration = Duration::from_secs(10);
@@ -29,7 +29,7 @@
     pub remote_rate: f64,
 }
 
-/// The grants for a customer, from the view of one gateway.
+/// State of the grants for a customer at one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GrantStatus {
     /// Whether this gateway owns the customer's quota, and needs no grant.
--- a/src/policy/quota/owner_assignment/tests.rs
+++ b/src/policy/quota/owner_assignment/tests.rs
@@ -44,8 +44,8 @@
     assert_eq!(fraction(&owner), 0.5 / 20.0 + 0.25);
 }
 
-/// All requests of a customer come to one gateway. It is the only owner, with the whole hard limit; a part
-/// assigned to a gateway that the customer never reaches would be lost to the customer.
+/// All requests of a customer are sent to one gateway. It is the only owner, with the whole hard limit; a
+/// part assigned to a gateway that receives none of them would be lost to the customer.
 #[test]
 fn a_single_gateway_owns_the_quota_and_the_whole_hard_limit() {
     let settings = manager(1).settings;
--- a/src/policy/quota/ownership.rs
+++ b/src/policy/quota/ownership.rs
@@ -61,8 +61,8 @@
         QuotaOwnership::AllGateways { report_interval }
     }
 
-    /// Returns the minimum time between two messages to a peer. Requests for grants to designated owners are
-    /// sent without delay.
+    /// Returns the minimum time between two messages to a peer. Grant requests to designated owners are sent
+    /// without delay.
     pub(crate) fn report_interval(self) -> Duration {
         match self {
             Self::AllGateways { report_interval } => report_interval,
@@ -115,14 +115,14 @@
         }
     }
 
-    /// Returns whether some requests for grants are skipped for customers far over their quota. All gateways
-    /// send them to the same owner, whose other messages they would displace.
+    /// Returns whether some grant requests are skipped for customers far over their quota. All gateways send
+    /// them to the same owner, whose other messages they would displace.
     pub(crate) fn limits_grant_requests(self) -> bool {
         self == Self::Designated
     }
 
-    /// Returns whether a request for a grant is sent at once, regardless of the report interval. Such
-    /// requests are rare where all gateways own the quota, and must not wait for a whole interval.
+    /// Returns whether a grant request is sent at once, regardless of the report interval. Grant requests are
+    /// rare where all gateways own the quota, and must not wait for a whole interval.
     pub(crate) fn sends_grant_requests_at_once(self) -> bool {
         self != Self::Designated
     }
@@ -133,13 +133,14 @@
         self != Self::Designated
     }
 
-    /// Returns whether the usage of other gateways is known without a recent grant, from their reports.
+    /// Returns whether the usage of other gateways is known without a recent answer of an owner, from their
+    /// reports.
     pub(crate) fn knows_usage_without_grant(self) -> bool {
         self != Self::Designated
     }
 
     /// Returns the time until the usage of other gateways is reported here. It is zero for designated owners,
-    /// whose grants include that usage.
+    /// whose answers include that usage.
     pub(crate) fn unreported_time(self) -> Duration {
         match self {
             Self::AllGateways { report_interval } => report_interval + REPORT_PROPAGATION_TIME,
@@ -177,8 +178,8 @@
         }
     }
 
-    /// Returns whether an owner measures a customer's rate in requests for grants rather than in units. It
-    /// does so under a concurrency quota, and the gateways limit their requests for grants by that rate.
+    /// Returns whether an owner measures a customer's rate in grant requests rather than in units. It does so
+    /// under a concurrency quota, and the gateways limit their grant requests by that rate.
     pub(crate) fn counts_grant_requests(self, plan: &Plan) -> bool {
         self == Self::Designated && plan.concurrency_quota > 0
     }
--- a/src/policy/quota/ownership/tests.rs
+++ b/src/policy/quota/ownership/tests.rs
@@ -82,7 +82,7 @@
 }
 
 /// In a small fleet usage is unreported for the report interval plus the propagation time, which includes the
-/// second copy of each report. The grants of designated owners include all usage.
+/// second copy of each report. The answers of designated owners include all usage.
 #[test]
 fn usage_is_unreported_for_the_report_interval_and_the_propagation_time() {
     assert_eq!(shared().unreported_time(), Duration::from_millis(150 + 350));
--- a/src/policy/quota/remote_usage.rs
+++ b/src/policy/quota/remote_usage.rs
@@ -31,10 +31,10 @@
 }
 
 /// A customer's usage through all other gateways. An owner of the quota adds it up from usage reports; a
-/// reporter receives it with each grant.
+/// reporter receives it with each answer of an owner.
 #[derive(Default)]
 pub(super) struct RemoteUsage {
-    /// Units per second, or requests for grants per second if
+    /// Units per second, or grant requests per second if
     /// [`counts_grant_requests`](super::QuotaOwnership::counts_grant_requests) returns `true`. Decays with
     /// [`USAGE_RATE_TIME_CONSTANT`] at an owner.
     rate: f64,
@@ -50,7 +50,7 @@
         RemoteUsage { rate, ..RemoteUsage::default() }
     }
 
-    /// Returns the rate in units per second, or in requests for grants per second if
+    /// Returns the rate in units per second, or in grant requests per second if
     /// [`counts_grant_requests`](super::QuotaOwnership::counts_grant_requests) returns `true`.
     pub(super) fn rate(&self) -> f64 {
         self.rate
@@ -70,7 +70,7 @@
         self.by_gateway.get(&gateway).copied()
     }
 
-    /// Sets the rate and the attempts in flight to those in an owner's grant.
+    /// Sets the rate and the attempts in flight to those in an owner's answer.
     pub(super) fn replace(&mut self, rate: f64, in_flight: u32) {
         self.rate = rate;
         self.in_flight = in_flight;
@@ -81,7 +81,7 @@
         self.rate *= remaining_share;
     }
 
-    /// Adds a number of units, or of requests for grants, to the rate.
+    /// Adds a number of units, or of grant requests, to the rate.
     pub(super) fn add_to_rate(&mut self, count: f64) {
         self.rate = (self.rate + count / USAGE_RATE_TIME_CONSTANT.as_secs_f64()).max(0.0);
     }
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Returns the purpose of the report that follows a rejected request, if any. It notifies an owner that
-    /// has charged the units that they were not used.
+    /// Returns the purpose of the report that follows a rejected request, if any. The report shows an owner
+    /// that has charged the units that they were not used.
     pub(crate) fn report_after_rejection(
         &mut self,
         id: CustomerId,
--- a/src/policy/quota/shortages.rs
+++ b/src/policy/quota/shortages.rs
@@ -7,13 +7,14 @@
 use crate::state::{unit_draw, Salt, MICROS_PER_SECOND};
 use crate::{CustomerId, Duration, Instant, Plan, Request};
 
-/// Time for which a grant is valid unless a newer one replaces it. Afterwards the customer is admitted: most
-/// customers are within their quotas, and a large fleet that loses messages would otherwise reject them all.
+/// Time for which an owner's answer, a grant or a refusal, is valid unless a newer one replaces it. The
+/// customer is admitted afterwards: most customers are within their quotas, and a large fleet that loses
+/// messages would otherwise reject them all.
 pub(super) const GRANT_LIFETIME: Duration = Duration::from_secs(2);
 /// Minimum units per attempt in the estimate of peers' attempts from their unreported units.
 const MIN_UNITS_PER_ATTEMPT: f64 = 0.1;
-/// Salt with which a gateway's start time, in microseconds, enters the draws for its requests, so that the
-/// draws of different gateways are independent.
+/// Salt of a gateway's start time, in microseconds, in the draws for its requests, so that the draws of
+/// different gateways are independent.
 const START_SALT: Salt = Salt::from_bit(24);
 
 /// The cause of a shortage: a limit of the customer's plan, or unknown usage.
@@ -152,10 +153,10 @@
         self.in_flight + self.remote.in_flight() + unreported_attempts
     }
 
-    /// Returns whether owners that sent no grant are presumed to be overloaded by this customer, which is
+    /// Returns whether owners that have not answered are presumed to be overloaded by this customer, which is
     /// then far over its concurrency quota.
     ///
-    /// Owners that send other messages but no grant are overloaded. A silent owner may be down, so a random
+    /// Owners that send other messages but no answer are overloaded. A silent owner may be down, so a random
     /// draw decides: the more an admission over the quota costs, the fewer requests are admitted.
     fn presumes_owners_overloaded(
         &self,
--- a/src/policy/quota/shortages/tests.rs
+++ b/src/policy/quota/shortages/tests.rs
@@ -43,9 +43,9 @@
     assert_eq!(alone.rate_wait_seconds(&plan(), 300.0, 10.0), None);
 }
 
-/// An owner that sends other messages but does not answer a request for a grant is presumed to be overloaded
-/// by this customer, whose requests are rejected. A silent owner may be down, so only a part is rejected:
-/// three of four if a request over the quota costs three times the value of one within it.
+/// An owner that sends other messages but does not answer a grant request is presumed to be overloaded by
+/// this customer, whose requests are rejected. A silent owner may be down, so only a part is rejected: three
+/// of four if a request over the quota costs three times the value of one within it.
 #[test]
 fn an_owner_that_sends_other_messages_but_no_answer_is_presumed_overloaded() {
     let grant_request = GrantRequest { requested_at: Some(NOW), ..GrantRequest::default() };
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -62,8 +62,8 @@
         let min_tokens = ownership.min_tokens(plan, customer.bucket.tokens());
         customer.bucket.settle_clamped(plan, usage.granted_units, units, min_tokens);
         if ownership.counts_grant_requests(plan) {
-            // The rate counts all requests for grants for the customer, including the sender's. Answers carry
-            // it as `remote_rate`, by which the gateways limit their requests.
+            // The rate counts all grant requests for the customer, including the sender's. Answers carry it
+            // as `remote_rate`, by which the gateways limit their grant requests.
             usage.record(now, report.total_units, 0.0);
             customer.remote.add_to_rate(f64::from(u8::from(report.requests_grant)));
         } else {
--- a/src/policy/quota/usage_report/tests.rs
+++ b/src/policy/quota/usage_report/tests.rs
@@ -98,12 +98,12 @@
     assert_eq!(granted_of(3.0), (0.0, 3.0));
 }
 
-/// In a large fleet, requests for grants for a customer with a concurrency quota can overload its owner. The
+/// In a large fleet, grant requests for a customer with a concurrency quota can overload its owner. The
 /// owner's answers then carry the rate of those requests, by which gateways limit them. Otherwise the rate is
 /// in units.
 #[test]
 fn the_rate_under_a_concurrency_quota_counts_grant_requests_in_a_large_fleet() {
-    // Eight units since the last report, and one request for a grant, over a time constant of 2 s.
+    // Eight units since the last report, and one grant request, over a time constant of 2 s.
     let rate_after = |gateway_count, plan| {
         let mut manager = manager(gateway_count);
         let customer = customer_owned(&mut manager, plan, true);
--- a/src/policy/reasons.rs
+++ b/src/policy/reasons.rs
@@ -14,7 +14,7 @@
     Shed,
     /// The customer has used its quota or its hard limit.
     OverQuota,
-    /// The quota owners granted nothing and are presumed to be overloaded by the customer.
+    /// The quota owners have not answered and are presumed to be overloaded by the customer.
     QuotaUnknown,
     /// The customer is far over its quota, and grants are not requested for each of its requests.
     GrantRequestSkipped,
--- a/src/policy/start_times.rs
+++ b/src/policy/start_times.rs
@@ -69,7 +69,8 @@
 }
 
 impl StartTimes {
-    /// Records a reading of the wall clock, by which later start times may be reported.
+    /// Records a reading of the wall clock. Start times that discovery reports later may be read from a clock
+    /// with the same offset.
     pub fn observe_clock(&mut self, now: Instant, unix_now: UnixTime) {
         self.offsets.observe(now, unix_now);
     }
--- a/tests/gateway/concurrency_quota.rs
+++ b/tests/gateway/concurrency_quota.rs
@@ -64,7 +64,7 @@
     );
 }
 
-/// A customer's quota owner does not answer, since it is overloaded with requests for grants. Admitting all
+/// A customer's quota owner does not answer, since it is overloaded with grant requests. Admitting all
 /// requests would exceed the quota while the fleet is overloaded; admitting none would lock the customer out.
 /// A random share is admitted, which is smaller the more an attempt over the quota costs.
 #[test]
@@ -92,7 +92,7 @@
     }
 }
 
-/// A quota owner that answers requests for grants for other customers, but not for this one, is probably
+/// A quota owner that answers grant requests for other customers, but not for this one, is probably
 /// overloaded by this customer, so the request is rejected. An owner that sends nothing may have failed, and
 /// the request is admitted.
 #[test]
@@ -115,7 +115,7 @@
         "no message of the quota owner was received"
     );
     harness.now += SECOND * 3;
-    // The quota owner answers a request for a grant for another of its customers.
+    // The quota owner answers a grant request for another of its customers.
     let mut other_customers = 100..;
     let grant_request = loop {
         let messages = sent_messages(
--- a/tests/gateway/load_balancing.rs
+++ b/tests/gateway/load_balancing.rs
@@ -28,9 +28,9 @@
     );
 }
 
-/// A backend has just started and can serve only a few requests, and 150 gateways don't see each other's
-/// attempts. If each sent one at once, they would overload the backend. Together they send at most six, and
-/// more once slow start is over.
+/// A backend has just started and can serve only a few requests, and 150 gateways have no record of each
+/// other's attempts. If each sent one at once, they would overload the backend. Together they send at most
+/// six, and more once slow start is over.
 #[test]
 fn slow_start_limits_the_attempts_of_a_hundred_and_fifty_gateways() {
     let (mut sent_at_once, mut sent_later) = (0, 0);
--- a/tests/gateway/rate_quota.rs
+++ b/tests/gateway/rate_quota.rs
@@ -142,7 +142,7 @@
     let after_restart = sent_for_new_customer(&mut fleet, 7);
     assert!(
         after_restart <= 3,
-        "{after_restart} of a burst of 6 at a restarted gateway, to which earlier usage is unknown"
+        "{after_restart} of a burst of 6 at a restarted gateway, where earlier usage is unknown"
     );
 }
 
