--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -168,7 +168,7 @@
         self.report_disconnects();
         sort_for_processing(ready);
         let discovery = ready.first().filter(|socket| socket.source() == Source::Discovery);
-        self.poll_discovery(discovery);
+        self.process_discovery(discovery);
         if std::mem::take(&mut self.peer_messages_pending) {
             self.receive_peer_messages();
         }
@@ -190,7 +190,7 @@
     fn process_socket(&mut self, socket: &ReadySocket) {
         let readiness = socket.readiness;
         match socket.source() {
-            Source::Discovery => {} // Already handled by `poll_discovery`.
+            Source::Discovery => {} // Already handled by `process_discovery`.
             Source::Listener => self.accept_pending = true,
             Source::Signals => self.handle_signals(),
             Source::Peers => self.receive_peer_messages(),
--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -22,7 +22,7 @@
 impl EventLoop {
     /// Applies the endpoint lists that discovery has sent, if its socket is `ready`, and runs the timer of
     /// the watch if it is due.
-    pub(super) fn poll_discovery(&mut self, ready: Option<&ReadySocket>) {
+    pub(super) fn process_discovery(&mut self, ready: Option<&ReadySocket>) {
         let (now, registry, mut lists) = (self.now, self.poll.registry(), Vec::new());
         let mut health = [PollHealth::Unchanged; 2];
         if ready.is_some() {
