--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -157,7 +157,7 @@
     }
 
     /// Returns whether an attempt at a backend would need a new connection. `now` is the exact time, not the
-    /// time of the tick.
+    /// gateway's.
     pub fn needs_connection(&self, backend: BackendId, now: Instant) -> bool {
         self.pools.get(&backend).is_some_and(|pool| self.newest_reusable(pool, now).is_none())
     }
--- a/src/bin/ingress/clients/connection.rs
+++ b/src/bin/ingress/clients/connection.rs
@@ -139,7 +139,8 @@
         !self.replies.is_empty() || !self.output.is_empty()
     }
 
-    /// Returns whether the limit on owed or unwritten replies is reached, so that no further command is parsed.
+    /// Returns whether the limit on owed or unwritten replies is reached, so that no further command is
+    /// parsed.
     pub fn is_backlogged(&self) -> bool {
         let unwritten_bytes = self.replies.ready_bytes() + self.output.unwritten();
         self.replies.len() >= MAX_PENDING_REPLIES || unwritten_bytes >= MAX_UNWRITTEN_BYTES
--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -143,8 +143,8 @@
     assert_eq!(counts, [(ClientCloseReason::LingerTimeout, 1)]);
 }
 
-/// A client connects when the limit on clients is reached, and sends nothing. No reply was owed, so that the
-/// log must not state that the client took too long to read one.
+/// A client connects when the limit on clients is reached, and sends nothing. No reply was owed, so the log
+/// must not state that the client took too long to read one.
 #[test]
 fn a_silent_client_over_the_limit_is_not_counted_as_lingering() {
     let mut fixture = Fixture::new(1 << 20);
@@ -155,9 +155,9 @@
     assert_eq!(counts, [(ClientCloseReason::OverLimitTimeout, 1)]);
 }
 
-/// Reads from a client are interrupted or fail for lack of memory up to the limit per iteration, so that the
-/// rest waits for the next one. The connection must not be closed as the longest idle one: a command may be
-/// waiting, and the client would lose it.
+/// Reads from a client are interrupted or fail for lack of memory, so its connection is queued for reading in
+/// the next iteration. Until then it must not be closed as the longest idle one: a command may be waiting, and
+/// the client would lose it.
 #[test]
 fn a_connection_queued_for_reading_is_not_closed_as_idle() {
     let mut fixture = Fixture::new(1 << 20);
--- a/src/bin/ingress/discovery/http.rs
+++ b/src/bin/ingress/discovery/http.rs
@@ -63,7 +63,7 @@
 struct Head {
     len: usize,
     framing: Framing,
-    /// Valid if no bytes follow the body.
+    /// Applies if no bytes follow the body; otherwise the connection has to be closed.
     persistence: Persistence,
 }
 
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -7,7 +7,7 @@
 
 /// Maximum time from a failed poll to the next one: 6 s, less the time that a response takes.
 const MAX_RETRY_GAP: Duration = Duration::from_secs(5);
-/// Interval of the settings within which discovery must be polled.
+/// Maximum interval between polls of discovery in the settings.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
 const START: Instant = Instant::from_micros(1_000_000_000);
 
@@ -170,9 +170,9 @@
     assert!(elapsed < Duration::from_millis(5500), "after {} us", elapsed.as_micros());
 }
 
-/// The agent on the same host repeatedly closes each connection at once. Its changes count as delivered to
-/// the ingress even so, so the retry delay must stay below the grace period of a change: otherwise a backend
-/// that is draining would receive requests for too long.
+/// The agent on the same host repeatedly closes each connection at once. Its changes nevertheless count as
+/// delivered to the ingress, so the retry delay must stay below the grace period of a change: otherwise a
+/// backend that is draining would receive requests for too long.
 #[test]
 fn retries_at_a_local_agent_are_delayed_for_less_than_a_grace_period() {
     let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
@@ -220,7 +220,7 @@
     free_at: Instant,
 }
 
-/// Time and result of the end of a poll of [`SharedDiscovery`].
+/// Time at which a poll of [`SharedDiscovery`] ends, and its result.
 struct PollEnd {
     at: Instant,
     is_answered: bool,
--- a/src/bin/ingress/event_loop.rs
+++ b/src/bin/ingress/event_loop.rs
@@ -48,11 +48,11 @@
 /// The running ingress: its sockets, gateway, requests and timers.
 pub struct EventLoop {
     poll: Poll,
-    /// The current time at full resolution, for durations shorter than a tick.
+    /// The exact time, for durations shorter than a tick.
     clock: Clock,
     /// Estimates the arrival time of the input that the poll reports.
     arrivals: ArrivalClock,
-    /// The time that is passed to the gateway.
+    /// The gateway's time, which advances by at least a tick.
     now: Instant,
     /// The minimum step of `now`.
     tick: Duration,
