--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -40,7 +40,7 @@
     pub(crate) settings: Settings,
     /// Number of gateways in the fleet, at least 1.
     pub(crate) fleet_size: u64,
-    /// Incremented for each draw; starts at the seed of the gateway.
+    /// Seed of the latest draw, incremented for each one; starts at the seed of the gateway.
     pub(crate) seed_counter: u64,
     /// Time of the latest event; never decreases.
     pub(crate) now: Instant,
@@ -63,7 +63,7 @@
     pub(crate) outlier_detector: OutlierDetector,
     /// Chooses backends for attempts.
     pub(crate) load_balancer: LoadBalancer,
-    /// Mean ratio of recent latencies to the highest normal latency.
+    /// Overload estimate: the mean ratio of recent latencies to the highest normal latency.
     pub(crate) pressure: Pressure,
     /// Selects the customers whose requests are shed.
     pub(crate) load_shedder: LoadShedder,
@@ -191,12 +191,12 @@
         }
     }
 
-    /// Returns the class of a screened request, whose class index is valid.
+    /// Returns the class of a request that passed `screen`, so that its class index is valid.
     pub(crate) fn class_of(&self, request: &Request) -> &Class {
         &self.settings.classes[usize::from(request.class)]
     }
 
-    /// Returns the plan of a screened request, whose plan index is valid.
+    /// Returns the plan of a request that passed `screen`, so that its plan index is valid.
     pub(crate) fn plan_of(&self, request: &Request) -> &Plan {
         &self.settings.plans[usize::from(request.plan)]
     }
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -25,7 +25,7 @@
 }
 
 impl Gateway {
-    /// Admits a new request, rejects it, or lets it wait for the answers of its quota owners.
+    /// Admits a new request, rejects it, or lets it wait for a grant from the quota owners of its customer.
     pub(crate) fn on_request(&mut self, mut request: Request, actions: &mut Vec<Action>) {
         if self.requests.contains(request.id) {
             return; // A duplicate delivery: the first one is answered.
@@ -54,7 +54,7 @@
         self.begin_admission(request, observed.grant, actions);
     }
 
-    /// Decides on a request that passed load shedding, or lets it wait for a grant.
+    /// Decides on a request that passed load shedding, rejects it, or lets it wait for a grant.
     fn begin_admission(&mut self, request: Request, grant: GrantStatus, actions: &mut Vec<Action>) {
         let state = RequestState { request, arrived_at: self.now, ..RequestState::default() };
         match self.decide_arrival(&request, grant) {
@@ -121,7 +121,8 @@
         context.decide()
     }
 
-    /// Returns the limits of the customer's plan that do not allow the request now.
+    /// Refills the customer's token buckets, and returns the limits of its plan that do not allow the request
+    /// now.
     fn find_shortages(&mut self, request: &Request) -> Shortages {
         let unloaded_micros = self.outlier_detector.unloaded_micros(request.class.into());
         let answer_seconds = unloaded_micros / MICROS_PER_SECOND;
@@ -136,8 +137,8 @@
         self.seed_counter
     }
 
-    /// Lets a request wait for a grant, schedules a check of the wait, and requests the grant unless the
-    /// answer to a recent request covers it.
+    /// Lets a request wait for a grant, schedules the check that repeats the grant request or ends the wait,
+    /// and requests the grant unless the answer to a recent grant request applies to it.
     fn await_grant(
         &mut self,
         request: &Request,
@@ -155,12 +156,12 @@
         }
     }
 
-    /// Returns how long a request that arrived at `arrived_at` may wait for a grant.
+    /// Returns the maximum time that a request which arrived at `arrived_at` waits for a grant.
     fn grant_wait(&self, request: &Request, arrived_at: Instant) -> Duration {
         grant_wait(arrived_at, request.deadline, self.class_of(request).latency_objective)
     }
 
-    /// Requests the grant again, or decides on the local usage counts if the owners did not answer in time.
+    /// Requests the grant again, or decides by the local usage counts if the wait has timed out.
     pub(crate) fn check_awaited_grant(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get(id) else { return };
         let customer = state.request.customer;
@@ -211,7 +212,8 @@
         }
     }
 
-    /// Rejects a request, and reports to the quota owners that its units were not used if they charged them.
+    /// Rejects a request. If the quota owners have charged its units with a grant, reports to them that the
+    /// units were not used.
     fn reject_admission(
         &mut self,
         request: &Request,
@@ -231,8 +233,7 @@
         }
     }
 
-    /// Charges an admitted request to its customer and queues it. It is sent as soon as a backend is
-    /// available.
+    /// Charges an admitted request to its customer and queues it. It is sent now if a backend is available.
     fn enqueue(&mut self, request: &Request, point: DecisionPoint, actions: &mut Vec<Action>) {
         self.load_shedder.record_admission();
         self.quota.charge(request.customer, request.units);
@@ -255,7 +256,7 @@
         }
     }
 
-    /// Returns whether the deadline of a request leaves time for the queue.
+    /// Returns whether a request has enough time until its deadline to wait in the queue.
     pub(crate) fn can_be_queued(&self, state: &RequestState, now: Instant) -> bool {
         has_time_to_wait(now, state.request.deadline, min_time_left(self.settings.tick))
     }
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -92,8 +92,8 @@
         })
     }
 
-    /// Sends a further attempt of a request if the retry policy permits one and a backend is available.
-    /// Returns whether one was sent.
+    /// Sends a further attempt of a request, a retry or hedge, if the retry policy permits one and a backend
+    /// is available. Returns whether one was sent.
     pub(crate) fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(state) = self.requests.get(id) else { return false };
         let permission = self.retry_policy.may_retry(&self.retry_context(state));
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Hedges or cancels a late attempt, and ejects a silent backend.
+    /// Hedges a late attempt or cancels it, so that its end causes a retry, and ejects a silent backend.
     fn check_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(state) = self.requests.get_mut(id).filter(|state| !state.closed && !state.streaming) else {
--- a/src/gateway/backend_health.rs
+++ b/src/gateway/backend_health.rs
@@ -8,7 +8,7 @@
 use crate::{AttemptEnded, BackendId, Gateway, Instant};
 
 impl Gateway {
-    /// Records the outcome and latency of an attempt of a class.
+    /// Records the outcome and latency of an attempt with the health of its backend.
     pub(crate) fn record_outcome(&mut self, ended: &AttemptEnded, class: usize) {
         let now = self.now;
         let Some(signal) = HealthSignal::from_outcome(ended.outcome) else { return };
@@ -57,7 +57,7 @@
         self.record_pressure(latency_ratio);
     }
 
-    /// Queues a sample of an observation for the peers, if gateways of this fleet share latency samples.
+    /// Queues a sample of an observation for the peers, if the gateways of this fleet share latency samples.
     fn queue_sample(&mut self, observation: &Observation) {
         if !self.quota.ownership().shares_latency_samples() {
             return;
--- a/src/gateway/closing.rs
+++ b/src/gateway/closing.rs
@@ -24,8 +24,8 @@
         self.close_request(id, actions);
     }
 
-    /// Appends the action that rejects a request, without closing its record. The advised retry time is
-    /// capped at the limit in the settings.
+    /// Appends the action that rejects a request, without closing its record. The advised retry time is at
+    /// most `limits.max_retry_after`, and zero if `limits.retry_after` is not set.
     pub(crate) fn push_rejection(
         &self,
         id: RequestId,
@@ -51,7 +51,7 @@
     pub(crate) fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(state) = self.requests.get_mut(id) else { return };
         state.closed = true;
-        // The attempt that streams still serves the client.
+        // A streaming attempt is not cancelled, since it still serves the client.
         if self.settings.limits.cancellation && !state.streaming {
             state.cancel_attempts(None, actions);
         }
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Refunds the units of an admitted request without a [`Action::Send`], and reports the refund to the
-    /// quota owners. A request whose attempt the host did not send stays charged.
+    /// Refunds the units of an admitted request for which no [`Action::Send`] was issued, and reports the
+    /// refund to the quota owners. A request stays charged if the host did not execute its `Send`.
     fn refund_unused(&mut self, request: &Request, actions: &mut Vec<Action>) {
         self.quota.charge(request.customer, -request.units);
         self.queue_usage_report(request.customer, ReportPurpose::Usage, actions);
--- a/src/gateway/endpoints.rs
+++ b/src/gateway/endpoints.rs
@@ -4,6 +4,7 @@
 
 impl Gateway {
     /// Applies a snapshot or delta of the endpoint list, then sends queued requests that now have a backend.
+    /// After a failed poll, schedules the next one instead.
     pub(crate) fn on_endpoints(
         &mut self,
         update: EndpointUpdate,
@@ -18,7 +19,7 @@
         self.send_queued_requests(actions);
     }
 
-    /// Requests a poll of discovery when one is due, if changes of the list are not pushed.
+    /// Requests a poll of discovery when one is due, if changes of the endpoint list are not pushed.
     pub(crate) fn poll_discovery(&mut self, actions: &mut Vec<Action>) {
         let max_interval = self.settings.rules.max_poll_interval;
         let is_polled = self.settings.discovery == Discovery::SharedService;
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Schedules the next poll earlier after a failed one.
+    /// Schedules the next poll earlier, after a failed one.
     fn on_poll_failed(&mut self) {
         let max_interval = self.settings.rules.max_poll_interval;
         self.periodic_poll.on_failure(self.now, max_interval);
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -7,8 +7,8 @@
 use crate::{Action, CustomerId, Gateway, GatewayId};
 
 impl Gateway {
-    /// Decodes a message from a peer and handles its samples and its usage reports or quota grants. Outdated
-    /// and malformed messages are ignored.
+    /// Decodes a message from a peer and handles its samples and its usage reports or quota grants. Messages
+    /// that are malformed, outdated or not from a peer are ignored.
     pub(crate) fn on_peer_message(&mut self, from: GatewayId, bytes: &[u8], actions: &mut Vec<Action>) {
         let received = match self.peers.receive(self.now, from, bytes) {
             Ok(received) => received,
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Handles the start of a peer's process: discards the reports of its earlier process, and queues one
-    /// report of each active customer whose quota the peer owns.
+    /// Handles the first message of a peer's process: discards the reports of an earlier process, and queues
+    /// one report of each active customer whose quota the peer owns.
     fn on_peer_start(&mut self, peer: u16, start: PeerStart) {
         let unreported = self.quota.on_peer_start(self.now, peer, start);
         tracing::debug!(target: "policy", peer, ?start, customers = unreported.len(), "peer started");
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Records the latency samples of a peer whose backend and class this gateway knows.
+    /// Records a peer's latency samples, except those of backends that are not ready here and of invalid
+    /// classes.
     fn record_peer_samples(&mut self, samples: &[LatencySample]) {
         for sample in samples {
             let class = usize::from(sample.class);
@@ -72,7 +73,7 @@
         reports.iter().filter_map(|report| self.quota.on_usage_report(now, from, age, report)).collect()
     }
 
-    /// Decides again on the waiting requests of a customer after an owner's answer.
+    /// Applies a quota owner's answer, and decides on the requests that wait for it.
     fn on_quota_grant(&mut self, from: u16, grant: &QuotaGrant, actions: &mut Vec<Action>) {
         let Some(answered) = self.quota.on_grant(self.now, from, grant) else { return };
         for id in answered.waiting {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Sends queued usage reports to a peer, at most one message of them.
+    /// Sends a peer one message with usage reports from its outbox.
     fn flush_outbox(&mut self, to: u16, actions: &mut Vec<Action>) {
         let Some(batch) = self.peers.next_batch(to) else { return };
         let now = self.now;
@@ -125,7 +126,8 @@
         actions.push(Action::SendToPeer { to: Some(GatewayId(to)), bytes });
     }
 
-    /// Removes outdated records of customers, and queues a report of each customer with attempts in flight.
+    /// Removes expired records of customers, and queues a report of each customer under a concurrency quota
+    /// with attempts in flight, in case an earlier report was lost.
     pub(crate) fn sweep_customers(&mut self, actions: &mut Vec<Action>) {
         for id in self.quota.sweep(self.now) {
             self.queue_usage_report(id, ReportPurpose::Usage, actions);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of a gateway: records and data structures. Decisions based on them are in `policy`.
+//! The state of a gateway: records and data structures without decisions, which are made in `policy`.
 
 mod arithmetic;
 mod backend;
--- a/src/state/arithmetic.rs
+++ b/src/state/arithmetic.rs
@@ -27,16 +27,16 @@
     ((bits ^ (bits >> 31)) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Places a number in the seed of a [`unit_draw`], to be combined by exclusive or. Draws for different
-/// numbers are independent.
+/// Shifts numbers to a fixed bit of the seed of a [`unit_draw`]. The result is combined with the seed by
+/// exclusive or, so that draws for different numbers are independent.
 #[derive(Clone, Copy)]
 pub(crate) struct Salt {
-    /// Bit of the seed at which the number begins.
+    /// Bit of the seed at which numbers begin.
     first_bit: u32,
 }
 
 impl Salt {
-    /// Creates a salt whose number begins at this bit of the seed, from 0 to 63.
+    /// Creates a salt whose numbers begin at this bit of the seed, from 0 to 63.
     pub(crate) const fn from_bit(first_bit: u32) -> Salt {
         Salt { first_bit }
     }
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -10,13 +10,13 @@
     pub endpoint: Endpoint,
     /// Capacity relative to other backends; 1 if the endpoint list gives none.
     pub size: f64,
-    /// Whether the endpoint list has it as [`Availability::Ready`](crate::Availability::Ready).
+    /// Whether the endpoint list contains it as [`Availability::Ready`](crate::Availability::Ready).
     pub ready: bool,
     /// Number of this gateway's attempts in flight.
     pub in_flight: u32,
     /// Failure rates, ejections and latencies by class.
     pub(crate) health: BackendHealth,
-    /// Number of queued requests as last reported by the backend.
+    /// Estimated number of requests in the backend's queue, from its latest report.
     pub(crate) reported_queue: ReportedQueue,
     /// Send times of attempts within the overload window.
     pub(crate) recent_sends: RecentSends,
--- a/src/state/backend_table.rs
+++ b/src/state/backend_table.rs
@@ -6,7 +6,7 @@
 use crate::{Availability, BackendId, Endpoint, GatewayId, Settings, SizeMeaning};
 use std::collections::btree_map::{BTreeMap, Entry};
 
-/// Salt of a gateway's index in the seeds that order its backends.
+/// Salt for a gateway's index in the draws that order its backends.
 const GATEWAY_SALT: Salt = Salt::from_bit(48);
 
 /// The backends of a gateway, with indexes of the ready ones.
@@ -103,8 +103,8 @@
         self.backends.get(&id).filter(|backend| backend.ready).map(|backend| backend.size)
     }
 
-    /// Updates a backend's record from its entry in the endpoint list. A new process of the backend starts
-    /// with fresh health data.
+    /// Updates a backend's record from its entry in the endpoint list. Health and reported queue are reset if
+    /// the backend's process has restarted.
     fn upsert(&mut self, endpoint: Endpoint) {
         let backend = match self.backends.entry(endpoint.backend) {
             Entry::Occupied(known) if known.get().endpoint.started_at == endpoint.started_at => {
--- a/src/state/endpoint_index/tests.rs
+++ b/src/state/endpoint_index/tests.rs
@@ -13,7 +13,8 @@
 fn index_equals_sorted_list_after_random_changes() {
     let mut random = fastrand::Rng::with_seed(7);
     for size in [0u64, 1, 3, 600, 5_000] {
-        let key = |number: u64| number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 52; // 4096 possible keys, so that many are equal
+        // With 4096 possible keys, many are equal.
+        let key = |number: u64| number.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 52;
         let mut expected: std::collections::BTreeSet<(u64, BackendId)> =
             (0..size).map(|number| (key(number), BackendId(number))).collect();
         let mut index = EndpointIndex::from_entries(expected.iter().copied().collect());
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -19,7 +19,7 @@
 /// A request from its arrival until its last attempt has ended.
 #[derive(Default)]
 pub(crate) struct RequestState {
-    /// The request as received, except for the plan, which is that of the customer's record.
+    /// The request as received, except for the plan, which is the one in the customer's record.
     pub request: Request,
     pub arrived_at: Instant,
     /// All attempts so far, indexed by their number.
