--- a/src/gossip/encoding.rs
+++ b/src/gossip/encoding.rs
@@ -88,7 +88,7 @@
         writer.finish()
     }
 
-    /// Decodes a message. Returns `None` for bytes that [`Message::encode`] cannot produce.
+    /// Decodes a message. Returns `None` if the bytes are not exactly one valid message of this version.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Message> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return None;
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -103,8 +103,8 @@
         Message { incarnation, sequence: peer.sent_messages, samples, body }.encode()
     }
 
-    /// Returns whether an answer is addressed to this process. An answer to an earlier process of this
-    /// gateway would be counted twice.
+    /// Returns whether an answer to this incarnation is addressed to this process. An answer to an earlier
+    /// process of this gateway would be counted twice.
     pub(crate) fn is_for_this_process(&self, receiver_incarnation: u32) -> bool {
         receiver_incarnation == self.incarnation
     }
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -15,25 +15,25 @@
     pub total_units: u16,
     /// Number of attempts in flight, at most 127.
     pub in_flight: u8,
-    /// Fill level of the quota's token bucket by the gateway's estimate.
+    /// Sender's estimate of the fill level of the quota's token bucket.
     pub tokens_level: TokenLevel,
-    /// Index of the first gateway of the customer's gateway set.
+    /// Index of the first gateway of the customer's gateway set, which receives the customer's requests.
     pub gateway_set_start: u16,
     /// Number of consecutive gateways in the set.
     pub gateway_set_size: u16,
     /// Whether a [`QuotaGrant`] of `requested_units` is requested.
     pub requests_grant: bool,
-    /// Units that the waiting request needs, rounded up to wire units, at most 63.75.
+    /// Units for which the grant is requested, rounded up to wire units, at most 63.75.
     pub requested_units: f64,
-    /// Whether `requested_units` of the hard limit are requested as well.
+    /// Whether the same number of units of the hard limit is requested as well.
     pub needs_hard_limit_grant: bool,
 }
 
 /// A quota owner's answer to a [`UsageReport`] that requests a grant: the customer's usage as the owner
 /// counts it.
 ///
-/// The answer has no field for granted or refused: the receiver decides by whether the tokens and the
-/// attempts in flight leave room for its request.
+/// The same type carries a grant and a refusal, without a field for the difference: the receiver decides by
+/// whether the tokens and the attempts in flight leave room for its request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct QuotaGrant {
     pub customer: CustomerId,
@@ -41,9 +41,11 @@
     pub receiver_total: u16,
     /// Units in the quota's token bucket; negative while the customer has exceeded the quota.
     pub tokens: f64,
-    /// Units per second of all gateways except the receiver. For a plan with a concurrency quota, a
-    /// designated owner sends the grant requests per second of all gateways, including the receiver, plus its
-    /// own units per second.
+    /// Units per second of all gateways except the receiver.
+    ///
+    /// A designated owner (see `QuotaOwnership`) counts grant requests instead for a plan with a concurrency
+    /// quota: the value is then the grant requests per second of all gateways, including the receiver, plus
+    /// the owner's own units per second.
     pub remote_rate: f64,
     /// Number of attempts in flight from all gateways except the receiver, at most 127.
     pub remote_in_flight: u8,
