--- a/src/action.rs
+++ b/src/action.rs
@@ -54,7 +54,7 @@
     PollDiscovery,
     /// Write a line to the log.
     ///
-    /// Used only for changes of the shedding stage, since the simulator displays the log lines of actions.
+    /// Used only for changes of the shedding stage, since the simulator displays the lines of this action.
     /// All other log lines are `tracing` events.
     Log(String),
 }
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -15,8 +15,8 @@
 
 /// Minimum time between two logged violations of a kind.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for which a backend that takes no new work is kept. It exceeds the time that an attempt waits for its
-/// connection.
+/// Time for which the record of a backend that accepts no new requests is kept. It exceeds the time that an
+/// attempt waits for its connection, so that an attempt which begins late is still checked.
 const CLOSED_BACKEND_RETENTION: Duration = Duration::from_secs(60);
 
 /// The settings on which the invariants depend.
@@ -28,7 +28,7 @@
     pub hedging: bool,
     /// Maximum number of attempts of a request.
     pub max_attempts: usize,
-    /// Time after the change during which a backend that takes no new work may still be sent attempts.
+    /// Time for which attempts may still begin at a backend after it has been listed as draining or gone.
     pub drain_grace: Duration,
 }
 
@@ -53,7 +53,7 @@
 
 impl Location {
     /// Returns whether backends at both locations share idempotency keys. `RetryScope::includes` implements
-    /// the same rule for the policy; the audit has its own copy to detect a fault in that one.
+    /// the same rule for the retry policy; the audit has its own copy to detect a fault in that one.
     fn shares_keys(self, other: Location, scope: IdempotencyScope) -> bool {
         match scope {
             IdempotencyScope::Fleet => true,
@@ -63,7 +63,7 @@
     }
 }
 
-/// A backend that takes no new work, with the time of that change.
+/// A backend that accepts no new requests (draining or gone), with the time of that change.
 struct ClosedBackend {
     backend: BackendId,
     since: Instant,
@@ -73,13 +73,13 @@
 #[derive(Default)]
 pub struct Auditor {
     rules: AuditRules,
-    /// Indexed by the discriminant of the kind.
+    /// Number of violations, indexed by the discriminant of the kind.
     counts: [u64; ViolationKind::ALL.len()],
-    /// Indexed by the discriminant of the kind; `None` before the first violation.
+    /// Time of the last logged violation, indexed by the discriminant of the kind.
     last_logged_at: [Option<Instant>; ViolationKind::ALL.len()],
     /// Locations of the listed backends.
     locations: HashMap<BackendId, Location>,
-    /// Backends that take no new work, with the time of that change.
+    /// Closed backends, which accept no new requests, with the time of that change.
     closed_since: HashMap<BackendId, Instant>,
     /// The same backends in order of that time, for their expiry.
     closing_order: VecDeque<ClosedBackend>,
@@ -118,7 +118,7 @@
         self.expire_closed_backends(now);
     }
 
-    /// Removes the backends that have taken no new work for [`CLOSED_BACKEND_RETENTION`].
+    /// Removes the records of backends that have been closed for [`CLOSED_BACKEND_RETENTION`].
     fn expire_closed_backends(&mut self, now: Instant) {
         while let Some(oldest) = self.closing_order.front() {
             if oldest.since + CLOSED_BACKEND_RETENTION > now {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Returns whether a backend has taken no new work for longer than the grace period.
+    /// Returns whether a backend has been closed for longer than the grace period.
     fn is_closed(&self, backend: BackendId, now: Instant) -> bool {
         let since = self.closed_since.get(&backend);
         since.is_some_and(|since| now > *since + self.rules.drain_grace)
--- a/src/audit/request.rs
+++ b/src/audit/request.rs
@@ -33,7 +33,7 @@
     location: Option<Location>,
 }
 
-/// Records the attempts and answers of one request and returns their violations.
+/// Records the attempts and answers of one request and returns the invariants that they violate.
 pub struct RequestAudit {
     idempotency: Idempotency,
     /// End of the client's timeout.
--- a/src/audit/violation.rs
+++ b/src/audit/violation.rs
@@ -29,7 +29,7 @@
     TimeOverstated,
     /// The end of an attempt was reported that was not in flight (A8).
     UnexpectedEnd,
-    /// An attempt began at a backend that takes no new work (B1).
+    /// An attempt began at a backend that accepts no new requests (B1).
     ClosedBackend,
 }
 
--- a/src/event.rs
+++ b/src/event.rs
@@ -43,16 +43,16 @@
     pub plan: u16,
     /// Customer whose quota the request uses.
     pub customer: CustomerId,
-    /// Time by which the gateway has to answer: the client's deadline, less the host's reserve for the
-    /// delivery of the reply.
+    /// Time by which the gateway has to answer: the client's deadline less the time that the host reserves
+    /// for the delivery of the reply.
     pub deadline: Instant,
     /// Units charged to the customer's quota.
     pub units: f64,
-    /// Number of gateways that receive the customer's requests. The simulator sends fractions; the ingress
-    /// reads integers.
+    /// Number of gateways that receive the customer's requests: its gateway set. An integer in the ingress;
+    /// the simulator also sends fractions.
     pub gateway_set_size: f64,
-    /// Index of the first of these gateways, possibly a fraction like the number. The others have the
-    /// following indices, and gateway 0 follows the last one.
+    /// Index of the first gateway of the set; the simulator also sends fractions. The others have the
+    /// following indices, where gateway 0 follows the last gateway of the fleet.
     pub gateway_set_start: f64,
 }
 
--- a/src/identifiers.rs
+++ b/src/identifiers.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct RequestId(pub u64);
 
-/// Identifies a backend. The value has no further meaning.
+/// Identifies a backend. The number has no further meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct BackendId(pub u64);
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -46,14 +46,14 @@
     /// Multiple of a request's own processing time that the deployment adds to its latency objective; 0 for
     /// none.
     ///
-    /// The processing time is unknown to a gateway. It applies the objective alone, and lets no attempt of a
-    /// class with a stretch expire before its deadline.
+    /// The processing time is unknown to a gateway. It applies the latency objective without the stretch,
+    /// and lets no attempt of a class with a stretch expire before its deadline.
     pub latency_objective_stretch: f64,
     /// Maximum time that a client waits, including its own retries.
     pub deadline: Duration,
-    /// Share of the priority weight that an answer after the objective earns.
+    /// Share of the priority weight that an answer after the latency objective earns.
     pub late_weight: f64,
-    /// Condition for executing a request again.
+    /// Condition for sending a request again after an attempt that may have been executed.
     pub idempotency: Idempotency,
     /// Whether answers are streamed.
     pub streaming: bool,
@@ -80,10 +80,7 @@
 
 /// Limits and permissions of the deployment.
 #[derive(Clone, Debug, Default)]
-#[expect(
-    clippy::struct_excessive_bools,
-    reason = "permissions that the settings give independently of each other"
-)]
+#[expect(clippy::struct_excessive_bools, reason = "each permission is a setting of its own")]
 pub struct Limits {
     /// Maximum number of attempts for a request.
     pub max_attempts: u32,
@@ -93,11 +90,11 @@
     pub cancellation: bool,
     /// Whether gateways may send messages to each other.
     pub peer_messages: bool,
-    /// Maximum number of messages that a gateway receives per second.
+    /// Maximum number of peer messages that a gateway receives per second.
     pub peer_messages_per_second: f64,
-    /// Whether rejections may state the time after which to retry.
+    /// Whether rejections may advise the client of a time after which to retry.
     pub retry_after: bool,
-    /// Maximum retry time that clients respect.
+    /// Maximum advised time that clients respect.
     pub max_retry_after: Duration,
     /// Maximum number of requests in progress: open ones, and closed ones with an attempt still in flight.
     pub max_open_requests: u32,
@@ -108,8 +105,8 @@
 /// Parameters of the rules for backends and discovery.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
-    /// Time for which a draining backend may be sent new work after the change was delivered. The load
-    /// balancer sends it none; only the audit uses this time.
+    /// Time after the change to draining was delivered for which the backend may still be sent attempts. The
+    /// load balancer sends it none; only the audit uses this time.
     pub drain_grace: Duration,
     /// Minimum share of its capacity that a backend has at its start.
     pub slow_start_floor: f64,
@@ -117,7 +114,7 @@
     pub slow_start_duration: Duration,
     /// Load, as a multiple of its capacity, above which a backend in slow start fails.
     pub overload_factor: f64,
-    /// Time over which that load is measured.
+    /// Time over which the load is measured for `overload_factor`.
     pub overload_window: Duration,
     /// Maximum time between two polls of discovery, where changes are not pushed.
     pub max_poll_interval: Duration,
@@ -129,7 +126,7 @@
 /// [`PollTimings`](crate::discovery_schedule::PollTimings).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Discovery {
-    /// An agent on the same host, which receives each change at once. In the simulator it pushes changes
+    /// An agent on the same machine, which receives each change at once. In the simulator it pushes changes
     /// without polls.
     #[default]
     LocalAgent,
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -36,12 +36,12 @@
 const CLASSES: &str = "grades";
 /// Path of the list of plans.
 const PLANS: &str = "contracts";
-/// Maximum of settings stored in 32 bits.
+/// Maximum of the settings that are stored in 32 bits.
 const MAX_U32: u64 = u32::MAX as u64;
 /// Highest zone number.
 const MAX_ZONE: u64 = u8::MAX as u64;
 
-/// The type of a value that is only checked.
+/// Type of a value that is checked but not used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ValueKind {
     /// A finite, non-negative number.
@@ -55,10 +55,10 @@
 /// Key of a class's priority weight, which is not used. A configuration in which it is missing or invalid is
 /// rejected nevertheless.
 const UNUSED_CLASS_KEY: (&str, ValueKind) = ("worth", ValueKind::Number);
-/// Keys of a plan that are checked but not used.
+/// Keys of a plan whose values are checked but not used.
 const UNUSED_PLAN_KEYS: [(&str, ValueKind); 2] =
     [("ceiling_slack", ValueKind::Number), ("over_worth", ValueKind::Number)];
-/// Keys outside the lists that are checked but not used.
+/// Paths outside the lists whose values are checked but not used.
 const UNUSED_KEYS: [(&str, ValueKind); 4] = [
     ("limits.may_probe", ValueKind::Flag),
     ("family_info.has_counter", ValueKind::Flag),
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of classes, plans or gateways.
 pub const MAX_COUNT: u64 = 65_535;
-/// Maximum duration of a setting, so that sums of several durations do not overflow.
+/// Maximum of a duration, so that sums of several durations do not overflow.
 const MAX_MICROS: u64 = u64::MAX >> 12;
 
 /// Unparsed values by path, such as `limits.max_open`.
--- a/src/time.rs
+++ b/src/time.rs
@@ -45,7 +45,7 @@
         Instant(self.0.saturating_add(duration.0))
     }
 
-    /// Returns the index of the period that contains this point, if consecutive periods start at the origin
+    /// Returns the index of the period that contains this point, where the first period starts at the origin
     /// of the clock.
     ///
     /// # Panics
@@ -92,9 +92,9 @@
 }
 
 impl Duration {
-    /// The empty duration.
+    /// A duration of 0 µs.
     pub const ZERO: Duration = Duration(0);
-    /// The shortest non-zero duration.
+    /// A duration of 1 µs, the shortest one that is not zero.
     pub const MICROSECOND: Duration = Duration(1);
     /// The longest duration, used for limits that never apply.
     pub const MAX: Duration = Duration(u64::MAX);
@@ -115,7 +115,7 @@
     }
 
     /// Creates a duration from seconds, truncated to whole microseconds. The result is zero for negative
-    /// numbers and NaN, and [`Duration::MAX`] for numbers out of range.
+    /// numbers and NaN, and [`Duration::MAX`] for numbers that are too large.
     pub fn from_secs_f64(seconds: f64) -> Duration {
         Duration((seconds * MICROS_PER_SECOND as f64) as u64)
     }
@@ -125,7 +125,7 @@
         self.0
     }
 
-    /// Returns the number of microseconds for floating-point arithmetic.
+    /// Returns the number of microseconds as a floating-point number.
     pub const fn as_micros_f64(self) -> f64 {
         self.0 as f64
     }
@@ -155,12 +155,12 @@
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// Returns whether the duration is empty.
+    /// Returns `true` if the duration spans no time.
     pub const fn is_zero(self) -> bool {
         self.0 == 0
     }
 
-    /// Multiplies by a factor and truncates to whole microseconds. The result is zero for a negative factor.
+    /// Returns the product with a factor, truncated to whole microseconds; zero for a negative factor or NaN.
     #[must_use]
     pub fn mul_f64(self, factor: f64) -> Duration {
         Duration((self.0 as f64 * factor) as u64)
