--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -31,7 +31,7 @@
     /// Writing a reply failed.
     #[error("cannot write a reply: {0}")]
     WriteReply(#[source] io::Error),
-    /// The length in a batch's header is too short for the records.
+    /// The length in a batch's header is too short for the number of records in the header.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// A record of a batch is malformed.
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,6 +1,7 @@
 //! Adapter between the simulator's wire protocol and the library.
 //!
-//! It only translates batches of events into calls of gateways, and their actions into replies.
+//! It translates batches of events into calls of gateways, and their actions into replies. It makes no
+//! decisions of its own.
 
 mod error;
 mod input;
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -12,16 +12,15 @@
 pub const RECORD_SIZE: usize = 48;
 /// Length of an endpoint in the tail, in bytes.
 const ENDPOINT_SIZE: usize = 24;
-/// Length of the version of an endpoint list, between its kind and its rows, in bytes. The version is
-/// ignored.
+/// Length in bytes of the version of an endpoint list, which follows its kind and is ignored.
 const ENDPOINT_UPDATE_SKIPPED: usize = 8;
-/// Length of the backend, before the outcome of a health check, in bytes.
+/// Offset of the outcome in the fields of a health check, after the backend's identifier.
 const HEALTH_CHECK_OUTCOME_OFFSET: usize = BACKEND_ID_SIZE;
-/// Length of the counter's name, before the outcome of a call to the shared counter, in bytes.
+/// Offset of the outcome in the fields of a call to the shared counter, after the counter's name.
 const COUNTER_OUTCOME_OFFSET: usize = size_of::<u64>();
 /// Maximum number of values in a load report on the wire.
 const MAX_REPORT_VALUES: usize = 4;
-/// Length of a customer's metered usage in bytes, which is ignored.
+/// Length in bytes of a customer's metered usage, which is ignored.
 const METERED_USE_SIZE: usize = size_of::<u16>();
 
 /// Codes of records, each documented with its name on the wire.
@@ -71,7 +70,7 @@
         /// Settings in lines of the form `path=value`.
         settings: &'a str,
     },
-    /// The simulated process was killed.
+    /// The instance has to be stopped, because the simulated process was killed.
     Stop,
     /// An event has to be passed to the instance.
     Event(Event),
@@ -249,7 +248,7 @@
     }
 }
 
-/// Reads a load report, a count and that number of values, and returns the queue depth in it.
+/// Reads a load report (a count and that number of values), and returns the queue depth in it.
 fn queue_depth(fields: &mut FieldReader, report_fields: &[LoadReportField]) -> Option<f64> {
     let count = usize::from(fields.u8()).min(MAX_REPORT_VALUES);
     let mut queue_depth = None;
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -9,9 +9,9 @@
 pub const REPLY_HEADER_SIZE: usize = 12;
 /// Length of an action's record in bytes.
 pub const ACTION_SIZE: usize = 32;
-/// Receiver of messages to all peers.
+/// Receiver's index that stands for all peers.
 const ALL_PEERS: GatewayId = GatewayId(u16::MAX);
-/// Flag of a call to discovery that subscribes rather than unsubscribes.
+/// Value of the only field of `Listen`: subscribe to discovery, rather than unsubscribe.
 const SUBSCRIBE: u8 = 1;
 
 /// Codes of actions, each documented with its name on the wire.
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Encodes an event for instance 1, with the given bytes at the given offsets.
+/// Encodes the record of an event for instance 1, with the given bytes at the given offsets.
 fn event_record(code: u8, parts: &[(usize, &[u8])]) -> [u8; RECORD_SIZE] {
     let mut record = [0; RECORD_SIZE];
     (record[0], record[1]) = (code, 1);
