--- a/tests/decision_digest/deployment.rs
+++ b/tests/decision_digest/deployment.rs
@@ -25,7 +25,7 @@
 pub const THREE_HUNDRED: FleetSize =
     FleetSize { gateway_count: 300, live_gateways: 6, backends: 300, peer_messages_per_second: 60.0 };
 
-/// The deployment of a fleet; each fleet runs in both.
+/// Deployment of a fleet. Each fleet runs in both deployments.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Deployment {
     /// With hedging, a pushed endpoint list and backends of equal size.
--- a/tests/decision_digest/digest.rs
+++ b/tests/decision_digest/digest.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Rounds a duration to milliseconds. It was computed with `exp`, whose last bit differs between
-    /// processors.
+    /// Rounds a duration that was computed with `exp` to milliseconds, since the last bit of `exp` differs
+    /// between processors.
     fn rounded(span: Duration) -> u64 {
         (span + MILLISECOND / 2).as_millis()
     }
--- a/tests/ingress/requests.rs
+++ b/tests/ingress/requests.rs
@@ -18,8 +18,8 @@
     format!("n{}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// Sends requests in pairs until one reaches the wanted backend, and returns its reply. Single requests might
-/// all be sent to the backend that replied first.
+/// Sends requests in pairs until one reaches the wanted backend, and returns its reply. Sequential requests
+/// might all be sent to the backend that replied first.
 pub fn reply_from(ingress: &IngressProcess, class: &str, wanted: &Backend) -> String {
     let (mut client, commands_before) = (ingress.client(), wanted.command_count());
     for _ in 0..200 {
--- a/tests/system_call_faults.rs
+++ b/tests/system_call_faults.rs
@@ -65,7 +65,7 @@
 }
 
 /// Steps the ingress's wall clock and then adds a backend whose start time was read from the stepped clock.
-/// Returns the number of requests that it receives beside a backend that has run for long.
+/// Returns the number of requests that it receives beside a backend that has run for a long time.
 fn requests_at_restarted_backend(step_ms: i64, batches: usize) -> usize {
     let step_at = Duration::from_millis(500);
     let working =
