--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -159,7 +159,7 @@
     /// Returns whether an attempt at a backend would need a new connection. `now` is the exact time, not the
     /// gateway's.
     pub fn needs_connection(&self, backend: BackendId, now: Instant) -> bool {
-        self.pools.get(&backend).is_some_and(|pool| self.newest_reusable(pool, now).is_none())
+        self.pools.get(&backend).is_some_and(|pool| self.most_recent_reusable(pool, now).is_none())
     }
 
     /// Returns the maximum time that a connection may be idle.
@@ -168,7 +168,7 @@
     }
 
     /// Returns the index in a pool of the most recently used idle connection that may be reused.
-    fn newest_reusable(&self, pool: &Pool, now: Instant) -> Option<usize> {
+    fn most_recent_reusable(&self, pool: &Pool, now: Instant) -> Option<usize> {
         let limits = ReuseLimits { min_idle_time: MIN_IDLE_TIME, max_idle_time: self.max_idle_time() };
         let idle_time = |key: usize| now.duration_since(self.connections[key].idle_since);
         pool.idle.iter().rposition(|key| may_reuse_connection(idle_time(*key), limits).is_ok())
@@ -192,7 +192,7 @@
     /// key. Connections that turn out to be unusable are closed.
     fn take_idle(&mut self, backend: BackendId, now: Instant) -> Option<usize> {
         loop {
-            let position = self.newest_reusable(self.pools.get(&backend)?, now)?;
+            let position = self.most_recent_reusable(self.pools.get(&backend)?, now)?;
             let key = self.pools.get_mut(&backend)?.idle.remove(position);
             let connection = &mut self.connections[key];
             if connection.probe_is_usable() {
