--- a/src/bin/ingress/backends/exchange.rs
+++ b/src/bin/ingress/backends/exchange.rs
@@ -13,8 +13,8 @@
 use ingress::{BackendId, Duration, Instant, Outcome};
 use mio::Registry;
 
-/// Maximum size of a reply. The parser's own limits are far lower; this one bounds the bytes read per
-/// iteration of the event loop in any case.
+/// Maximum size of a reply, in bytes. The parser's own limits are far lower; this one bounds the bytes read
+/// per iteration of the event loop independently of the parser.
 const MAX_REPLY_BYTES: usize = 256 * 1024;
 /// A reused connection that fails within this time after an attempt is assigned counts as stale.
 const IMMEDIATE_FAILURE_THRESHOLD: Duration = Duration::from_millis(10);
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -173,8 +173,8 @@
 
     /// Closes an idle connection, unless a command has arrived in the meantime.
     ///
-    /// A request in the socket's buffer would be lost with the connection: the client would get a close in
-    /// place of a reply. So the buffer is read to its end just before the close.
+    /// A request in the socket's buffer would be lost with the connection, and the client would receive no
+    /// reply. So the buffer is read to its end just before the close.
     fn close_if_still_idle(&mut self, key: usize, now: Instant, reason: ClientCloseReason) {
         self.read(key, now);
         if self.connections.get(key).is_some_and(ClientConnection::is_idle) {
--- a/src/bin/ingress/clients/reply_queue.rs
+++ b/src/bin/ingress/clients/reply_queue.rs
@@ -1,4 +1,5 @@
-//! Orders the replies of a connection by their requests, whatever the order in which they become available.
+//! Keeps the replies of a connection in the order of its requests, regardless of the order in which they
+//! become available.
 
 use ingress::RequestId;
 use std::collections::VecDeque;
--- a/src/bin/ingress/discovery/endpoint_list.rs
+++ b/src/bin/ingress/discovery/endpoint_list.rs
@@ -30,8 +30,8 @@
 pub struct EndpointEntry {
     /// The gateway's representation of the backend, without its start time.
     pub endpoint: Endpoint,
-    /// Start time of the backend's process, by the wall clock of the machine that recorded it. Zero stands
-    /// for long ago.
+    /// Start time of the backend's process, by the wall clock of the machine that recorded it. Zero means
+    /// long ago.
     pub started_at: UnixTime,
     /// The address to connect to; always present unless the backend was removed.
     pub address: Option<SocketAddr>,
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -529,8 +529,8 @@
 }
 
 /// Discovery responds before it has received the whole request. If the next request were written after the
-/// partial one, discovery could not parse it and the watch would wait in vain, so the next poll uses a new
-/// connection.
+/// partial one, discovery could not parse it and the watch would wait until its timeout, so the next poll
+/// uses a new connection.
 #[test]
 fn a_connection_with_a_partly_written_request_is_not_reused() {
     let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -20,8 +20,8 @@
 const ACCEPT_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which the idle time of the listener is checked.
 pub const ACCEPTING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum time between closing the listener and the reply deadline: a request on a later connection could
-/// hardly be served.
+/// Minimum time between closing the listener and the reply deadline: a request on a later connection would
+/// rarely be served in time.
 const ACCEPTING_END_MARGIN: Duration = Duration::from_millis(500);
 /// Maximum time, while draining, for the rest of an incomplete command to arrive.
 const INCOMPLETE_COMMAND_TIME: Duration = Duration::from_secs(1);
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -192,7 +192,7 @@
         ClientInFlight { client, commands }
     }
 
-    /// Polls, without running an iteration, until the ready sockets fulfil a condition.
+    /// Polls, without running an iteration, until the ready sockets satisfy a condition.
     fn poll_until(&mut self, condition: impl Fn(&[ReadySocket]) -> bool) -> Vec<ReadySocket> {
         let (mut events, mut ready) = (Events::with_capacity(1024), Vec::new());
         for _ in 0..10_000 {
@@ -205,7 +205,7 @@
         panic!("the expected sockets did not become ready: {ready:?}");
     }
 
-    /// Runs iterations, without advancing the clock, until a condition is fulfilled.
+    /// Runs iterations, without advancing the clock, until a condition is satisfied.
     fn iterate_until(&mut self, what: &str, mut condition: impl FnMut(&mut Testbed) -> bool) {
         for _ in 0..10_000 {
             if condition(self) {
--- a/src/bin/ingress/logging/tests.rs
+++ b/src/bin/ingress/logging/tests.rs
@@ -66,7 +66,7 @@
 }
 
 /// The log is a pipe that is not read. The event loop must not wait for space in it, which would block all
-/// clients for good; further lines are dropped instead.
+/// clients permanently; further lines are dropped instead.
 #[test]
 fn a_blocked_log_drops_lines_without_blocking_the_writer() {
     let ((reached, is_reached), (release, released)) = (channel(), channel());
