--- a/fleet-experiments/src/experiment_file.rs
+++ b/fleet-experiments/src/experiment_file.rs
@@ -1,6 +1,6 @@
-//! Experiment files: TOML, one table for each experiment to run, all under one seed.
+//! Experiment files in TOML: a seed, and one table for each experiment to run.
 //!
-//! Former names of tables and keys are read too.
+//! Former names of tables and keys are accepted as aliases.
 
 use crate::experiment::{Environment, Experiment, Parameter};
 use crate::experiments::discovery_outage::DiscoveryOutageExperiment;
@@ -16,92 +16,92 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// The largest size that a file may have: beyond it a run would not end within hours, or not fit in memory.
+/// Maximum value of a parameter. Larger values would make a run take hours or exhaust the memory.
 const MAX_VALUE: u64 = 1_000_000;
 
-/// Why an experiment file cannot be used; the text is one line that names key and reason.
+/// Reason why an experiment file is rejected. The message is one line with the key and the cause.
 #[derive(Debug, Error)]
 pub enum ExperimentFileError {
     /// The file cannot be read.
-    #[error("cannot read: {0}")]
+    #[error("cannot read the experiment file: {0}")]
     Read(#[from] std::io::Error),
-    /// The text is not TOML.
+    /// The file is not valid TOML.
     #[error("{0}")]
     Syntax(String),
     /// A key is missing or unknown, or its value is of the wrong type.
     #[error("{0}")]
     Key(String),
-    /// The file has no table of an experiment.
+    /// The file has no table of a known experiment.
     #[error(
-        "no experiment: one of endpoint_list, request, quota, discovery, slow_start, ingress_endpoint_list, \
-         ingress_restart, ingress_latency is wanted"
+        "no experiment: at least one table of endpoint_list, request, quota, discovery, slow_start, \
+         ingress_endpoint_list, ingress_restart, ingress_latency is required"
     )]
     NoExperiment,
-    /// A list of sizes has none.
-    #[error("{experiment}.{key}: is empty")]
+    /// The list of values under a key has no elements.
+    #[error("{experiment}.{key}: the list is empty")]
     Empty {
-        /// The experiment's table.
+        /// Name of the experiment's table.
         experiment: &'static str,
-        /// The key of the list.
+        /// Key of the list.
         key: &'static str,
     },
-    /// A size is too small or too large.
-    #[error("{experiment}.{key}: {value} is not from 1 to {MAX_VALUE}")]
+    /// A value is too small or too large.
+    #[error("{experiment}.{key}: {value} is outside the range 1 to {MAX_VALUE}")]
     OutOfRange {
-        /// The experiment's table.
+        /// Name of the experiment's table.
         experiment: &'static str,
-        /// The key of the size.
+        /// Key of the value.
         key: &'static str,
-        /// The size.
+        /// Rejected value.
         value: f64,
     },
 }
 
-/// An experiment file.
+/// Contents of an experiment file. Experiments without a table are not run.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExperimentFile {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Updates of the endpoint list in the library.
+    /// Cost of updates of the endpoint list in the library.
     #[serde(alias = "list")]
     pub endpoint_list: Option<EndpointListExperiment>,
-    /// Requests through the library, by backends, customers and ingresses.
+    /// Cost of a request in the library, by number of backends, customers and ingresses.
     pub request: Option<RequestCostExperiment>,
-    /// Quota messages, by ingresses and rates.
+    /// Number of quota messages, by number of ingresses and request rate.
     pub quota: Option<QuotaMessagesExperiment>,
-    /// Polls of a shared discovery through an outage and a mass restart.
+    /// Load on a shared discovery service after an outage and a mass restart.
     pub discovery: Option<DiscoveryOutageExperiment>,
-    /// Slow start of backends under the load of a fleet.
+    /// Load on backends in slow start.
     #[serde(alias = "cold")]
     pub slow_start: Option<SlowStartExperiment>,
-    /// The endpoint list at a real ingress.
+    /// Cost of the endpoint list in a real ingress.
     #[serde(alias = "real_list")]
     pub ingress_endpoint_list: Option<IngressEndpointListExperiment>,
-    /// Restart of most of a fleet of real ingresses, and a new configuration for all.
+    /// Restart of most of a fleet of real ingresses, then a new configuration for all of them.
     #[serde(alias = "real_restart")]
     pub ingress_restart: Option<IngressRestartExperiment>,
-    /// Latency that a real ingress adds.
+    /// Latency that a real ingress adds to a request.
     #[serde(alias = "real_added")]
     pub ingress_latency: Option<IngressLatencyExperiment>,
 }
 
 impl ExperimentFile {
-    /// Reads a file and checks its experiments.
+    /// Reads an experiment file and validates it.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, or for the reasons of [`parse`](Self::parse).
+    /// If the file cannot be read, or for the reasons given at [`parse`](Self::parse).
     pub fn read(path: &Path) -> Result<ExperimentFile, ExperimentFileError> {
         Self::parse(&std::fs::read_to_string(path)?)
     }
 
-    /// Parses the text of a file and checks its experiments.
+    /// Parses the text of an experiment file and validates it.
     ///
     /// # Errors
     ///
-    /// If the text is not TOML, a key is unknown or has a value of another type, there is no experiment, or a
-    /// list of sizes is empty or has one out of range.
+    /// If the text is not valid TOML, a key is unknown or has a value of another type, there is no
+    /// experiment, or a parameter has no value or one out of range.
     pub fn parse(text: &str) -> Result<ExperimentFile, ExperimentFileError> {
         let table: toml::Table = text
             .parse()
@@ -114,7 +114,7 @@
         Ok(file)
     }
 
-    /// The experiments of the file, in the order in which they run.
+    /// Returns the experiments of the file in the order in which they run.
     pub fn experiments(&self) -> Vec<&dyn Experiment> {
         let tables = [
             as_experiment(self.endpoint_list.as_ref()),
@@ -129,7 +129,7 @@
         tables.into_iter().flatten().collect()
     }
 
-    /// Checks that there is something to run, and that every size can be run.
+    /// Checks that there is at least one experiment, and that all parameters are valid.
     fn check(&self) -> Result<(), ExperimentFileError> {
         let experiments = self.experiments();
         if experiments.is_empty() {
@@ -143,11 +143,11 @@
         Ok(())
     }
 
-    /// Runs the experiments. `ingress_program` is the program of a real ingress.
+    /// Runs the experiments. `ingress_program` is the program that experiments on real processes start.
     ///
     /// # Errors
     ///
-    /// If an experiment fails; those after it are not run.
+    /// If an experiment fails. The experiments after it are not run.
     pub fn run(&self, ingress_program: &Path, report: &mut Report) -> anyhow::Result<()> {
         let environment = Environment { seed: self.seed, ingress_program };
         for experiment in self.experiments() {
@@ -157,12 +157,12 @@
     }
 }
 
-/// The experiment of a table, if the file has it.
+/// Converts the table of an experiment, if the file has it, to a trait object.
 fn as_experiment<E: Experiment>(table: Option<&E>) -> Option<&dyn Experiment> {
     table.map(|experiment| experiment as &dyn Experiment)
 }
 
-/// Checks that there are sizes, each from 1 to [`MAX_VALUE`].
+/// Checks that a parameter has values, each from 1 to [`MAX_VALUE`].
 fn check_parameter(experiment: &'static str, parameter: &Parameter) -> Result<(), ExperimentFileError> {
     let key = parameter.key;
     if parameter.values.is_empty() {
@@ -175,7 +175,7 @@
     }
 }
 
-/// The text with each run of blanks and line breaks as one blank.
+/// Replaces each run of white space, including line breaks, by one space.
 fn one_line(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
--- a/fleet-experiments/src/experiments.rs
+++ b/fleet-experiments/src/experiments.rs
@@ -1,4 +1,4 @@
-//! The experiments, a module each: those on the library under a simulated clock, then those on real
+//! One module for each experiment: first those on the library under a simulated clock, then those on real
 //! processes.
 
 pub mod discovery_outage;
--- a/fleet-experiments/src/fit.rs
+++ b/fleet-experiments/src/fit.rs
@@ -1,48 +1,49 @@
-//! Fits: straight lines through the points of a file of results, and how far off they are.
+//! Fits straight lines to the points of a file of results, and reports their largest relative error.
 
 use anyhow::Context;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The fewest points that a line is drawn through.
+/// Minimum number of points for a fit.
 const MIN_POINTS: usize = 4;
-/// Sizes whose spread is below this share of their square sum count as one size.
+/// Minimum ratio of the variance of the sizes to their mean square. Below it the sizes count as equal, and
+/// no line is fitted.
 const MIN_RELATIVE_SPREAD: f64 = 1e-9;
 
-/// A point: a size, and the value that was measured at it.
+/// A value that was measured at a size.
 #[derive(Clone, Copy, Debug)]
 pub struct Point {
-    /// The size.
+    /// Value of the parameter that is varied.
     pub size: f64,
-    /// The value.
+    /// Result of the measurement.
     pub value: f64,
 }
 
-/// A straight line through points, by least squares of the relative errors: sizes lie decades apart, and the
-/// smallest would else count for nothing.
+/// Straight line fitted by least squares of the relative errors. Sizes span several decades, and absolute
+/// errors would give the smallest ones no influence.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// The value at size 0.
+    /// Value at size 0.
     pub intercept: f64,
-    /// Growth of the value for each one of the size.
+    /// Increase of the value per unit of size.
     pub slope: f64,
-    /// The largest distance of a point from the line, as a share of the point.
+    /// Largest relative error among the points.
     pub max_relative_error: f64,
 }
 
 impl Line {
-    /// The value of the line at a size.
+    /// Returns the value of the line at a size.
     fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
 
-/// The line through points; none with fewer than two sizes, or with a value that is not positive.
+/// Fits a line; `None` if all points have the same size, or a value is not positive.
 pub fn fit_line(points: &[Point]) -> Option<Line> {
     if points.iter().any(|point| point.value <= 0.0) {
         return None;
     }
-    // Relative errors: each point weighs one by the square of its value.
+    // Weighting by the inverse square of the value minimizes relative errors.
     let sum = |term: &dyn Fn(&Point) -> f64| {
         points.iter().map(|point| term(point) / (point.value * point.value)).sum::<f64>()
     };
@@ -62,19 +63,19 @@
     Some(line)
 }
 
-/// Values of an experiment that are fitted by one of its sizes.
+/// Values of an experiment that are fitted by one of its parameters.
 struct Fit {
-    /// The experiment.
+    /// Name of the experiment.
     experiment: &'static str,
-    /// The key of the size.
+    /// Key of the parameter that is varied.
     size: &'static str,
-    /// The keys that have to be equal among the points of one line.
+    /// Keys whose values must be equal among the points of one line.
     group_by: &'static [&'static str],
-    /// The keys of the values.
+    /// Keys of the fitted values.
     values: &'static [&'static str],
 }
 
-/// All that is fitted.
+/// All fits that are made of a file of results.
 const FITS: [Fit; 6] = [
     Fit {
         experiment: "endpoint_list",
@@ -109,15 +110,15 @@
     },
 ];
 
-/// A name in results, and the name that earlier results have for it.
+/// Renamed experiment or key.
 struct FormerName {
-    /// The present name.
+    /// Name in current results.
     current: &'static str,
-    /// The former name.
+    /// Name in results written before the rename.
     former: &'static str,
 }
 
-/// The names in [`FITS`] that were renamed.
+/// Names used in [`FITS`] that have changed.
 const FORMER_NAMES: [FormerName; 6] = [
     FormerName { current: "endpoint_list", former: "list" },
     FormerName { current: "ingress_endpoint_list", former: "real_list" },
@@ -127,12 +128,12 @@
     FormerName { current: "peak_memory_bytes", former: "memory_most" },
 ];
 
-/// The former name of a present one.
+/// Returns the former name of an experiment or key, if it was renamed.
 fn former_name(current: &str) -> Option<&'static str> {
     FORMER_NAMES.iter().find(|name| name.current == current).map(|name| name.former)
 }
 
-/// A value of a point, by its present or its former name.
+/// Returns the value under a key of a point, or under the key's former name.
 fn value<'a>(point: &'a Value, key: &str) -> &'a Value {
     match former_name(key) {
         Some(former) if point.get(key).is_none() => &point[former],
@@ -140,21 +141,22 @@
     }
 }
 
-/// Whether a line of results is of this experiment, by its present or its former name.
+/// Returns whether a result belongs to an experiment, by its current or former name.
 fn is_from_experiment(result: &Value, experiment: &str) -> bool {
     let name = result["experiment"].as_str();
     name == Some(experiment) || name.is_some() && name == former_name(experiment)
 }
 
-/// Fits lines through the points of a file of results, and describes each in a line of text.
+/// Fits lines to the points of a file of results, and returns a one-line description of each.
 ///
 /// # Errors
 ///
-/// If a line is not JSON.
+/// If a line of the text is not valid JSON.
 pub fn fit_results(text: &str) -> anyhow::Result<Vec<String>> {
     let mut results = Vec::new();
     for (index, line) in text.lines().enumerate() {
-        let result = serde_json::from_str::<Value>(line).with_context(|| format!("line {}", index + 1))?;
+        let result = serde_json::from_str::<Value>(line)
+            .with_context(|| format!("line {} is not valid JSON", index + 1))?;
         results.push(result);
     }
     let mut descriptions = Vec::new();
@@ -168,7 +170,7 @@
     Ok(descriptions)
 }
 
-/// The points of a value, grouped by what has to be equal among the points of one line.
+/// Groups the points of one value by the keys that must be equal among the points of one line.
 fn groups(results: &[Value], fit: &Fit, key: &str) -> BTreeMap<String, Vec<Point>> {
     let mut groups: BTreeMap<String, Vec<Point>> = BTreeMap::new();
     for result in results.iter().filter(|result| is_from_experiment(result, fit.experiment)) {
@@ -182,7 +184,7 @@
     groups
 }
 
-/// Describes the line through the points of a group; none if there are too few, or no line fits.
+/// Describes the line through a group of points; `None` if there are too few points, or no line fits.
 fn describe(fit: &Fit, key: &str, group: &str, points: &[Point]) -> Option<String> {
     let count = points.len();
     let Line { intercept, slope, max_relative_error } = fit_line(points).filter(|_| count >= MIN_POINTS)?;
--- a/fleet-experiments/src/lib.rs
+++ b/fleet-experiments/src/lib.rs
@@ -1,9 +1,9 @@
-//! Experiments on a fleet of ingresses at sizes that no single machine holds: simulated ingresses (the
-//! library under a simulated clock) against models of backends, network, discovery and clients; and, for
-//! what only sockets show, real `ingress` processes on loopback.
+//! Experiments on fleets of ingresses that are larger than one machine can run. Most of them drive the
+//! `ingress` library under a simulated clock, against models of backends, network, discovery and clients.
+//! Those whose results depend on sockets or processes run real `ingress` processes on loopback.
 //!
-//! [`experiment_file`] reads which experiments to run, [`experiments`] has them, and [`report`] takes their
-//! results, through which [`fit`] draws lines.
+//! [`experiment_file`] reads the experiments to run, [`experiments`] implements them, [`report`] writes
+//! their results, and [`fit`] fits straight lines to the results.
 
 pub mod client;
 pub mod experiment;
--- a/fleet-experiments/src/main.rs
+++ b/fleet-experiments/src/main.rs
@@ -1,5 +1,5 @@
-//! The command line: runs the experiments of a file and writes their results as lines of JSON, or draws
-//! straight lines through such results.
+//! Command line of the fleet experiments: runs the experiments of a file and writes their results as JSON
+//! lines, or fits straight lines to such results.
 
 use anyhow::Context;
 use clap::{Parser, Subcommand};
@@ -7,35 +7,35 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The exit status for an experiment file that cannot be used.
+/// Exit status for an experiment file that is unreadable or invalid.
 const INVALID_EXPERIMENT_FILE: u8 = 2;
 
 /// Runs experiments on a fleet of ingresses.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// What to do.
+    /// Subcommand to run.
     #[command(subcommand)]
     command: Command,
 }
 
-/// What the program does.
+/// Subcommands of the program.
 #[derive(Subcommand)]
 enum Command {
     /// Runs the experiments of a file.
     Run {
-        /// The experiment file (TOML); see fleet-experiments/experiments.
+        /// Experiment file (TOML); see fleet-experiments/experiments.
         experiment: PathBuf,
-        /// Where results go, a line of JSON each; standard output without it.
+        /// Output file for the results, one JSON object per line; standard output by default.
         #[arg(short, long)]
         out: Option<PathBuf>,
-        /// The program of a real ingress, for experiments on sockets.
+        /// Ingress program that the experiments on real processes start.
         #[arg(long, default_value = "target/release/ingress")]
         ingress: PathBuf,
     },
-    /// Prints straight lines through the points of a file of results.
+    /// Fits straight lines to the points of a file of results and prints them.
     Fit {
-        /// What `run` wrote.
+        /// File of results that `run` has written.
         results: PathBuf,
     },
 }
@@ -55,7 +55,8 @@
     }
 }
 
-/// Success, or a line on standard error about the file that was worked on.
+/// Returns the exit status for a result. Prints an error to standard error, after the path of the input
+/// file.
 fn exit_code(path: &Path, result: anyhow::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -66,15 +67,15 @@
     }
 }
 
-/// Runs the experiments of a file.
+/// Runs the experiments of a file and writes their results to `out`, or to standard output.
 fn run(file: &ExperimentFile, out: Option<&Path>, ingress_program: &Path) -> anyhow::Result<()> {
     let mut report = Report::create(out, file.seed)?;
     file.run(ingress_program, &mut report)
 }
 
-/// Prints the lines through a file of results.
+/// Prints the lines that fit a file of results.
 fn print_fits(results: &Path) -> anyhow::Result<()> {
-    let text = std::fs::read_to_string(results).context("cannot read")?;
+    let text = std::fs::read_to_string(results).context("cannot read the results")?;
     for line in fit::fit_results(&text)? {
         println!("{line}");
     }
--- a/fleet-experiments/src/units.rs
+++ b/fleet-experiments/src/units.rs
@@ -1,4 +1,4 @@
-//! Units that measurements are converted to.
+//! Conversion factors between units of time.
 
 /// Nanoseconds in a microsecond.
 pub const NANOS_PER_MICRO: f64 = 1e3;
--- a/fleet-experiments/tests/experiments.rs
+++ b/fleet-experiments/tests/experiments.rs
@@ -141,9 +141,12 @@
         ),
         (
             "seed = 1\n[endpoint_list]\nbackends = []\ningresses = 3\nchanges = 1",
-            "endpoint_list.backends: is empty",
+            "endpoint_list.backends: the list is empty",
+        ),
+        (
+            "seed = 1\n[list]\nbackends = []\ningresses = 3\nchanges = 1",
+            "endpoint_list.backends: the list is empty",
         ),
-        ("seed = 1\n[list]\nbackends = []\ningresses = 3\nchanges = 1", "endpoint_list.backends: is empty"),
         (
             "seed = 1\n[endpoint_list]\nbackends = [5, \"many\"]\ningresses = 3\nchanges = 1",
             "endpoint_list.backends[1]",
