--- a/fleet-experiments/src/client.rs
+++ b/fleet-experiments/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients of real ingresses: connections that send one request after another.
+//! Clients of real ingresses. Each connection has at most one request in flight.
 
 use stand_ins::request::{encode_request, Customer, RequestClass};
 use stand_ins::resp::{parse_reply, Reply};
@@ -9,26 +9,24 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How long a client waits for an answer.
+/// Maximum time that a client waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
-/// The pause of a client between an answer and its next request.
+/// Pause between an answer and the next request of a client.
 const THINK_TIME: Duration = Duration::from_millis(2);
-/// The plan of all customers.
+/// Plan of all customers.
 const PLAN: &str = "starter";
-/// The timeout that each request states, in milliseconds.
+/// Timeout stated in each request, in milliseconds.
 const TIMEOUT_MS: u64 = 2000;
-/// The longest answer that a client reads.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_SIZE: usize = 4096;
 
-/// A connection of one customer.
+/// Connection that sends the requests of one customer.
 pub struct Client {
-    /// The connection, with one request in flight at most.
     stream: TcpStream,
-    /// The customer of all requests.
     customer: u64,
-    /// Requests sent so far.
+    /// Number of requests sent, from which request ids are formed.
     requests: u64,
-    /// The bytes of an answer that were received.
+    /// Received part of an answer.
     buffer: [u8; MAX_ANSWER_SIZE],
 }
 
@@ -45,11 +43,11 @@
         Ok(Client { stream, customer, requests: 0, buffer: [0; MAX_ANSWER_SIZE] })
     }
 
-    /// Sends a request and reads the answer; true if it is a value.
+    /// Sends a request and reads its answer. Returns whether the answer is a value.
     ///
     /// # Errors
     ///
-    /// If the connection fails, or ends or times out before the answer is complete.
+    /// If the connection fails, closes or times out before the answer is complete.
     pub fn request(&mut self) -> Result<bool> {
         let id = format!("c{}x{}", self.customer, self.requests);
         self.requests += 1;
@@ -68,16 +66,16 @@
     }
 }
 
-/// Clients that send requests all the time, a thread each.
+/// Clients that send requests continuously, each in a thread of its own.
 pub struct BackgroundLoad {
-    /// All clients are to stop.
+    /// Tells all clients to stop.
     stop: Arc<AtomicBool>,
-    /// Each returns how many of its requests were served.
+    /// Client threads, each of which returns the number of its served requests.
     clients: Vec<JoinHandle<u64>>,
 }
 
 impl BackgroundLoad {
-    /// Starts clients, spread over the addresses.
+    /// Starts clients, distributed over the addresses in turn.
     ///
     /// # Errors
     ///
@@ -93,14 +91,14 @@
         Ok(load)
     }
 
-    /// Stops all clients; how many requests were served.
+    /// Stops all clients and returns the number of served requests.
     pub fn stop(self) -> u64 {
         self.stop.store(true, Ordering::Relaxed);
         self.clients.into_iter().filter_map(|client| client.join().ok()).sum()
     }
 }
 
-/// Sends requests until the client is to stop, or its connection fails; how many were served.
+/// Sends requests until `stop` is set or the connection fails. Returns the number of served requests.
 fn send_until(stop: &AtomicBool, mut client: Client) -> u64 {
     let mut served = 0;
     while !stop.load(Ordering::Relaxed) {
--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -1,5 +1,4 @@
-//! Real ingresses on loopback, each with a configuration of its own, that are killed when their handles are
-//! dropped.
+//! Real ingress processes on loopback, each with its own configuration.
 
 mod config;
 
@@ -16,23 +15,24 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The most ingresses that may be started.
+/// Maximum number of ingress processes.
 const MAX_PROCESSES: u64 = 400;
-/// The memory that is estimated for each.
+/// Estimated memory of an ingress process, in bytes.
 const MEMORY_PER_PROCESS: u64 = 16 << 20;
-/// How long an ingress may take to answer a PING.
+/// Maximum time for the answer to a PING.
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
-/// The time between two pings of an ingress that is not ready yet.
+/// Interval between two PINGs of an ingress that is not ready.
 const PING_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Checks that so many ingresses may be started here: a few hundred, in half of the machine's memory.
+/// Checks that this machine can run a number of ingresses: at most a few hundred, in at most half of its
+/// memory.
 ///
 /// # Errors
 ///
-/// If there are too many processes, too little memory for them, or `/proc/meminfo` cannot be read.
+/// If there are too many processes, too little memory is available, or `/proc/meminfo` cannot be read.
 pub fn check_capacity(processes: u64) -> anyhow::Result<()> {
     if processes > MAX_PROCESSES {
-        bail!("{processes} processes are more than {MAX_PROCESSES}");
+        bail!("cannot run {processes} ingresses: the maximum is {MAX_PROCESSES}");
     }
     let meminfo = std::fs::read_to_string("/proc/meminfo").context("cannot read /proc/meminfo")?;
     let needed = processes * MEMORY_PER_PROCESS;
@@ -40,27 +40,28 @@
     let free = procfs::bytes(&meminfo, "MemAvailable");
     let available = (total / 2).min(free);
     if needed > available {
-        bail!("{processes} processes want {} MB, and {} MB are free for them", needed >> 20, available >> 20);
+        bail!(
+            "{processes} ingresses need {} MB of memory, but only {} MB are available",
+            needed >> 20,
+            available >> 20
+        );
     }
     Ok(())
 }
 
-/// A running ingress; it is killed when the handle is dropped.
+/// A running ingress process, which is killed when the handle is dropped.
 pub struct IngressProcess {
-    /// Where it listens.
+    /// Address that the ingress listens at.
     pub address: SocketAddr,
-    /// When it was started.
+    /// Time of the last start.
     pub started_at: Instant,
-    /// The process.
     child: Child,
-    /// Its configuration.
     config_file: ConfigFile,
-    /// The program that it runs.
     program: PathBuf,
 }
 
 impl IngressProcess {
-    /// Starts an ingress at a port of its own.
+    /// Starts an ingress at a free port.
     ///
     /// # Errors
     ///
@@ -70,7 +71,7 @@
         let file_name = format!("fleet-experiments-{}-{}.json", std::process::id(), address.port());
         let file = std::env::temp_dir().join(file_name);
         let config_file = ConfigFile::create(&file, &config.to_json(address))
-            .with_context(|| format!("cannot write {}", file.display()))?;
+            .with_context(|| format!("cannot write the configuration file {}", file.display()))?;
         let child = Self::spawn(program, config_file.path())?;
         let program = program.to_path_buf();
         Ok(IngressProcess { address, started_at: Instant::now(), child, config_file, program })
@@ -84,11 +85,11 @@
         command.spawn().with_context(|| format!("cannot start {}", program.display()))
     }
 
-    /// Kills it and restarts it, at the same address.
+    /// Kills the process and restarts it at the same address.
     ///
     /// # Errors
     ///
-    /// If the process cannot be killed, or the program cannot be started.
+    /// If the process cannot be killed or started again.
     pub fn restart(&mut self) -> anyhow::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
@@ -97,25 +98,25 @@
         Ok(())
     }
 
-    /// Writes another configuration and has the ingress reload it.
+    /// Replaces the configuration file and makes the ingress reload it.
     ///
     /// # Errors
     ///
-    /// If the configuration cannot be written, or the process cannot be signalled.
+    /// If the configuration cannot be written, or the signal cannot be sent.
     pub fn reconfigure(&self, config: &IngressConfig) -> anyhow::Result<()> {
         self.config_file.replace(&config.to_json(self.address))?;
         let process = self.child.id();
         if !Command::new("kill").args(["-HUP", &process.to_string()]).status()?.success() {
-            bail!("cannot signal process {process}");
+            bail!("cannot send SIGHUP to process {process}");
         }
         Ok(())
     }
 
-    /// Waits until it answers a ping; the time since its start.
+    /// Waits until the ingress answers a PING, and returns the time since its start.
     ///
     /// # Errors
     ///
-    /// If the ingress does not answer before the timeout.
+    /// If the ingress does not answer within `timeout` from its start.
     pub fn wait_until_ready(&self, timeout: Duration) -> anyhow::Result<Duration> {
         while self.started_at.elapsed() < timeout {
             if self.answers_ping() {
@@ -123,30 +124,30 @@
             }
             std::thread::sleep(PING_INTERVAL);
         }
-        bail!("the ingress at {} was not ready in {timeout:?}", self.address)
+        bail!("the ingress at {} was not ready within {timeout:?}", self.address)
     }
 
-    /// Whether it answers a PING on a connection of its own.
+    /// Returns whether the ingress answers a PING on a new connection.
     pub fn answers_ping(&self) -> bool {
         ping(self.address, PING_TIMEOUT).unwrap_or(false)
     }
 
-    /// Whether it still runs.
+    /// Returns whether the process is still running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// The memory that it takes.
+    /// Returns the current and the peak resident memory of the process.
     pub fn memory(&self) -> ProcessMemory {
         procfs::memory(self.child.id())
     }
 
-    /// The processor time that it has used, in seconds; the system counts in hundredths.
+    /// Returns the processor time that the process has used, in seconds, with a resolution of 10 ms.
     pub fn cpu_seconds(&self) -> f64 {
         procfs::cpu_seconds(self.child.id())
     }
 
-    /// Kills it; returns its log.
+    /// Kills the process and returns its log.
     pub fn kill_and_read_log(mut self) -> String {
         let _ = self.child.kill();
         let mut log = String::new();
--- a/fleet-experiments/src/ingress_process/config.rs
+++ b/fleet-experiments/src/ingress_process/config.rs
@@ -1,23 +1,23 @@
-//! The configuration of a real ingress.
+//! Configuration of a real ingress process.
 
 use crate::simulation::ZONES;
 use crate::stand_in::discovery::{list_json, ListKind};
 use std::net::SocketAddr;
 
-/// Added to an ingress's number for its seed, so that no seed is 0.
+/// Added to the number of an ingress to get its seed, so that no seed is 0.
 const SEED_OFFSET: u64 = 7;
 
-/// How an ingress learns of endpoints.
+/// Source of an ingress's endpoint updates.
 #[derive(Clone, Copy, Debug)]
 pub enum DiscoveryMode {
-    /// From an agent of its own, which notifies it.
+    /// An agent on the same host, which receives all changes itself.
     Push,
-    /// From a service that all ingresses poll.
+    /// A discovery service that all ingresses poll.
     Poll,
 }
 
 impl DiscoveryMode {
-    /// Its name in a configuration.
+    /// Returns the value of `membership_mode` in the settings.
     fn name(self) -> &'static str {
         match self {
             DiscoveryMode::Push => "push",
@@ -26,34 +26,34 @@
     }
 }
 
-/// The endpoint list that an ingress starts with.
+/// Endpoint list in the configuration of an ingress, used until discovery answers.
 #[derive(Clone, Debug)]
 pub struct InitialList {
-    /// Its version.
+    /// Version that the ingress states in its first poll.
     pub version: u64,
-    /// Its endpoints, as [`endpoint_json`](crate::stand_in::discovery::endpoint_json) has them.
+    /// Entries encoded by [`endpoint_json`](crate::stand_in::discovery::endpoint_json).
     pub endpoints: Vec<String>,
 }
 
-/// How an ingress is configured.
+/// Configuration of one ingress of a fleet.
 #[derive(Clone, Debug)]
 pub struct IngressConfig {
-    /// Its number in the fleet.
+    /// Number of the ingress in the fleet, from 0.
     pub number: u64,
-    /// How many ingresses the fleet has by its settings.
+    /// Number of ingresses that the settings state for the fleet.
     pub fleet_size: u64,
-    /// Where it finds discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// How it learns of endpoints.
+    /// Source of endpoint updates.
     pub mode: DiscoveryMode,
-    /// The endpoint list that it starts with.
+    /// Endpoint list used until discovery answers.
     pub initial_list: InitialList,
-    /// Its limit on memory, in MB.
+    /// Memory limit, in MB.
     pub memory_mb: u64,
 }
 
 impl IngressConfig {
-    /// The text of its configuration file.
+    /// Returns the text of the configuration file.
     pub fn to_json(&self, listen: SocketAddr) -> String {
         let IngressConfig { number, fleet_size, discovery, memory_mb, .. } = self;
         let initial_list =
--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -1,4 +1,4 @@
-//! What the simulations share: the simulated clock, settings, endpoint lists and random draws.
+//! Settings, endpoint lists and random draws that the simulations share.
 
 mod event_queue;
 
@@ -10,23 +10,23 @@
 };
 use std::ops::Range;
 
-/// When the simulated clock starts.
+/// Start of the simulated clock.
 pub const START: Instant = Instant::from_micros(1_000_000_000_000);
-/// A second.
+/// One second.
 pub const SECOND: Duration = Duration::from_secs(1);
-/// Zones of the fleet that the ingress is designed for.
+/// Number of zones in the fleet.
 pub const ZONES: u64 = 18;
-/// Clients abandon a request after this time.
+/// Time after which clients abandon a request.
 pub const REQUEST_DEADLINE: Duration = Duration::from_secs(3);
-/// How long backends take to answer: drawn from this range.
+/// Range from which the service time of a backend is drawn.
 pub const SERVICE_TIME: Range<Duration> = Duration::from_millis(60)..Duration::from_millis(160);
-/// When the first timer of a simulated ingress is due, from the start: drawn from this range.
+/// Range from which the delay of a simulated ingress's first timer is drawn.
 pub const FIRST_TIMER_DELAY: Range<Duration> = Duration::MICROSECOND..Duration::from_millis(20);
-/// Multiplier that spreads the backends' numbers over all identifiers: 2^64 by the golden ratio.
+/// Multiplier that spreads backend numbers over the identifier space: 2^64 divided by the golden ratio.
 const IDENTIFIER_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The settings of one ingress among `ingresses`, like those of the given site except for quotas that reject
-/// nobody.
+/// Returns the settings of ingress `number` in a fleet of `ingresses`: those of the target site, but with a
+/// quota that rejects no request.
 pub fn ingress_settings(ingresses: u16, number: u16) -> Settings {
     Settings {
         gateway_count: ingresses,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The only class of requests.
+/// Returns the class of all requests.
 fn class() -> Class {
     Class {
         latency_objective: SECOND,
@@ -69,7 +69,7 @@
     }
 }
 
-/// The only plan: no customer reaches its quota.
+/// Returns the plan of all customers, with a quota that none of them reaches.
 fn unlimited_plan() -> Plan {
     Plan {
         rate: 1e6,
@@ -82,7 +82,8 @@
     }
 }
 
-/// An endpoint of the list, in the zone that its number gives; without `started_at` it started long ago.
+/// Returns an entry of the endpoint list, in the zone derived from its number. An endpoint without
+/// `started_at` is past its slow start.
 pub fn endpoint(number: u64, availability: Availability, started_at: Option<Instant>) -> Endpoint {
     Endpoint {
         backend: BackendId(number.wrapping_mul(IDENTIFIER_MULTIPLIER)),
@@ -95,12 +96,12 @@
     }
 }
 
-/// A list of ready endpoints that started long ago.
+/// Returns a list of ready endpoints that are past their slow start.
 pub fn ready_endpoints(count: u64) -> Vec<Endpoint> {
     (0..count).map(|number| endpoint(number, Availability::Ready, None)).collect()
 }
 
-/// The end of an attempt that was served and whose answer went to the client.
+/// Returns the event of an attempt that succeeded and whose answer was sent to the client.
 pub fn attempt_served(id: RequestId, attempt: u16, backend: BackendId, elapsed: Duration) -> Event {
     Event::AttemptEnded(AttemptEnded {
         id,
@@ -114,12 +115,12 @@
     })
 }
 
-/// The time until the next arrival of a Poisson stream of `rate` a second.
+/// Draws the time to the next arrival of a Poisson process with `rate` arrivals per second.
 pub fn poisson_interval(random: &mut fastrand::Rng, rate: f64) -> Duration {
     Duration::from_secs_f64(-(1.0 - random.f64()).ln() / rate) + Duration::MICROSECOND
 }
 
-/// A span drawn from a range.
+/// Draws a duration from a range.
 pub fn draw_duration(random: &mut fastrand::Rng, range: Range<Duration>) -> Duration {
     Duration::from_micros(random.u64(range.start.as_micros()..range.end.as_micros()))
 }
--- a/fleet-experiments/src/simulation/event_queue.rs
+++ b/fleet-experiments/src/simulation/event_queue.rs
@@ -1,16 +1,16 @@
-//! The event queue of a simulation.
+//! Event queue of a discrete-event simulation.
 
 use ingress::Instant;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Events in the order of their times; those of one time in the order in which they were scheduled.
+/// Priority queue of events by time. Events of the same time keep the order in which they were scheduled.
 pub struct EventQueue<T> {
-    /// Time and serial number of each event, the earliest first.
+    /// Time and serial number of each event, earliest first.
     order: BinaryHeap<Reverse<(Instant, u64)>>,
-    /// The events by serial number, so that they need not be ordered themselves.
+    /// Events by serial number, kept apart from `order` so that `T` need not be `Ord`.
     events: HashMap<u64, T>,
-    /// The last serial number.
+    /// Serial number of the event scheduled last.
     serial: u64,
 }
 
@@ -21,14 +21,14 @@
 }
 
 impl<T> EventQueue<T> {
-    /// Adds an event.
+    /// Adds an event that occurs at a given time.
     pub fn schedule(&mut self, at: Instant, event: T) {
         self.serial += 1;
         self.order.push(Reverse((at, self.serial)));
         self.events.insert(self.serial, event);
     }
 
-    /// Takes the next event, with its time.
+    /// Removes the earliest event and returns it with its time.
     pub fn pop(&mut self) -> Option<(Instant, T)> {
         let Reverse((at, serial)) = self.order.pop()?;
         self.events.remove(&serial).map(|event| (at, event))
--- a/fleet-experiments/src/stand_in.rs
+++ b/fleet-experiments/src/stand_in.rs
@@ -1,4 +1,5 @@
-//! Stand-ins on loopback for what real ingresses talk to; the protocols are those of the `stand-ins` library.
+//! Stand-ins on loopback for the backends and the discovery service of real ingresses. The `stand-ins`
+//! library implements their protocols.
 
 pub mod backend;
 pub mod discovery;
--- a/fleet-experiments/src/stand_in/backend.rs
+++ b/fleet-experiments/src/stand_in/backend.rs
@@ -7,14 +7,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a backend takes for a request.
+/// Time that a backend takes to answer a request.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// The position of the request's id among the words of a command.
+/// Index of the request id among the words of a command.
 const ID_POSITION: usize = 2;
-/// The bytes that are read at once.
+/// Maximum number of bytes per read.
 const CHUNK_SIZE: usize = 4096;
 
-/// Starts a backend that serves for as long as the process lives; returns where it listens.
+/// Starts a backend that serves until the process exits, and returns its address.
 ///
 /// # Errors
 ///
@@ -24,7 +24,7 @@
     Ok(serve(listen()?, answer_all)?)
 }
 
-/// Answers the commands of a connection until its end.
+/// Answers the commands of a connection until it is closed.
 fn answer_commands(mut stream: TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut received = Vec::new();
--- a/fleet-experiments/src/stand_in/discovery.rs
+++ b/fleet-experiments/src/stand_in/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery that answers long polls from the versions that it was given, and records when which poll came.
+//! Discovery service that answers long polls with published versions of the endpoint list, and records the
+//! arrival times of polls.
 
 pub use stand_ins::endpoint::{list_json, EndpointStatus, ListKind};
 
@@ -12,7 +13,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The JSON of one endpoint in a list, in the zone that its number gives.
+/// Returns the JSON of an entry of the endpoint list, in the zone derived from its number.
 pub fn endpoint_json(number: u64, address: SocketAddr, status: EndpointStatus) -> String {
     let cell = number % ZONES;
     let name = format!("s-{number:08x}");
@@ -29,39 +30,38 @@
     entry.to_json()
 }
 
-/// A version of the list: the snapshot for the first, what changed for each next one.
+/// Version of the endpoint list: a snapshot if it is the first one, otherwise the changes since the previous
+/// one.
 struct Version {
-    /// Its number; later versions have larger ones.
+    /// Version number, which increases with each version.
     number: u64,
-    /// The body of the answer that has it.
+    /// Response body.
     body: String,
 }
 
-/// The versions that discovery has, and the polls that it got.
+/// Published versions and received polls.
 #[derive(Default)]
 struct State {
-    /// All versions, the oldest first.
+    /// Published versions, oldest first.
     versions: Vec<Version>,
-    /// When polls arrived, by the version that they had; `None` stands for polls of the snapshot.
+    /// Arrival times of polls by the version stated in them; `None` for polls of the snapshot.
     polls: HashMap<Option<u64>, Vec<Instant>>,
 }
 
-/// The state that a discovery's connections share.
+/// State that all connections to the service share.
 #[derive(Default)]
 struct SharedState {
-    /// The state itself.
     state: Mutex<State>,
-    /// A version or a poll was added.
+    /// Signals a new version or poll.
     changed: Condvar,
 }
 
 impl SharedState {
-    /// The state, for one thread at a time.
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no thread panics with the lock")
+        self.state.lock().expect("no thread panics while it holds the lock")
     }
 
-    /// Waits for a change, at most until `end`; none if the time is over.
+    /// Waits for a version or poll until `end`; returns `None` if `end` has passed.
     fn wait_for_change<'a>(
         &self,
         state: MutexGuard<'a, State>,
@@ -71,10 +71,10 @@
         if left.is_zero() {
             return None;
         }
-        Some(self.changed.wait_timeout(state, left).expect("no thread panics with the lock").0)
+        Some(self.changed.wait_timeout(state, left).expect("no thread panics while it holds the lock").0)
     }
 
-    /// Records a poll, and waits for its answer.
+    /// Records a poll, waits for a newer version, and returns the response body.
     fn answer(&self, poll: Poll) -> String {
         let end = poll.deadline();
         let mut state = self.lock();
@@ -93,22 +93,23 @@
     }
 }
 
-/// The answer to a poll that nothing is newer for; an empty snapshot if there is none yet.
+/// Returns the response body for a poll that timed out: a list without entries, of the version stated in the
+/// poll.
 fn unchanged_list(poll: Poll) -> String {
     let kind = if poll.since.is_none() { ListKind::Snapshot } else { ListKind::Delta };
     list_json(poll.since.unwrap_or(1), kind, &[])
 }
 
-/// Discovery that answers all polls from what was published, and records when which poll came.
+/// Handle of a running discovery service.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address that the service listens at.
     pub address: SocketAddr,
-    /// What its connections share.
     shared: Arc<SharedState>,
 }
 
 impl Discovery {
-    /// Listens at a port of its own, with the version 1 of an empty list.
+    /// Starts a service at a free port. Polls of the snapshot get an empty list of version 1 until a version
+    /// is published.
     ///
     /// # Errors
     ///
@@ -123,18 +124,19 @@
         Ok(Discovery { address, shared })
     }
 
-    /// Adds a version of the list; its body is from [`list_json`].
+    /// Publishes a version of the list, whose body [`list_json`] has encoded.
     pub fn publish(&self, version: u64, body: String) {
         self.shared.lock().versions.push(Version { number: version, body });
         self.shared.changed.notify_all();
     }
 
-    /// When polls for what is newer than `since` arrived, or polls for the snapshot.
+    /// Returns the arrival times of polls for versions newer than `since`, or of polls of the snapshot.
     pub fn polls(&self, since: Option<u64>) -> Vec<Instant> {
         self.shared.lock().polls.get(&since).cloned().unwrap_or_default()
     }
 
-    /// Waits until `count` polls for what is newer than `since` have arrived; false if they did not in time.
+    /// Waits until `count` polls for versions newer than `since` have arrived. Returns `false` after the
+    /// timeout.
     pub fn wait_for_polls(&self, since: Option<u64>, count: usize, timeout: Duration) -> bool {
         let end = Instant::now() + timeout;
         let mut state = self.shared.lock();
@@ -148,8 +150,8 @@
     }
 }
 
-/// Answers the polls of a connection until its end. A body is not copied for its response: it may have many
-/// megabytes.
+/// Answers the polls of a connection until it is closed. Writes the body without copying it into the
+/// response, since a list may have many megabytes.
 fn answer_polls(mut stream: TcpStream, state: &SharedState) -> std::io::Result<()> {
     while let Some(head) = read_head(&mut stream, || true) {
         let Ok(poll) = Poll::parse(&head) else { break };
