--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -1,4 +1,5 @@
-//! Polls of a shared discovery through an outage and a mass restart, where discovery serves so many a second.
+//! Load on a shared discovery service after an outage and a mass restart, with a limited rate at which the
+//! service answers polls.
 
 use crate::experiment::{Environment, Experiment, Parameter};
 use crate::report::Report;
@@ -8,84 +9,83 @@
 use ingress::{Duration, Instant};
 use serde::{Deserialize, Serialize};
 
-/// How long a poll may wait in the queue of discovery until it is rejected. Discovery works on it all the
-/// same.
+/// Time in the queue of the discovery service after which a poll is rejected. The service processes a
+/// rejected poll all the same.
 const MAX_QUEUEING: Duration = Duration::from_secs(2);
-/// How long before the end of the outage killed ingresses restart.
+/// Time from the restart of killed ingresses to the end of the outage.
 const RESTART_LEAD: Duration = Duration::from_secs(2);
-/// How long the fleet is observed after the outage.
+/// Time for which the fleet is observed after the outage.
 const OBSERVATION_TIME: Duration = Duration::from_secs(60);
-/// The interval of the settings within which ingresses poll discovery.
+/// Setting for the interval within which ingresses must poll discovery.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Parameter of the fleet, and how strong discovery is.
+/// Sizes of the fleet, capacities of the discovery service, and the extent of the outage.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryOutageExperiment {
-    /// Ingresses in the fleet.
+    /// Number of ingresses in the fleet.
     pub ingresses: Vec<u64>,
-    /// Seconds in which discovery serves a poll of each ingress.
+    /// Time in which the discovery service can answer one poll of each ingress, in seconds.
     #[serde(alias = "round_s")]
     pub fleet_poll_s: Vec<f64>,
-    /// How many of ten ingresses are killed during the outage.
+    /// Number of ingresses in ten that are killed during the outage.
     #[serde(alias = "killed")]
     pub killed_of_ten: u64,
-    /// For how many seconds discovery is down.
+    /// Duration of the outage, in seconds.
     #[serde(alias = "down_s")]
     pub outage_s: u64,
 }
 
-/// A fleet, and the outage of its discovery.
+/// A fleet, the capacity of its discovery service, and the extent of the outage.
 #[derive(Clone, Debug)]
 pub struct Outage {
-    /// Ingresses in the fleet.
+    /// Number of ingresses in the fleet.
     pub ingresses: u64,
-    /// How long discovery works on a poll, in microseconds.
+    /// Time that the discovery service needs for a poll, in microseconds.
     pub poll_service_time_us: f64,
-    /// How many of ten ingresses are killed during the outage.
+    /// Number of ingresses in ten that are killed during the outage.
     pub killed_of_ten: u64,
-    /// For how long discovery is down.
+    /// Duration of the outage.
     pub duration: Duration,
     /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// How a fleet recovered from an outage.
+/// Polls and recovery times of a fleet after an outage.
 #[derive(Clone, Debug, Default)]
 pub struct Recovery {
-    /// Polls that reached discovery after its return.
+    /// Polls that reached the discovery service after the outage.
     pub polls: u64,
-    /// Those of them that were rejected for their time in the queue.
+    /// Polls rejected because they waited too long in the queue.
     pub rejected_polls: u64,
-    /// The longest time in which an ingress without an answer made no poll after the return (or its own
-    /// start).
+    /// Longest interval without a poll of an ingress that had not received an answer, counted from its
+    /// previous poll or the end of the outage, whichever is later.
     pub longest_gap: Duration,
-    /// Time from the return to the first answer, the median over all ingresses.
+    /// Median time from the end of the outage to the first answer to an ingress.
     pub median: Duration,
-    /// The same, the 95th percentile.
+    /// 95th percentile of that time.
     pub p95: Duration,
-    /// The same, the last; none if some ingress had no answer within a minute.
+    /// Maximum of that time; `None` if an ingress received no answer within a minute.
     pub last: Option<Duration>,
 }
 
-/// How a fleet recovered from an outage: times in seconds.
+/// Result for one fleet size and one capacity of the discovery service.
 #[derive(Debug, Serialize)]
 struct Point {
-    /// Ingresses in the fleet.
     ingresses: u64,
-    /// Seconds in which discovery serves a poll of each ingress.
+    /// Time in which the discovery service can answer one poll of each ingress.
     fleet_poll_s: f64,
-    /// Polls that reached discovery after its return.
+    /// Polls that reached the discovery service after the outage.
     polls: u64,
-    /// Those of them that were rejected.
+    /// Polls rejected because they waited too long in the queue.
     rejected_polls: u64,
-    /// The longest time without a poll of an ingress that had no answer.
+    /// Longest interval without a poll of an ingress that had not received an answer.
     longest_gap_s: f64,
-    /// Time from the return to the first answer, the median over all ingresses.
+    /// Median time from the end of the outage to the first answer to an ingress.
     median_s: f64,
-    /// The same, the 95th percentile.
+    /// 95th percentile of that time.
     p95_s: f64,
-    /// The same, the last; none if some ingress had no answer within a minute.
+    /// Maximum of that time; `None` if an ingress received no answer within a minute.
     last_s: Option<f64>,
 }
 
@@ -136,41 +136,37 @@
     }
 }
 
-/// Simulates a fleet whose watches all end as discovery goes down; it rejects polls at once until it is back.
-/// Ingresses that were killed restart shortly before that. The first polls of all are spread as their
-/// settings say.
+/// Simulates a fleet whose watches all end when the outage begins. During the outage the discovery service
+/// rejects polls at once. Killed ingresses restart shortly before its end. The first poll of each ingress is
+/// delayed by the spread of its poll schedule.
 pub fn simulate(outage: &Outage) -> Recovery {
     Simulation::new(outage).run()
 }
 
-/// An ingress without an endpoint list, as discovery sees it.
+/// Simulated ingress without an endpoint list, which polls the discovery service until it is answered.
 struct Poller {
-    /// When it polls.
     schedule: PollSchedule,
-    /// When it polled last; none before its first poll.
+    /// Time of the last poll; `None` before the first one.
     last_poll_at: Option<Instant>,
 }
 
-/// A fleet that is simulated.
+/// Simulation of one outage.
 struct Simulation {
-    /// When discovery is back.
     outage_end: Instant,
-    /// How long discovery works on a poll, in microseconds.
     poll_service_time_us: f64,
-    /// The ingresses of the fleet.
     pollers: Vec<Poller>,
-    /// The next poll of each ingress, by its index.
+    /// Next poll of each ingress, by its index in `pollers`.
     queue: EventQueue<usize>,
-    /// When discovery has worked on all polls that reached it, in microseconds.
+    /// Time at which the queue of the discovery service is empty, in microseconds.
     idle_at_us: f64,
-    /// When ingresses had their answers, from the return.
+    /// Times of the answers, from the end of the outage.
     answered: Vec<Duration>,
-    /// What happened so far.
+    /// Results so far.
     recovery: Recovery,
 }
 
 impl Simulation {
-    /// A fleet with its first polls to come.
+    /// Creates a fleet and schedules its first polls.
     fn new(outage: &Outage) -> Simulation {
         let outage_end = START + outage.duration;
         let restarted_at = (outage_end - RESTART_LEAD).max(START);
@@ -197,7 +193,7 @@
         simulation
     }
 
-    /// Runs until each ingress has its answer, or the time is over.
+    /// Runs until each ingress has been answered, or the observation time is over.
     fn run(mut self) -> Recovery {
         while let Some((now, index)) = self.queue.pop() {
             if now > self.outage_end + OBSERVATION_TIME {
@@ -214,7 +210,8 @@
         self.finish()
     }
 
-    /// Records how long an ingress that polls now had not polled.
+    /// Records the time since the previous poll of an ingress, or since the end of the outage if that is
+    /// later.
     fn record_gap(&mut self, index: usize, now: Instant) {
         let poller = &mut self.pollers[index];
         let last_poll_at = poller.last_poll_at.replace(now);
@@ -222,7 +219,7 @@
         self.recovery.longest_gap = self.recovery.longest_gap.max(gap);
     }
 
-    /// A poll that reaches discovery now; when it is rejected, if it is.
+    /// Queues a poll at the discovery service. Returns the time at which the poll is rejected, if it is.
     fn poll(&mut self, now: Instant) -> Option<Instant> {
         self.recovery.polls += 1;
         let served_from = f64::max(self.idle_at_us, now.as_micros() as f64);
@@ -235,7 +232,7 @@
         Some(now + MAX_QUEUEING)
     }
 
-    /// Sums up when the ingresses had their answers.
+    /// Computes the quantiles of the answer times.
     fn finish(mut self) -> Recovery {
         self.answered.sort_unstable();
         let answered_by = |share: f64| quantile(&self.answered, share).unwrap_or(Duration::ZERO);
--- a/fleet-experiments/src/experiments/endpoint_list.rs
+++ b/fleet-experiments/src/experiments/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list in the library: the costs of a snapshot, of the change of one backend, and of a
-//! zone that is lost and returns, at each size of the list.
+//! Cost of endpoint updates in the library, by the size of the list: a snapshot, the change of one backend,
+//! and the loss and return of a zone.
 
 use crate::experiment::{Environment, Experiment, Parameter};
 use crate::procfs;
@@ -11,45 +11,45 @@
 use ingress::{Action, Availability, Duration, Endpoint, EndpointUpdate, Event, Gateway, Instant};
 use serde::{Deserialize, Serialize};
 
-/// Time on the simulated clock between two updates.
+/// Time between two updates, on the simulated clock.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(4);
-/// Changes go to backends this far apart in the list.
+/// Distance in the list between backends that change in succession.
 const CHANGE_STRIDE: u64 = 7919;
 
-/// Parameter of the list to measure at.
+/// Sizes of the endpoint list, and the number of changes measured at each of them.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointListExperiment {
-    /// Backends in the list.
+    /// Number of backends in the list.
     pub backends: Vec<u64>,
-    /// Ingresses in the fleet.
+    /// Number of ingresses in the fleet.
     pub ingresses: u16,
-    /// Changes of one backend at each size.
+    /// Number of changes of one backend, at each size.
     pub changes: u64,
 }
 
-/// The costs of updates at one size: times in microseconds.
+/// Costs of updates at one size of the list.
 #[derive(Debug, Serialize)]
 struct Point {
-    /// Backends in the list.
+    /// Number of backends in the list.
     backends: u64,
-    /// The first snapshot.
+    /// Time of the first snapshot.
     snapshot_us: f64,
-    /// The same snapshot once more.
+    /// Time of the same snapshot when it is received again.
     repeated_snapshot_us: f64,
-    /// The change of one backend, the median.
+    /// Median time of the change of one backend.
     change_us: f64,
-    /// The change of one backend, the 99th percentile.
+    /// 99th percentile of the time of the change of one backend.
     change_p99_us: f64,
-    /// Changes that were made.
+    /// Number of changes of one backend.
     changes: u64,
-    /// Backends of the zone that is lost.
+    /// Number of backends in the zone that is lost.
     zone_backends: u64,
-    /// The loss of a zone, in one update.
+    /// Time of the update that removes the zone.
     zone_lost_us: f64,
-    /// Its return, in one update.
+    /// Time of the update that adds the zone again.
     zone_returned_us: f64,
-    /// By how much the memory of the ingress grew with its first snapshot.
+    /// Growth of resident memory with the first snapshot.
     memory_bytes: u64,
 }
 
@@ -67,8 +67,8 @@
     }
 
     fn run(&self, environment: &Environment, report: &mut Report) -> anyhow::Result<()> {
-        // Dropped only at the end: memory that one ingress frees must not pass for memory that the next one
-        // does not need.
+        // Keeps all ingresses until the end. A later ingress could otherwise reuse memory that an earlier
+        // one freed, and its growth would be measured as too small.
         let mut measured = Vec::new();
         for &backends in &self.backends {
             let memory_before = procfs::own_resident_memory();
@@ -109,7 +109,8 @@
         })
     }
 
-    /// Drains one backend after another, each ready again by the next change; the times in nanoseconds.
+    /// Drains backends one after another; each becomes ready again with the next change. Returns the times
+    /// of the changes, in nanoseconds.
     fn measure_changes(&self, ingress: &mut TimedIngress, backends: u64) -> anyhow::Result<Histogram<u64>> {
         let mut times = Histogram::new(3)?;
         for change in 0..self.changes {
@@ -122,7 +123,7 @@
     }
 }
 
-/// All endpoints of the first zone.
+/// Returns the entries of all endpoints in the first zone.
 fn first_zone_endpoints(
     backends: u64,
     availability: Availability,
@@ -132,24 +133,23 @@
     numbers.map(|number| endpoint(number, availability, started_at)).collect()
 }
 
-/// A simulated ingress whose work on updates is timed.
+/// Simulated ingress whose processing time is measured.
 struct TimedIngress {
-    /// The gateway.
     gateway: Gateway,
-    /// The simulated clock.
+    /// Current time of the simulated clock.
     now: Instant,
-    /// The actions of one event; the allocation is reused.
+    /// Buffer for the actions of one event.
     actions: Vec<Action>,
 }
 
 impl TimedIngress {
-    /// An ingress with no list yet.
+    /// Creates an ingress without an endpoint list.
     fn new(ingresses: u16, seed: u64) -> TimedIngress {
         let gateway = Gateway::new(ingress_settings(ingresses, 0), seed, START);
         TimedIngress { gateway, now: START, actions: Vec::new() }
     }
 
-    /// Hands it an update; the time that it took, in microseconds.
+    /// Passes an update to the gateway and returns the processing time, in microseconds.
     fn update(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) -> f64 {
         self.now += UPDATE_INTERVAL;
         let started_at = std::time::Instant::now();
--- a/fleet-experiments/src/experiments/ingress_endpoint_list.rs
+++ b/fleet-experiments/src/experiments/ingress_endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list at a real ingress, which is notified by an agent of its own: time, processor time and
-//! memory by its size.
+//! Cost of the endpoint list in a real ingress with an agent on its host, by the size of the list: time to
+//! apply a snapshot, processor time and memory.
 
 use crate::experiment::{Environment, Experiment, Parameter};
 use crate::ingress_process::{check_capacity, DiscoveryMode, IngressConfig, IngressProcess, InitialList};
@@ -12,66 +12,66 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long an ingress may take to start, and to apply a change.
+/// Maximum time for an ingress to start, and to apply a change.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// How long an ingress may take to apply a snapshot.
+/// Maximum time for an ingress to apply a snapshot.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Where all backends are, as no request is sent to them.
+/// Address of all backends. Nothing needs to listen there, as no request is sent.
 const BACKEND: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
-/// Ingresses in the fleet, by the settings.
+/// Number of ingresses that the settings state for the fleet.
 const FLEET_SIZE: u64 = 2900;
-/// The version of the snapshot; each change has the next one.
+/// Version of the snapshot. The changes have the versions that follow.
 const SNAPSHOT_VERSION: u64 = 2;
-/// Changes go to backends this far apart in the list.
+/// Distance in the list between backends that change in succession.
 const CHANGE_STRIDE: u64 = 7919;
 
-/// Parameter of the list to measure at.
+/// Sizes of the endpoint list, the number of changes, and the memory limit.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IngressEndpointListExperiment {
-    /// Backends in the list.
+    /// Number of backends in the list.
     pub backends: Vec<u64>,
-    /// Changes of one backend at each size.
+    /// Number of changes of one backend, at each size.
     pub changes: u64,
-    /// The ingress's limit on memory, in MB.
+    /// Memory limit of the ingress, in MB.
     pub memory_mb: u64,
 }
 
-/// The costs of a list of one size. A snapshot that is not applied in time, or is reported as invalid, counts
-/// as rejected.
+/// Costs of the endpoint list at one size. A snapshot that is invalid or is not applied in time counts as
+/// rejected.
 #[derive(Debug, Serialize)]
 struct Point {
-    /// Backends in the list.
+    /// Number of backends in the list.
     backends: u64,
-    /// The snapshot that the ingress got.
+    /// Costs of the snapshot.
     #[serde(flatten)]
     snapshot: SnapshotCost,
-    /// Changes of one backend that followed.
+    /// Number of changes of one backend after the snapshot.
     changes: u64,
-    /// Processor time of one change, in microseconds.
+    /// Processor time per change; `None` if the snapshot was rejected.
     change_cpu_us: Option<f64>,
-    /// Whether the ingress still runs.
+    /// Whether the ingress is running after the measurement.
     running: bool,
-    /// The first line of the ingress's log on discovery, if it rejected the snapshot.
+    /// First log line about discovery, if the snapshot was rejected.
     log: Option<String>,
 }
 
-/// What a snapshot cost.
+/// Costs of a snapshot.
 #[derive(Debug, Serialize)]
 struct SnapshotCost {
-    /// Bytes of the list's JSON.
+    /// Size of the list's JSON.
     list_bytes: usize,
-    /// Whether the ingress applied it.
+    /// Whether the ingress applied the snapshot in time.
     applied: bool,
-    /// The time until the ingress had applied it and answered a ping, in seconds.
+    /// Time until the ingress has applied the snapshot and answered a PING, in seconds.
     apply_s: Option<f64>,
-    /// Processor time until then, in seconds.
+    /// Processor time used until then, in seconds.
     cpu_s: f64,
     /// Resident memory before the snapshot.
     memory_before_bytes: u64,
-    /// Resident memory after it.
+    /// Resident memory after the snapshot.
     memory_bytes: u64,
-    /// The most resident memory until then.
+    /// Peak resident memory since the start of the process.
     peak_memory_bytes: u64,
 }
 
@@ -98,7 +98,7 @@
 }
 
 impl IngressEndpointListExperiment {
-    /// Measures a snapshot of one size, and the changes that follow.
+    /// Measures a snapshot of one size and the changes after it.
     fn measure(&self, backends: u64, program: &Path) -> anyhow::Result<Point> {
         let endpoints: Vec<String> =
             (0..backends).map(|number| endpoint_json(number, BACKEND, EndpointStatus::Up)).collect();
@@ -116,7 +116,7 @@
         Ok(Point { backends, snapshot, changes: self.changes, change_cpu_us, running, log })
     }
 
-    /// The configuration of an ingress that starts with an empty list.
+    /// Returns the configuration of an ingress that starts with an empty list.
     fn config(&self, discovery: SocketAddr) -> IngressConfig {
         IngressConfig {
             number: 0,
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Drains one backend after another, each up again by the next change; processor time of one, in
-    /// microseconds.
+    /// Drains backends one after another; each becomes available again with the next change. Returns the
+    /// processor time per change, in microseconds.
     fn publish_changes(
         &self,
         discovery: &Discovery,
@@ -143,9 +143,9 @@
             let version = SNAPSHOT_VERSION + 1 + change;
             discovery.publish(version, list_json(version, ListKind::Delta, &[endpoint]));
             let applied = discovery.wait_for_polls(Some(version), 1, TIMEOUT);
-            ensure!(applied, "change {change} was not applied");
+            ensure!(applied, "the ingress did not apply change {change} within {TIMEOUT:?}");
         }
-        ensure!(ingress.answers_ping(), "no answer after the changes");
+        ensure!(ingress.answers_ping(), "the ingress did not answer a PING after the changes");
         Ok((ingress.cpu_seconds() - cpu_before) / self.changes as f64 * MICROS_PER_SECOND)
     }
 }
@@ -161,10 +161,10 @@
     let cpu_before = ingress.cpu_seconds();
     let published_at = Instant::now();
     discovery.publish(SNAPSHOT_VERSION, body);
-    // The ingress has read the snapshot once it polls for what is newer, and has applied it once it answers
-    // after that.
+    // A poll for versions newer than the snapshot shows that the ingress has read the snapshot. It answers a
+    // PING after that only once it has applied the snapshot.
     let applied = discovery.wait_for_polls(Some(SNAPSHOT_VERSION), 1, SNAPSHOT_TIMEOUT);
-    ensure!(ingress.answers_ping(), "no answer after the list");
+    ensure!(ingress.answers_ping(), "the ingress did not answer a PING after the snapshot");
     let elapsed = published_at.elapsed();
     let cpu_s = ingress.cpu_seconds() - cpu_before;
     let memory = ingress.memory();
--- a/fleet-experiments/src/experiments/ingress_latency.rs
+++ b/fleet-experiments/src/experiments/ingress_latency.rs
@@ -1,4 +1,4 @@
-//! The latency that a real ingress adds, in front of a backend with a constant service time.
+//! Latency that a real ingress adds to requests to a backend with a constant service time.
 
 use crate::client::Client;
 use crate::experiment::{Environment, Experiment, Parameter};
@@ -15,60 +15,58 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long an ingress may take to start.
+/// Maximum time for an ingress to start.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// The ingress's limit on memory, in MB.
+/// Memory limit of the ingress, in MB.
 const MEMORY_MB: u64 = 192;
 
-/// Rates to measure at. Connections have to be many enough that none is late by the request before.
+/// Request rates, and the load at each of them. With too few connections, a request is delayed by the
+/// previous one on its connection.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IngressLatencyExperiment {
-    /// Requests a second, in all.
+    /// Requests per second over all connections.
     pub rates: Vec<u64>,
-    /// Connections that they are spread over.
+    /// Number of connections that the requests are distributed over.
     pub connections: u64,
-    /// Requests at each rate.
+    /// Number of requests at each rate.
     pub requests: u64,
-    /// Backends in the list, all with the same address.
+    /// Number of backends in the list, all with the same address.
     pub backends: u64,
 }
 
-/// Latency at one rate, through the ingress and straight to the backend: times in microseconds.
+/// Latency through the ingress and directly to the backend, at one rate.
 #[derive(Debug, Serialize)]
 struct Point {
-    /// Requests a second, in all.
+    /// Requests per second over all connections.
     rate: u64,
-    /// Connections that they were spread over.
     connections: u64,
-    /// Requests in all.
     requests: u64,
-    /// Backends in the list.
+    /// Number of backends in the list.
     backends: u64,
-    /// Requests through the ingress that were served.
+    /// Number of requests through the ingress that were served.
     served: u64,
-    /// Processor time of the ingress for each request.
+    /// Processor time of the ingress per request.
     cpu_us_per_request: f64,
-    /// Through the ingress, the median.
+    /// Median latency through the ingress.
     ingress_p50_us: u64,
-    /// Through the ingress, the 99th percentile.
+    /// 99th percentile of the latency through the ingress.
     ingress_p99_us: u64,
-    /// Straight to the backend, the median.
+    /// Median latency directly to the backend.
     direct_p50_us: u64,
-    /// Straight to the backend, the 99th percentile.
+    /// 99th percentile of the latency directly to the backend.
     direct_p99_us: u64,
-    /// The difference of the medians.
+    /// Difference of the medians.
     added_p50_us: i64,
-    /// The difference of the 99th percentiles.
+    /// Difference of the 99th percentiles.
     added_p99_us: i64,
 }
 
-/// The measurements of requests at one rate. The latency of a request counts from its scheduled time, also if
-/// it was sent late.
+/// Measurements at one rate. The latency of a request counts from its scheduled time even if the request is
+/// sent late, to avoid coordinated omission.
 struct Measurement {
-    /// Latencies in microseconds.
     latency_us: Histogram<u64>,
-    /// Requests that were served.
+    /// Number of served requests.
     served: u64,
 }
 
@@ -101,7 +99,7 @@
 }
 
 impl IngressLatencyExperiment {
-    /// The configuration of an ingress that knows its backends from the start.
+    /// Returns the configuration of an ingress that starts with all backends in its list.
     fn config(&self, backend: SocketAddr, discovery: SocketAddr) -> IngressConfig {
         let endpoints =
             (0..self.backends).map(|number| endpoint_json(number, backend, EndpointStatus::Up)).collect();
@@ -115,7 +113,7 @@
         }
     }
 
-    /// Measures at one rate, first through the ingress.
+    /// Measures the latency at one rate, first through the ingress and then directly to the backend.
     fn measure(&self, rate: u64, ingress: &IngressProcess, backend: SocketAddr) -> anyhow::Result<Point> {
         let cpu_before = ingress.cpu_seconds();
         let Measurement { latency_us: through_ingress, served } =
@@ -138,7 +136,8 @@
         })
     }
 
-    /// Sends requests at one rate over all connections, a thread each.
+    /// Sends requests at one rate, evenly distributed over the connections. Each connection has its own
+    /// thread.
     fn send_requests(&self, address: SocketAddr, rate: u64) -> anyhow::Result<Measurement> {
         let mut threads = Vec::new();
         for number in 0..self.connections {
@@ -150,7 +149,7 @@
         }
         let mut all = Measurement { latency_us: Histogram::new(3)?, served: 0 };
         for thread in threads {
-            let measured = thread.join().map_err(|_| anyhow!("a client panicked"))??;
+            let measured = thread.join().map_err(|_| anyhow!("a client thread panicked"))??;
             all.latency_us.add(&measured.latency_us)?;
             all.served += measured.served;
         }
@@ -158,7 +157,7 @@
     }
 }
 
-/// Sends requests on one connection at scheduled times.
+/// Sends requests at regular intervals on one connection.
 fn send_on_schedule(
     mut client: Client,
     first: Instant,
--- a/fleet-experiments/src/experiments/ingress_restart.rs
+++ b/fleet-experiments/src/experiments/ingress_restart.rs
@@ -1,4 +1,4 @@
-//! A restart of most of a fleet of real ingresses under load, and then a new configuration for all.
+//! Restart of most of a fleet of real ingresses under load, followed by a new configuration for all of them.
 
 use crate::client::BackgroundLoad;
 use crate::experiment::{Environment, Experiment, Parameter};
@@ -13,66 +13,66 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long an ingress may take to start, and the fleet to apply its new configuration.
+/// Maximum time for an ingress to start, and for the fleet to apply a new configuration.
 const TIMEOUT: Duration = Duration::from_secs(30);
-/// How long an ingress may take to its first poll.
+/// Maximum time from the start of an ingress to its first poll.
 const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(90);
-/// The time between two looks for an ingress's first poll.
+/// Interval between two checks for the first poll of an ingress.
 const FIRST_POLL_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// One in so many ingresses keeps running while the others are killed.
+/// One of this number of ingresses keeps running while the others are killed.
 const SURVIVOR_STEP: usize = 10;
-/// The version of the list that the first ingress starts with; each next ingress has the next one, so that
-/// discovery can tell their polls apart.
+/// Version of the list that the first ingress starts with. Each further ingress starts with the next
+/// version, so that discovery can tell their polls apart.
 const FIRST_VERSION: u64 = 1_000;
-/// The limit on memory of each ingress, in MB.
+/// Memory limit of each ingress, in MB.
 const MEMORY_MB: u64 = 192;
 
-/// How many ingresses to restart, and sizes of the fleet.
+/// Number of processes, sizes of the fleet, and the load during the restart.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IngressRestartExperiment {
-    /// Ingresses that run here.
+    /// Number of ingress processes.
     pub processes: u64,
-    /// Parameter of the fleet by their settings.
+    /// Sizes of the fleet that the settings state.
     #[serde(alias = "fleets")]
     pub fleet_sizes: Vec<u64>,
-    /// Backends in the list that each starts with.
+    /// Number of backends in the list that each ingress starts with.
     #[serde(alias = "known")]
     pub initial_backends: u64,
-    /// Connections that send requests all the time, to the ingresses that are not restarted.
+    /// Number of clients that send requests continuously to the ingresses that keep running.
     pub clients: u64,
 }
 
-/// The outcome of a restart: times in seconds, from an ingress's start or from the new configuration.
+/// Result for one fleet size. Times count from the start of an ingress, or from the new configuration.
 #[derive(Debug, Serialize)]
 struct Point {
-    /// Ingresses that ran.
+    /// Number of ingress processes.
     processes: u64,
-    /// The size of the fleet by their settings.
+    /// Size of the fleet that the settings state.
     fleet_size: u64,
-    /// Backends in the list that each started with.
+    /// Number of backends in the list that each ingress started with.
     initial_backends: u64,
-    /// Ingresses that were restarted.
+    /// Number of restarted ingresses.
     restarted: usize,
-    /// From start to the first answer to a ping, the median.
+    /// Median time to the first answer to a PING.
     pong_p50_s: f64,
-    /// The same, the 90th percentile.
+    /// 90th percentile of the time to the first answer to a PING.
     pong_p90_s: f64,
-    /// The same, the last.
+    /// Maximum time to the first answer to a PING.
     pong_last_s: f64,
-    /// From start to the first poll of discovery, the median.
+    /// Median time to the first poll of discovery.
     first_poll_p50_s: f64,
-    /// The same, the 90th percentile.
+    /// 90th percentile of the time to the first poll.
     first_poll_p90_s: f64,
-    /// The same, the last; infinite if one made none.
+    /// Maximum time to the first poll; infinite if an ingress did not poll in time.
     first_poll_last_s: f64,
-    /// Ingresses that poll where the new configuration says.
+    /// Number of ingresses that polled the new discovery service.
     reconfigured: usize,
-    /// Whether all ingresses did in time.
+    /// Whether all ingresses polled the new discovery service in time.
     all_reconfigured: bool,
-    /// From the new configuration to the last first poll.
+    /// Time from the new configuration until the last ingress polled the new discovery service.
     reconfigured_last_s: Option<f64>,
-    /// Requests served meanwhile.
+    /// Requests served during the experiment.
     served: u64,
 }
 
@@ -105,7 +105,7 @@
 }
 
 impl IngressRestartExperiment {
-    /// Restarts a fleet of one size, and gives it a new configuration.
+    /// Restarts a fleet of one size, then reconfigures it.
     fn measure(&self, fleet_size: u64, program: &Path, endpoints: &[String]) -> anyhow::Result<Point> {
         let discovery = Discovery::start()?;
         let new_discovery = Discovery::start()?;
@@ -135,28 +135,28 @@
     }
 }
 
-/// A quantile of the sorted times of restarted ingresses, in seconds.
+/// Returns a quantile of the sorted times of the restarted ingresses, in seconds.
 fn quantile_s(sorted: &[f64], share: f64) -> f64 {
-    quantile(sorted, share).expect("some ingresses are restarted")
+    quantile(sorted, share).expect("at least one ingress is restarted")
 }
 
-/// Real ingresses with the settings of a fleet.
+/// Ingress processes configured as members of a fleet.
 struct Fleet<'a> {
-    /// The size of the fleet by the settings.
+    /// Size of the fleet that the settings state.
     size: u64,
-    /// The endpoints that each starts with.
+    /// Endpoints in the list that each ingress starts with.
     endpoints: &'a [String],
-    /// The ingresses by their numbers.
+    /// Ingresses by number.
     ingresses: Vec<IngressProcess>,
 }
 
-/// How a fleet applied a new configuration.
+/// Result of a new configuration for the whole fleet.
 struct Reconfiguration {
-    /// Ingresses that polled the new discovery.
+    /// Number of ingresses that polled the new discovery service.
     ingresses: usize,
-    /// Whether all did in time.
+    /// Whether all ingresses polled it in time.
     complete: bool,
-    /// When the last one did, in seconds from the new configuration.
+    /// Time from the new configuration to the last poll, in seconds.
     last_s: Option<f64>,
 }
 
@@ -173,7 +173,7 @@
         Ok(())
     }
 
-    /// The configuration of one ingress.
+    /// Returns the configuration of one ingress.
     fn config(&self, number: u64, discovery: SocketAddr) -> IngressConfig {
         IngressConfig {
             number,
@@ -185,38 +185,42 @@
         }
     }
 
-    /// The addresses of the ingresses that are not restarted.
+    /// Returns the addresses of the ingresses that are not restarted.
     fn survivors(&self) -> Vec<SocketAddr> {
         self.ingresses.iter().step_by(SURVIVOR_STEP).map(|ingress| ingress.address).collect()
     }
 
-    /// The numbers and handles of the ingresses that are restarted.
+    /// Returns the ingresses that are restarted, with their numbers.
     fn restarted(&self) -> impl Iterator<Item = (usize, &IngressProcess)> {
         self.ingresses.iter().enumerate().filter(|(number, _)| number % SURVIVOR_STEP != 0)
     }
 
-    /// Kills all ingresses but the survivors, and restarts them.
+    /// Kills and restarts all ingresses except the survivors.
     fn restart_others(&mut self) -> anyhow::Result<()> {
         for (number, ingress) in self.ingresses.iter_mut().enumerate() {
             if number % SURVIVOR_STEP != 0 {
-                ingress.restart().with_context(|| format!("restart of {number}"))?;
+                ingress.restart().with_context(|| format!("cannot restart ingress {number}"))?;
             }
         }
         Ok(())
     }
 
-    /// How long restarted ingresses took to answer a ping, sorted, in seconds.
+    /// Returns the times from start to the first answer to a PING of the restarted ingresses, sorted, in
+    /// seconds.
     fn times_to_pong(&self) -> anyhow::Result<Vec<f64>> {
         let mut times = Vec::new();
         for (number, ingress) in self.restarted() {
-            let time = ingress.wait_until_ready(TIMEOUT).with_context(|| format!("start of {number}"))?;
+            let time = ingress
+                .wait_until_ready(TIMEOUT)
+                .with_context(|| format!("ingress {number} did not restart"))?;
             times.push(time.as_secs_f64());
         }
         times.sort_by(f64::total_cmp);
         Ok(times)
     }
 
-    /// How long restarted ingresses took to their first poll, sorted, in seconds; infinite for none in time.
+    /// Returns the times from start to the first poll of the restarted ingresses, sorted, in seconds;
+    /// infinite for an ingress that did not poll in time.
     fn times_to_first_poll(&self, discovery: &Discovery) -> Vec<f64> {
         let mut times = Vec::new();
         for (number, ingress) in self.restarted() {
@@ -228,7 +232,7 @@
         times
     }
 
-    /// Gives all ingresses a configuration with another discovery, and waits until they poll that.
+    /// Changes the discovery address of all ingresses, and waits until they poll the new service.
     fn reconfigure(&self, new_discovery: &Discovery) -> anyhow::Result<Reconfiguration> {
         let reconfigured_at = Instant::now();
         for (number, ingress) in self.ingresses.iter().enumerate() {
@@ -241,8 +245,8 @@
     }
 }
 
-/// The time from `started_at` to the first poll after it for what is newer than `version`; none if none came
-/// in time.
+/// Returns the time from `started_at` to the first poll after it for versions newer than `version`; `None`
+/// if there is none in time.
 fn wait_for_first_poll(discovery: &Discovery, version: u64, started_at: Instant) -> Option<Duration> {
     let first_poll = || discovery.polls(Some(version)).into_iter().find(|polled_at| *polled_at >= started_at);
     while first_poll().is_none() && started_at.elapsed() < FIRST_POLL_TIMEOUT {
--- a/fleet-experiments/src/experiments/quota_messages.rs
+++ b/fleet-experiments/src/experiments/quota_messages.rs
@@ -1,5 +1,4 @@
-//! Quota messages: how many an ingress sends, and how many bytes, by the size of the fleet and the rate of
-//! requests.
+//! Number and size of the quota messages of an ingress, by fleet size and request rate.
 
 mod simulation;
 
@@ -8,79 +7,78 @@
 use serde::{Deserialize, Serialize};
 use simulation::Simulation;
 
-/// Seconds at the start of a simulation that are not counted.
+/// Time at the start of a simulation that is not counted.
 const WARM_UP_SECONDS: u64 = 1;
 
-/// Parameter of the fleet, rates, and for how long.
+/// Sizes of the fleet, request rates, and the distribution of customers.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaMessagesExperiment {
-    /// Ingresses in the fleet.
+    /// Number of ingresses in the fleet.
     pub ingresses: Vec<u64>,
-    /// Requests that each gets in a second.
+    /// Requests per second at each ingress.
     pub rates: Vec<u64>,
-    /// Ingresses that a customer's requests come through.
+    /// Number of ingresses that receive the requests of a customer.
     #[serde(alias = "spread")]
     pub gateway_set_size: u16,
-    /// Customers for each ingress.
+    /// Number of customers per ingress.
     #[serde(alias = "customers")]
     pub customers_per_ingress: u64,
-    /// Seconds on the simulated clock; the first is not counted.
+    /// Simulated time, in seconds; the first second is not counted.
     pub seconds: u64,
 }
 
-/// A fleet, and the load on it.
+/// A fleet and the load on it.
 #[derive(Clone, Debug)]
 pub struct FleetLoad {
-    /// Ingresses in the fleet.
+    /// Number of ingresses in the fleet.
     pub ingresses: u16,
-    /// Requests that each gets in a second.
+    /// Requests per second at each ingress.
     pub rate: f64,
-    /// Ingresses that a customer's requests come through.
+    /// Number of ingresses that receive the requests of a customer.
     pub gateway_set_size: u16,
-    /// Customers for each ingress.
+    /// Number of customers per ingress.
     pub customers_per_ingress: u64,
-    /// Seconds on the simulated clock; the first is not counted.
+    /// Simulated time, in seconds; the first second is not counted.
     pub seconds: u64,
     /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// What a fleet sent, over all its ingresses.
+/// Counts over all ingresses of a fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
     /// Requests that arrived.
     pub requests: u64,
     /// Requests sent to a backend.
     pub sent: u64,
-    /// Messages.
+    /// Quota messages sent.
     pub messages: u64,
-    /// Their bytes, without the headers of UDP and IP.
+    /// Bytes of the messages, without UDP and IP headers.
     pub bytes: u64,
-    /// Messages that arrived faster than a receiver takes them.
+    /// Messages dropped because they exceeded the receiver's rate limit.
     pub dropped: u64,
 }
 
-/// What one ingress of a fleet sends in a second.
+/// Traffic per ingress and second at one fleet size and request rate.
 #[derive(Debug, Serialize)]
 struct Point {
-    /// Ingresses in the fleet.
+    /// Number of ingresses in the fleet.
     ingresses: u64,
-    /// Requests that each gets in a second.
+    /// Requests per second at each ingress, as configured.
     rate: u64,
-    /// Ingresses that a customer's requests came through.
+    /// Number of ingresses that received the requests of a customer.
     gateway_set_size: u16,
-    /// Customers for each ingress.
     customers_per_ingress: u64,
     /// Requests that arrived.
     requests: f64,
     /// Requests sent to a backend.
     sent: f64,
-    /// Messages.
+    /// Quota messages sent.
     messages: f64,
-    /// Their bytes.
+    /// Bytes of the messages, without UDP and IP headers.
     bytes: f64,
-    /// Messages that arrived faster than a receiver takes them.
+    /// Messages dropped because they exceeded the receiver's rate limit.
     dropped: f64,
 }
 
@@ -110,7 +108,7 @@
 }
 
 impl QuotaMessagesExperiment {
-    /// Simulates a fleet of one size at one rate.
+    /// Simulates a fleet of one size at one request rate.
     fn measure(&self, ingresses: u64, rate: u64, seed: u64) -> anyhow::Result<Point> {
         let fleet_size = u16::try_from(ingresses)?;
         let load = FleetLoad {
@@ -138,7 +136,7 @@
     }
 }
 
-/// Simulates a fleet for its seconds, the first of which is not counted.
+/// Simulates a fleet and returns the traffic after the first second.
 pub fn simulate(load: &FleetLoad) -> Traffic {
     Simulation::new(load).run()
 }
--- a/fleet-experiments/src/experiments/quota_messages/simulation.rs
+++ b/fleet-experiments/src/experiments/quota_messages/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation of a fleet whose ingresses exchange messages on the quotas of their customers.
+//! Simulation of a fleet whose ingresses exchange messages about the quotas of their customers.
 
 use super::{FleetLoad, Traffic, WARM_UP_SECONDS};
 use crate::simulation::{
@@ -12,88 +12,86 @@
 use std::collections::HashMap;
 use std::ops::Range;
 
-/// Backends of the fleet.
+/// Number of backends of the fleet.
 const BACKENDS: u64 = 32;
-/// A customer's quota, as a multiple of its usage.
+/// Ratio of a customer's quota to its usage.
 const QUOTA_PER_USE: f64 = 3.0;
-/// The burst of a quota, in seconds of its rate.
+/// Burst of a quota, in seconds at its rate.
 const BURST_SECONDS: f64 = 3.0;
-/// The smallest burst, in requests.
+/// Minimum burst, in requests.
 const MIN_BURST: f64 = 4.0;
-/// How long messages between ingresses take: drawn from this range.
+/// Range from which the delay of a message between ingresses is drawn.
 const MESSAGE_DELAY: Range<Duration> = Duration::from_micros(500)..Duration::from_millis(3);
-/// A receiver's limit on messages is applied to parts of a second, since a sender may get a little ahead.
+/// Intervals per second over which a receiver's rate limit is enforced. Messages within one interval may be
+/// spaced unevenly, since a sender may be slightly ahead of its rate.
 const INTERVALS_PER_SECOND: u64 = 10;
 
-/// An event that is to come.
+/// Event in the queue of the simulation.
 enum Scheduled {
     /// A request arrives at an ingress.
     Arrival {
-        /// The index of the ingress.
+        /// Index of the ingress.
         ingress: usize,
     },
     /// A timer of an ingress expires.
     Timer {
-        /// The index of the ingress.
+        /// Index of the ingress.
         ingress: usize,
-        /// The token that the ingress gave the timer.
+        /// Token that the ingress assigned to the timer.
         token: u32,
     },
     /// A backend answers a request.
     Answer {
-        /// The index of the ingress.
+        /// Index of the ingress.
         ingress: usize,
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The backend.
         backend: BackendId,
-        /// When the ingress sent the request.
+        /// Time at which the ingress sent the request.
         sent_at: Instant,
     },
     /// A message arrives at an ingress.
     Message {
-        /// The index of the receiver.
+        /// Index of the receiver.
         ingress: usize,
-        /// The sender.
+        /// Sender of the message.
         from: GatewayId,
-        /// The bytes of the message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
 }
 
-/// The messages that an ingress gets within one part of a second.
+/// Interval over which the messages to one ingress are counted.
 #[derive(PartialEq, Eq, Hash)]
 struct ReceiveInterval {
-    /// The index of the ingress.
+    /// Index of the ingress.
     ingress: usize,
-    /// Which part of a second, from the start of the epoch.
+    /// Number of intervals since the epoch.
     number: u64,
 }
 
-/// A fleet that is simulated.
+/// Simulation of a fleet under load.
 pub struct Simulation<'a> {
-    /// The load on the fleet.
     load: &'a FleetLoad,
-    /// Draws of arrivals, customers and delays.
+    /// Source of arrivals, customers and delays.
     random: fastrand::Rng,
-    /// The events to come.
     queue: EventQueue<Scheduled>,
-    /// The ingresses by their numbers.
+    /// Ingresses by number.
     fleet: Vec<Gateway>,
-    /// The identifier of the last request.
+    /// Id of the last request.
     last_request: u64,
-    /// Messages that arrived so far.
+    /// Number of messages that arrived at an ingress in an interval.
     received: HashMap<ReceiveInterval, u64>,
-    /// The most messages that an ingress takes within one part of a second.
+    /// Maximum number of messages that an ingress accepts in an interval.
     max_messages_per_interval: u64,
-    /// What was counted so far.
+    /// Counts so far.
     traffic: Traffic,
-    /// The actions of one event; the allocation is reused.
+    /// Buffer for the actions of one event.
     actions: Vec<Action>,
 }
 
 impl<'a> Simulation<'a> {
-    /// A fleet whose ingresses have their endpoint lists and wait for their first requests.
+    /// Creates a fleet whose ingresses have their endpoint lists, and schedules their first requests.
     pub fn new(load: &'a FleetLoad) -> Self {
         let messages_per_second = ingress_settings(load.ingresses, 0).limits.peer_messages_per_second as u64;
         let mut simulation = Simulation {
@@ -113,7 +111,7 @@
         simulation
     }
 
-    /// Starts an ingress, with its first timer and its first request to come.
+    /// Starts an ingress, and schedules its first timer and its first request.
     fn start_ingress(&mut self, number: u16) {
         let load = self.load;
         let ingress = usize::from(number);
@@ -128,7 +126,7 @@
         self.queue.schedule(first_arrival, Scheduled::Arrival { ingress });
     }
 
-    /// Runs until the time is over.
+    /// Runs until the simulated time is over.
     pub fn run(mut self) -> Traffic {
         let end = START + Duration::from_secs(self.load.seconds);
         while let Some((now, scheduled)) = self.queue.pop() {
@@ -159,7 +157,7 @@
         self.traffic
     }
 
-    /// Whether an ingress takes one more message now.
+    /// Counts a message to an ingress. Returns whether the ingress accepts it.
     fn accept_message(&mut self, ingress: usize, now: Instant) -> bool {
         let interval = ReceiveInterval { ingress, number: now.period_index(SECOND / INTERVALS_PER_SECOND) };
         let received = self.received.entry(interval).or_default();
@@ -167,12 +165,12 @@
         *received <= self.max_messages_per_interval
     }
 
-    /// The request that arrives at an ingress now, with the one after it scheduled.
+    /// Returns the request that arrives at an ingress now, and schedules the next arrival.
     fn next_request(&mut self, ingress: usize, now: Instant) -> Request {
         let next_arrival = now + poisson_interval(&mut self.random, self.load.rate);
         self.queue.schedule(next_arrival, Scheduled::Arrival { ingress });
         self.last_request += 1;
-        // A customer whose set of gateways holds this ingress.
+        // Picks a customer whose gateway set includes this ingress.
         let ingresses = u64::from(self.load.ingresses);
         let set_size = u64::from(self.load.gateway_set_size);
         let set_start = (ingress as u64 + ingresses - self.random.u64(0..set_size)) % ingresses;
@@ -215,7 +213,7 @@
     }
 }
 
-/// The settings of an ingress, with quotas that are a multiple of their usage.
+/// Returns the settings of an ingress, in which quotas are a multiple of the usage.
 fn settings(load: &FleetLoad, number: u16) -> Settings {
     let mut settings = ingress_settings(load.ingresses, number);
     settings.limits.peer_messages = true;
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -1,4 +1,4 @@
-//! Requests through the library: the cost of one by the number of backends, customers and ingresses.
+//! Cost of a request in the library, by the number of backends, customers and ingresses.
 
 use crate::experiment::{Environment, Experiment, Parameter};
 use crate::procfs;
@@ -10,67 +10,66 @@
 use ingress::{Action, CustomerId, Duration, EndpointUpdate, Event, Gateway, Instant, Request, RequestId};
 use serde::{Deserialize, Serialize};
 
-/// Requests a second that an ingress gets: its part of the peak that the fleet is designed for.
+/// Request rate of one ingress: its share of the design peak of the fleet.
 const REQUESTS_PER_SECOND: u64 = 1034;
-/// The time from a request to its answer.
+/// Time from a request to its answer, on the simulated clock.
 const ANSWER_DELAY: Duration = Duration::from_micros(900);
-/// The time in flight that an answer reports.
+/// Duration of the attempt that an answer reports.
 const REPORTED_ELAPSED: Duration = Duration::from_millis(100);
-/// One warm-up request is sent for so many that are measured.
+/// Number of measured requests per warm-up request.
 const REQUESTS_PER_WARM_UP_REQUEST: u64 = 10;
 
-/// Parameter to measure at: each list is varied with the others at their first value.
+/// Lists of sizes. Each list is varied while the other sizes have the first value of theirs.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestCostExperiment {
-    /// Backends in the list.
+    /// Number of backends in the list.
     pub backends: Vec<u64>,
-    /// Customers that send requests.
+    /// Number of customers that send requests.
     pub customers: Vec<u64>,
-    /// Ingresses in the fleet.
+    /// Number of ingresses in the fleet.
     pub ingresses: Vec<u64>,
-    /// Requests at each point, after a tenth as many that are not counted.
+    /// Number of measured requests at each point. They follow a tenth as many warm-up requests.
     pub requests: u64,
 }
 
-/// The sizes of one point.
+/// Sizes that a point is measured at.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Size {
-    /// Backends in the list.
+    /// Number of backends in the list.
     backends: u64,
-    /// Customers that send requests.
+    /// Number of customers that send requests.
     customers: u64,
-    /// Ingresses in the fleet.
+    /// Number of ingresses in the fleet.
     ingresses: u64,
 }
 
-/// The costs of requests at one point: times in microseconds.
+/// Cost of requests at one point. A time covers a request and its answer.
 #[derive(Debug, Serialize)]
 struct Point {
-    /// The sizes.
     #[serde(flatten)]
     size: Size,
-    /// Requests that were counted.
+    /// Number of measured requests.
     requests: u64,
-    /// Requests that were sent to a backend.
+    /// Number of requests sent to a backend.
     sent: u64,
-    /// Bytes that the ingress grew by under the requests.
+    /// Growth of resident memory during the requests.
     memory_bytes: u64,
-    /// One request with its answer, the median.
+    /// Median time.
     p50_us: f64,
-    /// The same, the mean.
+    /// Mean time.
     mean_us: f64,
-    /// The same, the 99th percentile.
+    /// 99th percentile of the time.
     p99_us: f64,
 }
 
-/// The measurements of requests through one ingress.
+/// Measurements of the requests through one ingress.
 struct RequestCost {
-    /// Nanoseconds of each request with its answer.
+    /// Processing time of a request and its answer, in nanoseconds.
     time_ns: Histogram<u64>,
-    /// Requests that were sent to a backend.
+    /// Number of requests sent to a backend.
     sent: u64,
-    /// Bytes that the ingress grew by under the requests: customers' records, for the most part.
+    /// Growth of resident memory during the requests, mainly due to the state of customers.
     memory_bytes: u64,
 }
 
@@ -89,8 +88,8 @@
     }
 
     fn run(&self, environment: &Environment, report: &mut Report) -> anyhow::Result<()> {
-        // Dropped only at the end: memory that one ingress frees must not pass for memory that the next one
-        // does not need.
+        // Keeps all ingresses until the end. A later ingress could otherwise reuse memory that an earlier
+        // one freed, and its growth would be measured as too small.
         let mut measured = Vec::new();
         for size in self.points() {
             let mut ingress = LoadedIngress::new(size, environment.seed)?;
@@ -112,7 +111,7 @@
 }
 
 impl RequestCostExperiment {
-    /// The sizes of all points, in the order in which they are measured.
+    /// Returns the sizes of all points, in the order of measurement.
     fn points(&self) -> Vec<Size> {
         let base =
             Size { backends: self.backends[0], customers: self.customers[0], ingresses: self.ingresses[0] };
@@ -124,22 +123,21 @@
     }
 }
 
-/// A simulated ingress under requests that are all answered in time.
+/// Simulated ingress whose requests are all answered in time.
 struct LoadedIngress {
-    /// The gateway.
     gateway: Gateway,
-    /// The simulated clock.
+    /// Current time of the simulated clock.
     now: Instant,
-    /// Draws of customers.
+    /// Source of the random choice of customers.
     random: fastrand::Rng,
-    /// Customers that send requests.
+    /// Number of customers that send requests.
     customers: u64,
-    /// The actions of one event; the allocation is reused.
+    /// Buffer for the actions of one event.
     actions: Vec<Action>,
 }
 
 impl LoadedIngress {
-    /// An ingress that has its endpoint list.
+    /// Creates an ingress and passes it an endpoint list.
     fn new(size: Size, seed: u64) -> anyhow::Result<LoadedIngress> {
         let settings = ingress_settings(u16::try_from(size.ingresses)?, 0);
         let mut gateway = Gateway::new(settings, seed, START);
@@ -150,7 +148,7 @@
         Ok(LoadedIngress { gateway, now: START, random, customers: size.customers, actions })
     }
 
-    /// Sends it requests, the first of which are not counted.
+    /// Measures a number of requests, after the warm-up requests.
     fn measure_requests(&mut self, requests: u64) -> anyhow::Result<RequestCost> {
         let mut time_ns = Histogram::new(3)?;
         let mut sent = 0;
@@ -171,7 +169,7 @@
         Ok(RequestCost { time_ns, sent, memory_bytes })
     }
 
-    /// A request of any customer.
+    /// Creates a request of a random customer.
     fn next_request(&mut self, number: u64) -> Request {
         Request {
             id: RequestId(number),
@@ -183,7 +181,8 @@
         }
     }
 
-    /// Hands the ingress a request and its answer; false if it sent the request nowhere.
+    /// Passes a request and its answer to the gateway. Returns whether the gateway sent the request to a
+    /// backend.
     fn serve(&mut self, request: Request) -> bool {
         self.gateway.handle(self.now, Event::Request(request), &mut self.actions);
         let backend = self.actions.iter().find_map(|action| match action {
--- a/fleet-experiments/src/experiments/slow_start.rs
+++ b/fleet-experiments/src/experiments/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start in a fleet: half of the backends restart at one moment, and what all ingresses together send to
-//! each of them is compared with the overload rule.
+//! Load on backends in slow start: half of the backends restart at the same time, and the requests that the
+//! whole fleet sends to each of them are compared with the overload rule.
 
 mod overload_rule;
 mod simulation;
@@ -8,25 +8,25 @@
 use crate::report::Report;
 use serde::{Deserialize, Serialize};
 
-/// Fleets in which half of the backends restart, to be simulated.
+/// A fleet in which half of the backends restart, the loads on it, and the overload factors of the rule.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SlowStartExperiment {
-    /// Ingresses in the fleet.
+    /// Number of ingresses in the fleet.
     pub ingresses: u16,
-    /// Backends.
+    /// Number of backends.
     pub backends: u64,
-    /// Requests that a backend after its slow start serves in a second.
+    /// Requests per second that a backend serves after its slow start.
     pub capacity: f64,
-    /// The rule's overload factors.
+    /// Overload factors of the rule.
     #[serde(alias = "factors")]
     pub overload_factors: Vec<f64>,
-    /// The load that is offered, in capacities of all backends after their slow start.
+    /// Offered loads, as multiples of the capacity of all backends after their slow start.
     pub loads: Vec<f64>,
     /// Whether answers take longer while a backend is overloaded.
     #[serde(alias = "queues")]
     pub queueing: bool,
-    /// Simulations for each point, with a seed each.
+    /// Number of simulations per point, each with its own seed.
     #[serde(alias = "starts")]
     pub runs: u64,
 }
@@ -34,62 +34,61 @@
 /// A fleet, its backends, and the load on them.
 #[derive(Clone, Debug)]
 pub struct SlowStartScenario {
-    /// Ingresses in the fleet.
+    /// Number of ingresses in the fleet.
     pub ingresses: u16,
-    /// Backends.
+    /// Number of backends.
     pub backends: u64,
-    /// Requests that a backend after its slow start serves in a second.
+    /// Requests per second that a backend serves after its slow start.
     pub capacity: f64,
-    /// The rule's overload factor.
+    /// Overload factor of the rule.
     pub overload_factor: f64,
-    /// The load that is offered, in capacities of all backends after their slow start.
+    /// Offered load, as a multiple of the capacity of all backends after their slow start.
     pub load: f64,
-    /// Answers take longer while a backend is overloaded; else they take 60 to 160 ms at any load.
+    /// Whether answers take longer while a backend is overloaded. Otherwise they take 60 to 160 ms at any
+    /// load.
     pub queueing: bool,
     /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// The outcome of one scenario, simulated once.
+/// Result of one simulation.
 #[derive(Clone, Debug, Default)]
 pub struct SlowStartOutcome {
-    /// The fullest window at a restarted backend, as a share of what the rule allows there: the budget N, and
-    /// 2 sqrt(N) + 2 for chance.
+    /// Maximum number of requests in any overload window of a restarted backend, as a share of the number
+    /// that the rule allows there: the budget N, plus a tolerance of 2 sqrt(N) + 2 for random variation.
     pub peak_window: f64,
-    /// Requests sent to the restarted backends, as a share of their budgets over the slow start.
+    /// Requests sent to the restarted backends during slow start, as a share of their budgets.
     pub budget_used: f64,
-    /// Requests served.
+    /// Number of served requests.
     pub served: u64,
     /// Requests rejected or failed.
     pub rejected: u64,
 }
 
-/// The outcome of all runs with one factor and load: the fullest window, and means of the rest.
+/// Result of all runs at one overload factor and load: the maximum of the peak windows, and means over the
+/// runs.
 #[derive(Debug, Serialize)]
 struct Point {
-    /// Ingresses in the fleet.
     ingresses: u16,
-    /// Backends.
     backends: u64,
-    /// Requests that a backend after its slow start serves in a second.
+    /// Requests per second that a backend serves after its slow start.
     capacity: f64,
     /// Whether answers took longer while a backend was overloaded.
     queueing: bool,
-    /// The rule's overload factor.
+    /// Overload factor of the rule.
     overload_factor: f64,
-    /// The load that was offered, in capacities of all backends after their slow start.
+    /// Offered load, as a multiple of the capacity of all backends after their slow start.
     load: f64,
-    /// Simulations, with a seed each.
+    /// Number of simulations, each with its own seed.
     runs: u64,
-    /// The fullest window of all runs.
+    /// Maximum over all runs.
     peak_window: f64,
-    /// Runs with a window that is fuller than the rule allows.
+    /// Number of runs in which a window exceeded the number that the rule allows.
     runs_over_limit: usize,
-    /// Requests sent to the restarted backends, as a share of their budgets over the slow start.
+    /// Requests sent to the restarted backends during slow start, as a share of their budgets.
     budget_used: f64,
     /// Requests rejected or failed.
     rejected: f64,
-    /// Requests served.
     served: f64,
 }
 
@@ -120,7 +119,7 @@
 }
 
 impl SlowStartExperiment {
-    /// Simulates all runs with one factor and load.
+    /// Simulates all runs at one overload factor and load.
     fn measure(&self, overload_factor: f64, load: f64, seed: u64) -> Point {
         let scenario = |run| SlowStartScenario {
             ingresses: self.ingresses,
@@ -152,8 +151,8 @@
     }
 }
 
-/// Simulates one scenario. Arrivals are Poisson and spread unevenly: the busiest ingress gets ten times what the
-/// idlest gets.
+/// Simulates one scenario. Arrivals at each ingress are Poisson. The rates of ingresses differ by up to a
+/// factor of ten.
 pub fn simulate(scenario: &SlowStartScenario) -> SlowStartOutcome {
     simulation::Simulation::new(scenario).run()
 }
--- a/fleet-experiments/src/experiments/slow_start/overload_rule.rs
+++ b/fleet-experiments/src/experiments/slow_start/overload_rule.rs
@@ -1,21 +1,22 @@
-//! The overload rule: how much a backend in slow start may be sent, and how much of that was used.
+//! Overload rule: the maximum number of requests to a backend in slow start, and the share of it that was
+//! sent.
 
 use super::SlowStartScenario;
 use crate::simulation::START;
 use ingress::{Duration, Instant};
 
-/// The window that the rule is about.
+/// Length of the window to which the rule applies.
 pub const OVERLOAD_WINDOW: Duration = Duration::from_secs(3);
-/// The share of its capacity that a backend serves as it starts.
+/// Share of its capacity that a backend serves at its start.
 pub const SLOW_START_FLOOR: f64 = 0.23;
-/// How long a backend takes from its start until it serves its capacity.
+/// Time from the start of a backend until it serves its full capacity.
 pub const SLOW_START_DURATION: Duration = Duration::from_secs(15);
-/// When half of the backends restart: the fleet has run for a while by then.
+/// Time at which half of the backends restart, after the fleet has run for some time.
 pub const RESTART: Instant = START.saturating_add(Duration::from_secs(5));
-/// When their slow start is over.
+/// End of the slow start of the restarted backends.
 pub const SLOW_START_END: Instant = RESTART.saturating_add(SLOW_START_DURATION);
 
-/// How many requests a restarted backend may be sent from its restart until `until`.
+/// Returns the number of requests that may be sent to a restarted backend from its restart until `until`.
 fn budget(scenario: &SlowStartScenario, until: Instant) -> f64 {
     let age = until.duration_since(RESTART).min(SLOW_START_DURATION).as_secs_f64();
     let duration = SLOW_START_DURATION.as_secs_f64();
@@ -23,16 +24,16 @@
     scenario.overload_factor * scenario.capacity * capacity_served
 }
 
-/// Requests sent to a backend, as a share of its budget over the slow start.
+/// Returns the requests sent to a backend during slow start, as a share of its budget.
 pub fn budget_used(scenario: &SlowStartScenario, sends: &[Instant]) -> f64 {
     sends.len() as f64 / budget(scenario, SLOW_START_END)
 }
 
-/// The fullest window within the slow start of a backend, as a share of what the rule allows there. `sends`
-/// is sorted.
+/// Returns the maximum number of requests in any window within the slow start of a backend, as a share of
+/// the number that the rule allows there. `sends` must be sorted.
 ///
-/// The rule allows N + 2 sqrt(N) + 2 requests where N are the budget, and N + 3 sqrt(N) + 3 for N under 30.
-/// Here the first bound holds for every N: the experiment is the stricter one.
+/// For a budget of N, the rule allows N + 2 sqrt(N) + 2 requests, or N + 3 sqrt(N) + 3 if N is below 30.
+/// This function applies the first bound to every N, which is stricter than the rule.
 pub fn peak_window(scenario: &SlowStartScenario, sends: &[Instant]) -> f64 {
     let mut peak = 0.0;
     for (first, window_start) in sends.iter().enumerate() {
--- a/fleet-experiments/src/experiments/slow_start/simulation.rs
+++ b/fleet-experiments/src/experiments/slow_start/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation of a fleet before backends of which half restart.
+//! Simulation of a fleet while half of its backends restart.
 
 use super::overload_rule::{
     budget_used, peak_window, OVERLOAD_WINDOW, RESTART, SLOW_START_DURATION, SLOW_START_END, SLOW_START_FLOOR,
@@ -14,94 +14,90 @@
 };
 use std::collections::HashMap;
 
-/// Customers that requests are of.
+/// Number of customers that send requests.
 const CUSTOMERS: u64 = 1_000_000;
-/// The seeds of scenarios are so far apart that no two ingresses share one.
+/// Distance between the gateway seeds of two scenarios, so that no two ingresses share a seed.
 const SEED_STRIDE: u64 = 1000;
-/// The least weight of an ingress, by which requests are spread over the fleet.
+/// Minimum weight of an ingress. Requests are distributed over the fleet by weight.
 const MIN_WEIGHT: f64 = 0.3;
-/// How much more the largest weight is.
+/// Difference between the maximum and the minimum weight.
 const WEIGHT_RANGE: f64 = 2.7;
 /// Every second backend restarts.
 const RESTART_STEP: usize = 2;
 
-/// An event that is to come.
+/// Event in the queue of the simulation.
 enum Scheduled {
     /// A request arrives at an ingress.
     Arrival {
-        /// The index of the ingress.
+        /// Index of the ingress.
         ingress: usize,
     },
     /// A backend answers an attempt.
     Answer {
-        /// The index of the ingress.
+        /// Index of the ingress.
         ingress: usize,
-        /// The request.
+        /// Id of the request.
         id: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt.
         attempt: u16,
-        /// The index of the backend.
+        /// Index of the backend.
         backend: usize,
-        /// When the ingress sent the attempt.
+        /// Time at which the ingress sent the attempt.
         sent_at: Instant,
     },
     /// A timer of an ingress expires.
     Timer {
-        /// The index of the ingress.
+        /// Index of the ingress.
         ingress: usize,
-        /// The token that the ingress gave the timer.
+        /// Token that the ingress assigned to the timer.
         token: u32,
     },
-    /// An ingress receives the list of the backends that have restarted.
+    /// An ingress receives the list of the restarted backends.
     EndpointUpdate {
-        /// The index of the ingress.
+        /// Index of the ingress.
         ingress: usize,
     },
 }
 
-/// A backend of the simulation.
+/// Simulated backend with a queue.
 #[derive(Clone, Default)]
 struct Backend {
-    /// When it has worked on all requests that were sent to it, in microseconds.
+    /// Time at which the queue of the backend is empty, in microseconds.
     idle_at_us: f64,
-    /// When it was sent requests in its slow start.
+    /// Times at which requests were sent to the backend during its slow start.
     slow_start_sends: Vec<Instant>,
 }
 
-/// An ingress of the simulation.
+/// Gateway and its share of the load.
 struct SimulatedIngress {
-    /// The gateway.
     gateway: Gateway,
-    /// Requests that arrive in a second.
+    /// Requests per second that arrive at the ingress.
     rate: f64,
 }
 
-/// A scenario that is simulated.
+/// Simulation of one scenario.
 pub struct Simulation<'a> {
-    /// What is simulated.
     scenario: &'a SlowStartScenario,
-    /// Draws of weights, arrivals, customers and delays.
+    /// Source of weights, arrivals, customers and delays.
     random: fastrand::Rng,
-    /// The events to come.
     queue: EventQueue<Scheduled>,
-    /// The ingresses by their numbers.
+    /// Ingresses by number.
     fleet: Vec<SimulatedIngress>,
-    /// The backends by their indices.
     backends: Vec<Backend>,
-    /// The index of each backend.
+    /// Index in `backends` of each backend.
     indices: HashMap<BackendId, usize>,
-    /// The identifier of the last request.
+    /// Id of the last request.
     last_request: u64,
-    /// The number of the next attempt of each open request.
+    /// Number of the next attempt of each open request.
     attempts: HashMap<RequestId, u16>,
-    /// What was counted so far.
+    /// Results so far.
     outcome: SlowStartOutcome,
-    /// The actions of one event; the allocation is reused.
+    /// Buffer for the actions of one event.
     actions: Vec<Action>,
 }
 
 impl<'a> Simulation<'a> {
-    /// A fleet whose ingresses have their endpoint lists and wait for their first requests.
+    /// Creates a fleet whose ingresses have their endpoint lists, and schedules their first requests.
     pub fn new(scenario: &'a SlowStartScenario) -> Self {
         let backends = scenario.backends as usize;
         let mut simulation = Simulation {
@@ -122,7 +118,7 @@
         simulation
     }
 
-    /// Draws how many requests a second arrive at each ingress.
+    /// Draws the rate of arrivals at each ingress, in requests per second.
     fn arrival_rates(&mut self) -> Vec<f64> {
         let scenario = self.scenario;
         let weights: Vec<f64> =
@@ -132,7 +128,7 @@
         weights.iter().map(|weight| rate_per_weight * weight).collect()
     }
 
-    /// Starts an ingress, with its first timer, its first request and the restart of the backends to come.
+    /// Starts an ingress, and schedules its first timer, its first request and the restart of the backends.
     fn start_ingress(&mut self, ingress: usize, rate: f64) {
         let seed = self.scenario.seed * SEED_STRIDE + ingress as u64;
         let mut gateway = Gateway::new(settings(self.scenario, ingress as u16), seed, START);
@@ -147,7 +143,7 @@
         self.queue.schedule(RESTART, Scheduled::EndpointUpdate { ingress });
     }
 
-    /// Runs until the slow start is over.
+    /// Runs until the end of the slow start.
     pub fn run(mut self) -> SlowStartOutcome {
         while let Some((now, scheduled)) = self.queue.pop() {
             if now > SLOW_START_END {
@@ -170,14 +166,14 @@
         self.finish()
     }
 
-    /// The change of the list that reports the restart.
+    /// Returns the update that reports the restarted backends.
     fn restarted_endpoints(&self, now: Instant) -> Event {
         let restarted = (0..self.backends.len()).step_by(RESTART_STEP);
         let list = restarted.map(|index| endpoint_at(index, now)).collect();
         Event::Endpoints(EndpointUpdate::Delta, list)
     }
 
-    /// The request that arrives at an ingress now, with the one after it scheduled.
+    /// Returns the request that arrives at an ingress now, and schedules the next arrival.
     fn next_request(&mut self, ingress: usize, now: Instant) -> Request {
         let next_arrival = now + poisson_interval(&mut self.random, self.fleet[ingress].rate);
         self.queue.schedule(next_arrival, Scheduled::Arrival { ingress });
@@ -209,7 +205,7 @@
         self.actions = actions;
     }
 
-    /// Sends a request to a backend, whose answer is scheduled.
+    /// Sends an attempt to a backend and schedules its answer.
     fn send(&mut self, ingress: usize, id: RequestId, index: usize, now: Instant) {
         let mut answered_at = now + draw_duration(&mut self.random, SERVICE_TIME);
         let backend = &mut self.backends[index];
@@ -229,7 +225,7 @@
         self.queue.schedule(answered_at, answer);
     }
 
-    /// Compares what was sent to the restarted backends with the rule.
+    /// Compares the requests sent to the restarted backends with the overload rule.
     fn finish(mut self) -> SlowStartOutcome {
         let restarted = self.backends.len().div_ceil(RESTART_STEP) as f64;
         for backend in self.backends.iter().step_by(RESTART_STEP) {
@@ -241,7 +237,7 @@
     }
 }
 
-/// The settings of an ingress, with the scenario's rule.
+/// Returns the settings of an ingress, with the overload rule of the scenario.
 fn settings(scenario: &SlowStartScenario, number: u16) -> Settings {
     let mut settings = ingress_settings(scenario.ingresses, number);
     settings.rules.slow_start_floor = SLOW_START_FLOOR;
@@ -251,18 +247,19 @@
     settings
 }
 
-/// The share of its capacity that a backend of this age serves.
+/// Returns the share of its capacity that a backend serves at an age.
 fn capacity_share(age: Duration) -> f64 {
     let age_share = age.as_micros_f64() / SLOW_START_DURATION.as_micros_f64();
     (SLOW_START_FLOOR + (1.0 - SLOW_START_FLOOR) * age_share).min(1.0)
 }
 
-/// When a backend last started, as seen at `now`; none for long ago.
+/// Returns the time at which a backend last started, as of `now`; `None` if the backend is past its slow
+/// start.
 fn started_at(index: usize, now: Instant) -> Option<Instant> {
     (index % RESTART_STEP == 0 && now >= RESTART).then_some(RESTART)
 }
 
-/// The entry of a backend in the list, as seen at `now`.
+/// Returns the entry of a backend in the endpoint list, as of `now`.
 fn endpoint_at(index: usize, now: Instant) -> Endpoint {
     endpoint(index as u64, Availability::Ready, started_at(index, now))
 }
