--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -10,7 +10,7 @@
 use crate::{Action, AttemptEnded, BackendId, CustomerId, Gateway, Outcome, RequestId};
 
 /// Effects of an attempt's end on its request, backend and customer.
-struct SettledAttempt {
+struct AttemptEndEffects {
     backend: BackendId,
     customer: CustomerId,
     /// Whether the request has its final answer or its client has disconnected.
@@ -28,15 +28,15 @@
             self.record_outcome(ended, class);
         }
         self.record_queue_depth(ended);
-        let Some(settled) = self.settle_attempt(ended) else { return };
-        if settled.request_closed {
+        let Some(effects) = self.end_attempt(ended) else { return };
+        if effects.request_closed {
             self.close_request(ended.id, actions);
-        } else if settled.was_last_in_flight && !self.retry(ended.id, actions) {
+        } else if effects.was_last_in_flight && !self.retry(ended.id, actions) {
             self.reject_or_fail(ended.id, RejectReason::AttemptsExhausted, actions);
         }
-        self.backends.remove_if_drained(settled.backend);
-        if settled.usage_changed {
-            self.queue_usage_report(settled.customer, ReportPurpose::Usage, actions);
+        self.backends.remove_if_drained(effects.backend);
+        if effects.usage_changed {
+            self.queue_usage_report(effects.customer, ReportPurpose::Usage, actions);
         }
         self.send_queued_requests(actions);
     }
@@ -70,7 +70,7 @@
 
     /// Updates the records of the request, backend and customer at the end of an attempt. Returns `None` if
     /// the attempt was not in flight.
-    fn settle_attempt(&mut self, ended: &AttemptEnded) -> Option<SettledAttempt> {
+    fn end_attempt(&mut self, ended: &AttemptEnded) -> Option<AttemptEndEffects> {
         let state = self.requests.get_mut(ended.id)?;
         let endpoint = state.end_attempt(ended.attempt, ended.outcome)?;
         state.closed |= ended.request_closed || ended.outcome == Outcome::Ok;
@@ -83,7 +83,7 @@
         let charged_units = ended.charged_units.filter(|_| self.settings.postpaid);
         let correction_units = charged_units.map_or(0.0, |units| units - request.units);
         let usage_changed = self.quota.end_attempt(request.customer, correction_units);
-        Some(SettledAttempt {
+        Some(AttemptEndEffects {
             backend: endpoint.backend,
             customer: request.customer,
             request_closed,
