--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -21,7 +21,8 @@
     pub backend: BackendId,
     /// Number of the backend's zone.
     pub zone: u8,
-    /// Number of the backend's cell: a group of backends that share idempotency keys.
+    /// Number of the backend's cell, a group of backends within which idempotency keys are shared if their
+    /// scope is [`IdempotencyScope::Cell`](crate::IdempotencyScope::Cell).
     pub cell: u16,
     /// Number of the backend's machine type.
     pub machine_type: u16,
--- a/tests/ingress/retry.rs
+++ b/tests/ingress/retry.rs
@@ -144,7 +144,7 @@
 fn a_connection_that_is_never_established_times_out() {
     let silent = UnreachableBackend::new();
     let longest = assert_all_retried_elsewhere(silent.address);
-    assert!(longest >= Duration::from_millis(250), "the connect timeout did not occur: {longest:?}");
+    assert!(longest >= Duration::from_millis(250), "no attempt waited for the connect timeout: {longest:?}");
 }
 
 /// A backend takes much longer than usual, and a hedged attempt is sent to a second backend. The client gets
