--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -156,8 +156,8 @@
 }
 
 /// Reads from a client are interrupted or fail for lack of memory, so its connection is queued for reading in
-/// the next iteration. Until then it must not be closed as the longest idle one: a command may be waiting, and
-/// the client would lose it.
+/// the next iteration. Until then it must not be closed as the longest idle one: a command may be waiting
+/// and would be lost.
 #[test]
 fn a_connection_queued_for_reading_is_not_closed_as_idle() {
     let mut fixture = Fixture::new(1 << 20);
--- a/src/bin/ingress/event_loop/request_entries.rs
+++ b/src/bin/ingress/event_loop/request_entries.rs
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Records the end of an attempt. An attempt whose first byte was not written was not executed, regardless
-    /// of the outcome.
+    /// Records the end of an attempt. An attempt whose first byte was not written was not executed,
+    /// regardless of the outcome.
     pub fn record_end(&mut self, number: u16, outcome: Outcome) {
         let attempt = self.attempts.get_mut(usize::from(number));
         if let Some(attempt) = attempt.filter(|attempt| attempt.has_begun) {
