--- a/fault-plan/src/lib.rs
+++ b/fault-plan/src/lib.rs
@@ -1,67 +1,66 @@
-//! Faults of system calls, as a plan that one process passes to another in an environment variable.
+//! Plans of system call faults, passed to a process as JSON in an environment variable.
 //!
-//! `fault-shim`, loaded into an ingress, executes a plan; tests and `fault-soak` write it. A plan has its own
-//! seed, so that the same calls in the same order get the same faults.
+//! Tests and `fault-soak` write a plan; `fault-shim`, preloaded into an ingress, executes it. A plan has its
+//! own seed, so the same calls in the same order get the same faults.
 //!
-//! A [`SystemCallFault`] is one way in which a system call of one process fails. A `FaultScenario` of
-//! `fault-soak` is larger: it affects an ingress, a backend, discovery or clients, and may consist of several
-//! system call faults, or of none.
+//! A [`SystemCallFault`] makes one kind of system call fail in one process. A `FaultScenario` of `fault-soak`
+//! affects an ingress, a backend, discovery or clients, and consists of any number of system call faults.
 
 use serde::{Deserialize, Serialize};
 
 /// The environment variable that holds a plan as JSON.
 pub const PLAN_VARIABLE: &str = "FAULT_SHIM";
 
-/// A way in which a system call fails.
+/// A fault that can be injected into a system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SystemCallFault {
-    /// A read from a TCP connection returns 1 to 16 bytes, whatever else is waiting.
+    /// A read from a TCP connection returns 1 to 16 bytes, even if more are available.
     ShortRead,
-    /// A write to a TCP connection takes 1 to 16 bytes only.
+    /// A write to a TCP connection accepts only 1 to 16 bytes.
     ShortWrite,
-    /// A write to a TCP connection takes no byte, and reports no error.
+    /// A write to a TCP connection accepts no bytes and reports no error.
     ZeroWrite,
     /// A read from a TCP connection is interrupted by a signal.
     InterruptedRead,
     /// A write to a TCP connection is interrupted by a signal.
     InterruptedWrite,
-    /// A write to a TCP connection finds no buffer (ENOBUFS).
+    /// A write to a TCP connection fails with ENOBUFS.
     NoBufferForWrite,
-    /// Waiting for events is interrupted by a signal.
+    /// A wait for epoll events is interrupted by a signal.
     InterruptedWait,
-    /// Accepting fails: ECONNABORTED, ENFILE, ENOBUFS, EMFILE, ENOMEM or EINTR.
+    /// Accepting a connection fails with ECONNABORTED, ENFILE, ENOBUFS, EMFILE, ENOMEM or EINTR.
     FailedAccept,
-    /// Creating a socket fails: EMFILE, ENFILE or ENOBUFS.
+    /// Creating a socket fails with EMFILE, ENFILE or ENOBUFS.
     FailedSocket,
-    /// Connecting fails: EADDRNOTAVAIL, ENETUNREACH or EINTR.
+    /// Connecting a socket fails with EADDRNOTAVAIL, ENETUNREACH or EINTR.
     FailedConnect,
-    /// Registering a socket with epoll fails: ENOMEM.
+    /// Registering a socket with epoll fails with ENOMEM.
     FailedRegistration,
-    /// Writing the log, on standard error, fails: ENOSPC or EIO.
+    /// Writing the log to standard error fails with ENOSPC or EIO.
     FailedLog,
 }
 
-/// A system call fault, how often it is injected, and when.
+/// A system call fault with its probability and the interval in which it is active.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScheduledFault {
-    /// How the call fails.
+    /// The fault to inject.
     pub kind: SystemCallFault,
-    /// The probability that a call gets it, from 0 to 1.
+    /// Probability that a call gets the fault, from 0 to 1.
     pub probability: f64,
-    /// When it begins, in milliseconds since the process started.
+    /// Start of the interval, in milliseconds since the process started.
     pub from_ms: u64,
-    /// When it ends, in milliseconds since the process started.
+    /// End of the interval, exclusive, in milliseconds since the process started.
     pub until_ms: u64,
 }
 
 impl ScheduledFault {
-    /// A fault that is active from the start to the end of the process.
+    /// Creates a fault that is active throughout the life of the process.
     pub fn always(kind: SystemCallFault, probability: f64) -> ScheduledFault {
         ScheduledFault { kind, probability, from_ms: 0, until_ms: u64::MAX }
     }
 
-    /// Whether it is active at a time since the start.
+    /// Returns whether the fault is active `elapsed_ms` after the start of the process.
     pub fn is_active(&self, elapsed_ms: u64) -> bool {
         (self.from_ms..self.until_ms).contains(&elapsed_ms)
     }
@@ -70,27 +69,27 @@
 /// A step of the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockStep {
-    /// When, in milliseconds since the process started.
+    /// Time of the step, in milliseconds since the process started.
     pub at_ms: u64,
-    /// By how much, in milliseconds; negative to set it back.
+    /// Size of the step, in milliseconds; negative to set the clock back.
     pub by_ms: i64,
 }
 
-/// All faults of one process.
+/// The faults to inject into one process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FaultPlan {
-    /// The seed of the random draws.
+    /// Seed of the random draws.
     pub seed: u64,
-    /// Faults of system calls.
+    /// System call faults with their probabilities and intervals.
     #[serde(default)]
     pub faults: Vec<ScheduledFault>,
-    /// Steps of the wall clock.
+    /// Steps of the wall clock, which add up.
     #[serde(default)]
     pub clock_steps: Vec<ClockStep>,
 }
 
 impl FaultPlan {
-    /// A plan with one fault, active from the start to the end.
+    /// Creates a plan with one fault that is active throughout the life of the process.
     pub fn single(kind: SystemCallFault, probability: f64) -> FaultPlan {
         FaultPlan {
             seed: 1,
@@ -99,27 +98,28 @@
         }
     }
 
-    /// The plan as the value of [`PLAN_VARIABLE`].
+    /// Returns the plan as JSON, the value of [`PLAN_VARIABLE`].
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads the value of [`PLAN_VARIABLE`].
+    /// Parses the value of [`PLAN_VARIABLE`].
     ///
     /// # Errors
     ///
-    /// If the text is no JSON, or not a plan.
+    /// Returns an error if the text is not a plan in JSON.
     pub fn from_json(json: &str) -> serde_json::Result<FaultPlan> {
         serde_json::from_str(json)
     }
 
-    /// The probability of a fault at a time since the start; faults of one kind add up.
+    /// Returns the probability of a fault `elapsed_ms` after the start of the process. The probabilities of
+    /// overlapping faults of the same kind add up.
     pub fn probability(&self, kind: SystemCallFault, elapsed_ms: u64) -> f64 {
         let active = self.faults.iter().filter(|fault| fault.kind == kind && fault.is_active(elapsed_ms));
         active.map(|fault| fault.probability).sum()
     }
 
-    /// By how many milliseconds the wall clock is off at a time since the start.
+    /// Returns the offset of the wall clock `elapsed_ms` after the start of the process, in milliseconds.
     pub fn clock_offset_ms(&self, elapsed_ms: u64) -> i64 {
         self.clock_steps.iter().filter(|step| step.at_ms <= elapsed_ms).map(|step| step.by_ms).sum()
     }
--- a/fault-plan/src/tests.rs
+++ b/fault-plan/src/tests.rs
@@ -1,10 +1,9 @@
-//! Tests of [`super`].
+//! Tests of the fault plan.
 
 use super::*;
 
-/// A test writes a plan of faults into an environment variable, and the process under test reads it there. Each
-/// field arrives as it was written, and an unknown kind of fault is an error; a fault that was silently dropped
-/// would let a test pass without its fault.
+/// A plan keeps all its fields on the way through the environment variable, and an unknown kind of fault is
+/// an error. If a fault were dropped silently, a test would pass without it.
 #[test]
 fn plan_round_trips_through_json() {
     let plan = FaultPlan {
@@ -21,8 +20,8 @@
     assert!(FaultPlan::from_json("{\"seed\":1,\"faults\":[{\"kind\":\"none\"}]}").is_err());
 }
 
-/// A fault is planned for part of a run. Before and after that it must not strike, as a process might not even
-/// start; where two faults of one kind overlap, their probabilities add up.
+/// A fault is not injected outside of its interval, where it could even prevent the process from starting.
+/// The probabilities of overlapping faults of the same kind add up.
 #[test]
 fn faults_are_active_only_within_their_interval() {
     let fault = |from_ms, until_ms| ScheduledFault {
@@ -36,8 +35,8 @@
     assert_eq!(plan.probability(SystemCallFault::FailedSocket, 20), 0.0);
 }
 
-/// A plan steps the wall clock twice, forward and then further back. From each step on the process sees the sum of
-/// the steps so far, as on a machine whose clock is corrected repeatedly.
+/// The wall clock of the process is off by the sum of all steps so far, as on a machine whose clock is
+/// corrected repeatedly.
 #[test]
 fn clock_steps_accumulate() {
     let step = |at_ms, by_ms| ClockStep { at_ms, by_ms };
--- a/fault-shim/src/decision.rs
+++ b/fault-shim/src/decision.rs
@@ -1,4 +1,4 @@
-//! Decides by the plan whether a call fails, and how.
+//! Decides according to the plan whether a call fails, and how.
 
 use crate::real;
 use fault_plan::{FaultPlan, SystemCallFault, PLAN_VARIABLE};
@@ -6,55 +6,55 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// Milliseconds in a second.
+/// Conversion factor from seconds to milliseconds.
 const MILLIS_PER_SECOND: u64 = 1000;
-/// Nanoseconds in a millisecond.
+/// Conversion factor from milliseconds to nanoseconds.
 const NANOS_PER_MILLI: u64 = 1_000_000;
-/// The increment of the generator's state (`SplitMix64`).
+/// Increment of the random number generator's state (`SplitMix64`).
 const STATE_INCREMENT: u64 = 0x9E37_79B9_7F4A_7C15;
-/// The multipliers that mix the state into a number (`SplitMix64`).
+/// Multipliers that mix the generator's state into a number (`SplitMix64`).
 const MIXERS: [u64; 2] = [0xBF58_476D_1CE4_E5B9, 0x94D0_49BB_1331_11EB];
-/// Bits of a number that a probability is compared with.
+/// Number of random bits that are compared with a probability: the size of an `f64` mantissa.
 const PROBABILITY_BITS: u32 = 53;
 
-/// The plan of this process, and when it was read.
+/// The state of the fault injection in this process.
 struct Context {
-    /// The plan.
+    /// The faults to inject, parsed from the environment.
     plan: FaultPlan,
-    /// When the plan was read, by the monotonic clock.
+    /// Time of the monotonic clock at which the plan was read, in milliseconds.
     started_ms: u64,
-    /// The state of the generator, which all threads share.
+    /// State of the random number generator, shared by all threads.
     random: AtomicU64,
 }
 
-/// The time of the monotonic clock, which no plan steps, in milliseconds.
+/// Returns the time of the monotonic clock, in milliseconds. Plans step only the wall clock.
 fn monotonic_ms() -> u64 {
     let mut time = timespec { tv_sec: 0, tv_nsec: 0 };
-    // SAFETY: the time is a local that outlives the call.
+    // SAFETY: `time` is a local variable that outlives the call.
     unsafe { real::clock_gettime()(libc::CLOCK_MONOTONIC, &raw mut time) };
     time.tv_sec as u64 * MILLIS_PER_SECOND + time.tv_nsec as u64 / NANOS_PER_MILLI
 }
 
-/// Reads the plan; none if there is none, or it cannot be parsed.
+/// Reads the plan from the environment. Returns `None` if there is no plan, or it cannot be parsed.
 fn read_context() -> Option<Context> {
     let plan = FaultPlan::from_json(&std::env::var(PLAN_VARIABLE).ok()?).ok()?;
     let random = AtomicU64::new(plan.seed);
     Some(Context { plan, started_ms: monotonic_ms(), random })
 }
 
-/// The plan of this process; none if it has none. It is read at the first call.
+/// Returns the state of the fault injection, which the first call initializes; `None` without a plan.
 fn context() -> Option<&'static Context> {
     static CONTEXT: OnceLock<Option<Context>> = OnceLock::new();
     CONTEXT.get_or_init(read_context).as_ref()
 }
 
 impl Context {
-    /// The time since the plan was read, in milliseconds.
+    /// Returns the milliseconds since the plan was read.
     fn elapsed_ms(&self) -> u64 {
         monotonic_ms() - self.started_ms
     }
 
-    /// The next number of the generator (`SplitMix64`).
+    /// Returns the generator's next random number (`SplitMix64`).
     fn draw(&self) -> u64 {
         let state = self.random.fetch_add(STATE_INCREMENT, Ordering::Relaxed).wrapping_add(STATE_INCREMENT);
         let mixed = (state ^ state >> 30).wrapping_mul(MIXERS[0]);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whether a call is to fail in this way.
+/// Draws whether a fault is injected into the current call.
 pub fn should_inject(kind: SystemCallFault) -> bool {
     let Some(context) = context() else { return false };
     if context.plan.faults.iter().all(|fault| fault.kind != kind) {
@@ -74,18 +74,18 @@
     drawn < probability * (1_u64 << PROBABILITY_BITS) as f64
 }
 
-/// A length from 1 to `max`.
+/// Draws a length from 1 to `max`; returns `max` without a plan.
 pub fn draw_length(max: usize) -> usize {
     context().map_or(max, |context| 1 + (context.draw() % max as u64) as usize)
 }
 
-/// One of some error numbers.
+/// Draws one of `errors`; returns the first without a plan.
 pub fn draw_errno(errors: &[c_int]) -> c_int {
     let drawn = context().map_or(0, Context::draw) as usize;
     errors[drawn % errors.len()]
 }
 
-/// By how much the wall clock is off now.
+/// Returns the current offset of the wall clock, in milliseconds.
 pub fn wall_clock_offset_ms() -> i64 {
     match context() {
         Some(context) if !context.plan.clock_steps.is_empty() => {
--- a/fault-shim/src/real.rs
+++ b/fault-shim/src/real.rs
@@ -1,25 +1,26 @@
-//! The functions of the C library that this library interposes.
+//! The C library's own versions of the interposed functions.
 
 use libc::{c_int, c_void, clockid_t, epoll_event, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::ffi::CStr;
 use std::sync::OnceLock;
 
-/// Returns the address of the next function with this name after this library's own, in the order of symbol lookup.
+/// Returns the address of the function with this name that follows this library's in the order of symbol
+/// lookup.
 fn lookup_next(name: &CStr) -> usize {
-    // SAFETY: the name is a string that ends with a zero byte.
+    // SAFETY: a `CStr` ends with a zero byte.
     let address = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
-    assert!(!address.is_null(), "the C library has no {name:?}");
+    assert!(!address.is_null(), "the C library has no function {name:?}");
     address as usize
 }
 
-/// Defines a function that looks up one of the C library's and caches its address.
+/// Defines a function that looks up a function of the C library and caches its address.
 macro_rules! real_function {
     ($name:ident, $symbol:literal, fn($($argument:ty),*) -> $result:ty) => {
-        /// The C library's function of this name.
+        /// Returns the C library's function of this name.
         pub fn $name() -> unsafe extern "C" fn($($argument),*) -> $result {
             static ADDRESS: OnceLock<usize> = OnceLock::new();
             let address = *ADDRESS.get_or_init(|| lookup_next($symbol));
-            // SAFETY: the address is that of the C library's function of this name, which has this signature.
+            // SAFETY: the C library's function at this address has this signature.
             unsafe { std::mem::transmute::<usize, unsafe extern "C" fn($($argument),*) -> $result>(address) }
         }
     };
