--- a/fault-soak/src/oracle.rs
+++ b/fault-soak/src/oracle.rs
@@ -1,5 +1,7 @@
-//! Judges what was observed in a run. What the ingresses say of themselves counts only where they report a
-//! violation, or where their counters disagree with the observations.
+//! Checks the observations of a run against the rules.
+//!
+//! The ingresses' own logs and counters serve only to find violations: those that an ingress reports, and
+//! counters that disagree with the observations.
 
 mod backends;
 mod ingresses;
@@ -13,13 +15,13 @@
 use crate::record::{Micros, Observations};
 use crate::scenario::FaultScenario;
 
-/// How late the stand-ins may observe something, besides the longest stall that was measured.
+/// Maximum delay until a stand-in observes an event, in addition to the longest measured stall.
 const OBSERVATION_SLACK: Micros = 100_000;
-/// How late an ingress may be where the plan pauses it: the longest pause that the protocol pages allow for.
-/// The testbed's pauses are a little shorter, since it may continue a process late.
+/// Maximum delay of an ingress that the plan pauses: the longest pause that the protocol documentation
+/// permits. The testbed's pauses are a little shorter, because it may continue a process late.
 const MAX_PAUSE: Micros = 150_000;
 
-/// Finds every violation in what was observed.
+/// Returns all violations in the observations of a run.
 pub fn check(plan: &SoakPlan, observations: &Observations) -> Vec<Violation> {
     let mut oracle = Oracle { plan, observations, violations: Vec::new() };
     oracle.check_requests();
@@ -33,33 +35,31 @@
     oracle.violations
 }
 
-/// The check of one run.
+/// The state of the check of one run.
 struct Oracle<'a> {
-    /// The plan of the run.
     plan: &'a SoakPlan,
-    /// What was observed.
     observations: &'a Observations,
-    /// The violations found so far.
+    /// Violations found so far.
     violations: Vec<Violation>,
 }
 
 impl Oracle<'_> {
-    /// Reports a violation of a rule about a request.
+    /// Adds a violation by a single request.
     fn report(&mut self, rule: Rule, id: &str, detail: String) {
         self.violations.push(Violation::of_request(rule, id, detail));
     }
 
-    /// Reports a violation of a rule that is not about a single request.
+    /// Adds a violation that does not concern a single request.
     fn report_general(&mut self, rule: Rule, detail: String) {
         self.violations.push(Violation::general(rule, detail));
     }
 
-    /// By how much something may have happened before it was observed.
+    /// Returns the maximum delay between an event and its observation.
     fn observation_slack(&self) -> Micros {
         OBSERVATION_SLACK + self.observations.longest_stall
     }
 
-    /// By how much an ingress may be late since the plan pauses it.
+    /// Returns the maximum delay of an ingress due to pauses of the plan.
     fn pause_slack(&self) -> Micros {
         if self.plan.includes(FaultScenario::Pauses) {
             MAX_PAUSE
@@ -68,13 +68,13 @@
         }
     }
 
-    /// By how much an ingress may seem late though it is on time.
+    /// Returns by how much an ingress may appear to exceed a time limit without a violation.
     fn slack(&self) -> Micros {
         self.pause_slack() + self.observation_slack()
     }
 }
 
-/// The number of the ingress that a request was sent to, by the id of the request.
+/// Parses the number of the ingress that a request was sent to from the request id.
 fn ingress_of(id: &str) -> Option<usize> {
     id.strip_prefix('i')?.split('-').next()?.parse().ok()
 }
--- a/fault-soak/src/oracle/backends.rs
+++ b/fault-soak/src/oracle/backends.rs
@@ -1,35 +1,35 @@
-//! Rules about backends: what they may be sent while they drain, and during their slow start.
+//! Rules about the requests that draining backends and backends in slow start may receive.
 
 use super::{ingress_of, Oracle, Rule};
 use crate::record::{to_millis, ArrivalRecord, EndpointChange, EndpointStatus, Micros};
 use crate::settings::{DRAIN_GRACE, OVERLOAD_FACTOR, OVERLOAD_WINDOW, SLOW_START_DURATION, SLOW_START_FLOOR};
 
-/// For how long after a start the budget of a backend is checked.
+/// Time after a backend's start in which its load is checked.
 const SLOW_START_CHECK_DURATION: Micros = 3_000_000;
-/// The capacity of a backend, in its even part of all requests.
+/// Assumed capacity of a backend, as a multiple of its even share of all requests.
 const CAPACITY_FACTOR: f64 = 1.25;
-/// Below so many expected requests chance may add three standard deviations, else two, as the overload rule
-/// of the standing test has it.
+/// Number of expected requests below which the bound allows three standard deviations instead of two, as the
+/// overload rule of the standing test does.
 const SMALL_EXPECTATION: f64 = 30.0;
-/// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The requests in a window, and the most that are allowed in it.
+/// The load of a backend in a window of time.
 struct WindowLoad {
-    /// Requests that arrived in the window.
+    /// Number of requests that arrived in the window.
     count: f64,
-    /// The most that are allowed.
+    /// Maximum number of requests allowed.
     bound: f64,
 }
 
 impl WindowLoad {
-    /// The load as a part of what is allowed.
+    /// Returns the load relative to its bound.
     fn ratio(&self) -> f64 {
         self.count / self.bound
     }
 }
 
-/// The most requests of a window in which so many are expected, by the overload rule of the standing test.
+/// Returns the maximum number of requests in a window for the expected number, by the overload rule of the
+/// standing test.
 fn upper_bound(expected: f64) -> f64 {
     if expected < SMALL_EXPECTATION {
         expected + 3.0 * expected.sqrt() + 3.0
@@ -38,7 +38,7 @@
     }
 }
 
-/// The most requests that a backend may get in a window that ends at this age.
+/// Returns the maximum number of requests in an overload window that ends `age` after the backend's start.
 fn slow_start_bound(age: Micros, capacity: f64) -> f64 {
     let progress = (age as f64 / SLOW_START_DURATION as f64).min(1.0);
     let share = SLOW_START_FLOOR + (1.0 - SLOW_START_FLOOR) * progress;
@@ -46,7 +46,7 @@
     upper_bound(OVERLOAD_FACTOR * share * capacity * window)
 }
 
-/// The fullest window after a start, by its ratio, of those that exceed their bounds.
+/// Returns the window with the highest ratio of load to bound after a start, if any exceeds its bound.
 fn most_overloaded_window(started_at: Micros, times: &[Micros], capacity: f64) -> Option<WindowLoad> {
     let loads = times.iter().enumerate().map(|(index, end)| {
         let begin = end.saturating_sub(OVERLOAD_WINDOW);
@@ -58,7 +58,7 @@
 }
 
 impl Oracle<'_> {
-    /// When an ingress was first notified of a version of the list, or of a later one.
+    /// Returns when an ingress was first notified of this version of the endpoint list or a later one.
     fn notified_at(&self, ingress: usize, version: u64) -> Option<Micros> {
         let notifications = self.observations.notifications.iter();
         let of_version = notifications
@@ -66,19 +66,19 @@
         of_version.map(|notification| notification.at).min()
     }
 
-    /// When the ingress of an attempt was notified of a change.
+    /// Returns when the ingress that sent an attempt was notified of a change.
     fn sender_notified_at(&self, arrival: &ArrivalRecord, change: &EndpointChange) -> Option<Micros> {
         self.notified_at(ingress_of(&arrival.id)?, change.version)
     }
 
-    /// When the status of a backend changed next.
+    /// Returns the time of the next change of the same backend.
     fn next_change_at(&self, change: &EndpointChange) -> Option<Micros> {
         let changes = self.observations.changes.iter();
         let later = changes.filter(|later| later.backend == change.backend && later.at > change.at);
         later.map(|later| later.at).min()
     }
 
-    /// Whether draining backends got nothing new after the grace period.
+    /// Checks that draining backends receive no new requests after the grace period.
     pub(super) fn check_draining(&mut self) {
         let observations = self.observations;
         for change in observations.changes.iter().filter(|change| change.status == EndpointStatus::Draining) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether a backend that drains until `until` was allowed to get a request.
+    /// Checks a request that arrived at a backend that drains from `change` to `until`.
     fn check_arrival_at_draining(&mut self, change: &EndpointChange, until: Micros, arrival: &ArrivalRecord) {
         let Some(notified_at) = self.sender_notified_at(arrival, change) else { return };
         let limit = notified_at + DRAIN_GRACE + self.slack();
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Whether backends got no more than their budgets during their slow start.
+    /// Checks that backends in slow start receive no more requests than their current capacity allows.
     pub(super) fn check_slow_start(&mut self) {
         let observations = self.observations;
         let shape = self.plan.shape;
@@ -115,7 +115,8 @@
         }
     }
 
-    /// When requests arrived at a backend that has started, from ingresses that were notified of its start.
+    /// Returns the arrival times of requests at a started backend, from ingresses that had been notified of
+    /// the start.
     fn arrivals_in_slow_start(&self, start: &EndpointChange) -> Vec<Micros> {
         let checked = start.at..start.at + SLOW_START_CHECK_DURATION;
         let is_notified = |arrival: &ArrivalRecord| {
--- a/fault-soak/src/oracle/ingresses.rs
+++ b/fault-soak/src/oracle/ingresses.rs
@@ -1,4 +1,4 @@
-//! Rules about ingresses as processes: invalid input, starts and exits, quotas, counters and logs.
+//! Rules about ingresses: invalid input, starts and exits, quotas, counters and logs.
 
 use super::{ingress_of, Oracle, Rule, Violation};
 use crate::ingress::Ingress;
@@ -8,18 +8,19 @@
 use std::collections::HashSet;
 use std::path::Path;
 
-/// How long an incomplete or malformed command may wait for an error or a close.
+/// Maximum time from an incomplete or malformed command until an error or a close.
 const INVALID_INPUT_TIMEOUT: Micros = 3_000_000;
-/// How many times the quotas of a run may be forwarded: usage is reported late, and restarts lose some of it.
+/// Maximum ratio of forwarded requests to quotas. It exceeds 1 because usage is reported with a delay, and a
+/// restarted ingress loses part of it.
 const QUOTA_TOLERANCE: f64 = 1.5;
 
-/// The quotas of all customers that have one, over a run, in requests.
+/// Returns the sum of all metered customers' quotas over a run, in requests.
 fn total_quota(plan: &SoakPlan) -> f64 {
     let customer_quota = METERED_BURST + METERED_RATE * plan.shape.seconds as f64;
     plan.shape.ingresses as f64 * customer_quota
 }
 
-/// The requests of customers with a quota that were forwarded, as a part of what the quotas allow.
+/// Returns the ratio of metered customers' forwarded requests to the sum of their quotas.
 pub fn quota_use(plan: &SoakPlan, observations: &Observations) -> f64 {
     let forwarded: HashSet<&str> = observations.arrivals.iter().map(|arrival| arrival.id.as_str()).collect();
     let metered = observations.requests.iter().filter(|request| request.metered_customer.is_some());
@@ -27,19 +28,19 @@
     count as f64 / total_quota(plan)
 }
 
-/// What was observed of one ingress, to be compared with its counters.
+/// Counts that the stand-ins observed for one ingress, to be compared with its counters.
 #[derive(Debug)]
 struct ObservedCounts {
-    /// Attempts that arrived at backends.
+    /// Number of attempts that arrived at backends.
     attempts: u64,
-    /// Requests that these belong to.
+    /// Number of requests that these attempts belong to.
     requests: u64,
-    /// Requests that clients got a value for.
+    /// Number of requests that clients received the value of.
     served: u64,
 }
 
 impl ObservedCounts {
-    /// Counts what was observed of an ingress.
+    /// Counts the observations of an ingress.
     fn of(observations: &Observations, ingress: usize) -> ObservedCounts {
         let ids = observations.arrivals.iter().map(|arrival| arrival.id.as_str());
         let attempts: Vec<&str> = ids.filter(|id| ingress_of(id) == Some(ingress)).collect();
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Whether an ingress has counted at least as much.
+    /// Returns whether the ingress counted at least as many of each.
     fn is_covered_by(&self, counters: &CounterRecord) -> bool {
         self.attempts <= counters.attempts_begun
             && self.requests <= counters.requests
@@ -62,7 +63,8 @@
 }
 
 impl Oracle<'_> {
-    /// Whether incomplete and malformed commands got an error or a close in time.
+    /// Checks that the ingress responds to incomplete and malformed commands in time, with an error or a
+    /// close.
     pub(super) fn check_invalid_input(&mut self) {
         let observations = self.observations;
         for input in &observations.invalid_inputs {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Whether processes started in time, and ended only when they were to.
+    /// Checks that processes become ready in time, exit in time after SIGTERM, and do not crash.
     pub(super) fn check_processes(&mut self) {
         let observations = self.observations;
         for record in &observations.processes {
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Whether quotas held over all ingresses, restarts and losses included.
+    /// Checks that quotas hold over all ingresses, despite restarts and lost messages.
     pub(super) fn check_quotas(&mut self) {
         let quota_use = quota_use(self.plan, self.observations);
         if quota_use > QUOTA_TOLERANCE {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Whether the counters of each ingress cover what was observed of it.
+    /// Checks that the counters of each ingress cover the observed counts.
     pub(super) fn check_counters(&mut self) {
         let observations = self.observations;
         for counters in &observations.counters {
@@ -111,8 +113,8 @@
     }
 }
 
-/// The violations and panics in the logs of the ingresses. A late answer is left to the observations of its
-/// client, since a process that the plan pauses reports one itself.
+/// Returns the violations and panics in the logs of the ingresses. Late answers are checked by the clients'
+/// observations instead, because an ingress also reports those that a pause of the plan causes.
 pub fn check_logs(folder: &Path, ingresses: usize) -> Vec<Violation> {
     let mut violations = Vec::new();
     for number in 0..ingresses {
@@ -124,7 +126,7 @@
     violations
 }
 
-/// Whether a line of a log reports a violation or a panic.
+/// Returns whether a log line reports a violation or a panic.
 fn reports_violation(line: &str) -> bool {
     let violated = line.contains("invariant: violated") && !line.contains("kind=LateAnswer");
     violated || line.contains("panicked")
--- a/fault-soak/src/oracle/requests.rs
+++ b/fault-soak/src/oracle/requests.rs
@@ -1,4 +1,4 @@
-//! Rules about requests: each gets its answer, and only the attempts that its class and the settings allow.
+//! Rules about requests: each gets an answer, and only the attempts that its class and the settings allow.
 
 use super::{Oracle, Rule};
 use crate::record::{
@@ -7,15 +7,15 @@
 use crate::settings::{ANSWER_SLACK, KEY_WINDOW, MAX_ATTEMPTS};
 use std::collections::HashMap;
 
-/// How much longer than its client has left the timeout that an attempt states may be, by the protocol pages.
-/// It has the length of the longest pause, but holds without one, too.
+/// Maximum excess of an attempt's stated timeout over the time that its client has left, by the protocol
+/// documentation. It equals the longest pause, but also applies without pauses.
 const TIME_SLACK: Micros = 150_000;
-/// How long after its client has disconnected an attempt may begin.
+/// Maximum time between a client's disconnect and the start of an attempt.
 const DISCONNECT_SLACK: Micros = 100_000;
-/// How long two attempts have to be in flight together to be observed as such.
+/// Minimum time for which two attempts must overlap to count as concurrent.
 const MIN_OVERLAP: Micros = 50_000;
 
-/// The arrivals of each request at backends, in their order.
+/// Groups the arrivals at backends by request, in order of arrival.
 fn arrivals_by_request(observations: &Observations) -> HashMap<&str, Vec<&ArrivalRecord>> {
     let mut arrivals: HashMap<&str, Vec<&ArrivalRecord>> = HashMap::new();
     for arrival in &observations.arrivals {
@@ -25,7 +25,7 @@
 }
 
 impl Oracle<'_> {
-    /// Judges the answer and the attempts of every request.
+    /// Checks the answer and the attempts of every request.
     pub(super) fn check_requests(&mut self) {
         let observations = self.observations;
         let arrivals = arrivals_by_request(observations);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Nothing may follow a final answer.
+    /// Checks that no bytes follow a final answer.
     pub(super) fn check_stray_bytes(&mut self) {
         let observations = self.observations;
         for bytes in &observations.stray_bytes {
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Whether an ingress was ended by force in a span: the requests that it had then are excused, or judged
-    /// as a crash.
+    /// Returns whether a process of the ingress was killed, crashed or was not ready in a span. Its open
+    /// requests are then not counted as lost; crashes are reported separately.
     fn terminated_abnormally(&self, ingress: usize, from: Micros, until: Micros) -> bool {
         let slack = self.observation_slack();
         self.observations.processes.iter().any(|record| {
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Whether a request got its answer.
+    /// Checks that a request was answered, and not with another request's value.
     fn check_answer(&mut self, request: &RequestRecord, arrivals: &[&ArrivalRecord]) {
         let excused = self.terminated_abnormally(request.ingress, request.sent_at, request.ended_at);
         let waited_ms = to_millis(request.ended_at.saturating_sub(request.sent_at));
@@ -66,12 +66,13 @@
             Outcome::WrongValue => {
                 self.report(Rule::WrongValue, &request.id, "another request's value".into());
             }
-            // Where the machine stalls for longer than clients wait, a late answer looks like a lost one.
+            // During a stall longer than the clients' slack, a late answer cannot be told from a lost one.
             Outcome::Unanswered if !excused && self.observations.longest_stall < ANSWER_SLACK => {
                 let detail = format!("no answer in {waited_ms} ms of {} ms", to_millis(request.timeout));
                 self.report(Rule::Lost, &request.id, detail);
             }
-            // A close may cross a request on a reused connection, unless the request was read.
+            // On a reused connection, a close may cross a request on the network, unless the ingress has read
+            // it.
             Outcome::Closed if !excused && (!request.may_cross_close || !arrivals.is_empty()) => {
                 let detail = format!("closed after {waited_ms} ms, {} attempts", arrivals.len());
                 self.report(Rule::Lost, &request.id, detail);
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether the attempts of a request were allowed.
+    /// Checks the number of a request's attempts and each attempt.
     fn check_attempts(&mut self, request: &RequestRecord, arrivals: &[&ArrivalRecord]) {
         if arrivals.len() > MAX_ATTEMPTS {
             self.report(Rule::TooManyAttempts, &request.id, format!("{} attempts", arrivals.len()));
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Whether the timeout that an attempt stated was no longer than its client had left.
+    /// Checks that the timeout stated by an attempt does not exceed the time that its client has left.
     fn check_time_budget(&mut self, request: &RequestRecord, arrival: &ArrivalRecord) {
         let time_left = (request.sent_at + request.timeout).saturating_sub(arrival.at);
         if arrival.time_budget > time_left + TIME_SLACK + self.slack() {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Whether a client was still connected as an attempt began.
+    /// Checks that an attempt did not begin after its client had disconnected.
     fn check_disconnect(&mut self, request: &RequestRecord, arrival: &ArrivalRecord) {
         let disconnected = request.outcome == Outcome::Disconnected;
         if disconnected && arrival.at > request.ended_at + DISCONNECT_SLACK + self.slack() {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Whether an attempt was allowed beside or after earlier ones.
+    /// Checks that an attempt was allowed in view of earlier attempts of the same request.
     fn check_repeat(&mut self, request: &RequestRecord, earlier: &[&ArrivalRecord], arrival: &ArrivalRecord) {
         let Some(first) = earlier.iter().find(|earlier| !earlier.rejected) else { return };
         let after_ms = to_millis(arrival.at - first.at);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Whether an attempt was in flight together with an earlier one.
+    /// Returns whether an attempt was in flight at the same time as an earlier one.
     fn is_concurrent(&self, earlier: &[&ArrivalRecord], arrival: &ArrivalRecord) -> bool {
         let overlaps_until = arrival.at + MIN_OVERLAP + self.observation_slack();
         earlier.iter().any(|earlier| earlier.ended_at.is_none_or(|ended_at| overlaps_until < ended_at))
--- a/fault-soak/src/oracle/rule.rs
+++ b/fault-soak/src/oracle/rule.rs
@@ -1,8 +1,8 @@
-//! The rules that the oracle checks, and what it reports where one is broken.
+//! The rules that the oracle checks, and the violations that it reports.
 
 use serde::{Deserialize, Serialize};
 
-/// A rule that was broken, with its number in `docs/INVARIANTS.md` where it has one.
+/// A rule, described by its violation, with its number in `docs/INVARIANTS.md` where it has one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
@@ -10,57 +10,58 @@
     Lost,
     /// R1: bytes arrived after the final answer.
     SecondAnswer,
-    /// R6: a request got the value of another one.
+    /// R6: a request was answered with another request's value.
     WrongValue,
     /// A1: an attempt began after its client had disconnected.
     AttemptAfterDisconnect,
     /// A2: a non-idempotent request that may have been executed was sent again.
     UnsafeRepeat,
-    /// A3: two attempts were in flight together though hedging is not allowed.
+    /// A3: two attempts were in flight at once although hedging is not allowed.
     ConcurrentAttempts,
     /// A4: an idempotency key was used after its window.
     KeyExpired,
-    /// A5: a request had more attempts than are allowed.
+    /// A5: a request had more attempts than the settings allow.
     TooManyAttempts,
-    /// A6: an attempt stated a longer timeout than its client had left.
+    /// A6: the timeout stated by an attempt exceeded the time that its client had left.
     TimeOverstated,
-    /// B1: a draining backend got a new request after the grace period.
+    /// B1: a draining backend received a new request after the grace period.
     SentToDraining,
-    /// B2: a backend in slow start got more than its budget.
+    /// B2: a backend in slow start received more requests than its current capacity allows.
     SlowStartExceeded,
-    /// C1: an incomplete or malformed command got neither an error nor a close in time.
+    /// C1: the ingress responded to an incomplete or malformed command neither with an error nor a close in
+    /// time.
     #[serde(alias = "bad_client_ignored")]
     InvalidInputIgnored,
     /// S1: a process did not exit in time after SIGTERM.
     ShutdownOverdue,
-    /// S2: a process ended by itself, or was not ready in time.
+    /// S2: a process crashed, or was not ready in time.
     Crashed,
-    /// P2: requests were admitted beyond their quotas by more than delays explain.
+    /// P2: requests were admitted beyond their quotas by more than reporting delays and restarts explain.
     QuotaExceeded,
-    /// The counters of an ingress do not agree with what was observed.
+    /// The counters of an ingress disagree with the observations.
     CountersDisagree,
-    /// An ingress reported a violation itself.
+    /// An ingress logged a violation or a panic.
     Reported,
 }
 
-/// A rule that was broken once.
+/// A single violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// The id of the request, where the rule is about one.
+    /// Id of the request, if the violation concerns a single one.
     pub request: Option<String>,
-    /// What was observed, in one line.
+    /// One-line description of the observation.
     pub detail: String,
 }
 
 impl Violation {
-    /// A violation of a rule about a request.
+    /// Creates a violation by a single request.
     pub(super) fn of_request(rule: Rule, id: &str, detail: String) -> Violation {
         Violation { rule, request: Some(id.to_string()), detail }
     }
 
-    /// A violation of a rule that is not about a single request.
+    /// Creates a violation that does not concern a single request.
     pub(super) fn general(rule: Rule, detail: String) -> Violation {
         Violation { rule, request: None, detail }
     }
