--- a/fault-soak/src/bin/fault-soak/arguments.rs
+++ b/fault-soak/src/bin/fault-soak/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use clap::{Args, Parser, Subcommand};
 use fault_soak::ingress::Programs;
@@ -9,101 +9,101 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// The longest time for which clients send requests, in seconds.
+/// Maximum time for which clients send requests, in seconds.
 const MAX_SECONDS: u64 = 60;
 
-/// Randomized faults around real ingresses on loopback.
+/// Injects random faults around real ingresses on loopback, and checks invariants.
 #[derive(Parser)]
 #[command(version)]
 pub struct Arguments {
-    /// What to do.
+    /// The command to execute.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What the program does.
+/// The commands of the program.
 #[derive(Subcommand)]
 pub enum Command {
     /// Runs the plans of several seeds, such as 1..200, one after another.
     Run {
-        /// The first and the last seed.
+        /// The first and the last seed, as FIRST..LAST.
         #[arg(long)]
         seeds: SeedRange,
-        /// How to run them.
+        /// Options of the runs.
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Runs the plan of one seed, and prints each violation in full with the log lines of its request.
+    /// Runs the plan of one seed, and prints each violation with the log lines of its request.
     Replay {
         /// The seed.
         seed: u64,
-        /// How to run it.
+        /// Options of the run.
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Removes faults from the plan of a seed for as long as the same rule is broken.
+    /// Removes faults from the plan of a seed while the same rule is still violated.
     Shrink {
         /// The seed.
         seed: u64,
-        /// How to run it.
+        /// Options of the run.
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Prints the plan of a seed.
+    /// Prints the plan of a seed as JSON.
     Plan {
         /// The seed.
         seed: u64,
-        /// How it would be run.
+        /// Options of the run.
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Writes a page that sums runs up.
+    /// Writes a summary page of runs as HTML.
     Report {
-        /// Result files, with a run in each line.
+        /// Result files with one run per line.
         results: Vec<PathBuf>,
-        /// The page.
+        /// The file to write.
         #[arg(short, long)]
         output: PathBuf,
     },
 }
 
-/// How a plan is drawn and run.
+/// Options that determine how a plan is drawn and run.
 #[derive(Args, Clone)]
 pub struct RunOptions {
-    /// The ingress program.
+    /// Path of the ingress program.
     #[arg(long, default_value = "target/release/ingress")]
     pub ingress: PathBuf,
-    /// The library that makes system calls fail.
+    /// Path of the library that injects system call faults.
     #[arg(long, default_value = "target/release/libfault_shim.so")]
     pub shim: PathBuf,
-    /// A kind of fault to draw from, instead of all; may be given more than once.
+    /// A kind of fault to draw, instead of all; may be repeated.
     #[arg(long, value_enum)]
     pub only: Vec<FaultScenario>,
-    /// How many ingresses run, 40 at most.
+    /// Number of ingresses, at most 40.
     #[arg(long, default_value_t = 10)]
     pub ingresses: usize,
-    /// How many backends run.
+    /// Number of backends.
     #[arg(long, default_value_t = 6)]
     pub backends: usize,
-    /// How many clients send requests.
+    /// Number of clients.
     #[arg(long, default_value_t = 24)]
     pub clients: usize,
-    /// How long clients send requests, in seconds; 60 at most.
+    /// Time for which clients send requests, in seconds; at most 60.
     #[arg(long, default_value_t = 8)]
     pub seconds: u64,
-    /// Where configurations and logs go; a folder of its own for each process by default.
+    /// Folder for configurations and logs; by default each process uses its own.
     #[arg(long)]
     pub folder: Option<PathBuf>,
-    /// The file that each run adds a line of JSON to.
+    /// File to which each run appends its result as a line of JSON.
     #[arg(long)]
     pub output: Option<PathBuf>,
-    /// The level of the ingresses' logs.
+    /// Log level of the ingresses.
     #[arg(long, default_value = "info")]
     pub log_level: String,
 }
 
 impl RunOptions {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn plan(&self, seed: u64) -> SoakPlan {
         let shape = Shape {
             ingresses: self.ingresses,
@@ -115,7 +115,7 @@
         SoakPlan::draw(seed, shape, scenarios)
     }
 
-    /// The programs of a run, and where their files go.
+    /// Returns the programs of a run and the folder of their files.
     pub fn programs(&self) -> Programs {
         let own_folder = std::env::temp_dir().join(format!("fault-soak-{}", std::process::id()));
         Programs {
@@ -128,23 +128,21 @@
     }
 }
 
-/// A range of seeds, both ends included.
+/// An inclusive range of seeds.
 #[derive(Clone, Copy, Debug)]
 pub struct SeedRange {
-    /// The first seed.
     pub first: u64,
-    /// The last seed.
     pub last: u64,
 }
 
-/// Why a range of seeds cannot be read.
+/// Reasons why a range of seeds is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum SeedRangeError {
-    /// It does not have two ends.
-    #[error("seeds are given as FIRST..LAST")]
+    /// The text has no `..`.
+    #[error("the range of seeds is not of the form FIRST..LAST")]
     NotARange,
-    /// An end is not an integer.
-    #[error("a seed is an integer")]
+    /// An end of the range is not an integer.
+    #[error("the first or last seed is not an integer")]
     NotANumber(#[from] ParseIntError),
 }
 
--- a/fault-soak/src/bin/fault-soak/main.rs
+++ b/fault-soak/src/bin/fault-soak/main.rs
@@ -1,4 +1,4 @@
-//! Injects faults around real ingresses, and reports which invariants they broke.
+//! Injects faults around real ingresses and reports violated invariants.
 
 mod arguments;
 mod output;
@@ -32,7 +32,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs the plans of several seeds; fails if a rule was broken.
+/// Runs the plans of several seeds. Returns a failure exit code if any run has a violation.
 fn run_seeds(seeds: SeedRange, options: &RunOptions) -> anyhow::Result<ExitCode> {
     let SeedRange { first, last } = seeds;
     let mut broken = 0;
@@ -45,7 +45,7 @@
     Ok(if broken > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
-/// Runs the plan of a seed with detailed logs, and prints all about its violations.
+/// Runs the plan of a seed with debug logs and prints its violations in detail.
 fn replay(seed: u64, options: RunOptions) -> anyhow::Result<()> {
     let options = RunOptions { log_level: "debug".into(), ..options };
     let result = run_and_check(&options, options.plan(seed))?;
@@ -54,11 +54,13 @@
     Ok(())
 }
 
-/// Removes faults one by one for as long as the same rule stays broken.
+/// Removes faults one by one while the first violated rule is still violated.
 fn shrink(seed: u64, options: &RunOptions) -> anyhow::Result<()> {
     let mut smallest = run_and_check(options, options.plan(seed))?;
     print_summary(&smallest);
-    let Some(rule) = smallest.counts.keys().next().copied() else { bail!("seed {seed} breaks no rule") };
+    let Some(rule) = smallest.counts.keys().next().copied() else {
+        bail!("the run of seed {seed} has no violation")
+    };
     let mut index = 0;
     while index < smallest.plan.faults.len() {
         let result = run_and_check(options, smallest.plan.without_fault(index))?;
@@ -74,7 +76,7 @@
     Ok(())
 }
 
-/// Runs a plan, judges it, and writes its line.
+/// Runs a plan, checks its observations and appends its result to the output file.
 fn run_and_check(options: &RunOptions, plan: SoakPlan) -> anyhow::Result<RunResult> {
     for file in [&options.ingress, &options.shim] {
         if !file.exists() {
@@ -87,7 +89,7 @@
     }
     let observations = run(&plan, &programs)?;
     if programs.interrupted.load(Ordering::SeqCst) {
-        bail!("interrupted in the run of seed {}", plan.seed);
+        bail!("interrupted during the run of seed {}", plan.seed);
     }
     let mut violations = check(&plan, &observations);
     violations.extend(check_logs(&programs.folder, plan.shape.ingresses));
@@ -102,14 +104,14 @@
     Ok(result)
 }
 
-/// Adds the line of a run to a result file.
+/// Appends the result of a run to a file, as a line.
 fn append_result(file: &Path, result: &RunResult) -> anyhow::Result<()> {
     let mut file = OpenOptions::new().create(true).append(true).open(file)?;
     writeln!(file, "{}", serde_json::to_string(result)?)?;
     Ok(())
 }
 
-/// Reads result files, with a run in each line.
+/// Reads result files with one run per line.
 fn read_results(files: &[PathBuf]) -> anyhow::Result<Vec<RunResult>> {
     let mut results = Vec::new();
     for file in files {
@@ -117,7 +119,7 @@
             std::fs::read_to_string(file).with_context(|| format!("cannot read {}", file.display()))?;
         for line in text.lines() {
             let result = serde_json::from_str(line);
-            results.push(result.with_context(|| format!("a line of {} is not a run", file.display()))?);
+            results.push(result.with_context(|| format!("invalid line in result file {}", file.display()))?);
         }
     }
     Ok(results)
--- a/fault-soak/src/bin/fault-soak/output.rs
+++ b/fault-soak/src/bin/fault-soak/output.rs
@@ -1,11 +1,11 @@
-//! What is printed of a run.
+//! Output of a run's result to standard output.
 
 use fault_soak::ingress::{Ingress, Programs};
 use fault_soak::report::RunResult;
 use fault_soak::scenario::FaultScenario;
 use std::path::Path;
 
-/// Prints the line of a run.
+/// Prints a one-line summary of a run.
 pub fn print_summary(result: &RunResult) {
     let scenarios: Vec<FaultScenario> = result.plan.faults.iter().map(|fault| fault.kind).collect();
     let totals = &result.totals;
@@ -22,12 +22,12 @@
     );
 }
 
-/// Prints the faults of a run.
+/// Prints the planned faults of a run, one per line.
 pub fn print_faults(result: &RunResult) {
     result.plan.faults.iter().for_each(|fault| println!("{fault:?}"));
 }
 
-/// Prints the faults of a run, and each violation with the log lines of its request.
+/// Prints the faults of a run and each violation with the log lines of its request.
 pub fn print_details(result: &RunResult, programs: &Programs) {
     print_faults(result);
     for violation in &result.violations {
@@ -40,7 +40,7 @@
     println!("logs and observations: {}", programs.folder.display());
 }
 
-/// Prints the lines of a log that are about a request, by the number that the ingress gave it.
+/// Prints an ingress's log lines about a request. They carry the number that the ingress assigned to it.
 fn print_request_log(folder: &Path, ingress: usize, id: &str) {
     let log = std::fs::read_to_string(Ingress::log_file(folder, ingress)).unwrap_or_default();
     let client_id = format!("client_request_id={id} ");
--- a/fault-soak/src/context.rs
+++ b/fault-soak/src/context.rs
@@ -1,24 +1,24 @@
-//! What the stand-ins and the processes of a run share.
+//! State that the stand-ins and the ingress processes of a run share.
 
 use crate::plan::SoakPlan;
 use crate::record::Recorder;
 use crate::scenario::FaultScenario;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The plan of a run, its observations, and how far it is.
+/// The plan of a run, its observations and its progress.
 pub struct RunContext {
-    /// The plan.
+    /// The faults and settings of the run.
     pub plan: SoakPlan,
-    /// The observations, with the clock of the run.
+    /// The observations so far, and the clock of the run.
     pub recorder: Recorder,
-    /// Clients send no more requests.
+    /// Whether clients send no more requests.
     load_ended: AtomicBool,
-    /// Stand-ins close their connections.
+    /// Whether stand-ins close their connections.
     run_ended: AtomicBool,
 }
 
 impl RunContext {
-    /// The context of a run that begins now.
+    /// Creates the context of a run that starts now.
     pub fn new(plan: SoakPlan) -> RunContext {
         RunContext {
             plan,
@@ -28,32 +28,32 @@
         }
     }
 
-    /// Has clients send no more requests.
+    /// Tells clients to send no more requests.
     pub fn end_load(&self) {
         self.load_ended.store(true, Ordering::SeqCst);
     }
 
-    /// Whether clients are to send no more requests.
+    /// Returns whether clients are to send no more requests.
     pub fn has_load_ended(&self) -> bool {
         self.load_ended.load(Ordering::SeqCst)
     }
 
-    /// Has stand-ins close their connections.
+    /// Tells stand-ins to close their connections.
     pub fn end_run(&self) {
         self.run_ended.store(true, Ordering::SeqCst);
     }
 
-    /// Whether stand-ins are to close their connections.
+    /// Returns whether stand-ins are to close their connections.
     pub fn has_run_ended(&self) -> bool {
         self.run_ended.load(Ordering::SeqCst)
     }
 
-    /// Whether a scenario affects the member with this number, out of `count`, now.
+    /// Returns whether a scenario currently affects the member with this number, out of `count` members.
     pub fn affects(&self, scenario: FaultScenario, member: usize, count: usize) -> bool {
         self.plan.affects(scenario, member, count, self.recorder.now_ms())
     }
 
-    /// Whether a scenario that affects all members is active now.
+    /// Returns whether a scenario that affects all members is currently active.
     pub fn is_active(&self, scenario: FaultScenario) -> bool {
         self.plan.is_active(scenario, self.recorder.now_ms())
     }
--- a/fault-soak/src/counters.rs
+++ b/fault-soak/src/counters.rs
@@ -1,22 +1,22 @@
-//! The counters of an ingress, from the lines that it logs on SIGUSR1.
+//! Parser of the counters that an ingress logs on SIGUSR1.
 
 use crate::record::CounterRecord;
 
-/// What precedes the title in a line of counters.
+/// Target that precedes the title in a log line of counters.
 const LINE_MARKER: &str = "counters: ";
 
-/// The fields of a line of counters, such as `begun=9 served=3`.
+/// The fields of a log line of counters, such as `begun=9 served=3`.
 struct Fields<'a>(&'a str);
 
 impl<'a> Fields<'a> {
-    /// Finds the latest line with a title in a log.
+    /// Finds the latest counters with a title in a log.
     fn find(log: &'a str, title: &str) -> Option<Fields<'a>> {
         let marker = format!("{LINE_MARKER}{title}, ");
         let (_, fields) = log.lines().rev().find_map(|line| line.split_once(&marker))?;
         Some(Fields(fields))
     }
 
-    /// The value of a field.
+    /// Returns the value of a numeric field.
     fn number(&self, name: &str) -> Option<u64> {
         let mut fields = self.0.split_whitespace().filter_map(|field| field.split_once('='));
         let (_, value) = fields.find(|(field, _)| *field == name)?;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Parses the log of an ingress; none if it has no lines of counters.
+/// Parses the counters of an ingress from its log. Returns `None` if the log has none.
 pub fn parse(ingress: usize, log: &str) -> Option<CounterRecord> {
     let requests = Fields::find(log, "requests")?;
     let attempts = Fields::find(log, "attempts")?;
--- a/fault-soak/src/ingress.rs
+++ b/fault-soak/src/ingress.rs
@@ -1,4 +1,4 @@
-//! The processes of the ingresses: started with the system call faults of the plan, signalled, and ended.
+//! Ingress processes: starts them with the system call faults of the plan, sends signals and terminates them.
 
 use crate::context::RunContext;
 use crate::record::{ProcessEvent, ProcessRecord};
@@ -17,65 +17,62 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long an ingress may take to be ready.
+/// Maximum time from the start of an ingress until it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long an ingress may take to exit after SIGTERM: the longest deadline and 0.7 s more.
+/// Maximum time from SIGTERM until an ingress exits: the longest deadline plus 0.7 s.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(2700);
-/// How long a PING may take.
+/// Maximum time of a PING.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often the state of a process is polled.
+/// Interval between two polls of the state of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The programs of a run, and where their files go.
+/// The programs of a run and the folder of their files.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The ingress.
+    /// Path of the ingress program.
     pub ingress: PathBuf,
-    /// The library that makes system calls fail; none to run without.
+    /// Path of the library that injects system call faults; `None` to inject no such faults.
     pub shim: Option<PathBuf>,
-    /// Where configurations and logs go.
+    /// Folder of the configurations and logs.
     pub folder: PathBuf,
-    /// The level of the logs.
+    /// Log level of the ingresses.
     pub log_level: String,
-    /// This process got SIGINT or SIGTERM: a run ends early, and leaves no ingress behind.
+    /// Set once this process receives SIGINT or SIGTERM. A run then ends early and terminates its ingresses.
     pub interrupted: Arc<AtomicBool>,
 }
 
-/// An ingress, whose process is started and ended several times in a run.
+/// An ingress. Its process may be started several times in a run.
 pub struct Ingress {
-    /// Its number in the fleet.
+    /// Number of the ingress in the fleet.
     number: usize,
-    /// The programs.
     programs: Programs,
-    /// The run that it belongs to.
     context: Arc<RunContext>,
-    /// Where clients connect to it.
+    /// Address for clients.
     listen: SocketAddr,
-    /// Its process, while it runs.
+    /// The process, while it runs.
     child: Option<Child>,
 }
 
 impl Ingress {
-    /// An ingress that does not run yet.
+    /// Creates an ingress without starting its process.
     pub fn new(number: usize, programs: Programs, context: Arc<RunContext>, listen: SocketAddr) -> Ingress {
         Ingress { number, programs, context, listen, child: None }
     }
 
-    /// The file of its configuration.
     fn config_file(&self) -> PathBuf {
         self.programs.folder.join(format!("ingress-{}.json", self.number))
     }
 
-    /// The file of its log.
+    /// Returns the path of the log of the ingress with this number.
     pub fn log_file(folder: &Path, number: usize) -> PathBuf {
         folder.join(format!("ingress-{number}.log"))
     }
 
-    /// Writes its configuration.
+    /// Writes the configuration with the given discovery address and initial endpoint list.
     ///
     /// # Errors
     ///
-    /// If the file cannot be written.
+    /// Returns an error if the file cannot be written.
     pub fn write_config(
         &self,
         addresses: &Addresses,
@@ -83,32 +80,32 @@
         known_endpoints: &str,
     ) -> anyhow::Result<()> {
         let text = config_json(&self.context.plan, self.number, addresses, discovery, known_endpoints);
-        fs::write(self.config_file(), text).context("cannot write a configuration")
+        fs::write(self.config_file(), text).context("cannot write the configuration")
     }
 
-    /// Writes half of a configuration.
+    /// Truncates the configuration to its first half.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read or written.
+    /// Returns an error if the file cannot be read or written.
     pub fn write_truncated_config(&self) -> anyhow::Result<()> {
         let text = fs::read_to_string(self.config_file())?;
         fs::write(self.config_file(), &text[..text.len() / 2]).context("cannot write a configuration")
     }
 
-    /// Records what happened to the process.
+    /// Records an event of the process with the current time.
     fn record(&self, event: ProcessEvent) {
         let record = ProcessRecord { ingress: self.number, event, at: self.context.recorder.now() };
         tracing::debug!(ingress = self.number, ?event, "ingress process event");
         self.context.recorder.observations().processes.push(record);
     }
 
-    /// Starts the process, and waits until it is ready.
+    /// Starts the process and waits until it is ready. A process that does not become ready in time is
+    /// recorded and is not an error.
     ///
     /// # Errors
     ///
-    /// If the log file cannot be opened, or the program cannot be started. An ingress that does not become
-    /// ready is recorded, and is no error.
+    /// Returns an error if the log file cannot be opened, or the program cannot be started.
     pub fn start(&mut self) -> anyhow::Result<()> {
         self.child = Some(self.command()?.spawn().context("cannot start the ingress")?);
         self.record(ProcessEvent::Started);
@@ -124,7 +121,8 @@
         Ok(())
     }
 
-    /// The command that starts the process now, with its log and its system call faults.
+    /// Builds the command that starts the process, with its log file and the system call faults of the plan
+    /// relative to the current time.
     fn command(&self) -> anyhow::Result<Command> {
         let log_file = Ingress::log_file(&self.programs.folder, self.number);
         let log: File = OpenOptions::new().create(true).append(true).open(log_file)?;
@@ -139,17 +137,17 @@
         Ok(command)
     }
 
-    /// Whether the process answers a PING.
+    /// Returns whether the process answers a PING.
     fn answers_ping(&self) -> bool {
         ping(self.listen, PING_TIMEOUT).unwrap_or(false)
     }
 
-    /// Whether no process runs.
+    /// Returns whether no process is running.
     fn has_exited(&mut self) -> bool {
         self.child.as_mut().is_none_or(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Sends the process a signal.
+    /// Sends a signal to the process, if it runs.
     fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
         if let Some(id) = id {
@@ -157,7 +155,7 @@
         }
     }
 
-    /// Records an exit that nobody requested.
+    /// Records a crash if the process has exited without a request.
     pub fn record_unexpected_exit(&mut self) {
         if self.child.is_some() && self.has_exited() {
             self.record(ProcessEvent::Crashed);
@@ -165,7 +163,7 @@
         }
     }
 
-    /// Sends the process SIGTERM, and waits until it has exited.
+    /// Sends SIGTERM and waits until the process has exited. Kills the process if it does not exit in time.
     pub fn terminate(&mut self) {
         self.record(ProcessEvent::Terminated);
         self.signal(Signal::TERM);
@@ -181,13 +179,13 @@
         self.child = None;
     }
 
-    /// Kills the process.
+    /// Kills the process and records it as killed by the plan.
     pub fn kill(&mut self) {
         self.record(ProcessEvent::Killed);
         self.end();
     }
 
-    /// Ends the process at once.
+    /// Kills the process without a record.
     fn end(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -195,17 +193,17 @@
         }
     }
 
-    /// Has the process reload its configuration.
+    /// Makes the process reload its configuration (SIGHUP).
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Has the process log its counters.
+    /// Makes the process log its counters (SIGUSR1).
     pub fn log_counters(&self) {
         self.signal(Signal::USR1);
     }
 
-    /// Stops the process for a while.
+    /// Stops the process (SIGSTOP) and continues it after `time`.
     pub fn pause(&self, time: Duration) {
         self.record(ProcessEvent::Paused);
         self.signal(Signal::STOP);
--- a/fault-soak/src/lib.rs
+++ b/fault-soak/src/lib.rs
@@ -1,5 +1,7 @@
-//! A soak test with fault injection: real ingresses on loopback between stand-ins for clients, backends and
-//! discovery, with faults that overlap in time, drawn from a seed before the run. An oracle judges what the
+//! A soak test with fault injection.
+//!
+//! Real ingresses run on loopback between stand-ins for clients, backends and discovery. A plan of faults
+//! that overlap in time is drawn from a seed before the run. After the run, an oracle checks what the
 //! stand-ins observed.
 
 pub mod context;
--- a/fault-soak/src/plan.rs
+++ b/fault-soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a run: which faults are injected, when and where. The same seed draws the same plan.
+//! The plan of a run: the faults to inject, their times and their targets. A seed determines its plan.
 
 use crate::scenario::FaultScenario;
 use fault_plan::{ClockStep, FaultPlan, ScheduledFault};
@@ -9,54 +9,53 @@
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
-/// An hour, by which clocks are stepped, in milliseconds.
+/// Size of a step of the wall clocks, in milliseconds.
 const HOUR_MS: i64 = 3_600_000;
-/// When the first fault begins, in milliseconds: clients have had answers by then.
+/// Earliest start of a fault, in milliseconds. Clients have received answers by then.
 const FIRST_FAULT_MS: u64 = 1500;
-/// The time without faults at the end, in milliseconds, in which their consequences are still observed.
+/// Time without faults at the end of a run, in milliseconds, in which their consequences are still observed.
 const RECOVERY_PERIOD_MS: u64 = 1500;
-/// The least time between the first begin and the last end of a fault, in milliseconds.
+/// Minimum time between the earliest start and the latest end of a fault, in milliseconds.
 const MIN_FAULT_SPAN_MS: u64 = 1000;
-/// Milliseconds in a second.
 const MILLIS_PER_SECOND: u64 = 1000;
-/// How many groups of faults a plan has.
+/// Number of groups of overlapping faults in a plan.
 const GROUP_COUNT: RangeInclusive<usize> = 1..=2;
-/// How many faults overlap in a group.
+/// Number of overlapping faults in a group.
 const GROUP_SIZE: RangeInclusive<usize> = 2..=3;
-/// The least time from the first fault to the middle of a group, in milliseconds.
+/// Minimum time from the earliest start of a fault to the middle of a group, in milliseconds.
 const MIN_LEAD_MS: u64 = 500;
-/// The least time for which a fault is active before the middle of its group, in milliseconds.
+/// Minimum time from the start of a fault to the middle of its group, in milliseconds.
 const MIN_TIME_BEFORE_MS: u64 = 100;
-/// How long a fault stays active after the middle of its group, in milliseconds.
+/// Time from the middle of a group to the end of its faults, in milliseconds.
 const TIME_AFTER_MS: RangeInclusive<u64> = 200..=2500;
-/// Targets are drawn below this number, and taken modulo the number of members.
+/// Exclusive upper bound of drawn targets, which are taken modulo the number of members.
 const TARGET_COUNT: usize = 1000;
 
-/// A fault of a run: a scenario, when it is active, and what it affects.
+/// A fault of a run: a scenario with its interval and target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InjectedFault {
-    /// What goes wrong.
+    /// The scenario of the fault.
     pub kind: FaultScenario,
-    /// When it begins, in milliseconds since the start of the load.
+    /// Start of the interval, in milliseconds since the start of the load.
     pub from_ms: u64,
-    /// When it ends, in milliseconds since the start of the load.
+    /// End of the interval, exclusive, in milliseconds since the start of the load.
     pub until_ms: u64,
-    /// The ingress, backend or client that it affects, modulo how many there are.
+    /// Number of the affected ingress, backend or client, modulo the number of members.
     pub target: usize,
 }
 
 impl InjectedFault {
-    /// Whether it is active at a time.
+    /// Returns whether the fault is active `at_ms` after the start of the load.
     pub fn is_active(&self, at_ms: u64) -> bool {
         (self.from_ms..self.until_ms).contains(&at_ms)
     }
 
-    /// Whether both faults are active at some time.
+    /// Returns whether both faults are active at some time.
     pub fn overlaps(&self, other: &InjectedFault) -> bool {
         self.from_ms < other.until_ms && other.from_ms < self.until_ms
     }
 
-    /// Draws a fault that is active at `middle_ms`, and ends at `last_ms` at the latest.
+    /// Draws a fault that is active at `middle_ms` and ends no later than `last_ms`.
     fn draw(random: &mut StdRng, scenarios: &[FaultScenario], middle_ms: u64, last_ms: u64) -> InjectedFault {
         let max_time_before = (middle_ms - FIRST_FAULT_MS).max(MIN_TIME_BEFORE_MS + 1);
         let before = random.random_range(MIN_TIME_BEFORE_MS..=max_time_before);
@@ -73,43 +72,43 @@
 /// The size of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shape {
-    /// Ingresses.
+    /// Number of ingresses.
     pub ingresses: usize,
-    /// Backends.
+    /// Number of backends.
     pub backends: usize,
-    /// Clients.
+    /// Number of clients.
     pub clients: usize,
-    /// How long clients send requests, in seconds.
+    /// Time for which clients send requests, in seconds.
     pub seconds: u64,
 }
 
 impl Shape {
-    /// How long clients send requests, in milliseconds.
+    /// Returns the time for which clients send requests, in milliseconds.
     pub fn duration_ms(&self) -> u64 {
         self.seconds * MILLIS_PER_SECOND
     }
 }
 
-/// All that is fixed before a run begins.
+/// Everything that is decided before a run starts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SoakPlan {
-    /// The seed that it is drawn from.
+    /// Seed that the plan is drawn from.
     pub seed: u64,
-    /// The size of the run.
+    /// Size and duration of the run.
     pub shape: Shape,
     /// Whether the settings allow hedged requests.
     pub hedging: bool,
     /// Whether the settings allow attempts to be cancelled.
     pub cancellation: bool,
-    /// The faults to inject.
+    /// Faults to inject.
     #[serde(alias = "troubles")]
     pub faults: Vec<InjectedFault>,
 }
 
 impl SoakPlan {
-    /// Draws a plan with faults of the given scenarios: groups of two or three that overlap in time.
+    /// Draws a plan with groups of two or three overlapping faults of the given scenarios.
     ///
-    /// The order of the draws decides what a seed stands for, and stays as it is.
+    /// The order of the draws determines the plan of a seed, so it must not change.
     pub fn draw(seed: u64, shape: Shape, scenarios: &[FaultScenario]) -> SoakPlan {
         let mut random = StdRng::seed_from_u64(seed);
         let last_ms =
@@ -128,33 +127,33 @@
         SoakPlan { seed, shape, hedging, cancellation, faults }
     }
 
-    /// Whether a scenario affects the member with this number, out of `count`, at a time.
+    /// Returns whether a scenario affects the member with this number, out of `count`, at `at_ms`.
     pub fn affects(&self, scenario: FaultScenario, member: usize, count: usize, at_ms: u64) -> bool {
         let affects = |fault: &InjectedFault| fault.is_active(at_ms) && fault.target % count == member;
         self.faults_of(scenario).any(affects)
     }
 
-    /// Whether a scenario that affects all members is active at a time.
+    /// Returns whether a scenario that affects all members is active at `at_ms`.
     pub fn is_active(&self, scenario: FaultScenario, at_ms: u64) -> bool {
         self.faults_of(scenario).any(|fault| fault.is_active(at_ms))
     }
 
-    /// Whether a scenario is part of the plan.
+    /// Returns whether the plan has a fault of a scenario.
     pub fn includes(&self, scenario: FaultScenario) -> bool {
         self.faults_of(scenario).next().is_some()
     }
 
-    /// The faults of a scenario.
+    /// Returns the faults of a scenario.
     fn faults_of(&self, scenario: FaultScenario) -> impl Iterator<Item = &InjectedFault> {
         self.faults.iter().filter(move |fault| fault.kind == scenario)
     }
 
-    /// By how many milliseconds wall clocks are off at a time.
+    /// Returns the offset of the wall clocks at `at_ms`, in milliseconds.
     pub fn clock_offset_ms(&self, at_ms: u64) -> i64 {
         self.clock_steps().filter(|step| step.at_ms <= at_ms).map(|step| step.by_ms).sum()
     }
 
-    /// The steps of the wall clocks.
+    /// Returns the steps of the wall clocks, in the order of the faults.
     fn clock_steps(&self) -> impl Iterator<Item = ClockStep> + '_ {
         self.faults.iter().filter_map(|fault| {
             let by_ms = match fault.kind {
@@ -166,8 +165,8 @@
         })
     }
 
-    /// The system call faults of an ingress whose process starts at `started_ms`, with times since that
-    /// start.
+    /// Returns the system call faults of an ingress whose process starts at `started_ms`, with times relative
+    /// to that start.
     pub fn shim_plan(&self, ingress: usize, started_ms: u64) -> FaultPlan {
         let own_faults = self.faults.iter().filter(|fault| fault.target % self.shape.ingresses == ingress);
         let faults = own_faults.flat_map(|fault| {
@@ -185,7 +184,7 @@
         }
     }
 
-    /// The pairs of scenarios that overlap in time, each in the order of declaration.
+    /// Returns the pairs of scenarios that overlap in time, each in the order of declaration.
     pub fn overlapping_pairs(&self) -> BTreeSet<(FaultScenario, FaultScenario)> {
         let mut pairs = BTreeSet::new();
         for (index, first) in self.faults.iter().enumerate() {
@@ -198,7 +197,7 @@
         pairs
     }
 
-    /// The plan without one of its faults.
+    /// Returns the plan without the fault at `index`.
     #[must_use]
     pub fn without_fault(&self, index: usize) -> SoakPlan {
         let mut plan = self.clone();
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -1,4 +1,4 @@
-//! What clients, backends, discovery and the supervisor of the ingresses observe, with the times of it.
+//! Timed observations of clients, backends, discovery and the supervisor of the ingresses.
 
 pub use stand_ins::endpoint::EndpointStatus;
 pub use stand_ins::request::RequestClass;
@@ -7,193 +7,193 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Instant;
 
-/// A time since the run began, or a span, in microseconds.
+/// A time since the start of the run, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Microseconds in a millisecond.
+/// Conversion factor from milliseconds to microseconds.
 pub const MICROS_PER_MILLI: Micros = 1000;
 
-/// A time or a span in whole milliseconds.
+/// Converts a time or a duration to whole milliseconds.
 pub fn to_millis(micros: Micros) -> u64 {
     micros / MICROS_PER_MILLI
 }
 
-/// How a request ended, as its client observed it.
+/// The outcome of a request, as observed by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Outcome {
-    /// It got its value.
+    /// The client received the expected value.
     Served,
-    /// It got another value.
+    /// The client received an unexpected value.
     WrongValue,
-    /// It got `-BUSY`.
+    /// The client received `-BUSY`.
     Rejected,
-    /// It got another error.
+    /// The client received another error.
     Failed,
     /// The connection was closed without an answer.
     Closed,
-    /// The client got no answer in time.
+    /// The client received no answer in time.
     Unanswered,
-    /// The client disconnected first.
+    /// The client disconnected before an answer.
     Disconnected,
 }
 
-/// A request, as its client observed it.
+/// A request, as observed by its client.
 #[derive(Clone, Debug, Serialize)]
 pub struct RequestRecord {
-    /// Its id.
+    /// Id of the request, which contains the numbers of the ingress and the client.
     pub id: String,
-    /// Its class.
+    /// Idempotency class of the request.
     pub class: RequestClass,
-    /// The ingress that it was sent to.
+    /// Number of the ingress that the request was sent to.
     pub ingress: usize,
-    /// When its last byte was written.
+    /// Time at which the last byte was written.
     pub sent_at: Micros,
-    /// How long the client waits for the answer, in microseconds.
+    /// Timeout of the client, in microseconds.
     pub timeout: Micros,
-    /// How it ended.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// When it ended.
+    /// Time of the outcome.
     pub ended_at: Micros,
-    /// The connection had answered a request before, so that its close may cross this one.
+    /// Whether the connection carried an earlier request, so that its close by the ingress may cross this
+    /// one.
     pub may_cross_close: bool,
-    /// Requests that were in flight on the connection before it.
+    /// Number of requests in flight on the connection ahead of this one.
     pub pipelined_behind: usize,
-    /// Its customer, if that has a quota within reach.
+    /// Number of the customer, if the customer is metered.
     pub metered_customer: Option<u64>,
 }
 
-/// A complete command that a backend received: an attempt of an ingress.
+/// A complete command that a backend received, which is an attempt of an ingress.
 #[derive(Clone, Debug, Serialize)]
 pub struct ArrivalRecord {
-    /// The id of the request.
+    /// Id of the request.
     pub id: String,
-    /// The backend's number.
+    /// Number of the backend.
     pub backend: usize,
-    /// When its last byte was read.
+    /// Time at which the last byte was read.
     pub at: Micros,
-    /// The timeout that the ingress stated for it, in microseconds.
+    /// Timeout that the ingress stated in the command, in microseconds.
     pub time_budget: Micros,
-    /// The backend rejected it, and did not execute it.
+    /// Whether the backend rejected the command without executing it.
     pub rejected: bool,
-    /// When its reply was written, or its connection ended.
+    /// Time at which the reply was written or the connection ended.
     pub ended_at: Option<Micros>,
 }
 
 /// A change of the endpoint list.
 #[derive(Clone, Debug, Serialize)]
 pub struct EndpointChange {
-    /// The version of the list that it makes.
+    /// Version of the list after the change.
     pub version: u64,
-    /// The backend's number.
+    /// Number of the backend.
     pub backend: usize,
-    /// Its status from then on.
+    /// New status of the backend.
     pub status: EndpointStatus,
-    /// The backend was restarted.
+    /// Whether the backend was restarted.
     pub restarted: bool,
-    /// When it was published.
+    /// Time of publication.
     pub at: Micros,
 }
 
-/// An ingress was notified of a version of the endpoint list.
+/// A notification of an ingress about a version of the endpoint list.
 #[derive(Clone, Debug, Serialize)]
 pub struct Notification {
-    /// The ingress's number.
+    /// Number of the ingress.
     pub ingress: usize,
-    /// The version.
+    /// Version of the list.
     pub version: u64,
-    /// When the last byte of the response was written.
+    /// Time at which the last byte of the response was written.
     pub at: Micros,
 }
 
-/// What happened to the process of an ingress.
+/// An event of an ingress process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ProcessEvent {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It answered its first PING.
+    /// The process answered its first PING.
     Ready,
-    /// It was sent SIGTERM.
+    /// SIGTERM was sent to the process.
     Terminated,
-    /// It exited after SIGTERM.
+    /// The process exited after SIGTERM.
     Exited,
-    /// It was killed by the plan.
+    /// The process was killed by the plan.
     Killed,
-    /// It was killed since it had not exited in time after SIGTERM.
+    /// The process did not exit in time after SIGTERM and was killed.
     Overdue,
-    /// It exited by itself.
+    /// The process exited without a request.
     Crashed,
-    /// It was not ready in time.
+    /// The process did not become ready in time.
     NotReady,
-    /// It was stopped for a short pause, and continued.
+    /// The process was stopped for a short pause and continued.
     Paused,
 }
 
-/// What happened to a process, and when.
+/// An event of an ingress process with its time.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProcessRecord {
-    /// The ingress's number.
+    /// Number of the ingress.
     pub ingress: usize,
-    /// What happened.
+    /// Kind of the event.
     pub event: ProcessEvent,
-    /// When.
+    /// Time of the event.
     pub at: Micros,
 }
 
-/// An incomplete or malformed command of a client that stays connected.
+/// An incomplete or malformed command from a client that stays connected.
 #[derive(Clone, Debug, Serialize)]
 pub struct InvalidInputRecord {
-    /// The ingress's number.
+    /// Number of the ingress.
     pub ingress: usize,
-    /// When its last byte was written.
+    /// Time at which the last byte was written.
     pub at: Micros,
-    /// When the client got an error or a close; none if it got neither.
+    /// Time at which the client observed an error or a close, if any.
     pub responded_at: Option<Micros>,
 }
 
-/// The counters of an ingress that ran from the start to the end of the load, from its log.
+/// The logged counters of an ingress that ran without a restart throughout the load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CounterRecord {
-    /// The ingress's number.
+    /// Number of the ingress.
     pub ingress: usize,
-    /// Requests that it received.
+    /// Number of requests received.
     pub requests: u64,
-    /// Final answers.
+    /// Number of final answers.
     pub answers: u64,
-    /// Of these, rejections and failures.
+    /// Number of rejections and failures among the answers.
     pub not_served: u64,
-    /// Attempts whose first byte was written.
+    /// Number of attempts whose first byte was written.
     pub attempts_begun: u64,
 }
 
-/// All that was observed in a run.
+/// All observations of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Observations {
-    /// Requests, by clients.
+    /// Requests, as observed by clients.
     pub requests: Vec<RequestRecord>,
-    /// Attempts, by backends.
+    /// Attempts, as observed by backends.
     pub arrivals: Vec<ArrivalRecord>,
-    /// Changes of the endpoint list, by discovery.
+    /// Changes of the endpoint list that discovery published.
     pub changes: Vec<EndpointChange>,
-    /// Notifications, by discovery.
+    /// Notifications that discovery sent.
     pub notifications: Vec<Notification>,
-    /// Processes, by the supervisor.
+    /// Events of the ingress processes.
     pub processes: Vec<ProcessRecord>,
-    /// Incomplete and malformed commands, by clients.
+    /// Incomplete and malformed commands that clients sent.
     pub invalid_inputs: Vec<InvalidInputRecord>,
-    /// Bytes that clients received after a final answer.
+    /// Bytes that clients received after final answers.
     pub stray_bytes: Vec<String>,
-    /// The counters of the ingresses.
+    /// Counters that the ingresses logged.
     pub counters: Vec<CounterRecord>,
-    /// The longest time for which a thread of the soak was not scheduled. Other threads may have been as late
-    /// to observe something.
+    /// Longest time for which a thread of the soak was not scheduled. Observations of other threads may have
+    /// been delayed by as much.
     pub longest_stall: Micros,
 }
 
 /// Collects the observations of all threads.
 pub struct Recorder {
-    /// When the run began.
+    /// Start of the run.
     started: Instant,
-    /// The observations so far.
     observations: Mutex<Observations>,
 }
 
@@ -204,17 +204,17 @@
 }
 
 impl Recorder {
-    /// The time since the run began.
+    /// Returns the time since the start of the run.
     pub fn now(&self) -> Micros {
         self.started.elapsed().as_micros() as Micros
     }
 
-    /// The time since the run began, in milliseconds.
+    /// Returns the milliseconds since the start of the run.
     pub fn now_ms(&self) -> u64 {
         to_millis(self.now())
     }
 
-    /// The observations so far.
+    /// Locks the observations so far.
     pub fn observations(&self) -> MutexGuard<'_, Observations> {
         self.observations.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
--- a/fault-soak/src/report.rs
+++ b/fault-soak/src/report.rs
@@ -1,4 +1,4 @@
-//! The result of a run, as a line of a result file, and the page that sums many results up.
+//! The result of a run, stored as a line of a result file, and the summary page of many results.
 
 mod page;
 
@@ -11,57 +11,57 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The longest answer time that the histogram resolves, in microseconds.
+/// Longest answer time that the histogram records, in microseconds.
 const MAX_ANSWER_TIME: u64 = 60_000_000;
-/// The significant digits of answer times in the histogram.
+/// Number of significant digits of answer times in the histogram.
 const HISTOGRAM_DIGITS: u8 = 2;
-/// How many violations the result of a run has in full.
+/// Maximum number of violations stored in the result of a run.
 const MAX_REPORTED_VIOLATIONS: usize = 12;
 
-/// How the requests of a run ended, and how long their answers took in milliseconds.
+/// Counts of the outcomes of a run's requests, and percentiles of their answer times.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Totals {
-    /// Requests that were sent.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Of these, served.
+    /// Number of requests served.
     pub served: u64,
-    /// Rejected.
+    /// Number of requests rejected.
     pub rejected: u64,
-    /// Failed.
+    /// Number of requests that failed.
     pub failed: u64,
-    /// Closed with no answer, for whatever reason.
+    /// Number of requests whose connection was closed without an answer, for any reason.
     pub closed: u64,
-    /// Disconnected by their clients before an answer.
+    /// Number of requests whose client disconnected before an answer.
     #[serde(alias = "left")]
     pub disconnected: u64,
-    /// The median answer time.
+    /// Median answer time, in milliseconds.
     pub median_ms: f64,
-    /// The 99th percentile of the answer times.
+    /// 99th percentile of the answer times, in milliseconds.
     pub p99_ms: f64,
-    /// The longest answer time.
+    /// Longest answer time, in milliseconds.
     pub longest_ms: f64,
 }
 
-/// The result of a run.
+/// The plan, totals and violations of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RunResult {
-    /// The plan of the run.
+    /// Seed, size and faults of the run.
     pub plan: SoakPlan,
-    /// The longest stall that was measured, in milliseconds: the observations may be as late.
+    /// Longest measured stall, in milliseconds; observations may be delayed by as much.
     pub longest_stall_ms: u64,
-    /// How requests ended.
+    /// Outcomes and answer times of the requests.
     pub totals: Totals,
-    /// The forwarded requests of customers with a quota, as a part of what the quotas allow.
+    /// Ratio of metered customers' forwarded requests to their quotas.
     #[serde(default)]
     pub quota_use: f64,
-    /// How often each rule was broken.
+    /// Number of violations of each rule.
     pub counts: BTreeMap<Rule, usize>,
-    /// The first violations.
+    /// The first violations, in order of detection.
     pub violations: Vec<Violation>,
 }
 
 impl RunResult {
-    /// The result of a run of a plan.
+    /// Summarizes a run of `plan`.
     pub fn new(plan: SoakPlan, observations: &Observations, violations: Vec<Violation>) -> RunResult {
         let mut counts = BTreeMap::new();
         for violation in &violations {
@@ -80,7 +80,7 @@
 }
 
 impl Totals {
-    /// Counts how requests ended, and measures their answer times.
+    /// Summarizes the requests of a run.
     fn of(observations: &Observations) -> Totals {
         let mut totals = Totals { requests: observations.requests.len() as u64, ..Totals::default() };
         for request in &observations.requests {
@@ -90,7 +90,7 @@
         totals
     }
 
-    /// Counts a request by its outcome.
+    /// Adds a request with this outcome.
     fn count(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Served => self.served += 1,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Measures the times of the answers.
+    /// Sets the percentiles of the answer times.
     fn measure(&mut self, observations: &Observations) {
         let Ok(mut times) = Histogram::<u64>::new_with_bounds(1, MAX_ANSWER_TIME, HISTOGRAM_DIGITS) else {
             return;
--- a/fault-soak/src/report/page.rs
+++ b/fault-soak/src/report/page.rs
@@ -1,5 +1,4 @@
-//! A page that sums runs up: the rules that were broken, the faults that were injected, and which of them
-//! overlapped.
+//! The summary page of many runs: violated rules, injected faults and the pairs of faults that overlapped.
 
 use super::RunResult;
 use crate::oracle::Rule;
@@ -7,26 +6,26 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The side of a cell of the heat_map, in pixels.
+/// Side length of a cell of the heat map, in pixels.
 const CELL_SIZE: usize = 18;
-/// The room for names beside the heat_map, in pixels.
+/// Space for the axis labels of the heat map, in pixels.
 const MARGIN: usize = 150;
-/// The gap between a text and the lower edge of its cell, in pixels.
+/// Distance from the baseline of a text to the lower edge of its cell, in pixels.
 const BASELINE_OFFSET: usize = 5;
-/// The gap between a text and the left edge of its cell, in pixels.
+/// Distance from a text to the left edge of its cell, in pixels.
 const TEXT_INDENT: usize = 3;
-/// The gap between the names of columns and the heat_map, in pixels.
+/// Gap between the column labels and the heat map, in pixels.
 const LABEL_GAP: usize = 4;
-/// The brightness of a cell whose scenarios never overlapped.
+/// Brightness of a cell whose scenarios never overlapped.
 const MAX_BRIGHTNESS: u8 = 255;
-/// By how much the cell of the most frequent pair is darker.
+/// Difference in brightness between a pair that never overlapped and the most frequent pair.
 const BRIGHTNESS_RANGE: f64 = 200.0;
 
-/// How often each pair of scenarios overlapped, each pair in the order of declaration.
+/// Number of runs in which each pair of scenarios overlapped. A pair is in the order of declaration.
 struct OverlapCounts(BTreeMap<(FaultScenario, FaultScenario), usize>);
 
 impl OverlapCounts {
-    /// Counts the pairs of all runs.
+    /// Counts the overlapping pairs of all runs.
     fn of(results: &[RunResult]) -> OverlapCounts {
         let mut counts = BTreeMap::new();
         for pair in results.iter().flat_map(|result| result.plan.overlapping_pairs()) {
@@ -35,27 +34,27 @@
         OverlapCounts(counts)
     }
 
-    /// How often two scenarios overlapped.
+    /// Returns the number of runs in which two scenarios overlapped.
     fn of_pair(&self, first: FaultScenario, second: FaultScenario) -> usize {
         self.0.get(&(first.min(second), first.max(second))).copied().unwrap_or(0)
     }
 
-    /// The count of the most frequent pair; 1 if there is none.
+    /// Returns the count of the most frequent pair, or 1 if no scenarios overlapped.
     fn max(&self) -> usize {
         self.0.values().copied().max().unwrap_or(1)
     }
 }
 
-/// How often a rule was broken, and in the runs of which seeds.
+/// The violations of a rule.
 #[derive(Default)]
 struct ViolatedRule {
-    /// How often.
+    /// Number of violations in all runs.
     count: usize,
-    /// The seeds.
+    /// Seeds of the runs with a violation.
     seeds: Vec<u64>,
 }
 
-/// The page, as HTML.
+/// Renders the summary page as HTML.
 pub fn page(results: &[RunResult]) -> String {
     let requests: u64 = results.iter().map(|result| result.totals.requests).sum();
     let broken = results.iter().filter(|result| !result.counts.is_empty()).count();
@@ -71,7 +70,7 @@
     page
 }
 
-/// A table of the rules that were broken, and in which seeds.
+/// Renders a table of the violated rules with the seeds of their runs.
 fn rule_table(results: &[RunResult]) -> String {
     let mut violated_rules: BTreeMap<Rule, ViolatedRule> = BTreeMap::new();
     for result in results {
@@ -89,7 +88,7 @@
     table + "</table>\n"
 }
 
-/// A table of all scenarios, and in how many runs they were injected.
+/// Renders a table of all scenarios with the number of runs in which they were injected.
 fn scenario_table(results: &[RunResult]) -> String {
     let mut table =
         String::from("<h2>Faults</h2><table><tr><th>kind</th><th>runs</th><th>with a violation</th></tr>\n");
@@ -102,7 +101,8 @@
     table + "</table>\n"
 }
 
-/// A square of cells, the darker the more often two scenarios overlapped.
+/// Renders a heat map of the pairs of scenarios. The more often two scenarios overlapped, the darker their
+/// cell.
 fn overlap_heat_map(counts: &OverlapCounts) -> String {
     let side = MARGIN + CELL_SIZE * FaultScenario::all().len();
     let mut heat_map = format!("<svg width=\"{side}\" height=\"{side}\" font-size=\"11\">\n");
@@ -116,7 +116,7 @@
     heat_map + "</svg>\n"
 }
 
-/// The names of a scenario, beside its row and above its column.
+/// Renders the labels of a scenario's row and column.
 fn axis_labels(scenario: FaultScenario, offset: usize) -> String {
     let baseline = offset + CELL_SIZE - BASELINE_OFFSET;
     let column_end = MARGIN - LABEL_GAP;
@@ -126,7 +126,7 @@
     )
 }
 
-/// The cell of a pair of scenarios, with its count.
+/// Renders the cell of a pair of scenarios with its count.
 fn heat_map_cell(
     counts: &OverlapCounts,
     first: FaultScenario,
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: starts the stand-ins and the ingresses, injects the faults of the plan, and returns the
+//! Executes a run: starts the stand-ins and the ingresses, injects the faults of the plan and returns the
 //! observations.
 
 use crate::context::RunContext;
@@ -12,18 +12,19 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// How often the supervisor looks for faults that begin or end.
+/// Interval at which the supervisor checks for faults to start or end.
 const TICK: Duration = Duration::from_millis(5);
-/// How long ingresses have to log their counters at the end.
+/// Time for ingresses to log their counters at the end.
 const COUNTER_LOG_DELAY: Duration = Duration::from_millis(50);
-/// How long clients may take to end after the load.
+/// Maximum time for clients to finish after the end of the load.
 const CLIENT_END_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs a plan, and returns what was observed.
+/// Executes a plan and returns the observations.
 ///
 /// # Errors
 ///
-/// If the folder of the run cannot be created, or a stand-in or an ingress cannot be started.
+/// Returns an error if the folder of the run cannot be created, or a stand-in or an ingress cannot be
+/// started.
 pub fn run(plan: &SoakPlan, programs: &Programs) -> anyhow::Result<Observations> {
     std::fs::create_dir_all(&programs.folder)?;
     remove_logs(plan, programs);
@@ -45,15 +46,15 @@
     Ok(observations)
 }
 
-/// Removes the logs of an earlier run.
+/// Removes the logs of previous runs.
 fn remove_logs(plan: &SoakPlan, programs: &Programs) {
     for number in 0..plan.shape.ingresses {
         let _ = std::fs::remove_file(Ingress::log_file(&programs.folder, number));
     }
 }
 
-/// Measures, until the run ends, how much longer than requested a thread sleeps and waits for the lock of the
-/// recorder: whoever holds that may be delayed itself.
+/// Starts a thread that measures the longest stall until the run ends: the excess of a sleep over its
+/// duration, including the wait for the recorder's lock, whose holder may be stalled.
 fn start_stall_watchdog(context: &Arc<RunContext>) -> JoinHandle<()> {
     let context = context.clone();
     thread::spawn(move || {
@@ -67,16 +68,14 @@
     })
 }
 
-/// Whether a fault has begun, and whether it has ended.
+/// The state of a fault during a run.
 #[derive(Clone, Copy, Default)]
 struct Progress {
-    /// It has begun.
     begun: bool,
-    /// It has ended.
     ended: bool,
 }
 
-/// Injects the faults of the plan, until the load is to end.
+/// Injects the faults of the plan until the end of the load or an interrupt.
 fn inject_faults(context: &RunContext, testbed: &Testbed, interrupted: &AtomicBool) {
     let plan = &context.plan;
     let mut progress = vec![Progress::default(); plan.faults.len()];
@@ -101,7 +100,7 @@
     }
 }
 
-/// Waits until all clients have ended, or for as long as that may take.
+/// Waits until all clients have finished, for at most [`CLIENT_END_TIMEOUT`].
 fn wait_for_clients(clients: &[JoinHandle<()>]) {
     let deadline = Instant::now() + CLIENT_END_TIMEOUT;
     while clients.iter().any(|client| !client.is_finished()) && Instant::now() < deadline {
@@ -109,7 +108,7 @@
     }
 }
 
-/// Reads the counters of the ingresses that ran from the start to the end of the load.
+/// Reads the counters of the ingresses that were started only once.
 fn read_counters(observations: &mut Observations, programs: &Programs, ingresses: usize) {
     for number in 0..ingresses {
         let events = observations.processes.iter().filter(|record| record.ingress == number);
--- a/fault-soak/src/scenario.rs
+++ b/fault-soak/src/scenario.rs
@@ -1,13 +1,13 @@
-//! The kinds of faults that a soak injects, and the system call faults that some of them consist of.
+//! The kinds of faults that a soak injects, and the system call faults that some of them comprise.
 
 use clap::ValueEnum;
 use fault_plan::SystemCallFault;
 use serde::{Deserialize, Serialize};
 
-/// A kind of fault.
+/// A kind of fault, which affects an ingress, a backend, discovery or clients.
 ///
-/// A scenario affects an ingress, a backend, discovery or clients. Those that make system calls of an ingress
-/// fail consist of one or several [`SystemCallFault`]s; the others are carried out by the soak itself.
+/// Scenarios that make system calls of an ingress fail consist of one or more [`SystemCallFault`]s, which the
+/// preloaded library injects. The soak itself injects the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, ValueEnum)]
 #[serde(rename_all = "snake_case")]
 #[value(rename_all = "snake_case")]
@@ -24,7 +24,7 @@
     FailedConnects,
     /// An ingress fails to register sockets with epoll.
     FailedRegistrations,
-    /// Writes of an ingress find no buffer.
+    /// Writes of an ingress fail for lack of buffers.
     NoBuffers,
     /// An ingress fails to write its log.
     FailedLog,
@@ -32,11 +32,11 @@
     ClockBack,
     /// The wall clocks of all machines are set forward by an hour.
     ClockForward,
-    /// An ingress gets SIGTERM, and is started again.
+    /// An ingress receives SIGTERM, and is started again.
     Terminate,
     /// An ingress is killed, and started again.
     Kill,
-    /// An ingress reloads its configuration, which is half written at first.
+    /// An ingress reloads its configuration, which is truncated at first.
     Reload,
     /// An ingress is stopped for a short pause and continued, repeatedly.
     Pauses,
@@ -48,19 +48,20 @@
     RejectingBackend,
     /// A backend resets connections in the middle of its replies.
     ResettingBackend,
-    /// A backend resets connections at the first bytes of a command, and executes nothing.
+    /// A backend resets connections at the first bytes of a command, without executing it.
     #[serde(alias = "cutting_backend")]
     #[value(alias = "cutting_backend")]
     EarlyResettingBackend,
     /// A backend sends its replies a few bytes at a time.
     TricklingBackend,
-    /// A backend sends its replies twice, some milliseconds apart.
+    /// A backend sends each reply twice, some milliseconds apart.
     #[serde(alias = "doubling_backend")]
     #[value(alias = "doubling_backend")]
     DuplicatingBackend,
-    /// A backend reads commands and does not respond.
+    /// A backend reads commands but does not respond.
     HangingBackend,
-    /// A backend's machine is partitioned from the network, and resets its connections once it is back.
+    /// A backend's machine is partitioned from the network, and resets its connections when the partition
+    /// ends.
     #[serde(alias = "silent_backend")]
     #[value(alias = "silent_backend")]
     PartitionedBackend,
@@ -70,7 +71,7 @@
     IdleClosingBackend,
     /// A backend is listed as draining, and later as up.
     DrainingBackend,
-    /// A backend restarts, and begins its slow start.
+    /// A backend restarts and is in slow start.
     RestartedBackend,
     /// Discovery does not respond.
     #[serde(alias = "silent_discovery")]
@@ -88,7 +89,7 @@
     #[serde(alias = "leaving_clients")]
     #[value(alias = "leaving_clients")]
     DisconnectingClients,
-    /// Clients stop in the middle of a command, and stay connected.
+    /// Clients stop in the middle of a command but stay connected.
     #[serde(alias = "stopping_clients")]
     #[value(alias = "stopping_clients")]
     StalledClients,
@@ -103,12 +104,12 @@
 }
 
 impl FaultScenario {
-    /// All scenarios, in the order of their declaration, by which plans draw them.
+    /// Returns all scenarios in the order of declaration. The order determines which scenarios a seed draws.
     pub fn all() -> &'static [FaultScenario] {
         FaultScenario::value_variants()
     }
 
-    /// The system call faults that it consists of, each with its probability.
+    /// Returns the system call faults of the scenario, each with its probability.
     pub fn system_call_faults(self) -> &'static [(SystemCallFault, f64)] {
         match self {
             FaultScenario::ShortReads => &[(SystemCallFault::ShortRead, 0.1)],
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -1,52 +1,53 @@
-//! The deployment that the soak runs, and the configuration of its ingresses.
+//! The deployment under test and the configuration of its ingresses.
 
 use crate::plan::SoakPlan;
 use std::net::SocketAddr;
 
-/// How long the key of a keyed request is known, in microseconds.
+/// Time for which backends remember an idempotency key, in microseconds.
 pub const KEY_WINDOW: u64 = 1_500_000;
-/// How long a draining backend may still get new requests, in microseconds.
+/// Time for which a draining backend may still receive new requests, in microseconds.
 pub const DRAIN_GRACE: u64 = 250_000;
-/// The longest time that a client waits for an answer, in milliseconds.
+/// Maximum timeout of a request, in milliseconds.
 pub const MAX_TIMEOUT_MS: u64 = 2000;
-/// How long past its time an answer is still waited for, in microseconds: a late answer is not taken for a
-/// lost one.
+/// Time for which clients wait for an answer beyond its timeout, in microseconds, so that a late answer does
+/// not count as lost.
 pub const ANSWER_SLACK: u64 = 600_000;
-/// The part of its capacity that a backend has at the start.
+/// Fraction of its capacity that a backend has at its start.
 pub const SLOW_START_FLOOR: f64 = 0.1;
-/// How long slow start takes, in microseconds.
+/// Duration of slow start, in microseconds.
 pub const SLOW_START_DURATION: u64 = 6_000_000;
-/// A backend in slow start is overloaded at this multiple of its present capacity ...
+/// Multiple of its current capacity at which a backend in slow start is overloaded.
 pub const OVERLOAD_FACTOR: f64 = 1.5;
-/// ... over so long, in microseconds.
+/// Window over which the load of a backend is compared with its capacity, in microseconds.
 pub const OVERLOAD_WINDOW: u64 = 1_000_000;
-/// The most attempts of a request.
+/// Maximum number of attempts per request.
 pub const MAX_ATTEMPTS: usize = 3;
 
-/// The name of the plan with a quota that no customer reaches.
+/// Name of the plan with a quota that no customer reaches.
 pub const UNMETERED_PLAN: &str = "starter";
-/// The name of the plan with a quota that customers exceed several times.
+/// Name of the plan with a quota that customers exceed several times.
 pub const METERED_PLAN: &str = "metered";
-/// The rate of that quota, in units a second.
+/// Rate of the metered plan's quota, in units per second.
 pub const METERED_RATE: f64 = 10.0;
-/// The burst of that quota, in units.
+/// Burst of the metered plan's quota, in units.
 pub const METERED_BURST: f64 = 20.0;
-/// How many ingresses serve a customer of that plan.
+/// Number of ingresses that serve a customer of the metered plan.
 pub const METERED_SET_SIZE: usize = 3;
 
-/// The seeds of runs are so far apart that no two ingresses share one.
+/// Difference between the ingress seeds of consecutive runs. It exceeds the number of ingresses, so that no
+/// two ingresses share a seed.
 const SEED_STRIDE: u64 = 1000;
 
-/// The addresses of an ingress and of what it talks to.
+/// The addresses of all ingresses, indexed by number.
 #[derive(Clone, Debug)]
 pub struct Addresses {
-    /// Where clients connect to each ingress.
+    /// Addresses for clients.
     pub listen: Vec<SocketAddr>,
-    /// Where each ingress gets messages of its peers.
+    /// Addresses for messages from peers.
     pub peers: Vec<SocketAddr>,
 }
 
-/// The configuration of one ingress.
+/// Returns the configuration of one ingress as JSON.
 pub fn config_json(
     plan: &SoakPlan,
     number: usize,
--- a/fault-soak/src/stand_in.rs
+++ b/fault-soak/src/stand_in.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for clients, backends and discovery, each with threads of its own. They inject the faults of the
-//! plan and record what they observe; the protocols are those of the `stand-ins` library.
+//! Stand-ins for clients, backends and discovery, each with its own threads. They inject the faults of the
+//! plan and record their observations. The `stand-ins` library implements the protocols.
 
 pub mod backend;
 pub mod client;
--- a/fault-soak/src/testbed.rs
+++ b/fault-soak/src/testbed.rs
@@ -1,4 +1,4 @@
-//! The stand-ins and the ingresses of a run, and what faults do to them.
+//! The stand-ins and ingresses of a run, and the injection of faults that are not system call faults.
 
 use crate::context::RunContext;
 use crate::ingress::{Ingress, Programs};
@@ -16,56 +16,51 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The most ingresses of a run: each has a loopback address of its own.
+/// Maximum number of ingresses in a run. Each has its own loopback address.
 const MAX_INGRESSES: usize = 40;
-/// The least second octet of the ingresses' addresses.
+/// Smallest second octet of the ingresses' addresses.
 const FIRST_SECOND_OCTET: u32 = 20;
-/// How many values of the second octet are used.
+/// Number of values of the second octet.
 const SECOND_OCTETS: u32 = 200;
-/// How many values of the third octet are used.
+/// Number of values of the third octet.
 const THIRD_OCTETS: u32 = 250;
-/// The port at which ingresses listen for clients.
+/// Port on which ingresses listen for clients.
 const CLIENT_PORT: u16 = 7379;
-/// The port at which ingresses receive messages of their peers.
+/// Port on which ingresses receive messages from peers.
 const PEER_PORT: u16 = 7946;
-/// How long an ingress still gets new connections after SIGTERM.
+/// Time for which an ingress still receives new connections after SIGTERM.
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(300);
-/// How long a configuration stays half written.
+/// Time for which a configuration stays truncated during a reload.
 const TRUNCATED_CONFIG_DURATION: Duration = Duration::from_millis(120);
-/// How long an ingress is stopped: less than the 150 ms that the oracle allows for, since it may be continued
-/// late.
+/// Duration of a pause. It is shorter than the 150 ms that the oracle allows, because an ingress may be
+/// continued late.
 const PAUSE: Duration = Duration::from_millis(140);
-/// How long it runs between two pauses.
+/// Time for which an ingress runs between two pauses.
 const PAUSE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The addresses of discovery for one ingress.
+/// Addresses of the two discovery agents of an ingress.
 #[derive(Clone, Copy)]
 struct AgentAddresses {
-    /// The one that the ingress starts with.
+    /// Agent in the initial configuration.
     initial: SocketAddr,
-    /// The one that a reload names.
+    /// Agent in the reloaded configuration.
     after_reload: SocketAddr,
 }
 
-/// All that takes part in a run.
+/// The stand-ins and ingresses of a run.
 pub struct Testbed {
-    /// What all of it shares.
     context: Arc<RunContext>,
-    /// Where the ingresses are.
+    /// Addresses of the ingresses.
     addresses: Addresses,
-    /// The backends.
     backends: Vec<Backend>,
-    /// Discovery.
     discovery: Arc<Discovery>,
-    /// The agents of each ingress.
+    /// Discovery agents of each ingress.
     agents: Vec<AgentAddresses>,
-    /// The ingresses.
     ingresses: Vec<Arc<Mutex<Ingress>>>,
-    /// Which ingresses get new connections.
     rotation: Arc<Rotation>,
 }
 
-/// The addresses of so many ingresses. They depend on the process, so that soaks side by side have different
+/// Derives the addresses of `count` ingresses from the process id, so that concurrent soaks use different
 /// ones.
 fn draw_addresses(count: usize) -> Addresses {
     let process = std::process::id();
@@ -81,21 +76,21 @@
     }
 }
 
-/// An ingress, for one thread at a time.
+/// Locks an ingress, even if another thread panicked while it held the lock.
 fn lock(ingress: &Mutex<Ingress>) -> MutexGuard<'_, Ingress> {
     ingress.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Testbed {
-    /// Starts the stand-ins; the ingresses do not run yet.
+    /// Starts the stand-ins and prepares the ingresses without starting them.
     ///
     /// # Errors
     ///
-    /// If the plan has too many ingresses, or a stand-in cannot bind a port.
+    /// Returns an error if the plan has too many ingresses, or a stand-in cannot bind a port.
     pub fn build(context: &Arc<RunContext>, programs: &Programs) -> anyhow::Result<Testbed> {
         let shape = context.plan.shape;
         if shape.ingresses > MAX_INGRESSES {
-            bail!("{} ingresses are more than {MAX_INGRESSES}", shape.ingresses);
+            bail!("the plan has {} ingresses; the maximum is {MAX_INGRESSES}", shape.ingresses);
         }
         let addresses = draw_addresses(shape.ingresses);
         let backends = (0..shape.backends).map(|number| Backend::start(number, context));
@@ -115,11 +110,11 @@
         Ok(Testbed { context, addresses, backends, discovery, agents, ingresses, rotation })
     }
 
-    /// Starts all ingresses side by side, and waits until they are ready.
+    /// Starts all ingresses in parallel, waits until they are ready and adds them to the rotation.
     ///
     /// # Errors
     ///
-    /// If a configuration cannot be written, or a program cannot be started.
+    /// Returns an error if a configuration cannot be written, or a program cannot be started.
     pub fn start_ingresses(&self) -> anyhow::Result<()> {
         let known_endpoints = self.discovery.snapshot_json();
         let mut threads = Vec::new();
@@ -137,7 +132,7 @@
         Ok(())
     }
 
-    /// Starts the clients, which send requests until the load ends.
+    /// Starts the client threads, which send requests until the load ends.
     pub fn start_clients(&self) -> Vec<JoinHandle<()>> {
         let start = |number| {
             let addresses = self.addresses.listen.clone();
@@ -147,7 +142,7 @@
         (0..self.context.plan.shape.clients).map(start).collect()
     }
 
-    /// Begins a fault. What takes a while goes on in a thread.
+    /// Starts a fault. Faults that take time continue in the returned thread.
     pub fn begin(&self, fault: &InjectedFault) -> Option<JoinHandle<()>> {
         let backend = fault.target % self.backends.len();
         let ingress = fault.target % self.ingresses.len();
@@ -169,7 +164,7 @@
         }
     }
 
-    /// Ends a fault that does not end by itself.
+    /// Ends a fault that requires an action to end.
     pub fn end(&self, fault: &InjectedFault) {
         if fault.kind == FaultScenario::DrainingBackend {
             let backend = fault.target % self.backends.len();
@@ -177,7 +172,8 @@
         }
     }
 
-    /// Sends an ingress SIGTERM, and starts it again. It leaves the rotation a little later.
+    /// Terminates an ingress with SIGTERM and starts it again. It leaves the rotation only after
+    /// [`DEREGISTRATION_DELAY`].
     fn terminate(&self, number: usize) -> JoinHandle<()> {
         let ingress = self.ingresses[number].clone();
         let rotation = self.rotation.clone();
@@ -195,7 +191,7 @@
         })
     }
 
-    /// Kills an ingress, and starts it again.
+    /// Kills an ingress and starts it again.
     fn kill(&self, number: usize) -> JoinHandle<()> {
         let ingress = self.ingresses[number].clone();
         let rotation = self.rotation.clone();
@@ -208,7 +204,7 @@
         })
     }
 
-    /// Has an ingress reload a configuration that is half written, and then a complete one that names another
+    /// Makes an ingress reload a truncated configuration, and then a complete one with another discovery
     /// agent.
     fn reload(&self, number: usize) -> JoinHandle<()> {
         let ingress = self.ingresses[number].clone();
@@ -225,7 +221,7 @@
         })
     }
 
-    /// Stops an ingress for a moment, again and again until a time.
+    /// Pauses an ingress repeatedly until `until_ms`.
     fn pause(&self, number: usize, until_ms: u64) -> JoinHandle<()> {
         let ingress = self.ingresses[number].clone();
         let context = self.context.clone();
@@ -237,7 +233,7 @@
         })
     }
 
-    /// Records the ingresses that have exited by themselves, except for those that a fault is busy with.
+    /// Records crashed ingresses, except for those that a fault has locked.
     pub fn record_unexpected_exits(&self) {
         for ingress in &self.ingresses {
             if let Ok(mut ingress) = ingress.try_lock() {
@@ -246,7 +242,7 @@
         }
     }
 
-    /// Has all ingresses log their counters.
+    /// Makes all ingresses log their counters.
     pub fn log_counters(&self) {
         for ingress in &self.ingresses {
             let mut ingress = lock(ingress);
@@ -255,7 +251,7 @@
         }
     }
 
-    /// Sends all ingresses SIGTERM, and waits until they have exited.
+    /// Sends SIGTERM to all ingresses and waits until they have exited.
     pub fn terminate_ingresses(&self) {
         let terminate = |ingress: &Arc<Mutex<Ingress>>| {
             let ingress = ingress.clone();
