--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -44,7 +44,7 @@
     }
 
     /// Handles the first message of a peer's process: discards the reports of an earlier process, and queues
-    /// one report of each active customer whose quota the peer owns.
+    /// one report of each customer with recent usage whose quota the peer owns.
     fn on_peer_start(&mut self, peer: u16, start: PeerStart) {
         let unreported = self.quota.on_peer_start(self.now, peer, start);
         tracing::debug!(target: "policy", peer, ?start, customers = unreported.len(), "peer started");
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Returns the shortages of a request that lacks tokens of this limit.
+/// Returns the shortages of a request that only this limit does not allow.
 fn shortages_of(limit: QuotaLimit) -> Shortages {
     let shortage = Some(Shortage { limit, seconds: 0.5 });
     match limit {
@@ -30,7 +30,8 @@
     }
 }
 
-/// Returns a request with tokens, at a gateway that owns no quota and whose last grant has this age.
+/// Returns a request within all limits, at a gateway that owns no quota and whose last answer from an owner
+/// has this age.
 fn arrival(plan: &Plan, answer_age: Duration) -> ArrivalContext<'_> {
     ArrivalContext {
         now: NOW,
@@ -43,7 +44,7 @@
     }
 }
 
-/// Returns a request with tokens, at an idle gateway.
+/// Returns a request within all limits, at an idle gateway.
 fn admission() -> AdmissionContext {
     AdmissionContext {
         now: NOW,
--- a/src/policy/quota/grant_request/tests.rs
+++ b/src/policy/quota/grant_request/tests.rs
@@ -22,13 +22,13 @@
 }
 
 /// A grant request for each request of a customer far over its concurrency quota would make the owner lose
-/// other messages. They are skipped above a quarter of the messages that the owner can receive, here 25 of
-/// 100 per second. None is skipped in a small fleet, before the first grant, or at the owner.
+/// other messages. Those above a quarter of the messages that the owner can receive, here 25 of 100 per
+/// second, are skipped. None is skipped in a small fleet, before the first answer, or at the owner.
 #[test]
 fn grant_requests_are_limited_for_a_customer_far_over_its_quota() {
     let mut large = manager(LARGE_FLEET);
     let customer = customer_owned(&mut large, CONCURRENCY_QUOTA, false);
-    assert!(!large.skips_grant_request(START, customer, 1.0), "no grant received yet");
+    assert!(!large.skips_grant_request(START, customer, 1.0), "no answer received yet");
     let owner = large.customers[&customer].quota_owners[0];
     let mut skipped = |rate, draw| {
         large.on_grant(START, owner, &QuotaGrant { remote_rate: rate, ..grant(customer, 0.0, 2) });
--- a/src/policy/quota/reporting/tests.rs
+++ b/src/policy/quota/reporting/tests.rs
@@ -29,11 +29,11 @@
     assert_eq!(small.report_after_admission(customer, DecisionPoint::GrantWait), Some(ReportPurpose::Usage));
 }
 
-/// A restarted owner has lost all usage, so customers could use their full quotas again. Gateways report
-/// their recently active customers to it. In a large fleet an owner's first message does not mean a restart,
-/// so nothing is reported.
+/// A restarted owner has lost all usage, so customers could use their full quotas again. Gateways report the
+/// customers with recent usage to it. In a large fleet an owner's first message does not mean a restart, so
+/// nothing is reported.
 #[test]
-fn a_restarted_owner_gets_reports_on_active_customers() {
+fn a_restarted_owner_receives_reports_of_customers_with_recent_usage() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, RATE_QUOTA, false);
     let owner = manager.customers[&customer].quota_owners[0];
@@ -65,21 +65,21 @@
 fn usage_is_reported_to_all_other_owners_and_grants_requested_from_granters() {
     let mut small = manager(SMALL_FLEET);
     let customer = customer_owned(&mut small, RATE_QUOTA, true);
-    let holders = small.customers[&customer].granters;
+    let granters = small.customers[&customer].granters;
     let recipients = small.report_recipients(customer, ReportPurpose::GrantRequest);
     assert!(recipients.iter().map(|recipient| recipient.gateway).eq([1, 2]));
     for recipient in recipients {
         assert_eq!(recipient.entry.copies_left, 2);
-        assert_eq!(recipient.entry.requests_grant, holders.contains(&recipient.gateway));
+        assert_eq!(recipient.entry.requests_grant, granters.contains(&recipient.gateway));
     }
     let usage = small.report_recipients(customer, ReportPurpose::Usage);
     assert!(usage.iter().all(|recipient| !recipient.entry.requests_grant));
 }
 
 /// A report includes the level of the bucket for an owner that has lost its record. At a reporter the level
-/// is known for 1 s after a grant.
+/// is known for 1 s after an owner's answer.
 #[test]
-fn the_level_of_a_bucket_is_reported_for_a_second_after_a_grant() {
+fn the_level_of_a_bucket_is_reported_for_a_second_after_an_answer() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, RATE_QUOTA, false);
     let owner = manager.customers[&customer].quota_owners[0];
--- a/src/policy/quota/tests.rs
+++ b/src/policy/quota/tests.rs
@@ -111,7 +111,7 @@
 /// customer again 2 s after the last answer; otherwise a fleet that loses messages would reject all
 /// customers.
 #[test]
-fn a_grant_expires_after_two_seconds() {
+fn an_owners_answer_expires_after_two_seconds() {
     let mut manager = manager(LARGE_FLEET);
     let customer = customer_owned(&mut manager, RATE_QUOTA, false);
     let request = request(customer, RATE_QUOTA, 1.0);
--- a/tests/gateway/hard_limit.rs
+++ b/tests/gateway/hard_limit.rs
@@ -11,8 +11,8 @@
 fn restarts_without_gossip_do_not_exceed_a_hard_limit() {
     for gateways in [3, 40, 200] {
         let total: usize = (0..gateways)
-            .map(|me| {
-                let mut harness = GatewayHarness::new(settings_of(me, gateways), 4);
+            .map(|own_id| {
+                let mut harness = GatewayHarness::new(settings_of(own_id, gateways), 4);
                 let mut sent = 0;
                 for second in 0..10 {
                     for _ in 0..10 {
@@ -25,7 +25,7 @@
                         }
                     }
                     if second == 4 {
-                        harness.restart(settings_of(me, gateways), 8, 4);
+                        harness.restart(settings_of(own_id, gateways), 8, 4);
                     }
                 }
                 sent
--- a/tests/gateway/outlier_detection.rs
+++ b/tests/gateway/outlier_detection.rs
@@ -77,17 +77,17 @@
 fn execute_with_silent_backend(fleet: &mut Fleet, from: usize, actions: Vec<Action>) -> AttemptCounts {
     let mut counts = AttemptCounts::default();
     let mut queue: Vec<(usize, Action)> = actions.into_iter().map(|action| (from, action)).collect();
-    while let Some((at, action)) = queue.pop() {
+    while let Some((index, action)) = queue.pop() {
         match action {
             Action::Send { backend: BackendId(0), .. } => counts.at_silent_backend += 1,
             Action::Send { id, backend, .. } => {
                 counts.answered += 1;
-                let more = fleet.gateways[at].end_attempt(id, 0, backend, Outcome::Ok);
-                queue.extend(more.into_iter().map(|action| (at, action)));
+                let more = fleet.gateways[index].end_attempt(id, 0, backend, Outcome::Ok);
+                queue.extend(more.into_iter().map(|action| (index, action)));
             }
             Action::SendToPeer { to: Some(GatewayId(to)), bytes } => {
                 let to = usize::from(to);
-                let event = Event::PeerMessage { from: GatewayId(at as u16), bytes };
+                let event = Event::PeerMessage { from: GatewayId(index as u16), bytes };
                 let more = fleet.gateways[to].handle(event);
                 queue.extend(more.into_iter().map(|action| (to, action)));
             }
@@ -108,12 +108,12 @@
     }
     let (mut all, mut silent) = (0, 0);
     for step in 0..2000usize {
-        for at in [step * 37 % 100, step * 41 % 100, step * 53 % 100, step * 61 % 100] {
-            let harness = &mut fleet.gateways[at];
+        for index in [step * 37 % 100, step * 41 % 100, step * 53 % 100, step * 61 % 100] {
+            let harness = &mut fleet.gateways[index];
             let customer = 7000 + step as u64 * 31 % 400;
             let mut actions = harness.request_from_set(IDEMPOTENT, UNLIMITED, customer, 1.0, 100.0).actions;
-            actions.extend(harness.advance(Duration::from_millis(20))); // and runs its timers
-            let counts = execute_with_silent_backend(&mut fleet, at, actions);
+            actions.extend(harness.advance(Duration::from_millis(20))); // runs the gateway's timers
+            let counts = execute_with_silent_backend(&mut fleet, index, actions);
             // The gateways detect the silence during the first five seconds.
             if step >= 500 {
                 all += counts.answered;
--- a/tests/gateway/rate_quota.rs
+++ b/tests/gateway/rate_quota.rs
@@ -93,9 +93,10 @@
         let mut fleet = Fleet::new(100);
         let mut sent = 0;
         for number in 0..100usize {
-            let (at, customer) = (number * 37 % 100, 1000 + number as u64 % 20);
-            let actions = fleet.gateways[at].request_from_set(IDEMPOTENT, plan, customer, 1.0, 100.0).actions;
-            sent += fleet.execute(at, actions, 0);
+            let (index, customer) = (number * 37 % 100, 1000 + number as u64 % 20);
+            let actions =
+                fleet.gateways[index].request_from_set(IDEMPOTENT, plan, customer, 1.0, 100.0).actions;
+            sent += fleet.execute(index, actions, 0);
             sent += fleet.advance(Duration::from_millis(20), 0);
         }
         assert_eq!(sent, 100, "five requests of each customer, far apart: plan {plan}");
@@ -128,16 +129,16 @@
     let mut fleet = Fleet::new(3);
     let before = sent_for_new_customer(&mut fleet, 5);
     assert!(before <= 3, "{before} of a burst of 6 before the first message from another gateway");
-    for at in 0..2 {
-        fleet.request(at, UNLIMITED, 1.0, 3.0, 0); // makes each gateway send messages to the others
+    for index in 0..2 {
+        fleet.request(index, UNLIMITED, 1.0, 3.0, 0); // makes each gateway send messages to the others
     }
     let after = sent_for_new_customer(&mut fleet, 5);
     assert!((4..=7).contains(&(before + after)), "{before} and {after}: withheld tokens are released once");
     assert!((5..=7).contains(&sent_for_new_customer(&mut fleet, 6)), "a later customer has its whole bucket");
     fleet.advance(SECOND * 2, 0);
     fleet.gateways[2].restart(settings_of(2, 3), 9, 6);
-    for at in 0..3 {
-        fleet.request(at, UNLIMITED, 1.0, 3.0, 0);
+    for index in 0..3 {
+        fleet.request(index, UNLIMITED, 1.0, 3.0, 0);
     }
     let after_restart = sent_for_new_customer(&mut fleet, 7);
     assert!(
@@ -152,14 +153,14 @@
 #[test]
 fn a_customer_that_returns_to_a_gateway_is_not_charged_for_past_usage() {
     let mut fleet = Fleet::new(3);
-    let request_once = |fleet: &mut Fleet, at: usize, pause: Duration| {
-        let actions = fleet.gateways[at].request_from_set(IDEMPOTENT, RATE_QUOTA, 5, 1.0, 3.0).actions;
-        let sent = fleet.execute(at, actions, 0);
+    let request_once = |fleet: &mut Fleet, index: usize, pause: Duration| {
+        let actions = fleet.gateways[index].request_from_set(IDEMPOTENT, RATE_QUOTA, 5, 1.0, 3.0).actions;
+        let sent = fleet.execute(index, actions, 0);
         fleet.advance(pause, 0);
         sent
     };
-    let sent_of = |fleet: &mut Fleet, at, times, pause| {
-        (0..times).map(|_| request_once(fleet, at, pause)).sum::<usize>()
+    let sent_of = |fleet: &mut Fleet, index, times, pause| {
+        (0..times).map(|_| request_once(fleet, index, pause)).sum::<usize>()
     };
     // One unit per second, half of the quota: at one gateway, then at another, then at both.
     assert!(sent_of(&mut fleet, 0, 30, SECOND) >= 29);
@@ -183,15 +184,15 @@
 #[test]
 fn messages_of_a_gateway_that_restarts_with_its_clock_set_back_are_accepted() {
     let mut fleet = Fleet::new(3);
-    (0..3).for_each(|at| _ = fleet.request(at, UNLIMITED, 1.0, 3.0, 0));
+    (0..3).for_each(|index| _ = fleet.request(index, UNLIMITED, 1.0, 3.0, 0));
     restart_with_clock_set_back(&mut fleet);
-    (0..3).for_each(|at| _ = fleet.request(at, UNLIMITED, 1.0, 3.0, 0));
+    (0..3).for_each(|index| _ = fleet.request(index, UNLIMITED, 1.0, 3.0, 0));
     fleet.advance(SECOND * 10, 0);
-    let mut sent_at = |at: usize| {
+    let mut sent_at = |index: usize| {
         let mut sent = 0;
         for _ in 0..8 {
-            let actions = fleet.gateways[at].request_from_set(IDEMPOTENT, RATE_QUOTA, 6, 1.0, 3.0).actions;
-            sent += fleet.execute(at, actions, 0) + fleet.advance(Duration::from_millis(60), 0);
+            let actions = fleet.gateways[index].request_from_set(IDEMPOTENT, RATE_QUOTA, 6, 1.0, 3.0).actions;
+            sent += fleet.execute(index, actions, 0) + fleet.advance(Duration::from_millis(60), 0);
         }
         sent
     };
@@ -206,9 +207,9 @@
 #[test]
 fn a_gateway_that_restarts_with_its_clock_set_back_charges_no_past_usage() {
     let mut fleet = Fleet::new(3);
-    let request_once = |fleet: &mut Fleet, at: usize| {
-        let actions = fleet.gateways[at].request_from_set(IDEMPOTENT, RATE_QUOTA, 5, 1.0, 3.0).actions;
-        let sent = fleet.execute(at, actions, 0);
+    let request_once = |fleet: &mut Fleet, index: usize| {
+        let actions = fleet.gateways[index].request_from_set(IDEMPOTENT, RATE_QUOTA, 5, 1.0, 3.0).actions;
+        let sent = fleet.execute(index, actions, 0);
         fleet.advance(SECOND, 0);
         sent
     };
@@ -230,7 +231,7 @@
     const BURST: f64 = 20.0;
     // The bucket's refill time is longer than the idle time after which a customer counts as inactive.
     let slow = Plan { rate: 0.5, burst: BURST, ..settings().plans[usize::from(RATE_QUOTA)].clone() };
-    for (at, quiet_seconds) in [(0, 45), (1, 45), (2, 45), (0, 100), (1, 100), (2, 100)] {
+    for (index, quiet_seconds) in [(0, 45), (1, 45), (2, 45), (0, 100), (1, 100), (2, 100)] {
         let gateway = |own_id| {
             let mut settings = settings_of(own_id, 100);
             settings.plans[usize::from(RATE_QUOTA)] = slow.clone();
@@ -238,12 +239,15 @@
         };
         let mut fleet = Fleet { gateways: (0..100).map(gateway).collect(), messages_sent: 0 };
         fleet.advance(SECOND * 30, 0);
-        let send = |fleet: &mut Fleet, at, count| {
-            (0..count).map(|_| fleet.request(at, RATE_QUOTA, 1.0, 3.0, 0)).sum::<usize>()
+        let send = |fleet: &mut Fleet, index, count| {
+            (0..count).map(|_| fleet.request(index, RATE_QUOTA, 1.0, 3.0, 0)).sum::<usize>()
         };
-        assert_eq!(send(&mut fleet, at, 18), 18, "gateway {at}: the bucket is full initially");
+        assert_eq!(send(&mut fleet, index, 18), 18, "gateway {index}: the bucket is full initially");
         fleet.advance(SECOND * quiet_seconds, 0);
-        let total = send(&mut fleet, (at + 1) % 3, 12) + send(&mut fleet, at, 40);
-        assert!((18..=21).contains(&total), "gateway {at}, {quiet_seconds} s: {total} sent of a full bucket");
+        let total = send(&mut fleet, (index + 1) % 3, 12) + send(&mut fleet, index, 40);
+        assert!(
+            (18..=21).contains(&total),
+            "gateway {index}, {quiet_seconds} s: {total} sent of a full bucket"
+        );
     }
 }
