--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -93,8 +93,8 @@
 /// Decision on a request whose customer is identified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ArrivalDecision {
-    /// Admission is decided now, from local usage alone: either that is sufficient, or the request has no
-    /// time to wait for a grant.
+    /// Admission is decided now, by the usage recorded at this gateway: either that is sufficient, or the
+    /// request has no time to wait for a grant.
     DecideNow,
     /// The request waits for a grant.
     AwaitGrant {
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// A poll that was pending when it failed.
+/// A poll that failed while it was pending.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedPoll {
     /// Time at which the poll began; establishing the connection is part of the poll.
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -46,7 +46,7 @@
     /// Class of the request.
     pub class: usize,
     pub latency_micros: f64,
-    /// Who measured the latency.
+    /// Gateway that measured the latency.
     pub source: ObservationSource,
 }
 
--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -46,9 +46,10 @@
 /// Result of checking whether a backend with an attempt in flight is silent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum SilenceCheck {
-    /// The backend has answered an attempt of the class since this one was sent.
+    /// A health signal of the class, an answer or a failed connection, was recorded since the attempt was
+    /// sent.
     Answering,
-    /// The backend has answered no attempt of the class since this one was sent.
+    /// No health signal of the class was recorded since the attempt was sent.
     Silent {
         /// The ejection caused by the silence; `None` while an earlier one lasts.
         ejection: Option<Ejection>,
@@ -56,7 +57,7 @@
 }
 
 impl SilenceCheck {
-    /// Returns whether the backend has answered no attempt of the class since this one was sent.
+    /// Returns whether no health signal of the class was recorded since the attempt was sent.
     pub(crate) fn is_silent(&self) -> bool {
         matches!(self, SilenceCheck::Silent { .. })
     }
@@ -97,7 +98,7 @@
         Some(HealthChange::Returned { failure_rate })
     }
 
-    /// Ejects the backend if it has answered no attempt of the class since `sent_at`.
+    /// Ejects the backend if no health signal of the class was recorded since `sent_at`.
     fn eject_if_silent(&mut self, sent_at: Instant, now: Instant) -> SilenceCheck {
         if self.last_signal_at >= sent_at {
             return SilenceCheck::Answering;
@@ -149,8 +150,8 @@
         health.consecutive_ejections > 0 && (now < health.ejected_until || in_flight > 0)
     }
 
-    /// Checks an attempt of a class that has not ended, and ejects its backend if that has answered no
-    /// attempt of the class since `sent_at`.
+    /// Checks an attempt of a class that has not ended, and ejects its backend if no health signal of the
+    /// class was recorded since `sent_at`.
     pub(crate) fn eject_if_silent(&mut self, class: usize, sent_at: Instant, now: Instant) -> SilenceCheck {
         self.classes[class].eject_if_silent(sent_at, now)
     }
--- a/src/policy/quota/ownership.rs
+++ b/src/policy/quota/ownership.rs
@@ -169,8 +169,9 @@
         self != Self::Designated
     }
 
-    /// Returns the lowest level to which reported usage may reduce a bucket with `tokens`. A designated owner
-    /// incurs no further debt: it decides on each request, and rejected requests use no units.
+    /// Returns the lowest level to which reported usage may reduce a bucket with `tokens`. In a small fleet
+    /// the debt may be as large as the burst. A designated owner incurs no further debt: it decides on each
+    /// request, and rejected requests use no units.
     pub(crate) fn min_tokens(self, plan: &Plan, tokens: f64) -> f64 {
         match self {
             Self::AllGateways { .. } => -plan.burst,
--- a/src/policy/quota/shortages.rs
+++ b/src/policy/quota/shortages.rs
@@ -1,6 +1,6 @@
 //! Checks of requests against the limits of their customer's plan.
 //!
-//! A [`Shortage`] names a limit that does not allow a request now, and the time until it may.
+//! A [`Shortage`] holds a limit that does not allow a request now, and the time until it may allow it.
 
 use super::{time_to_refill, Customer, QuotaManager, QuotaOwnership};
 use crate::policy::RejectReason;
--- a/src/policy/start_times.rs
+++ b/src/policy/start_times.rs
@@ -90,10 +90,10 @@
         let host_time = (unix_time != UnixTime::default()).then(|| {
             let age = self.offsets.min_age(now, unix_time);
             // The backend cannot have restarted before the last update that listed its previous start.
-            let most = known
+            let max_age = known
                 .and(self.last_update_at)
                 .map_or(Duration::MAX, |listed_at| now.duration_since(listed_at) + MAX_LISTING_DELAY);
-            now - age.min(most)
+            now - age.min(max_age)
         });
         self.starts.insert(backend, Start { unix_time, host_time });
         host_time
