--- a/fleet-experiments/tests/experiments.rs
+++ b/fleet-experiments/tests/experiments.rs
@@ -1,4 +1,5 @@
-//! Every experiment in small, judged by counts; and the errors of invalid experiment files.
+//! Runs each experiment at a small size and checks its counts, and checks the errors for invalid experiment
+//! files.
 
 use fleet_experiments::experiment_file::{ExperimentFile, ExperimentFileError};
 use fleet_experiments::report::Report;
@@ -8,17 +9,17 @@
 
 const SMALL: &str = include_str!("../experiments/small.toml");
 
-/// The real ingress as it was built with these tests.
+/// Returns the path of the ingress program that was built together with these tests.
 fn ingress() -> PathBuf {
     let mut path = std::env::current_exe().unwrap();
     path.pop();
     path.pop();
     path.push("ingress");
-    assert!(path.exists(), "{} is missing: test with --workspace", path.display());
+    assert!(path.exists(), "{} does not exist: run the tests with --workspace", path.display());
     path
 }
 
-/// Runs one table of the small file; its points.
+/// Runs one table of the small experiment file and returns its points.
 fn points(table: &str) -> Vec<Value> {
     let all: toml::Table = SMALL.parse().unwrap();
     let mut one = toml::Table::new();
@@ -31,13 +32,13 @@
 }
 
 fn number(point: &Value, key: &str) -> f64 {
-    point[key].as_f64().unwrap_or_else(|| panic!("{key} in {point}"))
+    point[key].as_f64().unwrap_or_else(|| panic!("{key} is not a number in {point}"))
 }
 
-/// An experiment names two sizes of the endpoint list. There is a point for each of them, with the size it was
-/// measured at; a missing or mislabelled point would put a wrong number into the capacity page.
+/// Each size of the list gives one point that states this size. A missing or mislabelled point would put a
+/// wrong number into the capacity page.
 #[test]
-fn a_list_is_measured_at_each_size() {
+fn endpoint_list_is_measured_at_each_size() {
     let points = points("endpoint_list");
     let sizes: Vec<f64> = points.iter().map(|point| number(point, "backends")).collect();
     assert_eq!(sizes, [200.0, 400.0]);
@@ -45,8 +46,7 @@
     assert_eq!(zones, [12.0, 23.0]);
 }
 
-/// Requests come to a fleet with nothing else to do, and the time that each takes is measured. All of them have to
-/// be sent to a backend, as a rejection is faster and would make the measured time too short.
+/// All requests must be sent to a backend: a rejection is faster, and would make the measured time too low.
 #[test]
 fn all_requests_of_an_idle_fleet_are_forwarded() {
     for point in points("request") {
@@ -54,9 +54,8 @@
     }
 }
 
-/// The fleet doubles while the rate of requests at each ingress stays the same. The messages of one ingress may
-/// grow with its requests, but must not double with the fleet; if they did, a large fleet would do nothing but
-/// exchange messages.
+/// Messages of an ingress grow with its request rate, but must not double when the fleet doubles at the same
+/// rate. Otherwise a large fleet would spend its capacity on exchanging messages.
 #[test]
 fn quota_messages_of_an_ingress_grow_with_requests_and_not_with_the_fleet() {
     let points = points("quota");
@@ -64,53 +63,55 @@
         let (messages, bytes) = (number(point, "messages"), number(point, "bytes"));
         assert!(messages > 0.0 && bytes <= 256.0 * messages, "{point}");
     }
-    let of = |ingresses: f64, rate: f64| {
-        let is_wanted =
+    let messages_at = |ingresses: f64, rate: f64| {
+        let is_match =
             |point: &&Value| number(point, "ingresses") == ingresses && number(point, "rate") == rate;
-        let found = points.iter().find(is_wanted);
+        let found = points.iter().find(is_match);
         number(found.unwrap(), "messages")
     };
-    assert!(of(6.0, 8.0) > of(6.0, 4.0) && of(12.0, 8.0) > of(12.0, 4.0), "{points:?}");
-    assert!(of(12.0, 4.0) < 2.0 * of(6.0, 4.0), "{points:?}");
+    assert!(
+        messages_at(6.0, 8.0) > messages_at(6.0, 4.0) && messages_at(12.0, 8.0) > messages_at(12.0, 4.0),
+        "{points:?}"
+    );
+    assert!(messages_at(12.0, 4.0) < 2.0 * messages_at(6.0, 4.0), "{points:?}");
 }
 
-/// Somebody runs an experiment again, with the same seed, to check a number in the capacity page. The models have
-/// to give exactly the same points.
+/// Two runs with the same seed give the same points. Otherwise a number in the capacity page could not be
+/// checked by running the experiment again.
 #[test]
-fn models_are_deterministic() {
+fn simulations_are_deterministic() {
     for table in ["quota", "discovery", "slow_start"] {
         assert_eq!(points(table), points(table), "{table}");
     }
 }
 
-/// Discovery comes back after an outage. Each of fifty ingresses polls it exactly once, within 5 s and without
-/// being rejected; more polls would overload it again, and later ones would leave ingresses with an outdated list.
+/// After an outage, each of 50 ingresses polls once, within 5 s and without being rejected. More polls would
+/// overload discovery again, and later ones would leave ingresses with an outdated list.
 #[test]
-fn a_fleet_polls_a_discovery_that_is_back_once_each() {
+fn each_ingress_polls_discovery_once_after_an_outage() {
     let points = points("discovery");
     assert_eq!((number(&points[0], "polls"), number(&points[0], "rejected_polls")), (50.0, 0.0));
     assert!(number(&points[0], "longest_gap_s") <= 5.0, "{points:?}");
 }
 
-/// Backends start in a modelled fleet and get more and more requests. The experiment has to count them: a counter
-/// that stays at zero would report that the limit was kept whatever happened.
+/// A counter of requests that stays at zero would report the limit as kept under any load.
 #[test]
-fn a_simulation_counts_what_backends_in_slow_start_get() {
+fn requests_to_backends_in_slow_start_are_counted() {
     let points = points("slow_start");
     assert!(number(&points[0], "budget_used") > 0.0 && number(&points[0], "peak_window") > 0.0, "{points:?}");
     assert_eq!(number(&points[0], "runs_over_limit"), 0.0, "{points:?}");
 }
 
-/// A real ingress gets an endpoint list and then a change of it. Both have to be in force and the process still
-/// running before times and memory are reported, as the numbers would otherwise be those of an ingress that failed.
+/// The ingress has applied the list and is still running when its times and memory are reported. Otherwise
+/// they would be those of an ingress that failed.
 #[test]
 fn a_real_ingress_applies_a_list_and_its_changes() {
     let points = points("ingress_endpoint_list");
     assert!(points[0]["applied"] == true && points[0]["running"] == true, "{points:?}");
 }
 
-/// Nine of ten real ingresses are restarted under load, and all get a new configuration. Each has to poll discovery
-/// and serve requests again; an operator who rolls out a new version relies on that.
+/// Nine of ten ingresses are restarted under load, then all are reconfigured. Each must poll discovery and
+/// serve requests again, as in the rollout of a new version.
 #[test]
 fn restarted_ingresses_poll_discovery_and_apply_a_new_configuration() {
     let points = points("ingress_restart");
@@ -118,16 +119,15 @@
     assert!(number(&points[0], "first_poll_last_s").is_finite() && number(&points[0], "served") > 0.0);
 }
 
-/// A hundred requests go through a real ingress, and their latency is measured. All have to be served, since errors
-/// come back faster than values and would make the latency look better than it is.
+/// Errors are returned faster than values, so requests that fail would make the measured latency too low.
 #[test]
 fn requests_through_a_real_ingress_are_all_served() {
     let points = points("ingress_latency");
     assert_eq!(number(&points[0], "served"), 100.0, "{points:?}");
 }
 
-/// Somebody writes an experiment file with a mistake in it. The program says in one line which key is wrong and
-/// why, and exits with status 2, before it starts a run that takes hours.
+/// A mistake in an experiment file is reported in one line with the key and the cause, and with exit status
+/// 2, before a run of hours begins.
 #[test]
 fn errors_in_experiment_files_name_the_key() {
     let cases = [
@@ -164,28 +164,28 @@
         ("seed 1", "expected"),
     ];
     for (index, (text, key)) in cases.into_iter().enumerate() {
-        let why = ExperimentFile::parse(text).map(|_| ()).expect_err(text).to_string();
-        assert!(why.contains(key) && !why.contains('\n'), "{text:?}: {why}");
+        let error = ExperimentFile::parse(text).map(|_| ()).expect_err(text).to_string();
+        assert!(error.contains(key) && !error.contains('\n'), "{text:?}: {error}");
         let file = std::env::temp_dir()
             .join(format!("fleet-experiments-invalid-{}-{index}.toml", std::process::id()));
         std::fs::write(&file, text).unwrap();
         let output =
             Command::new(env!("CARGO_BIN_EXE_fleet-experiments")).arg("run").arg(&file).output().unwrap();
         std::fs::remove_file(&file).unwrap();
-        let err = String::from_utf8(output.stderr).unwrap();
-        assert_eq!((output.status.code(), err.lines().count()), (Some(2), 1), "{text:?}: {err}");
+        let printed = String::from_utf8(output.stderr).unwrap();
+        assert_eq!((output.status.code(), printed.lines().count()), (Some(2), 1), "{text:?}: {printed}");
     }
 }
 
-/// The capacity page names the file that its numbers were measured with. That file has to be readable by today's
-/// program, or nobody could measure them again.
+/// The numbers of the capacity page were measured with this file. They could not be measured again if the
+/// file were invalid.
 #[test]
-fn the_experiments_of_the_capacity_page_are_well_formed() {
+fn experiment_file_of_the_capacity_page_is_valid() {
     ExperimentFile::parse(include_str!("../experiments/capacity.toml")).unwrap();
 }
 
-/// Tables and keys of experiment files were renamed. Files written before that have to mean the same as today, as
-/// older results could not be repeated otherwise.
+/// Tables and keys of experiment files were renamed. A file with the former names must give the same
+/// experiments, or older results could not be reproduced.
 #[test]
 fn experiment_files_with_former_names_are_still_read() {
     let former = ExperimentFile::parse(include_str!("former_names.toml")).unwrap();
@@ -193,10 +193,10 @@
     assert_eq!(former, ExperimentFile::parse(SMALL).unwrap());
 }
 
-/// An experiment file has no experiment, no sizes, or a size of zero. Each has an error of its own with experiment
-/// and key, by which the program tells its user what to write instead.
+/// A file without experiments, an empty list and a value of zero have different errors, which state the
+/// experiment and the key.
 #[test]
-fn errors_in_sizes_have_their_kind() {
+fn invalid_parameters_have_distinct_errors() {
     let parse = |table: &str| ExperimentFile::parse(&format!("seed = 1\n{table}")).unwrap_err();
     assert!(matches!(parse(""), ExperimentFileError::NoExperiment));
     let list = |backends: &str| parse(&format!("[list]\nbackends = {backends}\ningresses = 3\nchanges = 1"));
@@ -205,7 +205,7 @@
         ExperimentFileError::Empty { experiment: "endpoint_list", key: "backends" }
     ));
     let ExperimentFileError::OutOfRange { experiment, key, value } = list("[5, 0]") else {
-        panic!("not a size out of range")
+        panic!("the error is not OutOfRange")
     };
     assert_eq!((experiment, key, value), ("endpoint_list", "backends", 0.0));
 }
--- a/fleet-experiments/tests/fit.rs
+++ b/fleet-experiments/tests/fit.rs
@@ -1,12 +1,11 @@
-//! Slopes through results.
+//! Lines fitted to the points of results.
 
 use fleet_experiments::fit::{fit_line, fit_results, Point};
 
-/// Measured points are fitted with a straight line, from which the capacity page extrapolates. Points on a line
-/// give exactly that line; points on a curve are reported with a large error, since a reader would otherwise trust
-/// a number that is far off. One size, or a value of zero, gives no line at all.
+/// The capacity page extrapolates from the fitted lines. A curve must show a large error, or readers would
+/// rely on a number that is far off. A single size or a value of zero gives no line.
 #[test]
-fn a_straight_line_is_found_and_a_bent_one_has_a_large_error() {
+fn straight_lines_are_fitted_exactly_and_curves_with_a_large_error() {
     let points =
         |sizes: [f64; 4], value: &dyn Fn(f64) -> f64| sizes.map(|size| Point { size, value: value(size) });
     let straight = points([1.0, 10.0, 1e3, 1e5], &|size| 3.0 + 0.5 * size);
@@ -17,18 +16,18 @@
             && found.max_relative_error < 1e-6,
         "{found:?}"
     );
-    let bent = points([1.0, 10.0, 100.0, 1000.0], &|size| size * size);
-    assert!(fit_line(&bent).unwrap().max_relative_error > 0.5, "{:?}", fit_line(&bent));
+    let curve = points([1.0, 10.0, 100.0, 1000.0], &|size| size * size);
+    assert!(fit_line(&curve).unwrap().max_relative_error > 0.5, "{:?}", fit_line(&curve));
     let one_size = [Point { size: 5.0, value: 1.0 }, Point { size: 5.0, value: 2.0 }];
     assert_eq!(fit_line(&one_size), None, "one size");
     let zero = [Point { size: 1.0, value: 0.0 }, Point { size: 2.0, value: 2.0 }];
-    assert_eq!(fit_line(&zero), None, "nothing to be a share of");
+    assert_eq!(fit_line(&zero), None, "relative error of a value of zero");
 }
 
-/// Results of fleets of two sizes lie in one file. Only points that differ in a single size belong on one line, and
-/// three of them are too few; mixed together they would give a slope that means nothing.
+/// A file of results has points of several fleet sizes. A line through points that differ in more than one
+/// parameter, or through three points, would have a meaningless slope.
 #[test]
-fn fits_need_four_sizes_that_differ_in_nothing_else() {
+fn fits_need_four_points_that_differ_in_one_parameter() {
     let point = |rate: u64, ingresses: u64, messages: u64| {
         format!(
             r#"{{"experiment":"quota","point":{{"rate":{rate},"ingresses":{ingresses},"messages":{messages}}}}}"#
@@ -42,8 +41,8 @@
     assert!(fit_results("{").is_err());
 }
 
-/// Two files of results are kept in the repository, one measured before a change and one after it. Both have to be
-/// readable and give lines for the same measurements, as a reader could not compare the two otherwise.
+/// The repository keeps results from before and after a change. Both files must give lines for the same
+/// measurements, so that they can be compared.
 #[test]
 fn kept_result_files_are_fitted() {
     let names = |results: &str| -> Vec<String> {
@@ -55,10 +54,10 @@
     assert_eq!(before, names(include_str!("../results/capacity-after.jsonl")));
 }
 
-/// Names in the results were changed after the capacity page was written. Fitted today, the old file has to give
-/// the same lines as under the new names, or the page's numbers could not be checked any more.
+/// Experiments and keys were renamed after the results of the capacity page were measured. The lines must be
+/// the same under both names, or the numbers of the page could not be checked.
 #[test]
-fn results_with_former_names_are_fitted_like_those_of_today() {
+fn results_with_former_names_give_the_same_fits() {
     let former = include_str!("../results/capacity-after.jsonl");
     let renamed = [
         ("\"list\"", "\"endpoint_list\""),
--- a/fleet-experiments/tests/slow_start.rs
+++ b/fleet-experiments/tests/slow_start.rs
@@ -1,12 +1,11 @@
-//! Slow start in a fleet: the requests to backends that have just started, in the window of the overload
-//! rule.
+//! Requests to backends in slow start, in each window of the overload rule.
 
 use fleet_experiments::experiments::slow_start::{simulate, SlowStartScenario};
 
-/// Backends start while a fleet gets up to 2.5 times the requests that it can serve, and their latency says nothing
-/// about the load. Formerly, when the budget of a starting backend grew with what was offered, or all ingresses drew
-/// anew at the same moment, starts passed the bound by up to 1.7 times, and a real backend would have broken down again
-/// right after its start; now every window stays inside the bound.
+/// A fleet offered up to 2.5 times its capacity keeps to the overload rule, even if latency does not depend
+/// on load. With a budget that grew with the offered load, or with draws of all ingresses at the same time,
+/// windows reached up to 1.7 times the limit, which would make a real backend fail again right after its
+/// start.
 #[test]
 fn backends_in_slow_start_are_not_overloaded_by_an_overloaded_fleet() {
     let scenario = |ingresses, backends, capacity, overload_factor, load| SlowStartScenario {
@@ -30,15 +29,15 @@
         let scenario = SlowStartScenario { seed: index as u64 + 1, ..scenario };
         let outcome = simulate(&scenario);
         assert!(outcome.peak_window <= 1.0, "{scenario:?}: {outcome:?}");
-        assert!(outcome.budget_used > 0.1, "they are used: {scenario:?}: {outcome:?}");
+        assert!(outcome.budget_used > 0.1, "budgets are used: {scenario:?}: {outcome:?}");
     }
 }
 
-/// Backends start in a fleet with spare capacity, and answer more slowly the more they get. Ingresses see that and
-/// send them less, but they must still serve some part and only a minority of requests may be rejected; backends
-/// that get nothing would never warm up.
+/// Backends in a fleet with spare capacity answer more slowly under more load, so ingresses send them less.
+/// They must still receive requests, or they would never finish warming up, and only a minority of requests
+/// may be rejected.
 #[test]
-fn backends_in_slow_start_serve_their_part_where_answer_times_show_the_load() {
+fn backends_in_slow_start_receive_requests_if_latency_depends_on_load() {
     for (ingresses, seed) in [(30, 1), (30, 2), (300, 3)] {
         let scenario = SlowStartScenario {
             ingresses,
