--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -1,4 +1,4 @@
-//! Backends that inject the faults of the plan, and record each complete command.
+//! Backends that inject the faults of the plan and record each complete command.
 
 use super::customer::value_of;
 use crate::context::RunContext;
@@ -13,55 +13,54 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a backend without faults takes for a request.
+/// Service time of a backend without faults.
 const SERVICE_TIME: Duration = Duration::from_millis(3);
-/// How long a slow backend takes for a request.
+/// Service time of a slow backend.
 const SLOW_SERVICE_TIME: Duration = Duration::from_millis(900);
-/// How long after a reply its duplicate is sent.
+/// Delay between a reply and its duplicate.
 const DUPLICATE_DELAY: Duration = Duration::from_millis(3);
-/// How many bytes of a reply are sent at once where it trickles.
+/// Number of bytes that a trickling backend sends at a time.
 const TRICKLE_SIZE: usize = 5;
-/// The pause between two pieces of a reply that trickles.
+/// Pause between two pieces of a trickled reply.
 const TRICKLE_PAUSE: Duration = Duration::from_micros(300);
-/// How often a connection that waits with a command looks whether the other side has closed it.
+/// Interval at which a connection with an open command checks whether the ingress has closed it.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// How often a connection without a command looks whether it is to be closed.
+/// Interval at which an idle connection checks whether it should close.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How often a hanging backend looks whether it still hangs.
+/// Interval at which a hanging backend checks whether the fault is still active.
 const HANG_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The option of a command that holds the timeout that the ingress states, in milliseconds.
+/// Prefix of the command option with the timeout stated by the ingress, in milliseconds.
 const TIME_BUDGET_OPTION: &str = "d=";
-/// The bytes that are read at once.
+/// Maximum number of bytes per read.
 const CHUNK_SIZE: usize = 4096;
 
-/// A backend.
+/// A backend that replies to every request as the active faults require.
 pub struct Backend {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Counts its starts: connections of an earlier one are reset.
+    /// Incremented by a restart, which resets the connections of earlier generations.
     generation: Arc<AtomicU64>,
 }
 
-/// What the connections of a backend share.
+/// State that the connections of a backend share.
 #[derive(Clone)]
 struct Shared {
-    /// The backend's number.
+    /// Number of the backend.
     number: usize,
-    /// The run that it belongs to.
     context: Arc<RunContext>,
-    /// Counts the backend's starts.
+    /// Current generation of the backend.
     generation: Arc<AtomicU64>,
 }
 
-/// The connection has ended, or is to be closed.
+/// The connection has ended or should be closed.
 struct Closed;
 
 impl Backend {
-    /// Starts a backend, which runs until the run ends.
+    /// Starts a backend, which serves until the run ends.
     ///
     /// # Errors
     ///
-    /// If no port can be bound.
+    /// Returns an error if no port can be bound.
     pub fn start(number: usize, context: &Arc<RunContext>) -> std::io::Result<Backend> {
         let generation = Arc::new(AtomicU64::new(0));
         let shared = Shared { number, context: context.clone(), generation: generation.clone() };
@@ -72,33 +71,31 @@
         Ok(Backend { address, generation })
     }
 
-    /// Restarts it: all connections are reset.
+    /// Restarts the backend, which resets all connections.
     pub fn restart(&self) {
         self.generation.fetch_add(1, Ordering::SeqCst);
     }
 }
 
-/// A connection of an ingress.
+/// A connection from an ingress.
 struct Connection {
-    /// What all connections of the backend share.
     shared: Shared,
-    /// The socket.
     stream: TcpStream,
-    /// Bytes that were received and not parsed yet.
+    /// Received bytes that are not parsed yet.
     received: Vec<u8>,
-    /// The start of the backend that it belongs to.
+    /// Generation of the backend that accepted the connection.
     generation: u64,
 }
 
 impl Connection {
-    /// A connection that was just accepted.
+    /// Creates a connection of the current generation.
     fn new(shared: Shared, stream: TcpStream) -> Connection {
         let generation = shared.generation.load(Ordering::SeqCst);
         let _ = stream.set_nodelay(true);
         Connection { shared, stream, received: Vec::new(), generation }
     }
 
-    /// Answers commands until either side closes the connection.
+    /// Replies to commands until either side closes the connection.
     fn serve(mut self) {
         while let Ok(words) = self.read_command() {
             if self.answer(&words).is_err() {
@@ -107,19 +104,19 @@
         }
     }
 
-    /// Whether a scenario affects this backend now.
+    /// Returns whether a scenario currently affects this backend.
     fn is_affected_by(&self, scenario: FaultScenario) -> bool {
         let Shared { number, context, .. } = &self.shared;
         context.affects(scenario, *number, context.plan.shape.backends)
     }
 
-    /// Whether the connection has to be closed: the run has ended, or the backend was restarted.
+    /// Returns whether the run has ended or the backend was restarted.
     fn should_close(&self) -> bool {
         self.shared.context.has_run_ended()
             || self.shared.generation.load(Ordering::SeqCst) != self.generation
     }
 
-    /// Waits for the next command.
+    /// Waits for the next command and returns its words.
     fn read_command(&mut self) -> Result<Vec<String>, Closed> {
         self.stream.set_read_timeout(Some(IDLE_POLL_INTERVAL)).map_err(|_| Closed)?;
         let mut chunk = [0; CHUNK_SIZE];
@@ -143,15 +140,15 @@
         }
     }
 
-    /// Whether the connection is reset at the first bytes of a command: closing it with unread bytes does
-    /// that.
+    /// Returns whether the connection should be reset because a command has begun to arrive. Closing a socket
+    /// with unread bytes sends a reset.
     fn should_reset_early(&self) -> bool {
         self.is_affected_by(FaultScenario::EarlyResettingBackend)
             && matches!(self.stream.peek(&mut [0]), Ok(1..))
     }
 
-    /// Waits while the backend is partitioned from the network; then the connection is reset. Closes it at
-    /// once where the other side has closed it.
+    /// Waits while the backend is partitioned from the network, and then closes the connection. Closes it
+    /// early if the ingress has closed it.
     fn wait_while_partitioned(&self) -> Result<(), Closed> {
         if !self.is_affected_by(FaultScenario::PartitionedBackend) {
             return Ok(());
@@ -162,7 +159,7 @@
         Err(Closed)
     }
 
-    /// Waits, unless the other side closes the connection meanwhile.
+    /// Waits for `time`. Returns an error early if the ingress closes the connection, or it should close.
     fn wait(&self, time: Duration) -> Result<(), Closed> {
         self.stream.set_read_timeout(Some(POLL_INTERVAL)).map_err(|_| Closed)?;
         let end = Instant::now() + time;
@@ -180,7 +177,7 @@
         Ok(())
     }
 
-    /// Answers a command, and records when it arrived and when it ended.
+    /// Replies to a command, and records its arrival and its end.
     fn answer(&mut self, words: &[String]) -> Result<(), Closed> {
         let [_, _, id, options, ..] = words else { return Err(Closed) };
         let rejected = self.is_affected_by(FaultScenario::RejectingBackend);
@@ -196,7 +193,7 @@
         Ok(())
     }
 
-    /// Records a command; returns the index of the record.
+    /// Records the arrival of a command and returns the index of the record.
     fn record_arrival(&self, id: &str, options: &str, rejected: bool) -> usize {
         let budget = options.split(',').find_map(|option| option.strip_prefix(TIME_BUDGET_OPTION));
         let budget_ms = budget.and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
@@ -213,7 +210,7 @@
         arrivals.len() - 1
     }
 
-    /// Replies as the faults that are active now require.
+    /// Replies as the active faults require.
     fn reply(&mut self, id: &str, rejected: bool) -> Result<(), Closed> {
         if rejected {
             return self.write(b"-BUSY\r\n");
@@ -237,14 +234,14 @@
         self.write(&reply)
     }
 
-    /// Resets the connection in the middle of a reply, or before it, depending on its length.
+    /// Resets the connection in the middle of a reply if its length is even, and before the reply otherwise.
     fn reset_during_reply(&mut self, reply: &[u8]) -> Result<(), Closed> {
         let length = if reply.len() % 2 == 0 { reply.len() / 2 } else { 0 };
         let _ = self.write(&reply[..length]);
         Err(Closed)
     }
 
-    /// Sends a reply a few bytes at a time.
+    /// Sends a reply in pieces of [`TRICKLE_SIZE`] bytes.
     fn trickle(&mut self, reply: &[u8]) -> Result<(), Closed> {
         for piece in reply.chunks(TRICKLE_SIZE) {
             self.write(piece)?;
@@ -253,13 +250,12 @@
         Ok(())
     }
 
-    /// Writes bytes.
     fn write(&mut self, bytes: &[u8]) -> Result<(), Closed> {
         self.stream.write_all(bytes).map_err(|_| Closed)
     }
 }
 
-/// The reply to a request that was served.
+/// Encodes the reply to a served request.
 fn served(id: &str) -> Vec<u8> {
     encode_served(&value_of(id), None)
 }
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -1,5 +1,4 @@
-//! Clients: each keeps a connection to each ingress, sends one request after another, and records how each
-//! ended.
+//! Clients that send requests to random ingresses over reused connections and record the outcomes.
 
 mod connection;
 
@@ -24,84 +23,76 @@
 use std::thread;
 use std::time::Duration;
 
-/// Each scenario of clients affects one in so many clients.
+/// Number of groups of clients. A scenario of clients affects one group.
 const CLIENT_GROUP_COUNT: usize = 4;
-/// The part of the requests that are sent on a new connection.
+/// Probability that a request is sent on a new connection.
 const NEW_CONNECTION_SHARE: f64 = 0.1;
-/// How long the first command of a new connection may take to follow, in milliseconds.
+/// Maximum delay of the first command on a new connection, in milliseconds.
 const MAX_FIRST_COMMAND_DELAY_MS: u64 = 30;
-/// How long clients pause between two requests at most, in milliseconds.
+/// Maximum pause between two requests of a client, in milliseconds.
 const MAX_THINK_TIME_MS: u64 = 15;
-/// How long a client that disconnects waits before that at most, in milliseconds.
+/// Maximum time from a request until a client disconnects, in milliseconds.
 const MAX_TIME_TO_DISCONNECT_MS: u64 = 60;
-/// How long a client with an incomplete or malformed command waits for an error or a close, in microseconds.
+/// Time for which a client waits for an error or a close after invalid input, in microseconds.
 const INVALID_INPUT_RESPONSE_TIMEOUT: Micros = 4_500_000;
-/// How many bytes a client that trickles writes at once.
+/// Number of bytes that a trickling client writes at a time.
 const TRICKLE_SIZE: usize = 7;
-/// The pause between two pieces of a command that trickles.
+/// Pause between two pieces of a trickled command.
 const TRICKLE_PAUSE: Duration = Duration::from_micros(400);
-/// The part of the requests that are of customers with a quota within reach.
+/// Probability that a request is sent for a metered customer.
 const METERED_SHARE: f64 = 0.15;
-/// How long a client waits for an answer, in milliseconds.
+/// Range of the timeouts of requests, in milliseconds.
 const TIMEOUTS_MS: RangeInclusive<u64> = 300..=MAX_TIMEOUT_MS;
-/// How many requests a client that pipelines sends at once.
+/// Number of requests that a pipelining client sends at once.
 const PIPELINE_LENGTHS: RangeInclusive<usize> = 2..=12;
-/// A command of a negative length, and a request of another protocol.
+/// Malformed input: a command with a negative length, followed by an HTTP request.
 const MALFORMED_COMMAND: &[u8] = b"*1\r\n$-5\r\nGET / HTTP/1.1\r\n\r\n";
-/// The stated timeout of a command that stays incomplete, in milliseconds.
+/// Timeout stated in an incomplete command, in milliseconds.
 const INCOMPLETE_TIMEOUT_MS: u64 = 500;
-/// The bytes of a response to invalid input that are read at once.
+/// Maximum number of bytes per read of a response to invalid input.
 const RESPONSE_CHUNK_SIZE: usize = 256;
 
 /// A request in flight.
 struct PendingRequest {
-    /// Its id.
     id: String,
-    /// Its class.
     class: RequestClass,
-    /// When its last byte was written.
+    /// Time at which the last byte was written.
     sent_at: Micros,
-    /// How long the client waits for the answer.
     timeout: Micros,
-    /// Its customer, if that has a quota within reach.
+    /// The customer, if metered.
     metered: Option<Customer>,
 }
 
-/// How a pending request ended.
+/// The result of a pending request.
 #[derive(Clone, Copy)]
 struct Completion {
-    /// The ingress that it was sent to.
+    /// Number of the ingress that the request was sent to.
     ingress: usize,
-    /// How it ended.
     outcome: Outcome,
-    /// When it ended.
     ended_at: Micros,
-    /// The connection had answered a request before.
+    /// Whether the connection carried an earlier request, so that its close may cross this one.
     may_cross_close: bool,
-    /// Requests that were in flight on the connection before it.
+    /// Number of requests in flight on the connection ahead of this one.
     pipelined_behind: usize,
 }
 
-/// A client.
+/// A client that sends requests until the load ends.
 pub struct Client {
-    /// Its number.
+    /// Number of the client.
     number: usize,
-    /// The run that it belongs to.
     context: Arc<RunContext>,
-    /// Where the ingresses are.
+    /// Addresses of the ingresses, indexed by number.
     addresses: Vec<SocketAddr>,
-    /// Which of them get new connections.
     rotation: Arc<Rotation>,
-    /// Draws what it does.
     random: StdRng,
-    /// Its open connections, by ingress.
+    /// Open connections by ingress.
     connections: HashMap<usize, Connection>,
-    /// How many requests it has drawn.
+    /// Number of requests drawn so far.
     requests: u64,
 }
 
 impl Client {
-    /// A client of these ingresses.
+    /// Creates a client of the ingresses at these addresses.
     pub fn new(
         number: usize,
         context: Arc<RunContext>,
@@ -113,7 +104,7 @@
         Client { number, context, addresses, rotation, random, connections, requests: 0 }
     }
 
-    /// Sends requests until the load ends.
+    /// Sends requests or invalid input, one after another, until the load ends.
     pub fn run(mut self) {
         while !self.context.has_load_ended() {
             let ingress = self.random.random_range(0..self.addresses.len());
@@ -128,12 +119,12 @@
         }
     }
 
-    /// Whether a scenario of clients affects this one now.
+    /// Returns whether a scenario of clients currently affects this client.
     fn is_affected_by(&self, scenario: FaultScenario) -> bool {
         self.context.affects(scenario, self.number % CLIENT_GROUP_COUNT, CLIENT_GROUP_COUNT)
     }
 
-    /// Connects to an ingress, unless it is out of rotation.
+    /// Connects to an ingress if it is in rotation.
     fn connect(&self, ingress: usize) -> Option<TcpStream> {
         if !self.rotation.contains(ingress) {
             return None;
@@ -141,7 +132,7 @@
         connection::connect(self.addresses[ingress]).ok()
     }
 
-    /// Takes the open connection to an ingress, or opens one, whose first command follows after a while.
+    /// Takes the open connection to an ingress, or opens a new one and delays its first command.
     fn take_connection(&mut self, ingress: usize) -> Option<Connection> {
         let opens_new = self.random.random_bool(NEW_CONNECTION_SHARE);
         if let Some(connection) = self.connections.remove(&ingress).filter(|_| !opens_new) {
@@ -152,18 +143,18 @@
         Some(Connection::new(stream))
     }
 
-    /// Sends a request, or several at once, and waits for the answers.
+    /// Sends one or several pipelined requests and waits for the answers.
     fn send_requests(&mut self, ingress: usize) {
         let Some(mut connection) = self.take_connection(ingress) else { return };
-        // An ingress may not close a new connection before its first command, so that one is sent in any
-        // case.
+        // An ingress must not close a new connection before its first command, so that command is always
+        // sent.
         if connection.is_reused() && connection.has_stray_bytes(&self.context.recorder) {
-            return; // The connection was closed between two requests, or cannot be used any more.
+            return; // The connection was closed between two requests, or has unexpected bytes.
         }
         let mut pending = self.draw_requests(ingress);
         let bytes: Vec<u8> = pending.iter().flat_map(|request| self.encode(request)).collect();
         if self.write(&mut connection, &bytes).is_err() {
-            return; // Not all of it was taken, or the connection had been closed before.
+            return; // The connection was closed before all bytes were written.
         }
         let sent_at = self.context.recorder.now();
         for request in &mut pending {
@@ -177,7 +168,7 @@
         }
     }
 
-    /// Draws a request, or several to be pipelined.
+    /// Draws one request, or several to be pipelined.
     fn draw_requests(&mut self, ingress: usize) -> Vec<PendingRequest> {
         let count = if self.is_affected_by(FaultScenario::PipeliningClients) {
             self.random.random_range(PIPELINE_LENGTHS)
@@ -187,7 +178,7 @@
         (0..count).map(|_| self.draw_request(ingress)).collect()
     }
 
-    /// Draws the next request.
+    /// Draws the next request for an ingress.
     fn draw_request(&mut self, ingress: usize) -> PendingRequest {
         self.requests += 1;
         let class = match self.random.random_range(0..3) {
@@ -202,20 +193,20 @@
         PendingRequest { id, class, sent_at: 0, timeout, metered }
     }
 
-    /// Draws a customer with a quota within reach that an ingress serves.
+    /// Draws a metered customer that an ingress serves.
     fn draw_metered_customer(&mut self, ingress: usize) -> Customer {
         let ingresses = self.addresses.len();
         let offset = self.random.random_range(0..METERED_SET_SIZE).min(ingresses - 1);
         metered((ingress + ingresses - offset) % ingresses, ingresses)
     }
 
-    /// The command of a request.
+    /// Encodes the command of a request.
     fn encode(&self, request: &PendingRequest) -> Vec<u8> {
         let customer = request.metered.unwrap_or_else(|| unmetered(self.number as u64 + 1));
         encode_request(request.class, &request.id, customer, to_millis(request.timeout))
     }
 
-    /// Writes commands, at once or a few bytes at a time.
+    /// Writes commands, in pieces if the client trickles.
     fn write(&self, connection: &mut Connection, bytes: &[u8]) -> std::io::Result<()> {
         if !self.is_affected_by(FaultScenario::TricklingClients) {
             return connection.write(bytes);
@@ -227,7 +218,7 @@
         Ok(())
     }
 
-    /// Waits for the answers to all requests; whether the connection can be used again.
+    /// Waits for the answers to all requests. Returns whether the connection can be reused.
     fn wait_for_answers(
         &mut self,
         ingress: usize,
@@ -257,7 +248,7 @@
         is_open
     }
 
-    /// Disconnects before the answers, or after the first one.
+    /// Disconnects before the answers, or after the first answer.
     fn disconnect(&mut self, ingress: usize, mut connection: Connection, pending: Vec<PendingRequest>) {
         let time_ms = self.random.random_range(0..=MAX_TIME_TO_DISCONNECT_MS);
         let disconnects_at = self.context.recorder.now() + time_ms * MICROS_PER_MILLI;
@@ -274,7 +265,7 @@
         }
     }
 
-    /// Records how a request ended.
+    /// Records a request with its result.
     fn record(&self, request: PendingRequest, completion: Completion) {
         let PendingRequest { id, class, sent_at, timeout, metered } = request;
         let Completion { ingress, outcome, ended_at, may_cross_close, pipelined_behind } = completion;
@@ -292,7 +283,7 @@
         });
     }
 
-    /// Sends a malformed command, or a part of one, and stays connected until the ingress responds.
+    /// Sends a malformed or incomplete command and stays connected until the ingress responds.
     fn send_invalid_input(&mut self, ingress: usize) {
         let Some(mut stream) = self.connect(ingress) else { return };
         if stream.write_all(&self.draw_invalid_input()).is_err() {
@@ -310,7 +301,7 @@
         self.context.recorder.observations().invalid_inputs.push(record);
     }
 
-    /// A malformed command, or the first bytes of one that is well-formed.
+    /// Returns a malformed command, or draws a prefix of a well-formed one.
     fn draw_invalid_input(&mut self) -> Vec<u8> {
         if self.is_affected_by(FaultScenario::MalformedCommands) {
             return MALFORMED_COMMAND.to_vec();
--- a/fault-soak/src/stand_in/client/connection.rs
+++ b/fault-soak/src/stand_in/client/connection.rs
@@ -1,4 +1,4 @@
-//! A connection of a client to an ingress.
+//! A client's connection to an ingress.
 
 use super::super::customer::value_of;
 use crate::record::{Micros, Outcome, Recorder};
@@ -8,14 +8,14 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a read waits before the time is looked at.
+/// Read timeout, after which the time limit is checked.
 const READ_TIMEOUT: Duration = Duration::from_millis(2);
-/// The bytes that are read at once.
+/// Maximum number of bytes per read.
 const CHUNK_SIZE: usize = 4096;
-/// What an answer begins with that rejects a request.
+/// Prefix of an answer that rejects a request.
 const REJECTION: &str = "-BUSY";
 
-/// Connects to an ingress.
+/// Connects to an ingress and sets the socket options.
 pub fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
     let stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
@@ -23,49 +23,47 @@
     Ok(stream)
 }
 
-/// A connection to an ingress.
+/// A connection with the input received on it.
 pub struct Connection {
-    /// The socket.
     stream: TcpStream,
-    /// Bytes that were received and not parsed yet.
+    /// Received bytes that are not parsed yet.
     received: Vec<u8>,
-    /// Requests that were answered on it.
+    /// Number of requests answered on the connection.
     answered: usize,
 }
 
-/// How the wait for a reply ended.
+/// The result of waiting for a reply.
 enum WaitResult {
-    /// With a complete reply.
+    /// A complete reply was received.
     Reply(Reply),
-    /// With the end of the connection.
+    /// The connection ended.
     Closed,
-    /// With the end of the time.
+    /// The time limit was reached.
     TimedOut,
 }
 
 impl Connection {
-    /// A new connection.
+    /// Creates a connection without answered requests.
     pub fn new(stream: TcpStream) -> Connection {
         Connection { stream, received: Vec::new(), answered: 0 }
     }
 
-    /// Whether a request was answered on it.
+    /// Returns whether a request was answered on the connection.
     pub fn is_reused(&self) -> bool {
         self.answered > 0
     }
 
-    /// Counts a request that was answered on it.
+    /// Counts a request as answered on the connection.
     pub fn count_answer(&mut self) {
         self.answered += 1;
     }
 
-    /// Writes bytes.
     pub fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    /// Whether it cannot be used for another request: it has ended, or unexpected bytes have come, which are
-    /// recorded.
+    /// Returns whether the connection cannot be reused, because it has ended or has unexpected bytes. Such
+    /// bytes are recorded.
     pub fn has_stray_bytes(&mut self, recorder: &Recorder) -> bool {
         let _ = self.stream.set_nonblocking(true);
         let result = self.stream.peek(&mut [0]);
@@ -78,7 +76,7 @@
         is_stray || !result.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Waits for the answer to a request until a time.
+    /// Waits until `limit` for the answer to a request and returns the outcome.
     pub fn wait_for_outcome(&mut self, recorder: &Recorder, id: &str, limit: Micros) -> Outcome {
         match self.wait_for_reply(recorder, limit) {
             WaitResult::Reply(Reply::Value(value)) if value == value_of(id) => Outcome::Served,
@@ -90,7 +88,7 @@
         }
     }
 
-    /// Waits for a reply until a time.
+    /// Waits until `limit` for a reply.
     fn wait_for_reply(&mut self, recorder: &Recorder, limit: Micros) -> WaitResult {
         let mut chunk = [0; CHUNK_SIZE];
         loop {
--- a/fault-soak/src/stand_in/discovery.rs
+++ b/fault-soak/src/stand_in/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: an agent for each ingress, which has every change at once, and may be unresponsive, unavailable
-//! or truncate its responses.
+//! Discovery with agents for each ingress. Agents publish every change at once; faults make them unresponsive
+//! or unavailable, or make them truncate responses.
 
 use crate::context::RunContext;
 use crate::record::{to_millis, EndpointChange, EndpointStatus, Notification};
@@ -14,33 +14,31 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How often a poll that waits looks for changes.
+/// Interval at which a waiting poll checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(3);
-/// How often a connection without a poll looks whether it is to be closed.
+/// Interval at which an idle connection checks whether it should close.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How many bytes of a response are written at once where it trickles.
+/// Number of bytes of a trickled response that are written at a time.
 const TRICKLE_SIZE: usize = 40;
-/// The pause between two pieces of a response that trickles.
+/// Pause between two pieces of a trickled response.
 const TRICKLE_PAUSE: Duration = Duration::from_micros(300);
-/// The version of the list that a run begins with.
+/// Version of the list at the start of a run.
 const FIRST_VERSION: u64 = 1;
-/// One in so many responses is truncated where discovery does that.
+/// Number of responses per truncated response while the fault is active.
 const TRUNCATION_INTERVAL: u64 = 2;
 
-/// A backend as it is listed.
+/// A backend in the endpoint list.
 struct ListedBackend {
-    /// Where it listens.
     address: SocketAddr,
-    /// Its status.
     status: EndpointStatus,
-    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    /// Time of the last start in milliseconds of Unix time; 0 if the backend started long ago.
     started_at_ms: i64,
-    /// The version that its latest change made.
+    /// Version of the list after the backend's latest change.
     version: u64,
 }
 
 impl ListedBackend {
-    /// Its entry in the endpoint list, as JSON.
+    /// Returns the entry of the backend in the endpoint list as JSON.
     fn to_json(&self, number: usize) -> String {
         let name = format!("s-{number}");
         let ListedBackend { address, status, started_at_ms, .. } = *self;
@@ -57,34 +55,33 @@
     }
 }
 
-/// The answer to a poll.
+/// The answer to a poll of the endpoint list.
 struct Answer {
-    /// The version of the list that it brings.
+    /// Version of the list.
     version: u64,
-    /// The list, as JSON.
+    /// The endpoint list as JSON.
     body: String,
 }
 
 impl Answer {
-    /// The answer to a poll that nothing is newer for.
+    /// Returns an answer without changes.
     fn unchanged(poll: &Poll) -> Answer {
         let version = poll.since.unwrap_or(0);
         Answer { version, body: list_json(version, ListKind::Delta, &[]) }
     }
 }
 
-/// Discovery, as all agents have it.
+/// The state of discovery, shared by all agents.
 pub struct Discovery {
-    /// The backends by their numbers.
+    /// Backends, indexed by number.
     backends: Mutex<Vec<ListedBackend>>,
-    /// The run that it belongs to.
     context: Arc<RunContext>,
-    /// How many responses were sent while it truncated them.
+    /// Number of responses sent while the truncation fault was active.
     truncation_count: AtomicU64,
 }
 
 impl Discovery {
-    /// Discovery with these backends, all of which have been up for long.
+    /// Creates discovery with backends at these addresses, all of which started long ago.
     pub fn new(addresses: &[SocketAddr], context: Arc<RunContext>) -> Discovery {
         let listed = |address: &SocketAddr| ListedBackend {
             address: *address,
@@ -96,11 +93,11 @@
         Discovery { backends, context, truncation_count: AtomicU64::new(0) }
     }
 
-    /// Starts an agent for an ingress, and returns its address.
+    /// Starts an agent for an ingress and returns its address.
     ///
     /// # Errors
     ///
-    /// If no port can be bound.
+    /// Returns an error if no port can be bound.
     pub fn start_agent(self: &Arc<Self>, ingress: usize) -> std::io::Result<SocketAddr> {
         let discovery = self.clone();
         serve(listen()?, move |stream| {
@@ -109,8 +106,8 @@
         })
     }
 
-    /// Publishes the status of a backend. One that was restarted is listed with the time by the clocks of the
-    /// plan.
+    /// Publishes the status of a backend. The start time of a restarted backend is given by the wall clock
+    /// with the steps of the plan.
     pub fn publish(&self, backend: usize, status: EndpointStatus, restarted: bool) {
         let mut backends = self.backends();
         let version = latest_version(&backends) + 1;
@@ -125,17 +122,17 @@
         self.context.recorder.observations().changes.push(change);
     }
 
-    /// A snapshot of the list, as JSON.
+    /// Returns a snapshot of the endpoint list as JSON.
     pub fn snapshot_json(&self) -> String {
         self.newer_than(None).map(|answer| answer.body).unwrap_or_default()
     }
 
-    /// The backends, for one thread at a time.
+    /// Locks the backends, even if another thread panicked while it held the lock.
     fn backends(&self) -> MutexGuard<'_, Vec<ListedBackend>> {
         self.backends.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The changes since a version, or a snapshot; none if nothing is newer.
+    /// Returns the changes since a version, or a snapshot without one; `None` if there are no changes.
     fn newer_than(&self, since: Option<u64>) -> Option<Answer> {
         let backends = self.backends();
         let version = latest_version(&backends);
@@ -148,12 +145,13 @@
         Some(Answer { version, body: list_json(version, kind, &entries) })
     }
 
-    /// Whether connections are kept open: the run goes on, and discovery is available.
+    /// Returns whether connections are kept open: the run has not ended, and no fault makes discovery
+    /// unavailable.
     fn is_available(&self) -> bool {
         !self.context.has_run_ended() && !self.context.is_active(FaultScenario::UnavailableDiscovery)
     }
 
-    /// Answers polls until the connection ends.
+    /// Answers the polls of an ingress until the connection ends.
     fn serve(&self, ingress: usize, mut stream: TcpStream) {
         let _ = stream.set_read_timeout(Some(IDLE_POLL_INTERVAL));
         while let Some(poll) = self.read_poll(&mut stream) {
@@ -166,7 +164,7 @@
         }
     }
 
-    /// The next poll; none where the connection ends, or is to be closed.
+    /// Reads the next poll. Returns `None` if the connection ends or should close.
     fn read_poll(&self, stream: &mut TcpStream) -> Option<Poll> {
         if !self.is_available() {
             return None;
@@ -175,7 +173,7 @@
         Poll::parse(&head).ok()
     }
 
-    /// Waits until a poll has an answer; none where the connection is to be closed.
+    /// Waits for the answer to a poll. Returns `None` if the connection should close.
     fn wait_for_answer(&self, poll: &Poll) -> Option<Answer> {
         let deadline = poll.deadline();
         while self.is_available() {
@@ -192,7 +190,8 @@
         None
     }
 
-    /// Writes a response, or a part of it before the connection is closed.
+    /// Writes a response. While the truncation fault is active, writes it in pieces, and returns an error
+    /// after half of every other response.
     fn write(&self, stream: &mut TcpStream, response: &[u8], version: u64) -> std::io::Result<()> {
         if !self.context.is_active(FaultScenario::TruncatingDiscovery) {
             return stream.write_all(response);
@@ -207,7 +206,7 @@
     }
 }
 
-/// Writes bytes a few at a time.
+/// Writes bytes in pieces of [`TRICKLE_SIZE`] bytes.
 fn trickle(stream: &mut TcpStream, bytes: &[u8]) -> std::io::Result<()> {
     for piece in bytes.chunks(TRICKLE_SIZE) {
         stream.write_all(piece)?;
@@ -216,12 +215,12 @@
     Ok(())
 }
 
-/// The version of the list.
+/// Returns the current version of the list.
 fn latest_version(backends: &[ListedBackend]) -> u64 {
     backends.iter().map(|backend| backend.version).max().unwrap_or(FIRST_VERSION)
 }
 
-/// The time of this machine's wall clock, in milliseconds of Unix time.
+/// Returns this machine's wall clock time, in milliseconds of Unix time.
 fn unix_time_ms() -> i64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as i64
 }
