--- a/stand-ins/src/endpoint.rs
+++ b/stand-ins/src/endpoint.rs
@@ -1,27 +1,27 @@
-//! The endpoint list as discovery sends it.
+//! The endpoint list in the JSON format of discovery.
 
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// The status of an endpoint.
+/// The status of an endpoint in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Up,
-    /// It takes no new requests.
+    /// The endpoint accepts no new requests.
     Draining,
-    /// It is no longer listed.
+    /// The endpoint is no longer part of the list.
     Removed,
 }
 
-/// A text that is not the name of a status.
+/// The error for a text that is not the name of a status.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an endpoint is up, draining or removed, not {0:?}")]
+#[error("unknown endpoint status {0:?}: expected up, draining or removed")]
 pub struct UnknownStatus(String);
 
 impl EndpointStatus {
-    /// Its name in an endpoint list.
+    /// Returns the name of the status in an endpoint list.
     pub fn name(self) -> &'static str {
         match self {
             EndpointStatus::Up => "up",
@@ -44,27 +44,27 @@
     }
 }
 
-/// An entry of an endpoint list.
+/// An endpoint with its attributes in an endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointEntry<'a> {
-    /// The name of the backend.
+    /// Unique name of the backend.
     pub name: &'a str,
-    /// Where the backend listens.
+    /// Address on which the backend listens.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// Name of the backend's zone.
     pub zone: &'a str,
-    /// The name of its machine type.
+    /// Name of the backend's machine type.
     pub machine_type: &'a str,
-    /// The number of its cell.
+    /// Number of the backend's cell.
     pub cell: u64,
-    /// Its status.
+    /// Status of the backend.
     pub status: EndpointStatus,
-    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    /// Time of the last start, in milliseconds of Unix time; 0 if the backend started long ago.
     pub started_at_ms: i64,
 }
 
 impl EndpointEntry<'_> {
-    /// The entry as JSON.
+    /// Returns the entry as JSON.
     pub fn to_json(&self) -> String {
         let EndpointEntry { name, address, zone, machine_type, cell, status, started_at_ms } = self;
         let status = status.name();
@@ -74,16 +74,16 @@
     }
 }
 
-/// What an endpoint list holds.
+/// The extent of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// All endpoints.
+    /// The list contains all endpoints.
     Snapshot,
-    /// The endpoints that changed.
+    /// The list contains only the endpoints that changed.
     Delta,
 }
 
-/// An endpoint list as JSON, from its version and its entries as JSON.
+/// Returns an endpoint list as JSON, from its version and its entries in JSON.
 pub fn list_json(version: u64, kind: ListKind, entries: &[String]) -> String {
     let is_snapshot = kind == ListKind::Snapshot;
     format!(r#"{{"index":{version},"snapshot":{is_snapshot},"endpoints":[{}]}}"#, entries.join(","))
--- a/stand-ins/src/http.rs
+++ b/stand-ins/src/http.rs
@@ -1,41 +1,41 @@
-//! HTTP/1.1 with long polling, as discovery speaks it.
+//! The discovery protocol: long polls of the endpoint list over HTTP/1.1.
 
 use crate::server::is_timeout;
 use std::io::Read;
 use std::time::{Duration, Instant};
 
-/// What ends the head of a request.
+/// End of a request head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// The path of the endpoint list.
+/// Path of the endpoint list.
 const ENDPOINTS_PATH: &str = "/v1/endpoints";
-/// The bytes that are read at once.
+/// Maximum number of bytes per read.
 const CHUNK_SIZE: usize = 1024;
 
-/// A request that is not a poll of the endpoint list.
+/// The error for a request that is not a poll of the endpoint list.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a poll of the endpoint list: {0:?}")]
 pub struct NotAPoll(String);
 
-/// A poll of the endpoint list.
+/// A request for the endpoint list, or for its changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// The version that the poller has; none to get a snapshot.
+    /// Version that the client has; `None` to request a snapshot.
     pub since: Option<u64>,
-    /// How long the poll waits for something newer.
+    /// Time for which the poll waits for changes.
     pub timeout: Duration,
 }
 
 impl Poll {
-    /// Parses the head of a request.
+    /// Parses the head of an HTTP request.
     ///
     /// # Errors
     ///
-    /// If the request is not a `GET` of the endpoint list, or its query has no `since`.
+    /// Returns an error if the request is not a `GET` of the endpoint list, or its query has no `since`.
     pub fn parse(head: &str) -> Result<Poll, NotAPoll> {
         Poll::parse_target(head).ok_or_else(|| NotAPoll(head.to_string()))
     }
 
-    /// Parses the target of a request: `/v1/endpoints`, or `/v1/endpoints?since=41&timeout_ms=20000`.
+    /// Parses the request target: `/v1/endpoints` or `/v1/endpoints?since=41&timeout_ms=20000`.
     fn parse_target(head: &str) -> Option<Poll> {
         let target = head.strip_prefix("GET ")?.split(' ').next()?;
         let Some(query) = target.strip_prefix(ENDPOINTS_PATH)?.strip_prefix('?') else {
@@ -50,16 +50,15 @@
         Some(Poll { since: Some(parameter("since")?), timeout })
     }
 
-    /// When the poll is answered though nothing is newer, if it was received now.
+    /// Returns the time at which a poll received now is answered even without changes.
     pub fn deadline(&self) -> Instant {
         Instant::now() + self.timeout
     }
 }
 
-/// Reads the head of the next request; none where the connection ends, or is to be closed.
+/// Reads the head of the next request. Returns `None` if the connection ends, or `is_open` returns `false`.
 ///
-/// `is_open` is looked at whenever something was received, and whenever the read timeout of the stream is
-/// over.
+/// `is_open` is called after each read that receives bytes or times out.
 pub fn read_head(stream: &mut impl Read, is_open: impl Fn() -> bool) -> Option<String> {
     let mut head = Vec::new();
     let mut chunk = [0; CHUNK_SIZE];
@@ -78,12 +77,12 @@
     Some(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// The head of a response with a body of this length.
+/// Returns the head of a response with a body of this length.
 pub fn response_head(body_length: usize) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {body_length}\r\n\r\n")
 }
 
-/// A response.
+/// Returns a response with this body.
 pub fn response(body: &str) -> String {
     response_head(body.len()) + body
 }
--- a/stand-ins/src/lib.rs
+++ b/stand-ins/src/lib.rs
@@ -1,9 +1,9 @@
-//! What the stand-ins for clients, backends and discovery share, in front of which tests, the fault soak and
-//! the fleet experiments run real ingresses.
+//! Common parts of the stand-ins for clients, backends and discovery with which tests, the fault soak and the
+//! fleet experiments run real ingresses.
 //!
-//! A stand-in itself, with what it counts, records or breaks, belongs to its user. This library has the
-//! protocols ([`resp`], [`request`], [`http`], [`endpoint`]), the loop that serves connections ([`server`]),
-//! and the environment in which an ingress is started ([`process`]).
+//! This library implements the protocols ([`resp`], [`request`], [`http`], [`endpoint`]), a server loop
+//! ([`server`]) and the environment of an ingress process ([`process`]). Its users implement the stand-ins
+//! themselves, with their measurements and faults.
 
 pub mod endpoint;
 pub mod http;
--- a/stand-ins/src/process.rs
+++ b/stand-ins/src/process.rs
@@ -1,42 +1,40 @@
-//! How an ingress is started as a process.
+//! The configuration file and environment of an ingress process.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The environment variable that names the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
-/// The environment variables that override parts of a configuration.
+/// Environment variables that override parts of the configuration.
 const OVERRIDE_VARIABLES: [&str; 2] = ["LB_LISTEN", "LB_DISCOVERY"];
 
-/// The configuration file of an ingress. It is removed when the handle is dropped.
+/// The configuration file of an ingress, which is removed when the handle is dropped.
 #[derive(Debug)]
 pub struct ConfigFile {
-    /// Where it is.
     path: PathBuf,
 }
 
 impl ConfigFile {
-    /// Writes a file.
+    /// Writes a configuration to a new file.
     ///
     /// # Errors
     ///
-    /// If the file cannot be written.
+    /// Returns an error if the file cannot be written.
     pub fn create(path: &Path, text: &str) -> std::io::Result<ConfigFile> {
         std::fs::write(path, text)?;
         Ok(ConfigFile { path: path.to_path_buf() })
     }
 
-    /// Where it is.
+    /// Returns the location of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Replaces its text in one step: an ingress that reads it meanwhile gets all of the old text or all of
-    /// the new one.
+    /// Replaces the content atomically, so that an ingress reads either the old text or the new one.
     ///
     /// # Errors
     ///
-    /// If the new text cannot be written.
+    /// Returns an error if the new text cannot be written.
     pub fn replace(&self, text: &str) -> std::io::Result<()> {
         let new = self.path.with_extension("new");
         std::fs::write(&new, text)?;
@@ -50,7 +48,8 @@
     }
 }
 
-/// Has a command start its ingress with a configuration file, whatever the environment of this process says.
+/// Sets the configuration file of an ingress command. Removes the variables inherited from this process that
+/// would override it.
 pub fn set_config_file(command: &mut Command, config_file: &Path) {
     command.env(CONFIG_VARIABLE, config_file);
     for variable in OVERRIDE_VARIABLES {
--- a/stand-ins/src/request.rs
+++ b/stand-ins/src/request.rs
@@ -1,32 +1,32 @@
-//! The commands by which clients send requests.
+//! Commands with which clients send requests.
 
 use crate::resp::encode_command;
 use serde::Serialize;
 use std::str::FromStr;
 
-/// The body of a request that has one.
+/// Body of requests that have one.
 const BODY: &str = "BODY";
-/// The idempotency key of a keyed request, as an option.
+/// Command option with the idempotency key of a keyed request.
 const KEY_OPTION: &str = ",k=00ff";
 
-/// The class of a request, by whether it may be executed again.
+/// The class of a request, which determines whether it may be executed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum RequestClass {
-    /// It may always be executed again.
+    /// The request may always be executed again.
     Idempotent,
-    /// It may be executed again within the window of its idempotency key.
+    /// The request may be executed again within the window of its idempotency key.
     Keyed,
-    /// It may never be executed again.
+    /// The request must not be executed again.
     NonIdempotent,
 }
 
-/// A text that is not the name of a class.
+/// The error for a text that is not the name of a class.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a class is quote, save or refer, not {0:?}")]
+#[error("unknown request class {0:?}: expected quote, save or refer")]
 pub struct UnknownClass(String);
 
 impl RequestClass {
-    /// Its name in the settings of all stand-in deployments.
+    /// Returns the name of the class in the settings of all stand-in deployments.
     pub fn name(self) -> &'static str {
         match self {
             RequestClass::Idempotent => "quote",
@@ -49,27 +49,27 @@
     }
 }
 
-/// A customer, and the ingresses that serve it.
+/// A customer and the ingresses that serve it.
 #[derive(Clone, Copy, Debug)]
 pub struct Customer {
-    /// Its number.
+    /// Number of the customer.
     pub number: u64,
-    /// The name of its plan.
+    /// Name of the customer's plan.
     pub plan: &'static str,
-    /// How many ingresses serve it.
+    /// Number of ingresses that serve the customer.
     pub set_size: usize,
-    /// The number of the first of them.
+    /// Number of the first ingress that serves the customer.
     pub set_start: usize,
 }
 
 impl Customer {
-    /// A customer that one ingress serves.
+    /// Creates a customer that only one ingress serves.
     pub fn of_one_ingress(number: u64, plan: &'static str) -> Customer {
         Customer { number, plan, set_size: 1, set_start: 0 }
     }
 }
 
-/// The command of a request.
+/// Encodes a request as a RESP2 command.
 pub fn encode_request(class: RequestClass, id: &str, customer: Customer, timeout_ms: u64) -> Vec<u8> {
     let Customer { number, plan, set_size, set_start } = customer;
     let customer = format!("{number:016x}");
--- a/stand-ins/src/resp.rs
+++ b/stand-ins/src/resp.rs
@@ -1,18 +1,18 @@
-//! RESP2 as clients and backends of an ingress write and read it.
+//! RESP2 encoding and parsing for clients and backends of an ingress.
 
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// What ends a line.
+/// End of a protocol line.
 const LINE_END: &[u8] = b"\r\n";
-/// A PING.
+/// The encoded PING command.
 const PING: &[u8] = b"*1\r\n$4\r\nPING\r\n";
-/// The reply to a PING.
+/// The expected reply to a PING.
 const PONG: &[u8] = b"+PONG\r\n";
 
-/// A command, as an array of bulk strings.
+/// Encodes a command as an array of bulk strings.
 pub fn encode_command(words: &[&str]) -> Vec<u8> {
     let mut command = format!("*{}\r\n", words.len());
     for word in words {
@@ -21,23 +21,21 @@
     command.into_bytes()
 }
 
-/// The reply of a backend to a request that was served: its value, no figures on use, and a load report if
-/// there is one.
+/// Encodes a backend's reply to a served request: a value, no metered usage, and an optional load report.
 pub fn encode_served(value: &str, load_report: Option<&str>) -> Vec<u8> {
     let report =
         load_report.map_or("$-1\r\n".to_string(), |report| format!("${}\r\n{report}\r\n", report.len()));
     format!("*3\r\n${}\r\n{value}\r\n$-1\r\n{report}", value.len()).into_bytes()
 }
 
-/// A line that holds a length after its type marker.
+/// A line with a type marker and a length.
 struct LengthLine {
-    /// The length.
     length: usize,
-    /// Where the next line begins.
+    /// Position of the next line.
     end: usize,
 }
 
-/// Parses the line with a length that begins at `start`; none if it is incomplete, or another line.
+/// Parses the length line that begins at `start`. Returns `None` if it is incomplete or of another type.
 fn parse_length_line(buffer: &[u8], start: usize, marker: u8) -> Option<LengthLine> {
     let rest = buffer.get(start..)?;
     let line_length = line_length(rest)?;
@@ -46,21 +44,21 @@
     Some(LengthLine { length: digits.parse().ok()?, end: start + line_length + LINE_END.len() })
 }
 
-/// The length of the line that begins a buffer, without its end; none if it is incomplete.
+/// Returns the length of the buffer's first line without its end, or `None` if the line is incomplete.
 fn line_length(buffer: &[u8]) -> Option<usize> {
     buffer.windows(LINE_END.len()).position(|pair| pair == LINE_END)
 }
 
-/// A command as it was received.
+/// A received command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Command {
-    /// The name of the command and its arguments.
+    /// Name and arguments of the command.
     pub words: Vec<String>,
-    /// Its bytes.
+    /// Encoded length, in bytes.
     pub length: usize,
 }
 
-/// The command that begins a buffer; none if it is incomplete.
+/// Parses the command at the start of a buffer. Returns `None` if it is incomplete.
 pub fn parse_command(buffer: &[u8]) -> Option<Command> {
     let count = parse_length_line(buffer, 0, b'*')?;
     let mut words = Vec::new();
@@ -74,25 +72,25 @@
     (position <= buffer.len()).then_some(Command { words, length: position })
 }
 
-/// A reply as a client reads it.
+/// A reply as parsed by a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// A bulk string.
     Value(String),
-    /// Any other line, with its type marker.
+    /// Any other line, including its type marker.
     Line(String),
 }
 
-/// A reply as it was received.
+/// A reply with its length on the wire.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedReply {
-    /// The reply.
+    /// The parsed reply.
     pub reply: Reply,
-    /// Its bytes.
+    /// Encoded length, in bytes.
     pub length: usize,
 }
 
-/// The reply that begins a buffer; none if it is incomplete.
+/// Parses the reply at the start of a buffer. Returns `None` if it is incomplete.
 pub fn parse_reply(buffer: &[u8]) -> Option<ReceivedReply> {
     let line_length = line_length(buffer)?;
     let Some(head) = parse_length_line(buffer, 0, b'$') else {
@@ -105,7 +103,7 @@
     Some(ReceivedReply { reply: Reply::Value(value), length })
 }
 
-/// Reads one value from a stream, flattened to its texts; none where the connection ends first.
+/// Reads one value from a stream and flattens it to its texts. Returns `None` if the connection ends first.
 pub fn read_value(stream: &mut impl Read) -> Option<Vec<String>> {
     let line = read_line(stream)?;
     let marker = line.chars().next()?;
@@ -123,7 +121,7 @@
     }
 }
 
-/// Reads a line byte by byte, so that nothing after it is consumed.
+/// Reads a line byte by byte, so that no bytes after it are consumed.
 fn read_line(stream: &mut impl Read) -> Option<String> {
     let mut line = Vec::new();
     while !line.ends_with(LINE_END) {
@@ -135,11 +133,11 @@
     Some(String::from_utf8_lossy(&line).into_owned())
 }
 
-/// Sends a PING on a connection of its own, and returns whether the reply is the right one.
+/// Sends a PING on a new connection and returns whether the reply is correct.
 ///
 /// # Errors
 ///
-/// If the connection fails, or ends or times out before the reply is complete.
+/// Returns an error if the connection fails, or ends or times out before the reply is complete.
 pub fn ping(address: SocketAddr, timeout: Duration) -> std::io::Result<bool> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(timeout))?;
--- a/stand-ins/src/server.rs
+++ b/stand-ins/src/server.rs
@@ -1,26 +1,26 @@
-//! Servers on loopback, with a thread for each connection.
+//! Loopback servers with a thread per connection.
 
 use std::io::{Error, ErrorKind};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::thread;
 
-/// Listens at a port of its own on loopback.
+/// Listens on an unused loopback port.
 ///
 /// # Errors
 ///
-/// If no port can be bound.
+/// Returns an error if no port can be bound.
 pub fn listen() -> std::io::Result<TcpListener> {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// Serves the connections of a listener for as long as the process lives, and returns its address.
+/// Serves the connections of a listener until the process exits, and returns its address.
 ///
-/// `accept` is called for each connection in the order of arrival. What it returns runs in a thread of the
-/// connection's own.
+/// `accept` is called for each connection in order of arrival. The closure that it returns runs in its own
+/// thread.
 ///
 /// # Errors
 ///
-/// If the listener has no local address.
+/// Returns an error if the listener has no local address.
 pub fn serve<A, C>(listener: TcpListener, mut accept: A) -> std::io::Result<SocketAddr>
 where
     A: FnMut(TcpStream) -> C + Send + 'static,
@@ -35,7 +35,7 @@
     Ok(address)
 }
 
-/// Whether a read has only timed out, or was interrupted.
+/// Returns whether a read has timed out or was interrupted, so that it can be repeated.
 pub fn is_timeout(error: &Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut | ErrorKind::Interrupted)
 }
--- a/stand-ins/tests/process.rs
+++ b/stand-ins/tests/process.rs
@@ -1,9 +1,9 @@
-//! The configuration file of an ingress.
+//! Tests of the configuration file of an ingress process.
 
 use stand_ins::process::ConfigFile;
 
-/// An ingress reloads its configuration: it has to find the new text in the same place, and a run that ends must not
-/// leave files behind.
+/// An ingress that reloads its configuration must find the new text at the same path, and no files may remain
+/// after a run.
 #[test]
 fn config_file_is_replaced_in_place_and_removed_on_drop() {
     let path = std::env::temp_dir().join(format!("stand-ins-{}.json", std::process::id()));
--- a/stand-ins/tests/protocols.rs
+++ b/stand-ins/tests/protocols.rs
@@ -1,4 +1,4 @@
-//! The protocols of stand-ins: what one side writes, the other reads, however it arrives.
+//! Tests of the protocols: encoding, and parsing of complete and partial input.
 
 use stand_ins::endpoint::{list_json, EndpointEntry, EndpointStatus, ListKind};
 use stand_ins::http::{read_head, response, Poll};
@@ -8,13 +8,13 @@
 };
 use std::time::Duration;
 
-/// Every part of the bytes that lacks at least the last one.
+/// Returns all proper prefixes of `bytes`.
 fn incomplete_prefixes(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     (0..bytes.len()).map(|length| &bytes[..length])
 }
 
-/// A command reaches a stand-in for a backend in pieces. It is parsed only when it is complete, and what follows is
-/// left alone; a stand-in that took half a command for a whole one would make the ingress look faulty.
+/// A backend parses a command that arrives in pieces only once it is complete, and leaves the following bytes
+/// unread. If it accepted a partial command, the ingress would appear to be faulty.
 #[test]
 fn command_is_parsed_only_when_complete() {
     let bytes = encode_command(&["CALL.GET", "7", "", "c=quote"]);
@@ -26,13 +26,13 @@
     let command = Command { words: words.clone(), length: bytes.len() };
     assert_eq!(parse_command(&bytes), Some(command.clone()));
     let followed = [bytes.as_slice(), b"*1\r\n"].concat();
-    assert_eq!(parse_command(&followed), Some(command), "what follows is left alone");
+    assert_eq!(parse_command(&followed), Some(command), "the following bytes are not consumed");
     assert_eq!(read_value(&mut followed.as_slice()), Some(words));
     assert_eq!(parse_command(b"+PONG\r\n"), None);
 }
 
-/// A reply of the ingress reaches a stand-in for a client in pieces. It is parsed only when it is complete; a part
-/// taken for the whole would be reported as a wrong value.
+/// A client parses a reply that arrives in pieces only once it is complete. A partial reply would be reported
+/// as a wrong value.
 #[test]
 fn reply_is_parsed_only_when_complete() {
     let value = |text: &str, length| ReceivedReply { reply: Reply::Value(text.into()), length };
@@ -50,8 +50,8 @@
     }
 }
 
-/// A stand-in for a backend replies with a value and perhaps a load report, in the bytes of the protocol. With
-/// other bytes the ingress would rightly report an error, and the test would blame it.
+/// A backend's reply consists of a value and an optional load report in the protocol's encoding. The ingress
+/// would report an error for a malformed reply, and a test would attribute it to the ingress.
 #[test]
 fn backend_reply_has_value_and_load_report() {
     assert_eq!(encode_served("abc", None), b"*3\r\n$3\r\nabc\r\n$-1\r\n$-1\r\n");
@@ -61,8 +61,8 @@
     assert_eq!(read_value(&mut &b"*2\r\n$3\r\nabc\r\n"[..]), None);
 }
 
-/// A stand-in for a client sends requests of each class with the command, options and key of that class. A keyed
-/// request without its key, for example, would test nothing about idempotency keys.
+/// A client sends requests of each class with the command, options and key of that class. A keyed request
+/// without a key, for example, would not test idempotency keys.
 #[test]
 fn requests_have_the_options_of_their_class() {
     let customer = Customer { number: 255, plan: "metered", set_size: 3, set_start: 9 };
@@ -81,8 +81,8 @@
     assert!("none".parse::<RequestClass>().is_err());
 }
 
-/// A stand-in for discovery answers polls for the whole list and for changes, and refuses anything else. If it
-/// answered any request, an ingress that asks for the wrong thing would pass its tests.
+/// Discovery answers polls for a snapshot and for changes, and refuses other requests. Otherwise an ingress
+/// that sends wrong requests would pass its tests.
 #[test]
 fn only_polls_of_the_endpoint_list_are_parsed() {
     let parse = |target: &str| Poll::parse(&format!("GET {target} HTTP/1.1\r\nHost: d\r\n\r\n")).ok();
@@ -98,8 +98,8 @@
     assert!(Poll::parse("POST /v1/endpoints HTTP/1.1\r\n\r\n").is_err());
 }
 
-/// A stand-in reads a request that arrives completely, breaks off, or comes while the stand-in is being stopped. It
-/// gives a head only in the first case; waiting for the rest in the others would hang the test.
+/// A request head is read if it arrives completely, but not if the connection ends early or the server is
+/// being stopped. Waiting for the rest of the head would block the test.
 #[test]
 fn request_head_is_read_only_while_the_connection_stays_open() {
     let head = "GET /v1/endpoints HTTP/1.1\r\n\r\n";
@@ -109,8 +109,8 @@
     assert_eq!(response("{}"), "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
 }
 
-/// A stand-in for discovery sends its list in the protocol's JSON, with each entry's name, place, status and start.
-/// An entry that was written differently would be refused by the ingress, and no test would get a backend.
+/// An endpoint list has the protocol's JSON format, with the name, location, status and start of each entry.
+/// The ingress rejects other formats, so that tests would have no backends.
 #[test]
 fn endpoint_list_has_the_expected_json() {
     let entry = EndpointEntry {
