--- a/tests/support/src/address.rs
+++ b/tests/support/src/address.rs
@@ -1,17 +1,17 @@
-//! Loopback addresses for programs under test.
+//! Loopback addresses for ingresses under test.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// How many values of each octet are used: all but those with a special meaning.
+/// Number of values used for an octet, which excludes values with a special meaning.
 const OCTET_VALUES: u32 = 250;
 
-/// An unused port at a loopback address that no other test has: the process gives two octets, a counter the
-/// last one.
+/// Returns an unused port on a loopback address that no other test uses. The process id determines two
+/// octets, and a counter the last.
 ///
 /// # Panics
 ///
-/// If no port can be bound at the address.
+/// Panics if no port can be bound on the address.
 pub fn unused_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let process = std::process::id();
--- a/tests/support/src/backend.rs
+++ b/tests/support/src/backend.rs
@@ -1,4 +1,4 @@
-//! Backends that reply as a test specifies.
+//! Backends with replies specified by a test.
 
 mod unreachable;
 
@@ -14,25 +14,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long after a reply its duplicate is sent at the latest.
+/// Maximum time between a reply and its duplicate.
 const MAX_DUPLICATE_DELAY: Duration = Duration::from_millis(10);
-/// How long a backend waits before it sends a duplicate.
+/// Delay before a duplicate is sent.
 const DUPLICATE_DELAY: Duration = Duration::from_micros(300);
-/// How often an idle connection looks whether it is to be closed.
+/// Interval at which an idle connection checks whether it should close.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The position of the request's id among the words of a command.
+/// Index of the request id among the words of a command.
 const ID_POSITION: usize = 2;
-/// The load report of all replies.
+/// Load report in all replies.
 const LOAD_REPORT: &str = "util=0.25";
 
-/// What a backend does with a command.
+/// The response of a backend to a command.
 pub enum BackendReply {
-    /// Sends these bytes at once.
+    /// Sends these bytes immediately.
     Bytes(Vec<u8>),
     /// Sends these bytes after a delay.
     Delayed(Duration, Vec<u8>),
-    /// Sends these bytes, and some milliseconds later the same again, as the protocol page has it. Where the
-    /// machine delays that for longer, they are not sent again. Counts those that were.
+    /// Sends these bytes, and again within a few milliseconds, as the protocol documentation describes. If
+    /// the machine delays the duplicate for longer, it is not sent. The counter holds the number of
+    /// duplicates sent.
     Duplicated(Vec<u8>, Arc<AtomicUsize>),
     /// Keeps the connection open without a reply.
     NoReply,
@@ -40,59 +41,57 @@
     Disconnect,
 }
 
-/// The reply of a backend without faults: a value that holds the request's id.
+/// Returns the normal reply of a backend: a value that contains the request's id.
 pub fn reply_with_value(args: &[String]) -> BackendReply {
     BackendReply::Bytes(value_reply(args))
 }
 
-/// The bytes of the reply of a backend without faults, with a load report.
+/// Encodes the normal reply of a backend, with a load report.
 pub fn value_reply(args: &[String]) -> Vec<u8> {
     let value = format!("value of {}", args[ID_POSITION]);
     encode_served(&value, Some(LOAD_REPORT))
 }
 
-/// How a backend replies to a command.
+/// Function that determines a backend's reply to a command.
 type ReplyFunction = dyn Fn(&[String]) -> BackendReply + Send + Sync;
 
-/// What a backend has observed, and how it treats idle connections.
+/// Observations of a backend, and its handling of idle connections.
 #[derive(Default)]
 struct BackendState {
-    /// The commands, with their arguments.
+    /// Received commands with their arguments.
     commands: Mutex<Vec<Vec<String>>>,
-    /// Connections that were opened.
+    /// Number of connections opened so far.
     connections_opened: AtomicUsize,
-    /// Connections that were closed, by either side.
+    /// Number of connections closed so far, by either side.
     connections_closed: AtomicUsize,
-    /// Idle connections are closed.
+    /// Whether idle connections are closed.
     close_when_idle: AtomicBool,
-    /// A connection that was idle for more than so many milliseconds is reset at its next request; 0 for
-    /// never.
+    /// Idle time in milliseconds after which a connection is reset at its next request; 0 for no limit.
     reset_after_idle_ms: AtomicU64,
 }
 
-/// A backend with a thread for each connection.
+/// A backend with a thread per connection.
 pub struct Backend {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// What its connections share.
     state: Arc<BackendState>,
 }
 
 impl Backend {
-    /// Starts a backend on a port of its own.
+    /// Starts a backend on an unused port.
     ///
     /// # Panics
     ///
-    /// If no port can be bound.
+    /// Panics if no port can be bound.
     pub fn start(reply: impl Fn(&[String]) -> BackendReply + Send + Sync + 'static) -> Backend {
         Backend::start_on(listen().unwrap(), reply)
     }
 
-    /// Starts a backend on a listener.
+    /// Starts a backend that accepts connections from `listener`.
     ///
     /// # Panics
     ///
-    /// If the listener has no local address.
+    /// Panics if the listener has no local address.
     pub fn start_on(
         listener: TcpListener,
         reply: impl Fn(&[String]) -> BackendReply + Send + Sync + 'static,
@@ -113,64 +112,62 @@
         Backend { address: serve(listener, accept).unwrap(), state }
     }
 
-    /// The commands that arrived so far, with their arguments.
+    /// Returns the commands received so far, with their arguments.
     ///
     /// # Panics
     ///
-    /// If a connection of the backend panicked while it recorded a command.
+    /// Panics if a connection of the backend panicked while it recorded a command.
     pub fn commands(&self) -> Vec<Vec<String>> {
         self.state.commands.lock().unwrap().clone()
     }
 
-    /// The ids of the requests that arrived so far.
+    /// Returns the ids of the requests received so far.
     pub fn request_ids(&self) -> Vec<String> {
         self.commands().iter().map(|command| command[ID_POSITION].clone()).collect()
     }
 
-    /// How many commands arrived so far.
+    /// Returns the number of commands received so far.
     ///
     /// # Panics
     ///
-    /// If a connection of the backend panicked while it recorded a command.
+    /// Panics if a connection of the backend panicked while it recorded a command.
     pub fn command_count(&self) -> usize {
         self.state.commands.lock().unwrap().len()
     }
 
-    /// How many connections were opened so far.
+    /// Returns the number of connections opened so far.
     pub fn connections_opened(&self) -> usize {
         self.state.connections_opened.load(Ordering::SeqCst)
     }
 
-    /// How many of them are closed, by either side.
+    /// Returns the number of connections closed so far, by either side.
     pub fn connections_closed(&self) -> usize {
         self.state.connections_closed.load(Ordering::SeqCst)
     }
 
-    /// From now on closes idle connections, or no longer.
+    /// Sets whether idle connections are closed.
     pub fn set_close_when_idle(&self, enabled: bool) {
         self.state.close_when_idle.store(enabled, Ordering::SeqCst);
     }
 
-    /// From now on resets connections that were idle for longer than this, at their next request.
+    /// Sets the idle time after which a connection is reset at its next request.
     pub fn set_reset_after_idle(&self, limit: Duration) {
         self.state.reset_after_idle_ms.store(limit.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// The entry of the endpoint list for this backend.
+    /// Returns this backend's entry in the endpoint list as JSON.
     pub fn endpoint_json(&self, name: &str, status: &str) -> String {
         endpoint_json(name, self.address, status)
     }
 }
 
-/// A connection to a backend, on a thread of its own.
+/// A connection to a backend, served by its own thread.
 struct BackendConnection<'a> {
-    /// The socket.
     stream: TcpStream,
-    /// What all connections of the backend share.
+    /// State shared by all connections of the backend.
     state: &'a BackendState,
-    /// How the backend replies.
     reply: &'a ReplyFunction,
-    /// When it last replied.
+    /// Time of the last reply.
     replied_at: Option<Instant>,
 }
 
@@ -191,7 +188,7 @@
         }
     }
 
-    /// Waits for the first byte of a command; false where the connection is to be closed before that.
+    /// Waits for the first byte of a command. Returns `false` if the connection ends or should close instead.
     fn wait_for_command(&mut self) -> bool {
         self.stream.set_read_timeout(Some(IDLE_POLL_INTERVAL)).unwrap();
         let has_command = loop {
@@ -206,13 +203,13 @@
         has_command
     }
 
-    /// Whether the connection is to be reset since it was idle for too long.
+    /// Returns whether the connection exceeded the idle time after which it is reset.
     fn exceeded_idle_limit(&self) -> bool {
         let limit = Duration::from_millis(self.state.reset_after_idle_ms.load(Ordering::SeqCst));
         !limit.is_zero() && self.replied_at.is_some_and(|instant| instant.elapsed() > limit)
     }
 
-    /// Replies to a command.
+    /// Sends the bytes of a reply, if any.
     fn send(&mut self, reply: BackendReply) -> io::Result<()> {
         match reply {
             BackendReply::Bytes(bytes) => self.stream.write_all(&bytes),
--- a/tests/support/src/backend/unreachable.rs
+++ b/tests/support/src/backend/unreachable.rs
@@ -1,19 +1,19 @@
-//! A backend whose connections stay unestablished until a test accepts them.
+//! A backend to which no connections are established until a test accepts them.
 
 use super::{reply_with_value, Backend};
 use std::net::SocketAddr;
 
-/// How many connections fill the accept queue.
+/// Number of connections that fill the accept queue.
 const BACKLOG: usize = 4;
 
-/// A backend to which no connection is established until [`accept_connections`](Self::accept_connections):
-/// its accept queue is full, and the kernel drops what arrives.
+/// A backend with a full accept queue, for which the kernel drops further connections until
+/// [`accept_connections`](Self::accept_connections) is called.
 pub struct UnreachableBackend {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// The listening socket.
+    /// Listening socket.
     socket: socket2::Socket,
-    /// The connections that fill the accept queue.
+    /// Connections that fill the accept queue.
     backlog: Vec<socket2::Socket>,
 }
 
@@ -24,11 +24,11 @@
 }
 
 impl UnreachableBackend {
-    /// Listens, and fills the accept queue.
+    /// Starts listening and fills the accept queue.
     ///
     /// # Panics
     ///
-    /// If the sockets cannot be opened, or no port can be bound.
+    /// Panics if the sockets cannot be opened, or no port can be bound.
     pub fn new() -> UnreachableBackend {
         let stream = || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         let socket = stream();
@@ -45,7 +45,7 @@
         UnreachableBackend { address, socket, backlog }
     }
 
-    /// From now on connections are established, in the order in which they were begun.
+    /// Establishes connections from now on, in the order in which they were started.
     pub fn accept_connections(self) -> Backend {
         drop(self.backlog);
         Backend::start_on(self.socket.into(), reply_with_value)
--- a/tests/support/src/client.rs
+++ b/tests/support/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients of the ingress, and the requests that they send.
+//! Clients of the ingress and their requests.
 
 use super::wait::WAIT_LIMIT;
 use stand_ins::request::{encode_request as encode, Customer};
@@ -7,21 +7,21 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The plan of all customers.
+/// Plan of all customers.
 const PLAN: &str = "starter";
 
-/// A client's connection.
+/// A client with a connection to an ingress.
 pub struct Client {
-    /// The socket.
+    /// Socket of the connection.
     pub stream: TcpStream,
 }
 
 impl Client {
-    /// Connects to an ingress.
+    /// Connects a client to an ingress.
     ///
     /// # Panics
     ///
-    /// If the connection cannot be established, or its options cannot be set.
+    /// Panics if the connection cannot be established, or its options cannot be set.
     pub fn connect(to: SocketAddr) -> Client {
         let stream = TcpStream::connect(to).unwrap();
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
@@ -29,16 +29,16 @@
         Client { stream }
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes.
     ///
     /// # Panics
     ///
-    /// If the connection is closed.
+    /// Panics if the connection is closed.
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// The text of the next reply; empty where the connection is closed.
+    /// Reads the next reply and returns its text, which is empty if the connection is closed.
     pub fn read_reply(&mut self) -> String {
         read_value(&mut self.stream).map_or(String::new(), |texts| texts.concat())
     }
@@ -49,17 +49,17 @@
         self.read_reply()
     }
 
-    /// The reply to a PING.
+    /// Sends a PING and returns the reply.
     pub fn ping(&mut self) -> String {
         self.round_trip(&encode_command(&["PING"]))
     }
 
-    /// Ends sending and reading.
+    /// Shuts down both directions of the connection.
     pub fn disconnect(self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Whether the other side closes the connection, with no byte before that.
+    /// Waits for input, and returns whether the ingress closes the connection without sending any.
     pub fn is_disconnected(&mut self) -> bool {
         match self.stream.read(&mut [0; 64]) {
             Ok(length) => length == 0,
@@ -68,18 +68,18 @@
     }
 }
 
-/// The command of a request, of a customer that sends no other. The class goes by its name in the settings of the
-/// tests: `quote` is idempotent, `save` keyed and `refer` non-idempotent.
+/// Encodes a request of a new customer. `class` is a name in the settings of the tests: `quote` is
+/// idempotent, `save` keyed and `refer` non-idempotent.
 pub fn encode_request(class: &str, id: &str, wait_ms: u32) -> Vec<u8> {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     encode_request_of(NEXT.fetch_add(1, Ordering::Relaxed), class, id, wait_ms)
 }
 
-/// The command of a request of a given customer; the class by its name.
+/// Encodes a request of a given customer, with the name of its class.
 ///
 /// # Panics
 ///
-/// If there is no class of this name.
+/// Panics if there is no class with this name.
 pub fn encode_request_of(customer: usize, class: &str, id: &str, wait_ms: u32) -> Vec<u8> {
     let customer = Customer::of_one_ingress(customer as u64, PLAN);
     encode(class.parse().unwrap(), id, customer, u64::from(wait_ms))
--- a/tests/support/src/discovery.rs
+++ b/tests/support/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery, and the endpoint list as it sends that.
+//! A stand-in for discovery, and the entries of its endpoint list.
 
 use super::wait::wait_until;
 use stand_ins::endpoint::{list_json, EndpointEntry, ListKind};
@@ -11,16 +11,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a poll that waits looks for changes.
+/// Interval at which a waiting poll checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The index of the list before the first change.
+/// Index of the list before the first change.
 const FIRST_INDEX: u64 = 1;
 
-/// An entry of the endpoint list, as JSON, with the name of its status.
+/// Returns an entry of the endpoint list as JSON. `status` is the name of a status.
 ///
 /// # Panics
 ///
-/// If there is no status of this name.
+/// Panics if there is no status with this name.
 pub fn endpoint_json(name: &str, address: SocketAddr, status: &str) -> String {
     let status = status.parse().unwrap();
     let entry = EndpointEntry {
@@ -35,35 +35,34 @@
     entry.to_json()
 }
 
-/// The endpoint list, and how discovery answers polls.
+/// State that the connections of discovery share.
 #[derive(Default)]
 struct DiscoveryState {
-    /// The endpoint list.
     published: Mutex<PublishedEndpoints>,
-    /// No poll is answered.
+    /// Whether polls remain unanswered.
     unresponsive: AtomicBool,
-    /// All connections are closed without an answer.
+    /// Whether all connections are closed without an answer.
     unavailable: AtomicBool,
-    /// Polls that arrived so far.
+    /// Number of polls received so far.
     polls: AtomicUsize,
 }
 
-/// The endpoint list, and what was last polled of it.
+/// The endpoint list and the index of the latest poll.
 #[derive(Default)]
 struct PublishedEndpoints {
-    /// The entries in the order of their publication.
+    /// Entries in the order of their publication.
     changes: Vec<String>,
-    /// The index that the latest poll had; 0 for a poll of the snapshot.
+    /// Index in the latest poll; 0 for a poll of a snapshot.
     polled_since: u64,
 }
 
 impl PublishedEndpoints {
-    /// The index of the latest change.
+    /// Returns the index of the list after all changes.
     fn latest_index(&self) -> u64 {
         FIRST_INDEX + self.changes.len() as u64
     }
 
-    /// The entries that changed since an index.
+    /// Returns the entries that changed since an index.
     fn changes_since(&self, index: u64) -> &[String] {
         &self.changes[(index - FIRST_INDEX) as usize..]
     }
@@ -84,12 +83,12 @@
         }
     }
 
-    /// Whether all connections are closed without an answer.
+    /// Returns whether all connections are closed without an answer.
     fn is_unavailable(&self) -> bool {
         self.unavailable.load(Ordering::SeqCst)
     }
 
-    /// Waits until there is an answer to a poll, as in long polling; none once discovery is down.
+    /// Waits for the answer to a long poll. Returns `None` once discovery is unavailable.
     fn wait_for_answer(&self, poll: &Poll, deadline: Instant) -> Option<String> {
         while !self.is_unavailable() {
             let answer = self.answer(poll, deadline);
@@ -101,7 +100,7 @@
         None
     }
 
-    /// The answer to a poll, if it has one now.
+    /// Returns the answer to a poll if one is due.
     fn answer(&self, poll: &Poll, deadline: Instant) -> Option<String> {
         let published = self.published.lock().unwrap();
         let latest = published.latest_index();
@@ -118,21 +117,20 @@
     }
 }
 
-/// A stand-in for discovery. It answers polls from a list that begins at index 1, unless it is silent or
-/// down.
+/// A stand-in for discovery that answers polls of a list, whose first index is 1, unless it is set
+/// unresponsive or unavailable.
 pub struct DiscoveryServer {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// What its connections share.
     state: Arc<DiscoveryState>,
 }
 
 impl DiscoveryServer {
-    /// Starts with an empty endpoint list.
+    /// Starts discovery with an empty endpoint list.
     ///
     /// # Panics
     ///
-    /// If no port can be bound.
+    /// Panics if no port can be bound.
     pub fn start() -> DiscoveryServer {
         let state = Arc::new(DiscoveryState::default());
         let shared = state.clone();
@@ -144,17 +142,17 @@
         DiscoveryServer { address, state }
     }
 
-    /// How many polls arrived so far.
+    /// Returns the number of polls received so far.
     pub fn poll_count(&self) -> usize {
         self.state.polls.load(Ordering::SeqCst)
     }
 
-    /// Changes an entry, and waits until the ingress polls for what is newer.
+    /// Publishes an entry, and waits until the ingress polls for changes after it.
     ///
     /// # Panics
     ///
-    /// If the ingress does not poll within [`WAIT_LIMIT`](super::wait::WAIT_LIMIT), or a connection panicked
-    /// while it answered a poll.
+    /// Panics if the ingress does not poll within [`WAIT_LIMIT`](super::wait::WAIT_LIMIT), or a connection
+    /// panicked while it answered a poll.
     pub fn publish_and_wait(&self, entry: String) {
         let index = self.publish(entry);
         wait_until("the ingress polls for newer changes", || {
@@ -162,23 +160,23 @@
         });
     }
 
-    /// Changes an entry and returns its index, whether or not the ingress polls.
+    /// Publishes an entry and returns its index without waiting for a poll.
     ///
     /// # Panics
     ///
-    /// If a connection panicked while it answered a poll.
+    /// Panics if a connection panicked while it answered a poll.
     pub fn publish(&self, entry: String) -> u64 {
         let mut published = self.state.published.lock().unwrap();
         published.changes.push(entry);
         published.latest_index()
     }
 
-    /// From now on answers no poll, or answers again.
+    /// Sets whether polls remain unanswered.
     pub fn set_unresponsive(&self, enabled: bool) {
         self.state.unresponsive.store(enabled, Ordering::SeqCst);
     }
 
-    /// From now on closes all connections without an answer, or serves again.
+    /// Sets whether all connections are closed without an answer.
     pub fn set_unavailable(&self, enabled: bool) {
         self.state.unavailable.store(enabled, Ordering::SeqCst);
     }
--- a/tests/support/src/fault_shim.rs
+++ b/tests/support/src/fault_shim.rs
@@ -1,4 +1,4 @@
-//! The library that makes system calls of an ingress fail.
+//! The preloaded library that injects system call faults into an ingress.
 
 use super::ingress::program_file;
 use fault_plan::{FaultPlan, PLAN_VARIABLE};
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// Where the library is, built for the tests.
+/// Builds the library at the first call, and returns its path.
 fn library() -> &'static PathBuf {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -16,14 +16,14 @@
             .current_dir(env!("CARGO_MANIFEST_DIR"))
             .env_remove("LD_PRELOAD")
             .status();
-        assert!(status.unwrap().success(), "fault-shim is built");
+        assert!(status.unwrap().success(), "cannot build fault-shim");
         let program = program_file();
         let target = program.ancestors().nth(2).unwrap();
         target.join("debug").join("libfault_shim.so")
     })
 }
 
-/// The shell commands that make the next program load the library and execute a plan.
+/// Returns shell commands that make the next program load the library and execute a plan.
 pub fn export_commands(plan: &FaultPlan) -> String {
     let library = library().display();
     format!("export {PLAN_VARIABLE}='{}'; export LD_PRELOAD='{library}'; ", plan.to_json())
--- a/tests/support/src/gateway.rs
+++ b/tests/support/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway driven by events on a clock of the test's.
+//! A gateway driven by events, with a clock controlled by the test.
 
 use super::settings::{endpoint, SECOND, START};
 use ingress::{
@@ -6,29 +6,29 @@
     Instant, Outcome, Request, RequestId, Settings,
 };
 
-/// The time from a timer to the next one.
+/// Time between two timer events.
 const TIMER_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A request that a gateway got, and the actions that followed at once.
+/// A request submitted to a gateway, and the resulting actions.
 pub struct SubmittedRequest {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// The actions.
+    /// Actions that the gateway returned for the request.
     pub actions: Vec<Action>,
 }
 
-/// A gateway with its clock.
+/// A gateway with a simulated clock.
 pub struct GatewayHarness {
-    /// The gateway.
+    /// The gateway under test.
     pub gateway: Gateway,
-    /// The time by its clock.
+    /// Current time of the gateway's clock.
     pub now: Instant,
-    /// The number of the next request.
+    /// Id of the next request.
     pub next_request_id: u64,
 }
 
 impl GatewayHarness {
-    /// A gateway that starts with a cached list of backends.
+    /// Creates a gateway that starts with a cached list of backends.
     pub fn new(settings: Settings, backends: u64) -> GatewayHarness {
         let mut harness =
             GatewayHarness { gateway: Gateway::new(settings, 7, START), now: START, next_request_id: 0 };
@@ -43,19 +43,19 @@
         self.update_endpoints(EndpointUpdate::CachedSnapshot, backends);
     }
 
-    /// Gives the gateway a list of the first so many backends.
+    /// Passes a list of the first `backends` backends to the gateway.
     pub fn update_endpoints(&mut self, update: EndpointUpdate, backends: u64) {
         self.handle(Event::Endpoints(update, (0..backends).map(endpoint).collect()));
     }
 
-    /// Gives the gateway an event, and returns its actions.
+    /// Passes an event to the gateway and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Lets time pass, with a timer of the gateway every 20 ms.
+    /// Advances the clock, with a timer event every 20 ms, and returns the resulting actions.
     pub fn advance(&mut self, span: Duration) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + span;
@@ -66,12 +66,12 @@
         actions
     }
 
-    /// A request that draws so many units, of a customer with a set of three gateways.
+    /// Submits a request for this number of units, from a customer with a set of three gateways.
     pub fn request(&mut self, class: u8, plan: u16, customer: u64, units: f64) -> SubmittedRequest {
         self.request_from_set(class, plan, customer, units, 3.0)
     }
 
-    /// A request of a customer with a set of this many gateways.
+    /// Submits a request from a customer with a set of `set_size` gateways.
     pub fn request_from_set(
         &mut self,
         class: u8,
@@ -109,7 +109,7 @@
         self.end_attempt_after(Duration::from_millis(100), id, attempt, backend, outcome)
     }
 
-    /// Ends an attempt that took this long.
+    /// Ends an attempt that took `elapsed`.
     pub fn end_attempt_after(
         &mut self,
         elapsed: Duration,
@@ -122,7 +122,8 @@
     }
 }
 
-/// The end of an attempt, without a meter or a load report. A request that was served has its final answer.
+/// Returns the event of an attempt's end, without metered units or a load report. The request is closed if
+/// the outcome is [`Outcome::Ok`].
 pub fn attempt_ended(
     elapsed: Duration,
     id: RequestId,
@@ -142,28 +143,28 @@
     })
 }
 
-/// The backends that requests are sent to.
+/// Returns the backends to which the actions send attempts.
 pub fn sent_to(actions: &[Action]) -> Vec<BackendId> {
     let sent_to =
         |action: &Action| if let Action::Send { backend, .. } = action { Some(*backend) } else { None };
     actions.iter().filter_map(sent_to).collect()
 }
 
-/// Whether a request is rejected.
+/// Returns whether the actions reject a request.
 pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
-/// Whether a request has failed.
+/// Returns whether the actions fail a request.
 pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail(_)))
 }
 
-/// The messages to peers, each with its receiver.
+/// Returns the messages to peers, each with its receiver.
 ///
 /// # Panics
 ///
-/// If a message is for all peers.
+/// Panics if a message is addressed to all peers.
 pub fn sent_messages(actions: &[Action]) -> Vec<(GatewayId, Vec<u8>)> {
     let message = |action: &Action| match action {
         Action::SendToPeer { to, bytes } => Some((to.unwrap(), bytes.clone())),
--- a/tests/support/src/ingress.rs
+++ b/tests/support/src/ingress.rs
@@ -1,4 +1,4 @@
-//! The ingress as a process, and its configuration.
+//! Ingress processes and their configuration.
 
 mod process;
 mod setup;
@@ -8,19 +8,20 @@
 
 use std::path::PathBuf;
 
-/// The program as it was built for the tests: cargo puts it one folder above the tests themselves.
+/// Returns the path of the program built with the tests. Cargo places it one folder above the test
+/// executables.
 ///
 /// # Panics
 ///
-/// If the program was not built.
+/// Panics if the program was not built.
 pub fn program_file() -> PathBuf {
     let test = std::env::current_exe().unwrap();
     let program = test.ancestors().nth(2).unwrap().join("ingress");
-    assert!(program.exists(), "{} is built with the tests", program.display());
+    assert!(program.exists(), "{} is not built", program.display());
     program
 }
 
-/// The shell command for the program as it was built for the tests.
+/// Returns the shell command that executes the program built with the tests.
 pub fn built_program() -> String {
     format!("exec '{}'", program_file().display())
 }
--- a/tests/support/src/ingress/setup.rs
+++ b/tests/support/src/ingress/setup.rs
@@ -1,4 +1,4 @@
-//! How an ingress is configured and started.
+//! Configuration and start of ingress processes.
 
 use super::{built_program, IngressProcess};
 use crate::address::unused_address;
@@ -12,7 +12,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-/// The settings of a small deployment; tests replace texts in it.
+/// Settings of a small deployment, in which tests replace texts.
 const SETTINGS: &str = r#"{
  "n_instances":1,"slot_no":0,"zone":0,"tick_us":4000,"zones":["hall-a","hall-b"],"skus":["std-3c","small-2c"],
  "grades":[
@@ -33,33 +33,33 @@
   "overload_factor":4.0,"fall_us":1000000,"must_ask_in_us":10000000},
  "membership_mode":"push","weights":"nominal","reporting":{"how":"answers","fields":["load_share"]}}"#;
 
-/// Where discovery is where a test has none: nothing listens at this port.
+/// Address of discovery for tests without discovery: nothing listens on this port.
 const UNUSED_DISCOVERY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
-/// How long an ingress that starts may take for one PING, until another one is sent.
+/// Time after which a PING to a starting ingress is repeated.
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How an ingress is started: the parts of its configuration that tests change.
+/// The parts of an ingress's configuration and environment that tests change.
 pub struct IngressSetup {
-    /// The entries of its initial endpoint list.
+    /// Entries of the initial endpoint list, as JSON.
     pub known_endpoints: Vec<String>,
-    /// Where discovery is; none for an address at which nothing listens.
+    /// Address of discovery; `None` for an address on which nothing listens.
     pub discovery: Option<SocketAddr>,
-    /// The limit on sockets.
+    /// Maximum number of sockets.
     pub socket_limit: usize,
-    /// The limit on memory, in MB.
+    /// Maximum memory, in MB.
     pub memory_limit_mb: usize,
-    /// A limit on descriptors set by the system, below the one in the configuration.
+    /// Limit on descriptors set by the operating system, if below the limit in the configuration.
     pub system_descriptor_limit: Option<usize>,
-    /// The settings, as JSON.
+    /// Settings of the deployment, as JSON.
     settings: String,
-    /// System calls that are to fail.
+    /// System call faults to inject.
     pub faults: Option<FaultPlan>,
-    /// More keys of the configuration, as JSON.
+    /// Additional keys of the configuration, as JSON.
     pub extra_keys: String,
 }
 
 impl IngressSetup {
-    /// An ingress that knows these backends, and no discovery.
+    /// Returns the setup of an ingress with an initial list of these backends, and without discovery.
     pub fn with_backends(backends: &[&Backend]) -> IngressSetup {
         let known_endpoints = backends
             .iter()
@@ -83,13 +83,13 @@
     ///
     /// # Panics
     ///
-    /// If the text is not there.
+    /// Panics if the settings do not contain the text.
     pub fn replace_setting(&mut self, from: &str, to: &str) {
-        assert!(self.settings.contains(from), "no {from} in {}", self.settings);
+        assert!(self.settings.contains(from), "no {from} in the settings {}", self.settings);
         self.settings = self.settings.replace(from, to);
     }
 
-    /// The configuration of an ingress that listens on this address.
+    /// Returns the configuration of an ingress that listens on `address`, as JSON.
     pub fn config_json(&self, address: SocketAddr) -> String {
         let discovery = self.discovery.unwrap_or(UNUSED_DISCOVERY);
         format!(
@@ -104,7 +104,7 @@
         )
     }
 
-    /// Starts the program as it was built for the tests, and waits until it is ready.
+    /// Starts the program built with the tests, and waits until it is ready.
     pub fn start(&self) -> IngressProcess {
         let limit =
             self.system_descriptor_limit.map_or(String::new(), |limit| format!("ulimit -n {limit}; "));
@@ -112,12 +112,12 @@
         self.start_with(&(limit + &faults + &built_program()))
     }
 
-    /// Starts an ingress by a shell command, and waits until it is ready.
+    /// Starts an ingress with a shell command, and waits until it is ready.
     pub fn start_with(&self, program: &str) -> IngressProcess {
         self.start_logging_to(program, Stdio::piped())
     }
 
-    /// Starts an ingress by a shell command with a log of the test, and waits until it is ready.
+    /// Starts an ingress with a shell command that logs to `log`, and waits until it is ready.
     pub fn start_logging_to(&self, program: &str, log: Stdio) -> IngressProcess {
         let address = unused_address();
         let ingress = IngressProcess::spawn_logging_to(&self.config_json(address), address, program, log);
--- a/tests/support/src/lib.rs
+++ b/tests/support/src/lib.rs
@@ -1,9 +1,10 @@
-//! What several test targets of the ingress share. For the ingress as a process: clients, backends and
-//! discovery on loopback sockets, where each test has an address of its own. For the decisions alone:
-//! gateways and fleets driven by events.
+//! Support for the integration tests of the ingress.
 //!
-//! The protocols of the stand-ins are those of the `stand-ins` library. What fails here fails the test:
-//! functions panic rather than return errors.
+//! Tests of the ingress process use clients, backends and discovery on loopback sockets, with a separate
+//! address for each ingress. Tests of the decisions use gateways and fleets driven by events.
+//!
+//! The `stand-ins` library implements the protocols. Functions panic instead of returning errors, because a
+//! failure of the support fails the test.
 
 pub mod address;
 pub mod backend;
--- a/tests/support/src/settings.rs
+++ b/tests/support/src/settings.rs
@@ -1,33 +1,33 @@
-//! Settings of a small deployment for gateways under test: classes, plans, limits and endpoints.
+//! Settings of a small deployment for gateways under test.
 
 use ingress::{
     Availability, BackendId, Class, Duration, Endpoint, GatewayId, Idempotency, IdempotencyScope, Instant,
     Limits, Plan, Rules, Settings,
 };
 
-/// When gateways under test start.
+/// Start time of gateways under test.
 pub const START: Instant = Instant::from_micros(1_000_000_000);
 
-/// A second.
+/// One second.
 pub const SECOND: Duration = Duration::from_secs(1);
 
 /// Index of the class of [`settings`] that is idempotent.
 pub const IDEMPOTENT: u8 = 0;
-/// Index of the class that is keyed: its idempotency key is known in a cell for 2 s.
+/// Index of the class that is keyed: its idempotency keys are valid in a cell for 2 s.
 pub const KEYED: u8 = 1;
-/// Index of the class that is non-idempotent: retried only if never executed.
+/// Index of the class that is non-idempotent: requests are retried only if they were not executed.
 pub const NON_IDEMPOTENT: u8 = 2;
 
 /// Index of the plan of [`settings`] with a quota that no test reaches.
 pub const UNLIMITED: u16 = 0;
-/// Index of the plan with a quota of 2 units a second and a burst of 6.
+/// Index of the plan with a quota of 2 units per second and a burst of 6.
 pub const RATE_QUOTA: u16 = 1;
-/// Index of the plan with a hard limit of 6 units a second and a burst of 12.
+/// Index of the plan with a hard limit of 6 units per second and a burst of 12.
 pub const HARD_LIMIT: u16 = 2;
 /// Index of the plan with a quota of 2 attempts in flight.
 pub const CONCURRENCY_QUOTA: u16 = 3;
 
-/// A class with a latency objective of a second.
+/// Returns a class with a latency objective of 1 s and a deadline of 4 s.
 pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: SECOND,
@@ -39,7 +39,7 @@
     }
 }
 
-/// A plan with a rate quota.
+/// Returns a plan with this rate quota, and without a concurrency quota or hard limit.
 pub fn plan(rate: f64, burst: f64) -> Plan {
     Plan {
         rate,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Limits that permit hedging, cancellation and messages.
+/// Returns limits that permit hedging, cancellation and messages to peers.
 pub fn limits() -> Limits {
     Limits {
         max_attempts: 3,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The figures of the rules.
+/// Returns rules with a slow start of 10 s and a drain grace period of 250 ms.
 pub fn rules() -> Rules {
     Rules {
         drain_grace: Duration::from_millis(250),
@@ -79,7 +79,7 @@
     }
 }
 
-/// Gateway 0 of three, with the classes and plans that the constants name.
+/// Returns the settings of gateway 0 of three, with the classes and plans of this module's constants.
 pub fn settings() -> Settings {
     let keyed = Idempotency::Keyed { scope: IdempotencyScope::Cell, window: SECOND * 2 };
     let hard_limit = Plan { hard_limit_rate: 6.0, hard_limit_burst: 12.0, ..plan(100.0, 100.0) };
@@ -101,12 +101,12 @@
     }
 }
 
-/// The settings of one of so many gateways.
+/// Returns the settings of one of `gateway_count` gateways.
 pub fn settings_of(own_id: u16, gateway_count: u16) -> Settings {
     Settings { gateway_count, own_id: GatewayId(own_id), ..settings() }
 }
 
-/// A ready backend; zones and cells alternate.
+/// Returns a ready endpoint. Zones and cells alternate between backends.
 pub fn endpoint(backend: u64) -> Endpoint {
     Endpoint {
         backend: BackendId(backend),
