--- a/fault-soak/tests/kept_results.rs
+++ b/fault-soak/tests/kept_results.rs
@@ -1,4 +1,4 @@
-//! Result files that were written before types, fields and scenarios were renamed are still read.
+//! Tests that result files with former names of fields, rules and scenarios can be read.
 
 use fault_soak::oracle::Rule;
 use fault_soak::plan::SoakPlan;
@@ -8,15 +8,15 @@
 const FIRST_RESULTS: &str = include_str!("../results/2026-12-hunt.jsonl");
 const SECOND_RESULTS: &str = include_str!("../results/2026-12-hunt-second.jsonl");
 
-/// The runs of a result file, one in each line.
+/// Parses a result file with one run per line.
 fn parse(file: &str) -> Vec<RunResult> {
     file.lines()
         .map(|line| serde_json::from_str(line).unwrap_or_else(|error| panic!("{error}: {line}")))
         .collect()
 }
 
-/// The pages name runs of the soak whose results are kept in the repository. Today's program has to read all 200
-/// runs of each file and make a report of them, or nobody could check what the pages say.
+/// The documentation refers to runs whose results are kept in the repository. If the program could not read
+/// all 200 runs of each file, the documented figures could not be verified.
 #[test]
 fn kept_result_files_are_read_and_reported() {
     for file in [FIRST_RESULTS, SECOND_RESULTS] {
@@ -27,8 +27,8 @@
     }
 }
 
-/// Somebody plays a seed of the kept results again. The program has to draw the faults that were injected then, as
-/// the run could not be compared otherwise.
+/// The seeds of the kept results draw the faults that were injected in those runs. Otherwise a replay of a
+/// seed could not be compared with its result.
 #[test]
 fn kept_results_match_the_plans_of_their_seeds() {
     for result in parse(SECOND_RESULTS) {
@@ -37,8 +37,8 @@
     }
 }
 
-/// Fields and kinds of faults were renamed after the first results were written. A file of that time still has to
-/// give the faults of each run and its counts; a field that was read as zero would falsify the report.
+/// Fields and kinds of faults were renamed after the first results were written. If a field with a former
+/// name were read as zero, the report would be wrong.
 #[test]
 fn fields_with_former_names_are_read() {
     let results = parse(FIRST_RESULTS);
@@ -55,8 +55,8 @@
     assert_eq!(of_seed(201).totals.disconnected, 39);
 }
 
-/// A rule was renamed after the first results were written. A violation of it under its former name still counts as
-/// one of that rule, and does not get lost in a report.
+/// A rule was renamed after the first results were written. A violation under the former name counts for the
+/// renamed rule; otherwise it would be missing from the report.
 #[test]
 fn rules_with_former_names_are_read() {
     let line = FIRST_RESULTS.lines().next().unwrap();
@@ -69,8 +69,8 @@
     assert_eq!(result.violations[0].rule, Rule::InvalidInputIgnored);
 }
 
-/// The soak writes a result, and the report reads it later. Nothing may be lost or changed in between, or the
-/// report would differ from what was seen.
+/// A result is unchanged after it is written to a file and read again. Otherwise the report would differ from
+/// the observations.
 #[test]
 fn results_round_trip_through_json() {
     for result in parse(SECOND_RESULTS) {
--- a/fault-soak/tests/kept_seeds.rs
+++ b/fault-soak/tests/kept_seeds.rs
@@ -1,19 +1,19 @@
-//! Kept seeds draw the same plans: what a plan holds is pinned by digests, whatever its types and kinds are called.
+//! Tests that recorded seeds draw the same plans, whose content is pinned by digests.
 //!
-//! Plans are read as the program prints them, with kinds by their numbers, so that a change of a name leaves the digests
-//! as they are.
+//! The digests are computed from the plans printed by the program. Kinds of faults are represented by their
+//! numbers, so that renaming them leaves the digests unchanged.
 
 use fault_soak::plan::SoakPlan;
 use serde_json::Value;
 use std::process::Command;
 
-/// The seeds whose plans are pinned.
+/// Seeds whose plans are pinned.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=40;
-/// When the ingresses start whose system call faults are pinned, in milliseconds since the start of the load.
+/// Process start times for which system call faults are pinned, in milliseconds since the start of the load.
 const PROCESS_STARTS_MS: [u64; 2] = [0, 2600];
-/// The names of the list of faults in a plan.
+/// Former and current name of the list of faults in a plan.
 const FAULT_LIST_NAMES: [&str; 2] = ["troubles", "faults"];
-/// The names of each kind, the first and the present one. A kind's number is its place here.
+/// Former and current name of each kind of fault. The number of a kind is its index in this list.
 const KIND_NAMES: [&[&str]; 34] = [
     &["short_reads"],
     &["short_writes"],
@@ -70,7 +70,7 @@
     }
 }
 
-/// The plan of a seed as the program prints it.
+/// Returns the plan of a seed as printed by the program.
 fn print_plan(seed: u64, options: &[&str]) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_fault-soak"));
     let output = command.arg("plan").arg(seed.to_string()).args(options).output().unwrap();
@@ -78,13 +78,13 @@
     String::from_utf8(output.stdout).unwrap()
 }
 
-/// The number of a kind.
+/// Returns the number of a kind of fault.
 fn kind_number(kind: &Value) -> usize {
     let name = kind.as_str().unwrap();
     KIND_NAMES.iter().position(|names| names.contains(&name)).unwrap_or_else(|| panic!("no kind {name}"))
 }
 
-/// Adds what a plan holds.
+/// Adds the content of a plan to a digest.
 fn add_plan(digest: &mut Digest, plan: &Value) {
     for key in ["seed", "hedging", "cancellation"] {
         digest.add_value(&plan[key]);
@@ -102,7 +102,7 @@
     }
 }
 
-/// Adds what fails in each ingress of a plan, with its probability and times.
+/// Adds the system call faults of each ingress to a digest, with their probabilities and times.
 fn add_process_faults(digest: &mut Digest, plan: &SoakPlan) {
     for ingress in 0..plan.shape.ingresses {
         for started_ms in PROCESS_STARTS_MS {
@@ -111,7 +111,7 @@
     }
 }
 
-/// The digest of the plans of all seeds.
+/// Returns the digest of the plans of all seeds.
 fn digest(options: &[&str]) -> u64 {
     let mut digest = Digest::new();
     for seed in SEEDS {
@@ -122,39 +122,39 @@
     digest.0
 }
 
-/// The options for a size of fleet.
+/// Returns the command-line options for a size: ingresses, backends, clients and seconds.
 fn size(size: [&str; 4]) -> Vec<&str> {
     let [ingresses, backends, clients, seconds] = size;
     vec!["--ingresses", ingresses, "--backends", backends, "--clients", clients, "--seconds", seconds]
 }
 
-/// Seeds are noted in pages and commits, to be played again. The plans that these seeds give in a fleet of the
-/// usual size are pinned by a digest, since a seed that draws other faults reproduces nothing.
+/// Documentation and commits refer to runs by their seeds. A seed that draws different faults no longer
+/// reproduces its run, so the plans of a fleet of the default size are pinned.
 #[test]
 fn plans_of_the_default_fleet_are_pinned() {
     assert_eq!(digest(&[]), 531_458_307_204_901_659);
 }
 
-/// The same for a small fleet, in which fewer targets can be drawn.
+/// The plans of a small fleet, which has fewer targets, are pinned.
 #[test]
 fn plans_of_a_small_fleet_are_pinned() {
     assert_eq!(digest(&size(["3", "2", "4", "6"])), 10_839_204_399_581_370_705);
 }
 
-/// The same for a large fleet, whose targets lie beyond those of the usual size.
+/// The plans of a large fleet, which has more targets than the default one, are pinned.
 #[test]
 fn plans_of_a_large_fleet_are_pinned() {
     assert_eq!(digest(&size(["40", "12", "60", "20"])), 1_919_200_867_977_324_644);
 }
 
-/// The same for one ingress, one backend and one client, where each fault has a single possible target.
+/// The plans of one ingress, backend and client, with a single possible target for each fault, are pinned.
 #[test]
 fn plans_of_a_single_ingress_are_pinned() {
     assert_eq!(digest(&size(["1", "1", "1", "3"])), 673_591_064_076_524_205);
 }
 
-/// Somebody plays a seed with some kinds of faults only, by the names that they had first, as noted commands do.
-/// The plan is the same as it was then.
+/// Recorded commands select kinds of faults by their former names. The plans of such commands are pinned,
+/// since they could not be replayed otherwise.
 #[test]
 fn plans_of_selected_kinds_are_pinned() {
     let chosen = ["rude_clients", "cutting_backend", "silent_discovery", "clock_back", "short_reads"];
@@ -162,8 +162,8 @@
     assert_eq!(digest(&options), 8_849_922_161_013_907_318);
 }
 
-/// Kinds of faults were renamed, and commands noted earlier use their first names. Each of them still has to choose
-/// the kind that it chose then, and no other.
+/// Kinds of faults were renamed, and recorded commands use the former names. Each former name still selects
+/// the same kind and no other.
 #[test]
 fn former_names_of_kinds_are_accepted_as_options() {
     for (number, names) in KIND_NAMES.iter().enumerate() {
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle finds each violation in the observations, and none where there is none.
+//! Tests that the oracle reports violations in the observations, and reports none for permitted behaviour.
 
 use fault_soak::oracle::{check, Rule};
 use fault_soak::plan::{InjectedFault, Shape, SoakPlan};
@@ -6,7 +6,7 @@
 use fault_soak::scenario::FaultScenario;
 use fault_soak::settings::{METERED_BURST, METERED_RATE};
 
-/// A second.
+/// One second, in microseconds.
 const SECOND: Micros = 1_000_000;
 
 fn plan(hedging: bool) -> SoakPlan {
@@ -14,14 +14,14 @@
     SoakPlan { hedging, ..SoakPlan::draw(1, shape, FaultScenario::all()) }
 }
 
-/// A plan that pauses no ingress.
+/// Returns a plan that pauses no ingress.
 fn plan_without_pauses(hedging: bool) -> SoakPlan {
     let mut plan = plan(hedging);
     plan.faults.retain(|fault| fault.kind != FaultScenario::Pauses);
     plan
 }
 
-/// A request that is served half a second after it was sent.
+/// Returns a request that ends half a second after it was sent.
 fn request(class: RequestClass, outcome: Outcome) -> RequestRecord {
     RequestRecord {
         id: "i0-c1-1".into(),
@@ -37,7 +37,7 @@
     }
 }
 
-/// An attempt that states a timeout of 100 ms, and ends after 10 ms.
+/// Returns an attempt that states a timeout of 100 ms and ends after 10 ms.
 fn arrival(at: Micros) -> ArrivalRecord {
     ArrivalRecord {
         id: "i0-c1-1".into(),
@@ -57,8 +57,8 @@
     Observations { requests: vec![request], arrivals, ..Observations::default() }
 }
 
-/// A non-idempotent request is retried after a rejection, and a keyed one within its window; both are allowed. If
-/// the oracle reported them, whoever runs the soak would search for a fault that does not exist.
+/// A non-idempotent request may be retried after a rejection, and a keyed request within its window. If the
+/// oracle reported these, engineers would search for faults that do not exist.
 #[test]
 fn permitted_retries_are_not_violations() {
     let rejected = ArrivalRecord { rejected: true, ..arrival(SECOND + 1000) };
@@ -69,9 +69,8 @@
     assert_eq!(rules(false, &observations(retried, arrivals)), []);
 }
 
-/// A client gets no answer, a closed connection, the value of another request, or bytes that it never asked for.
-/// Each is a fault that a customer would notice, and the oracle has to report it; an error, or a client that left
-/// by itself, is none.
+/// A client gets no answer, a closed connection, another request's value, or unexpected bytes. Each is a
+/// fault visible to customers. Errors and disconnects by the client are not violations.
 #[test]
 fn missing_and_wrong_answers_are_violations() {
     for (outcome, expected) in [
@@ -91,9 +90,9 @@
     assert_eq!(rules(false, &stray), [Rule::SecondAnswer]);
 }
 
-/// The ingress closes an idle connection while a request is on its way to it, and the client simply sends it once
-/// more; that is allowed. If a backend has seen the request, the ingress had read it and the close is a lost
-/// request. An ingress that the soak itself kills answers nobody, which is no fault of the program.
+/// The ingress may close an idle connection while a request is in transit, which the client then repeats. If
+/// the request has reached a backend, the ingress has read it, and the close loses the request. Requests to
+/// an ingress that the plan kills are not counted as lost.
 #[test]
 fn closes_permitted_by_the_protocol_are_not_violations() {
     let crossing = RequestRecord { may_cross_close: true, ..request(RequestClass::Keyed, Outcome::Closed) };
@@ -105,10 +104,9 @@
     assert_eq!(rules(false, &observations), []);
 }
 
-/// A request reaches backends twice: a non-idempotent one, a keyed one after its window, one beside the other where
-/// no hedging is allowed, or more often than the settings allow. A customer's order could be executed twice, or
-/// backends get needless load, and the oracle has to report each; two attempts at once are no violation where
-/// hedging is allowed.
+/// A request reaches backends repeatedly: a non-idempotent one, a keyed one after its window, concurrently
+/// although hedging is not allowed, or more often than allowed. It could be executed twice, or cause needless
+/// load. Concurrent attempts are permitted with hedging.
 #[test]
 fn repeated_attempts_are_checked_by_class_and_settings() {
     let twice = |class, gap| {
@@ -127,8 +125,8 @@
     );
 }
 
-/// A backend is given more time than the client will wait, or gets a request 0.2 s after its client has
-/// disconnected. It works for nobody in both cases, and the oracle has to report that.
+/// An attempt states a longer timeout than its client waits, or begins 0.2 s after its client has
+/// disconnected. In both cases the backend works for a reply that no client receives.
 #[test]
 fn overstated_timeouts_and_attempts_after_a_disconnect_are_violations() {
     let overstated = ArrivalRecord { time_budget: 2 * SECOND, ..arrival(2 * SECOND) };
@@ -139,7 +137,7 @@
     assert_eq!(rules(true, &observations(disconnected, vec![late])), [Rule::AttemptAfterDisconnect]);
 }
 
-/// A change of the list at 2 s, of which ingress 0 is notified 10 ms later.
+/// Returns a change of the endpoint list at 2 s, of which ingress 0 is notified 10 ms later.
 fn notified(status: EndpointStatus, restarted: bool) -> Observations {
     Observations {
         changes: vec![EndpointChange { version: 2, backend: 0, status, restarted, at: 2 * SECOND }],
@@ -148,9 +146,8 @@
     }
 }
 
-/// A backend is listed as draining, and the ingress knows it. What reaches the backend within the grace period, and
-/// the time that it takes the soak to see it, is allowed; one request later than that would have failed at a
-/// backend that shuts down, and is reported.
+/// Requests to a draining backend are permitted within the grace period plus the delay of observation. A
+/// later request would fail at a backend that shuts down.
 #[test]
 fn requests_to_a_draining_backend_after_the_grace_period_are_violations() {
     let at = |at| Observations { arrivals: vec![arrival(at)], ..notified(EndpointStatus::Draining, false) };
@@ -158,12 +155,11 @@
     assert_eq!(rules(true, &at(2 * SECOND + 360_001)), [Rule::SentToDraining]);
 }
 
-/// A backend restarts and gets as many requests as one that has run for long, though it can bear only a few while
-/// it warms up. A real one would be overloaded by its own start, so the oracle has to report it; a backend that
-/// gets none is no violation.
+/// A restarted backend receives as many requests as a backend in normal operation, which would overload it
+/// during slow start. A backend that receives none is not a violation.
 #[test]
 fn an_even_share_during_slow_start_is_a_violation() {
-    // 100 requests a second for each of two backends, one of which has just started.
+    // 100 requests per second for each of two backends, one of which has just started.
     let even = (0..1000).map(|index| arrival(index * 10_000));
     let other = even.clone().map(|arrival| ArrivalRecord { backend: 1, ..arrival });
     let all: Vec<ArrivalRecord> = even.chain(other.clone()).collect();
@@ -175,9 +171,9 @@
     assert_eq!(rules(true, &Observations { arrivals: spared, ..notified(EndpointStatus::Up, true) }), []);
 }
 
-/// An ingress crashes, does not become ready, or does not end in time after SIGTERM; a client that sends garbage is
-/// neither answered nor disconnected within 3 s. Each would cost an operator requests or descriptors and has to be
-/// reported; a process that the soak kills is no violation.
+/// An ingress crashes, does not become ready, or does not exit in time after SIGTERM, or a client that sends
+/// invalid input is neither answered nor disconnected within 3 s. Such faults lose requests or leak
+/// descriptors. A process killed by the plan is not a violation.
 #[test]
 fn crashes_overdue_exits_and_ignored_invalid_input_are_violations() {
     for (event, expected) in [
@@ -207,8 +203,8 @@
     }
 }
 
-/// The soak stops an ingress for a moment, so that it notices a disconnect later and sends an attempt behind it.
-/// That delay is the soak's own doing and is allowed; without a stop in the plan the same attempt is a violation.
+/// A paused ingress detects a disconnect late and may send an attempt after it. That is permitted if the plan
+/// pauses ingresses, and a violation otherwise.
 #[test]
 fn planned_pauses_extend_the_time_limits() {
     let disconnected = request(RequestClass::Keyed, Outcome::Disconnected);
@@ -221,9 +217,8 @@
     assert_eq!(rules(true, &observations), [Rule::AttemptAfterDisconnect]);
 }
 
-/// Customers are served 1.6 times what their quotas allow, more than delayed messages between ingresses can
-/// explain. The operator is paid for the quota only, so the oracle has to report it; what lies within the quotas is
-/// no violation.
+/// Customers are served 1.6 times their quotas, which exceeds the effect of delayed messages between
+/// ingresses. The operator is paid only for the quota. Usage within the quotas is not a violation.
 #[test]
 fn far_exceeded_quotas_are_violations() {
     let plan = plan_without_pauses(true);
@@ -248,11 +243,10 @@
     assert_eq!(rules(true, &sent(1.6)), [Rule::QuotaExceeded]);
 }
 
-/// An ingress counts fewer requests or attempts than clients and backends saw, or more failures. Operators watch
-/// these counters, and the oracle has to report counters that are wrong; those of an ingress that served nothing
-/// are all zero.
+/// An ingress counts fewer requests or attempts than clients and backends observed, or more failures, which
+/// would mislead operators. The counters of an ingress without requests are zero.
 #[test]
-fn counters_below_the_observed_counts_are_violations() {
+fn counters_that_contradict_observations_are_violations() {
     let counters = CounterRecord { ingress: 0, requests: 1, answers: 1, not_served: 0, attempts_begun: 1 };
     for (counters, expected) in [
         (counters, vec![]),
@@ -271,8 +265,8 @@
     }
 }
 
-/// The soak reads an ingress's counters from two lines of its log. Without them, as when the log could not be
-/// written, there are no counters to compare; zeros in their place would look like a fault of the ingress.
+/// The counters of an ingress are parsed from two lines of its log. Without these lines, as after a failure
+/// to write the log, there are no counters; zeros would look like a fault of the ingress.
 #[test]
 fn counters_are_parsed_from_the_log() {
     let log =
--- a/fault-soak/tests/plan.rs
+++ b/fault-soak/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans are drawn from their seeds alone.
+//! Tests of drawing plans from seeds.
 
 use fault_plan::SystemCallFault;
 use fault_soak::plan::{InjectedFault, Shape, SoakPlan};
@@ -6,8 +6,8 @@
 
 const SHAPE: Shape = Shape { ingresses: 10, backends: 6, clients: 24, seconds: 8 };
 
-/// A run of the soak fails, and somebody plays its seed again to find the cause. The same seed has to give the same
-/// faults at the same times, and another seed others.
+/// A failed run is reproduced by its seed, so a seed always draws the same faults at the same times, and
+/// another seed draws others.
 #[test]
 fn plan_is_determined_by_its_seed() {
     let plan = |seed| SoakPlan::draw(seed, SHAPE, FaultScenario::all());
@@ -15,9 +15,9 @@
     assert_ne!(plan(7).faults, plan(8).faults);
 }
 
-/// Each plan has at least two faults that overlap in time, as faults that come together are what the soak is for.
-/// All end well before the run does, so that the ingresses have time to recover and a request that is lost is not
-/// mistaken for one cut off by the end.
+/// Each plan has faults that overlap in time, whose combination the soak tests. All faults end 1.5 s before
+/// the run, so that ingresses can recover, and a lost request cannot be mistaken for one interrupted by the
+/// end.
 #[test]
 fn faults_overlap_and_end_before_the_run_ends() {
     for seed in 1..300 {
@@ -29,22 +29,21 @@
     }
 }
 
-/// Somebody who searches for a cause has the soak play one kind of fault only. A fault of another kind in that plan
-/// would lead the search astray.
+/// A run limited to one kind of fault isolates a cause. A fault of another kind in its plan would invalidate
+/// the result.
 #[test]
 fn only_the_given_kinds_of_faults_are_drawn() {
     let plan = SoakPlan::draw(3, SHAPE, &[FaultScenario::Reload]);
     assert!(plan.faults.iter().all(|fault| fault.kind == FaultScenario::Reload));
 }
 
-/// A plan with these faults.
 fn plan_with(faults: &[InjectedFault]) -> SoakPlan {
     SoakPlan { faults: faults.to_vec(), ..SoakPlan::draw(1, SHAPE, FaultScenario::all()) }
 }
 
-/// Faults are planned by the time of the whole run, but a process that restarted counts from its own start. Its
-/// plan must begin later by as much and include a clock that was stepped before it started; otherwise faults would
-/// strike at other times, or other processes, than the report says.
+/// Faults are planned relative to the start of the load, but a process measures time from its own start. Its
+/// plan must be shifted accordingly and include earlier clock steps; otherwise faults would be injected at
+/// other times or into other processes than reported.
 #[test]
 fn shim_plan_holds_the_faults_of_its_process_relative_to_its_start() {
     let short = InjectedFault { kind: FaultScenario::ShortReads, from_ms: 3000, until_ms: 5000, target: 14 };
