--- a/fault-soak/src/ingress.rs
+++ b/fault-soak/src/ingress.rs
@@ -29,7 +29,7 @@
 /// The programs of a run and the folder of their files.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// Path of the ingress program.
+    /// Path of the executable under test.
     pub ingress: PathBuf,
     /// Path of the library that injects system call faults; `None` to inject no such faults.
     pub shim: Option<PathBuf>,
@@ -63,7 +63,7 @@
         self.programs.folder.join(format!("ingress-{}.json", self.number))
     }
 
-    /// Returns the path of the log of the ingress with this number.
+    /// Returns the path to which the ingress with this number appends its log in `folder`.
     pub fn log_file(folder: &Path, number: usize) -> PathBuf {
         folder.join(format!("ingress-{number}.log"))
     }
--- a/fault-soak/src/oracle/ingresses.rs
+++ b/fault-soak/src/oracle/ingresses.rs
@@ -40,7 +40,7 @@
 }
 
 impl ObservedCounts {
-    /// Counts the observations of an ingress.
+    /// Counts what clients and backends observed of an ingress.
     fn of(observations: &Observations, ingress: usize) -> ObservedCounts {
         let ids = observations.arrivals.iter().map(|arrival| arrival.id.as_str());
         let attempts: Vec<&str> = ids.filter(|id| ingress_of(id) == Some(ingress)).collect();
--- a/fault-soak/src/plan.rs
+++ b/fault-soak/src/plan.rs
@@ -34,7 +34,7 @@
 /// A fault of a run: a scenario with its interval and target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InjectedFault {
-    /// The scenario of the fault.
+    /// Component that the fault affects and the way in which it fails.
     pub kind: FaultScenario,
     /// Start of the interval, in milliseconds since the start of the load.
     pub from_ms: u64,
@@ -72,11 +72,11 @@
 /// The size of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shape {
-    /// Number of ingresses.
+    /// Number of ingress processes under test.
     pub ingresses: usize,
-    /// Number of backends.
+    /// Number of stand-in backends.
     pub backends: usize,
-    /// Number of clients.
+    /// Number of stand-in clients.
     pub clients: usize,
     /// Time for which clients send requests, in seconds.
     pub seconds: u64,
@@ -100,7 +100,7 @@
     pub hedging: bool,
     /// Whether the settings allow attempts to be cancelled.
     pub cancellation: bool,
-    /// Faults to inject.
+    /// Faults to inject, in the order in which they were drawn.
     #[serde(alias = "troubles")]
     pub faults: Vec<InjectedFault>,
 }
@@ -138,12 +138,11 @@
         self.faults_of(scenario).any(|fault| fault.is_active(at_ms))
     }
 
-    /// Returns whether the plan has a fault of a scenario.
+    /// Returns whether a scenario is injected at any time of the run.
     pub fn includes(&self, scenario: FaultScenario) -> bool {
         self.faults_of(scenario).next().is_some()
     }
 
-    /// Returns the faults of a scenario.
     fn faults_of(&self, scenario: FaultScenario) -> impl Iterator<Item = &InjectedFault> {
         self.faults.iter().filter(move |fault| fault.kind == scenario)
     }
@@ -197,7 +196,7 @@
         pairs
     }
 
-    /// Returns the plan without the fault at `index`.
+    /// Returns a copy of the plan that lacks the fault at `index`.
     #[must_use]
     pub fn without_fault(&self, index: usize) -> SoakPlan {
         let mut plan = self.clone();
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -50,7 +50,7 @@
     pub sent_at: Micros,
     /// Timeout of the client, in microseconds.
     pub timeout: Micros,
-    /// Outcome of the request.
+    /// Result that the client observed.
     pub outcome: Outcome,
     /// Time of the outcome.
     pub ended_at: Micros,
@@ -59,7 +59,7 @@
     pub may_cross_close: bool,
     /// Number of requests in flight on the connection ahead of this one.
     pub pipelined_behind: usize,
-    /// Number of the customer, if the customer is metered.
+    /// Number of the customer, if its plan has a quota within reach.
     pub metered_customer: Option<u64>,
 }
 
@@ -68,7 +68,7 @@
 pub struct ArrivalRecord {
     /// Id of the request.
     pub id: String,
-    /// Number of the backend.
+    /// Number of the backend in the testbed.
     pub backend: usize,
     /// Time at which the last byte was read.
     pub at: Micros,
@@ -85,7 +85,7 @@
 pub struct EndpointChange {
     /// Version of the list after the change.
     pub version: u64,
-    /// Number of the backend.
+    /// Number of the backend in the testbed.
     pub backend: usize,
     /// New status of the backend.
     pub status: EndpointStatus,
@@ -98,7 +98,7 @@
 /// A notification of an ingress about a version of the endpoint list.
 #[derive(Clone, Debug, Serialize)]
 pub struct Notification {
-    /// Number of the ingress.
+    /// Number of the ingress in the fleet.
     pub ingress: usize,
     /// Version of the list.
     pub version: u64,
@@ -109,7 +109,7 @@
 /// An event of an ingress process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ProcessEvent {
-    /// The process was started.
+    /// The process was spawned.
     Started,
     /// The process answered its first PING.
     Ready,
@@ -132,7 +132,7 @@
 /// An event of an ingress process with its time.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProcessRecord {
-    /// Number of the ingress.
+    /// Number of the ingress in the fleet.
     pub ingress: usize,
     /// Kind of the event.
     pub event: ProcessEvent,
@@ -143,7 +143,7 @@
 /// An incomplete or malformed command from a client that stays connected.
 #[derive(Clone, Debug, Serialize)]
 pub struct InvalidInputRecord {
-    /// Number of the ingress.
+    /// Number of the ingress in the fleet.
     pub ingress: usize,
     /// Time at which the last byte was written.
     pub at: Micros,
@@ -154,7 +154,7 @@
 /// The logged counters of an ingress that ran without a restart throughout the load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CounterRecord {
-    /// Number of the ingress.
+    /// Number of the ingress in the fleet.
     pub ingress: usize,
     /// Number of requests received.
     pub requests: u64,
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -59,7 +59,7 @@
     /// Time at which the last byte was written.
     sent_at: Micros,
     timeout: Micros,
-    /// The customer, if metered.
+    /// The customer, if its plan has a quota within reach.
     metered: Option<Customer>,
 }
 
@@ -78,7 +78,6 @@
 
 /// A client that sends requests until the load ends.
 pub struct Client {
-    /// Number of the client.
     number: usize,
     context: Arc<RunContext>,
     /// Addresses of the ingresses, indexed by number.
--- a/stand-ins/src/endpoint.rs
+++ b/stand-ins/src/endpoint.rs
@@ -64,7 +64,7 @@
 }
 
 impl EndpointEntry<'_> {
-    /// Returns the entry as JSON.
+    /// Serializes the entry to the format of discovery.
     pub fn to_json(&self) -> String {
         let EndpointEntry { name, address, zone, machine_type, cell, status, started_at_ms } = self;
         let status = status.name();
--- a/stand-ins/src/http.rs
+++ b/stand-ins/src/http.rs
@@ -77,12 +77,12 @@
     Some(String::from_utf8_lossy(&head).into_owned())
 }
 
-/// Returns the head of a response with a body of this length.
+/// Returns the status line and headers of a successful response with a body of this length.
 pub fn response_head(body_length: usize) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {body_length}\r\n\r\n")
 }
 
-/// Returns a response with this body.
+/// Returns a complete successful response, with its head.
 pub fn response(body: &str) -> String {
     response_head(body.len()) + body
 }
--- a/stand-ins/src/request.rs
+++ b/stand-ins/src/request.rs
@@ -52,7 +52,7 @@
 /// A customer and the ingresses that serve it.
 #[derive(Clone, Copy, Debug)]
 pub struct Customer {
-    /// Number of the customer.
+    /// Id of the customer, sent as 16 hexadecimal digits.
     pub number: u64,
     /// Name of the customer's plan.
     pub plan: &'static str,
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -16,8 +16,7 @@
 };
 
 /// Files and folders, relative to the root of the workspace, whose comments may still repeat names.
-const MAY_REPEAT_NAMES: &[&str] =
-    &["tests/support", "stand-ins", "fault-shim", "fault-soak", "fleet-experiments"];
+const MAY_REPEAT_NAMES: &[&str] = &["fleet-experiments"];
 
 /// Words of a comment that say nothing about the item that it belongs to.
 const FILLERS: &[&str] = &[
--- a/tests/support/src/gateway.rs
+++ b/tests/support/src/gateway.rs
@@ -11,7 +11,7 @@
 
 /// A request submitted to a gateway, and the resulting actions.
 pub struct SubmittedRequest {
-    /// Id of the request.
+    /// Id that the harness assigned to the request.
     pub id: RequestId,
     /// Actions that the gateway returned for the request.
     pub actions: Vec<Action>,
@@ -23,7 +23,7 @@
     pub gateway: Gateway,
     /// Current time of the gateway's clock.
     pub now: Instant,
-    /// Id of the next request.
+    /// Id that the harness assigns to the next request.
     pub next_request_id: u64,
 }
 
--- a/tests/support/src/settings.rs
+++ b/tests/support/src/settings.rs
@@ -8,7 +8,7 @@
 /// Start time of gateways under test.
 pub const START: Instant = Instant::from_micros(1_000_000_000);
 
-/// One second.
+/// Unit of the durations in tests.
 pub const SECOND: Duration = Duration::from_secs(1);
 
 /// Index of the class of [`settings`] that is idempotent.
@@ -101,7 +101,7 @@
     }
 }
 
-/// Returns the settings of one of `gateway_count` gateways.
+/// Returns the default settings of tests for one of `gateway_count` gateways.
 pub fn settings_of(own_id: u16, gateway_count: u16) -> Settings {
     Settings { gateway_count, own_id: GatewayId(own_id), ..settings() }
 }
