--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,9 @@
 //! The settings of a gateway: request classes, plans, limits and rules of the deployment.
 //!
 //! All values are specific to the deployment; [`SettingsReader`] reads them from its configuration.
+//!
+//! The *priority weight* of a class is the value of an answer to one of its requests. A gateway does not use
+//! the weight itself, only the shares and factors by which a late answer or the customer's plan changes it.
 
 mod error;
 mod reader;
@@ -21,20 +24,20 @@
     Cell,
 }
 
-/// The condition for sending a request again after an attempt that may have been executed.
+/// The condition for sending a request again after an earlier attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May always be sent again.
+    /// Requests may always be sent again.
     Idempotent,
-    /// May be sent again to the backends in `scope`, for `window` after the send of the first attempt that
-    /// may have been executed.
+    /// Requests may be sent again to the backends in `scope`, for `window` after the send of the first
+    /// attempt that may have been executed.
     Keyed {
         /// Backends that recognise the idempotency key.
         scope: IdempotencyScope,
         /// Time for which they recognise it.
         window: Duration,
     },
-    /// May be sent again only if no earlier attempt was executed.
+    /// Requests may be sent again only if the outcomes of all earlier attempts prove that none was executed.
     NonIdempotent,
 }
 
@@ -53,7 +56,7 @@
     pub deadline: Duration,
     /// Share of the priority weight that an answer after the latency objective earns.
     pub late_weight: f64,
-    /// Condition for sending a request again after an attempt that may have been executed.
+    /// Condition for sending a request again after an earlier attempt.
     pub idempotency: Idempotency,
     /// Whether answers are streamed.
     pub streaming: bool,
