--- a/tests/ingress/logging.rs
+++ b/tests/ingress/logging.rs
@@ -80,8 +80,8 @@
     assert!(!log.contains("violations"), "{log}");
 }
 
-/// An operator sets an invalid log level. The ingress starts with the default level and logs the mistake,
-/// without which the operator would wait for debug output in vain.
+/// An operator sets an invalid log level. The ingress starts with the default level and logs the mistake;
+/// otherwise the operator would wait for debug output that is never written.
 #[test]
 fn an_invalid_log_level_is_reported_and_the_default_used() {
     let ingress = IngressSetup::with_backends(&[]);
--- a/tests/ingress/reload.rs
+++ b/tests/ingress/reload.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 /// An operator writes a configuration with another address of discovery and sends SIGHUP while the file is
-/// incomplete. The ingress has to log the invalid file, keep serving, reload the file by itself, and then
-/// apply the endpoint list of the new discovery at once, although a poll of the old one is pending.
+/// incomplete. The ingress has to log the invalid file, keep serving, retry the reload, and then apply the
+/// endpoint list of the new discovery at once, although a poll of the old one is pending.
 #[test]
 fn sighup_switches_the_watch_to_the_new_address_of_discovery() {
     let (one, two, three) = (
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -61,8 +61,8 @@
 }
 
 /// A request waits for its connection to a backend, and its client disconnects. If the attempt continued, the
-/// backend would execute the request in vain. It has to end even where the settings do not permit cancelling,
-/// since nothing is sent yet.
+/// backend would execute a request whose reply nobody reads. The attempt has to end even if the settings do
+/// not permit cancellation, since nothing is sent yet.
 #[test]
 fn an_attempt_without_a_connection_ends_when_its_client_disconnects() {
     for cancelling in ["true", "false"] {
@@ -110,8 +110,8 @@
 }
 
 /// A client pipelines 400 requests and disconnects while the first ten are in flight. Unless the ingress
-/// reads the rest of the input, it does not detect the disconnect and sends the waiting requests to backends
-/// in vain.
+/// reads the rest of the input, it does not detect the disconnect, and backends execute the waiting requests
+/// although nobody reads the replies.
 #[test]
 fn pipelined_requests_are_not_sent_once_their_client_has_disconnected() {
     let gated = GatedBackend::start();
