--- a/fault-shim/src/decision.rs
+++ b/fault-shim/src/decision.rs
@@ -13,7 +13,7 @@
 /// Increment of the random number generator's state (`SplitMix64`).
 const STATE_INCREMENT: u64 = 0x9E37_79B9_7F4A_7C15;
 /// Multipliers that mix the generator's state into a number (`SplitMix64`).
-const MIXERS: [u64; 2] = [0xBF58_476D_1CE4_E5B9, 0x94D0_49BB_1331_11EB];
+const MIX_MULTIPLIERS: [u64; 2] = [0xBF58_476D_1CE4_E5B9, 0x94D0_49BB_1331_11EB];
 /// Number of random bits that are compared with a probability: the size of an `f64` mantissa.
 const PROBABILITY_BITS: u32 = 53;
 
@@ -57,8 +57,8 @@
     /// Returns the generator's next random number (`SplitMix64`).
     fn draw(&self) -> u64 {
         let state = self.random.fetch_add(STATE_INCREMENT, Ordering::Relaxed).wrapping_add(STATE_INCREMENT);
-        let mixed = (state ^ state >> 30).wrapping_mul(MIXERS[0]);
-        let mixed = (mixed ^ mixed >> 27).wrapping_mul(MIXERS[1]);
+        let mixed = (state ^ state >> 30).wrapping_mul(MIX_MULTIPLIERS[0]);
+        let mixed = (mixed ^ mixed >> 27).wrapping_mul(MIX_MULTIPLIERS[1]);
         mixed ^ mixed >> 31
     }
 }
--- a/fault-soak/src/bin/fault-soak/arguments.rs
+++ b/fault-soak/src/bin/fault-soak/arguments.rs
@@ -140,17 +140,17 @@
 pub enum SeedRangeError {
     /// The text has no `..`.
     #[error("the range of seeds is not of the form FIRST..LAST")]
-    NotARange,
+    MissingSeparator,
     /// An end of the range is not an integer.
     #[error("the first or last seed is not an integer")]
-    NotANumber(#[from] ParseIntError),
+    InvalidSeed(#[from] ParseIntError),
 }
 
 impl FromStr for SeedRange {
     type Err = SeedRangeError;
 
     fn from_str(text: &str) -> Result<SeedRange, SeedRangeError> {
-        let (first, last) = text.split_once("..").ok_or(SeedRangeError::NotARange)?;
+        let (first, last) = text.split_once("..").ok_or(SeedRangeError::MissingSeparator)?;
         Ok(SeedRange { first: first.parse()?, last: last.parse()? })
     }
 }
--- a/fault-soak/src/bin/fault-soak/main.rs
+++ b/fault-soak/src/bin/fault-soak/main.rs
@@ -35,14 +35,14 @@
 /// Runs the plans of several seeds. Returns a failure exit code if any run has a violation.
 fn run_seeds(seeds: SeedRange, options: &RunOptions) -> anyhow::Result<ExitCode> {
     let SeedRange { first, last } = seeds;
-    let mut broken = 0;
+    let mut violated_runs = 0;
     for seed in first..=last {
         let result = run_and_check(options, options.plan(seed))?;
-        broken += usize::from(!result.counts.is_empty());
+        violated_runs += usize::from(!result.counts.is_empty());
         print_summary(&result);
     }
-    println!("{broken} of {} runs with a violation", last - first + 1);
-    Ok(if broken > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+    println!("{violated_runs} of {} runs with a violation", last - first + 1);
+    Ok(if violated_runs > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
 }
 
 /// Runs the plan of a seed with debug logs and prints its violations in detail.
--- a/fault-soak/src/bin/fault-soak/output.rs
+++ b/fault-soak/src/bin/fault-soak/output.rs
@@ -10,8 +10,8 @@
     let scenarios: Vec<FaultScenario> = result.plan.faults.iter().map(|fault| fault.kind).collect();
     let totals = &result.totals;
     println!(
-        "seed {}: {} requests, {} served, longest answer time {:.0} ms, longest stall {} ms, quota use {:.2}, \
-         violations {:?}, faults {scenarios:?}",
+        "seed {}: {} requests, {} served, longest answer time {:.0} ms, longest stall {} ms, \
+         quota use {:.2}, violations {:?}, faults {scenarios:?}",
         result.plan.seed,
         totals.requests,
         totals.served,
--- a/fault-soak/src/oracle.rs
+++ b/fault-soak/src/oracle.rs
@@ -44,7 +44,7 @@
 }
 
 impl Oracle<'_> {
-    /// Adds a violation by a single request.
+    /// Adds a violation that concerns a single request.
     fn report(&mut self, rule: Rule, id: &str, detail: String) {
         self.violations.push(Violation::of_request(rule, id, detail));
     }
--- a/fault-soak/src/oracle/rule.rs
+++ b/fault-soak/src/oracle/rule.rs
@@ -56,7 +56,7 @@
 }
 
 impl Violation {
-    /// Creates a violation by a single request.
+    /// Creates a violation that concerns a single request.
     pub(super) fn of_request(rule: Rule, id: &str, detail: String) -> Violation {
         Violation { rule, request: Some(id.to_string()), detail }
     }
--- a/fault-soak/src/plan.rs
+++ b/fault-soak/src/plan.rs
@@ -10,7 +10,7 @@
 use std::ops::RangeInclusive;
 
 /// Size of a step of the wall clocks, in milliseconds.
-const HOUR_MS: i64 = 3_600_000;
+const CLOCK_STEP_MS: i64 = 3_600_000;
 /// Earliest start of a fault, in milliseconds. Clients have received answers by then.
 const FIRST_FAULT_MS: u64 = 1500;
 /// Time without faults at the end of a run, in milliseconds, in which their consequences are still observed.
@@ -26,7 +26,7 @@
 const MIN_LEAD_MS: u64 = 500;
 /// Minimum time from the start of a fault to the middle of its group, in milliseconds.
 const MIN_TIME_BEFORE_MS: u64 = 100;
-/// Time from the middle of a group to the end of its faults, in milliseconds.
+/// Time from the middle of a group to the end of a fault, in milliseconds.
 const TIME_AFTER_MS: RangeInclusive<u64> = 200..=2500;
 /// Exclusive upper bound of drawn targets, which are taken modulo the number of members.
 const TARGET_COUNT: usize = 1000;
@@ -156,8 +156,8 @@
     fn clock_steps(&self) -> impl Iterator<Item = ClockStep> + '_ {
         self.faults.iter().filter_map(|fault| {
             let by_ms = match fault.kind {
-                FaultScenario::ClockBack => -HOUR_MS,
-                FaultScenario::ClockForward => HOUR_MS,
+                FaultScenario::ClockBack => -CLOCK_STEP_MS,
+                FaultScenario::ClockForward => CLOCK_STEP_MS,
                 _ => return None,
             };
             Some(ClockStep { at_ms: fault.from_ms, by_ms })
@@ -171,8 +171,13 @@
         let faults = own_faults.flat_map(|fault| {
             let from_ms = fault.from_ms.saturating_sub(started_ms);
             let until_ms = fault.until_ms.saturating_sub(started_ms);
-            let parts = fault.kind.system_call_faults().iter();
-            parts.map(move |&(kind, probability)| ScheduledFault { kind, probability, from_ms, until_ms })
+            let system_calls = fault.kind.system_call_faults().iter();
+            system_calls.map(move |&(kind, probability)| ScheduledFault {
+                kind,
+                probability,
+                from_ms,
+                until_ms,
+            })
         });
         let clock_steps =
             self.clock_steps().map(|step| ClockStep { at_ms: step.at_ms.saturating_sub(started_ms), ..step });
--- a/fault-soak/src/report/page.rs
+++ b/fault-soak/src/report/page.rs
@@ -57,12 +57,12 @@
 /// Renders the summary page as HTML.
 pub fn page(results: &[RunResult]) -> String {
     let requests: u64 = results.iter().map(|result| result.totals.requests).sum();
-    let broken = results.iter().filter(|result| !result.counts.is_empty()).count();
+    let violated = results.iter().filter(|result| !result.counts.is_empty()).count();
     let runs = results.len();
     let mut page = String::from("<!doctype html><meta charset=\"utf-8\"><title>Fault soak</title>\n");
     page += "<style>body{font:14px sans-serif;margin:2em}td,th{padding:2px 10px;text-align:left}</style>\n";
     page += "<h1>Fault soak</h1>";
-    let _ = writeln!(page, "<p>{runs} runs, {requests} requests, {broken} runs with a violation.</p>");
+    let _ = writeln!(page, "<p>{runs} runs, {requests} requests, {violated} runs with a violation.</p>");
     page += &rule_table(results);
     page += &scenario_table(results);
     page += "<h2>Pairs of faults that overlapped in time</h2>\n";
@@ -75,9 +75,9 @@
     let mut violated_rules: BTreeMap<Rule, ViolatedRule> = BTreeMap::new();
     for result in results {
         for (rule, count) in &result.counts {
-            let broken = violated_rules.entry(*rule).or_default();
-            broken.count += count;
-            broken.seeds.push(result.plan.seed);
+            let violated = violated_rules.entry(*rule).or_default();
+            violated.count += count;
+            violated.seeds.push(result.plan.seed);
         }
     }
     let mut table =
@@ -95,8 +95,8 @@
     for &scenario in FaultScenario::all() {
         let injected = || results.iter().filter(|result| result.plan.includes(scenario));
         let runs = injected().count();
-        let broken = injected().filter(|result| !result.counts.is_empty()).count();
-        let _ = writeln!(table, "<tr><td>{scenario:?}</td><td>{runs}</td><td>{broken}</td></tr>");
+        let violated = injected().filter(|result| !result.counts.is_empty()).count();
+        let _ = writeln!(table, "<tr><td>{scenario:?}</td><td>{runs}</td><td>{violated}</td></tr>");
     }
     table + "</table>\n"
 }
@@ -137,8 +137,9 @@
     let count = counts.of_pair(first, second);
     let shade = MAX_BRIGHTNESS - (count as f64 / counts.max() as f64 * BRIGHTNESS_RANGE) as u8;
     let mut cell = format!(
-        "<rect x=\"{left}\" y=\"{top}\" width=\"{CELL_SIZE}\" height=\"{CELL_SIZE}\" fill=\"rgb({shade},{shade},255)\" \
-         stroke=\"#ddd\"><title>{first:?} and {second:?}: {count}</title></rect>\n"
+        "<rect x=\"{left}\" y=\"{top}\" width=\"{CELL_SIZE}\" height=\"{CELL_SIZE}\" \
+         fill=\"rgb({shade},{shade},255)\" stroke=\"#ddd\">\
+         <title>{first:?} and {second:?}: {count}</title></rect>\n"
     );
     if count > 0 {
         let text_left = left + TEXT_INDENT;
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -147,7 +147,7 @@
         let Some(mut connection) = self.take_connection(ingress) else { return };
         // An ingress must not close a new connection before its first command, so that command is always
         // sent.
-        if connection.is_reused() && connection.has_stray_bytes(&self.context.recorder) {
+        if connection.is_reused() && connection.is_unusable(&self.context.recorder) {
             return; // The connection was closed between two requests, or has unexpected bytes.
         }
         let mut pending = self.draw_requests(ingress);
--- a/fault-soak/src/stand_in/client/connection.rs
+++ b/fault-soak/src/stand_in/client/connection.rs
@@ -64,7 +64,7 @@
 
     /// Returns whether the connection cannot be reused, because it has ended or has unexpected bytes. Such
     /// bytes are recorded.
-    pub fn has_stray_bytes(&mut self, recorder: &Recorder) -> bool {
+    pub fn is_unusable(&mut self, recorder: &Recorder) -> bool {
         let _ = self.stream.set_nonblocking(true);
         let result = self.stream.peek(&mut [0]);
         let _ = self.stream.set_nonblocking(false);
--- a/fault-soak/src/testbed.rs
+++ b/fault-soak/src/testbed.rs
@@ -34,7 +34,7 @@
 const TRUNCATED_CONFIG_DURATION: Duration = Duration::from_millis(120);
 /// Duration of a pause. It is shorter than the 150 ms that the oracle allows, because an ingress may be
 /// continued late.
-const PAUSE: Duration = Duration::from_millis(140);
+const PAUSE_DURATION: Duration = Duration::from_millis(140);
 /// Time for which an ingress runs between two pauses.
 const PAUSE_INTERVAL: Duration = Duration::from_millis(400);
 
@@ -62,7 +62,7 @@
 
 /// Derives the addresses of `count` ingresses from the process id, so that concurrent soaks use different
 /// ones.
-fn draw_addresses(count: usize) -> Addresses {
+fn derive_addresses(count: usize) -> Addresses {
     let process = std::process::id();
     let second = FIRST_SECOND_OCTET + process % SECOND_OCTETS;
     let third = process / SECOND_OCTETS % THIRD_OCTETS;
@@ -92,7 +92,7 @@
         if shape.ingresses > MAX_INGRESSES {
             bail!("the plan has {} ingresses; the maximum is {MAX_INGRESSES}", shape.ingresses);
         }
-        let addresses = draw_addresses(shape.ingresses);
+        let addresses = derive_addresses(shape.ingresses);
         let backends = (0..shape.backends).map(|number| Backend::start(number, context));
         let backends = backends.collect::<std::io::Result<Vec<_>>>()?;
         let backend_addresses: Vec<SocketAddr> = backends.iter().map(|backend| backend.address).collect();
@@ -124,7 +124,7 @@
             threads.push(thread::spawn(move || lock(&ingress).start()));
         }
         for thread in threads {
-            thread.join().map_err(|_| anyhow::anyhow!("an ingress could not be started"))??;
+            thread.join().map_err(|_| anyhow::anyhow!("a thread panicked while it started an ingress"))??;
         }
         for number in 0..self.ingresses.len() {
             self.rotation.set(number, true);
@@ -227,7 +227,7 @@
         let context = self.context.clone();
         thread::spawn(move || {
             while context.recorder.now_ms() < until_ms {
-                lock(&ingress).pause(PAUSE);
+                lock(&ingress).pause(PAUSE_DURATION);
                 thread::sleep(PAUSE_INTERVAL);
             }
         })
--- a/fault-soak/tests/kept_results.rs
+++ b/fault-soak/tests/kept_results.rs
@@ -60,11 +60,11 @@
 #[test]
 fn rules_with_former_names_are_read() {
     let line = FIRST_RESULTS.lines().next().unwrap();
-    let broken = line.replace(r#""counts":{}"#, r#""counts":{"bad_client_ignored":1}"#).replace(
+    let with_former_rule = line.replace(r#""counts":{}"#, r#""counts":{"bad_client_ignored":1}"#).replace(
         r#""violations":[]"#,
         r#""violations":[{"rule":"bad_client_ignored","request":null,"detail":"-"}]"#,
     );
-    let result: RunResult = serde_json::from_str(&broken).unwrap();
+    let result: RunResult = serde_json::from_str(&with_former_rule).unwrap();
     assert_eq!(result.counts.get(&Rule::InvalidInputIgnored), Some(&1));
     assert_eq!(result.violations[0].rule, Rule::InvalidInputIgnored);
 }
@@ -75,8 +75,8 @@
 fn results_round_trip_through_json() {
     for result in parse(SECOND_RESULTS) {
         let text = serde_json::to_string(&result).unwrap();
-        let again: RunResult = serde_json::from_str(&text).unwrap();
-        assert_eq!(again.plan, result.plan);
-        assert_eq!(serde_json::to_string(&again).unwrap(), text);
+        let reread: RunResult = serde_json::from_str(&text).unwrap();
+        assert_eq!(reread.plan, result.plan);
+        assert_eq!(serde_json::to_string(&reread).unwrap(), text);
     }
 }
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -95,12 +95,12 @@
 /// an ingress that the plan kills are not counted as lost.
 #[test]
 fn closes_permitted_by_the_protocol_are_not_violations() {
-    let crossing = RequestRecord { may_cross_close: true, ..request(RequestClass::Keyed, Outcome::Closed) };
-    assert_eq!(rules(false, &observations(crossing.clone(), vec![])), []);
-    assert_eq!(rules(false, &observations(crossing.clone(), vec![arrival(SECOND)])), [Rule::Lost]);
+    let closed = RequestRecord { may_cross_close: true, ..request(RequestClass::Keyed, Outcome::Closed) };
+    assert_eq!(rules(false, &observations(closed.clone(), vec![])), []);
+    assert_eq!(rules(false, &observations(closed.clone(), vec![arrival(SECOND)])), [Rule::Lost]);
     let killed = ProcessRecord { ingress: 0, event: ProcessEvent::Killed, at: SECOND + 1000 };
     let observations =
-        Observations { processes: vec![killed], ..observations(crossing, vec![arrival(SECOND)]) };
+        Observations { processes: vec![killed], ..observations(closed, vec![arrival(SECOND)]) };
     assert_eq!(rules(false, &observations), []);
 }
 
@@ -109,15 +109,15 @@
 /// load. Concurrent attempts are permitted with hedging.
 #[test]
 fn repeated_attempts_are_checked_by_class_and_settings() {
-    let twice = |class, gap| {
+    let two_attempts = |class, gap| {
         observations(request(class, Outcome::Served), vec![arrival(SECOND), arrival(SECOND + gap)])
     };
-    assert_eq!(rules(true, &twice(RequestClass::NonIdempotent, 50_000)), [Rule::UnsafeRepeat]);
-    assert_eq!(rules(true, &twice(RequestClass::Keyed, 1_600_001)), [Rule::KeyExpired]);
-    let mut beside = twice(RequestClass::Idempotent, 20_000);
-    beside.arrivals[0].ended_at = Some(SECOND + 200_000);
-    assert_eq!(rules(false, &beside), [Rule::ConcurrentAttempts]);
-    assert_eq!(rules(true, &beside), []);
+    assert_eq!(rules(true, &two_attempts(RequestClass::NonIdempotent, 50_000)), [Rule::UnsafeRepeat]);
+    assert_eq!(rules(true, &two_attempts(RequestClass::Keyed, 1_600_001)), [Rule::KeyExpired]);
+    let mut concurrent = two_attempts(RequestClass::Idempotent, 20_000);
+    concurrent.arrivals[0].ended_at = Some(SECOND + 200_000);
+    assert_eq!(rules(false, &concurrent), [Rule::ConcurrentAttempts]);
+    assert_eq!(rules(true, &concurrent), []);
     let many = (0..4).map(|index| arrival(SECOND + index * 20_000)).collect();
     assert_eq!(
         rules(true, &observations(request(RequestClass::Idempotent, Outcome::Served), many)),
@@ -160,15 +160,18 @@
 #[test]
 fn an_even_share_during_slow_start_is_a_violation() {
     // 100 requests per second for each of two backends, one of which has just started.
-    let even = (0..1000).map(|index| arrival(index * 10_000));
-    let other = even.clone().map(|arrival| ArrivalRecord { backend: 1, ..arrival });
-    let all: Vec<ArrivalRecord> = even.chain(other.clone()).collect();
+    let to_restarted = (0..1000).map(|index| arrival(index * 10_000));
+    let to_other = to_restarted.clone().map(|arrival| ArrivalRecord { backend: 1, ..arrival });
+    let all: Vec<ArrivalRecord> = to_restarted.chain(to_other.clone()).collect();
     assert_eq!(
         rules(true, &Observations { arrivals: all, ..notified(EndpointStatus::Up, true) }),
         [Rule::SlowStartExceeded]
     );
-    let spared: Vec<ArrivalRecord> = other.clone().chain(other).collect();
-    assert_eq!(rules(true, &Observations { arrivals: spared, ..notified(EndpointStatus::Up, true) }), []);
+    let only_to_other: Vec<ArrivalRecord> = to_other.clone().chain(to_other).collect();
+    assert_eq!(
+        rules(true, &Observations { arrivals: only_to_other, ..notified(EndpointStatus::Up, true) }),
+        []
+    );
 }
 
 /// An ingress crashes, does not become ready, or does not exit in time after SIGTERM, or a client that sends
--- a/stand-ins/src/http.rs
+++ b/stand-ins/src/http.rs
@@ -14,7 +14,7 @@
 /// The error for a request that is not a poll of the endpoint list.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a poll of the endpoint list: {0:?}")]
-pub struct NotAPoll(String);
+pub struct InvalidPoll(String);
 
 /// A request for the endpoint list, or for its changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,8 +31,8 @@
     /// # Errors
     ///
     /// Returns an error if the request is not a `GET` of the endpoint list, or its query has no `since`.
-    pub fn parse(head: &str) -> Result<Poll, NotAPoll> {
-        Poll::parse_target(head).ok_or_else(|| NotAPoll(head.to_string()))
+    pub fn parse(head: &str) -> Result<Poll, InvalidPoll> {
+        Poll::parse_target(head).ok_or_else(|| InvalidPoll(head.to_string()))
     }
 
     /// Parses the request target: `/v1/endpoints` or `/v1/endpoints?since=41&timeout_ms=20000`.
--- a/tests/support/src/backend/unreachable.rs
+++ b/tests/support/src/backend/unreachable.rs
@@ -36,10 +36,10 @@
         socket.listen(0).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
         let connect = |_| {
-            let one = stream();
-            one.set_nonblocking(true).unwrap();
-            let _ = one.connect(&address.into());
-            one
+            let connection = stream();
+            connection.set_nonblocking(true).unwrap();
+            let _ = connection.connect(&address.into());
+            connection
         };
         let backlog = (0..BACKLOG).map(connect).collect();
         UnreachableBackend { address, socket, backlog }
--- a/tests/support/src/client.rs
+++ b/tests/support/src/client.rs
@@ -22,8 +22,8 @@
     /// # Panics
     ///
     /// Panics if the connection cannot be established, or its options cannot be set.
-    pub fn connect(to: SocketAddr) -> Client {
-        let stream = TcpStream::connect(to).unwrap();
+    pub fn connect(address: SocketAddr) -> Client {
+        let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Client { stream }
@@ -70,9 +70,9 @@
 
 /// Encodes a request of a new customer. `class` is a name in the settings of the tests: `quote` is
 /// idempotent, `save` keyed and `refer` non-idempotent.
-pub fn encode_request(class: &str, id: &str, wait_ms: u32) -> Vec<u8> {
+pub fn encode_request(class: &str, id: &str, timeout_ms: u32) -> Vec<u8> {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
-    encode_request_of(NEXT.fetch_add(1, Ordering::Relaxed), class, id, wait_ms)
+    encode_request_of(NEXT.fetch_add(1, Ordering::Relaxed), class, id, timeout_ms)
 }
 
 /// Encodes a request of a given customer, with the name of its class.
@@ -80,7 +80,7 @@
 /// # Panics
 ///
 /// Panics if there is no class with this name.
-pub fn encode_request_of(customer: usize, class: &str, id: &str, wait_ms: u32) -> Vec<u8> {
+pub fn encode_request_of(customer: usize, class: &str, id: &str, timeout_ms: u32) -> Vec<u8> {
     let customer = Customer::of_one_ingress(customer as u64, PLAN);
-    encode(class.parse().unwrap(), id, customer, u64::from(wait_ms))
+    encode(class.parse().unwrap(), id, customer, u64::from(timeout_ms))
 }
--- a/tests/support/src/fleet.rs
+++ b/tests/support/src/fleet.rs
@@ -39,8 +39,8 @@
                 }
                 _ => continue,
             };
-            let more = self.gateways[to].handle(event);
-            queue.extend(more.into_iter().map(|action| (to, action)));
+            let resulting_actions = self.gateways[to].handle(event);
+            queue.extend(resulting_actions.into_iter().map(|action| (to, action)));
         }
         sent
     }
