--- a/fleet-experiments/src/experiment_file.rs
+++ b/fleet-experiments/src/experiment_file.rs
@@ -50,7 +50,7 @@
     OutOfRange {
         /// Name of the experiment's table.
         experiment: &'static str,
-        /// Key of the value.
+        /// Key whose value is rejected.
         key: &'static str,
         /// Rejected value.
         value: f64,
--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -45,7 +45,7 @@
     pub poll_service_time_us: f64,
     /// Number of ingresses in ten that are killed during the outage.
     pub killed_of_ten: u64,
-    /// Duration of the outage.
+    /// Time for which the discovery service rejects all polls.
     pub duration: Duration,
     /// Seed of all random draws.
     pub seed: u64,
--- a/fleet-experiments/src/experiments/endpoint_list.rs
+++ b/fleet-experiments/src/experiments/endpoint_list.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointListExperiment {
-    /// Number of backends in the list.
+    /// Sizes of the list to measure at, in backends.
     pub backends: Vec<u64>,
     /// Number of ingresses in the fleet.
     pub ingresses: u16,
--- a/fleet-experiments/src/experiments/ingress_endpoint_list.rs
+++ b/fleet-experiments/src/experiments/ingress_endpoint_list.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IngressEndpointListExperiment {
-    /// Number of backends in the list.
+    /// Sizes of the list to measure at, in backends.
     pub backends: Vec<u64>,
     /// Number of changes of one backend, at each size.
     pub changes: u64,
@@ -43,7 +43,6 @@
 struct Point {
     /// Number of backends in the list.
     backends: u64,
-    /// Costs of the snapshot.
     #[serde(flatten)]
     snapshot: SnapshotCost,
     /// Number of changes of one backend after the snapshot.
@@ -56,7 +55,7 @@
     log: Option<String>,
 }
 
-/// Costs of a snapshot.
+/// Time, processor time and memory that a snapshot costs.
 #[derive(Debug, Serialize)]
 struct SnapshotCost {
     /// Size of the list's JSON.
--- a/fleet-experiments/src/experiments/ingress_restart.rs
+++ b/fleet-experiments/src/experiments/ingress_restart.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IngressRestartExperiment {
-    /// Number of ingress processes.
+    /// Number of ingresses that run on this machine.
     pub processes: u64,
     /// Sizes of the fleet that the settings state.
     #[serde(alias = "fleets")]
@@ -146,7 +146,7 @@
     size: u64,
     /// Endpoints in the list that each ingress starts with.
     endpoints: &'a [String],
-    /// Ingresses by number.
+    /// Processes, indexed by the number of the ingress.
     ingresses: Vec<IngressProcess>,
 }
 
--- a/fleet-experiments/src/experiments/quota_messages.rs
+++ b/fleet-experiments/src/experiments/quota_messages.rs
@@ -21,23 +21,23 @@
     /// Number of ingresses that receive the requests of a customer.
     #[serde(alias = "spread")]
     pub gateway_set_size: u16,
-    /// Number of customers per ingress.
+    /// Number of customers of the fleet, divided by the number of ingresses.
     #[serde(alias = "customers")]
     pub customers_per_ingress: u64,
     /// Simulated time, in seconds; the first second is not counted.
     pub seconds: u64,
 }
 
-/// A fleet and the load on it.
+/// Size of a fleet, and the requests that its customers send.
 #[derive(Clone, Debug)]
 pub struct FleetLoad {
-    /// Number of ingresses in the fleet.
+    /// Size of the fleet.
     pub ingresses: u16,
     /// Requests per second at each ingress.
     pub rate: f64,
     /// Number of ingresses that receive the requests of a customer.
     pub gateway_set_size: u16,
-    /// Number of customers per ingress.
+    /// Number of customers of the fleet, divided by the number of ingresses.
     pub customers_per_ingress: u64,
     /// Simulated time, in seconds; the first second is not counted.
     pub seconds: u64,
--- a/fleet-experiments/src/experiments/quota_messages/simulation.rs
+++ b/fleet-experiments/src/experiments/quota_messages/simulation.rs
@@ -44,7 +44,6 @@
     Answer {
         /// Index of the ingress.
         ingress: usize,
-        /// Id of the request.
         id: RequestId,
         backend: BackendId,
         /// Time at which the ingress sent the request.
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -57,7 +57,6 @@
     memory_bytes: u64,
     /// Median time.
     p50_us: f64,
-    /// Mean time.
     mean_us: f64,
     /// 99th percentile of the time.
     p99_us: f64,
--- a/fleet-experiments/src/experiments/slow_start.rs
+++ b/fleet-experiments/src/experiments/slow_start.rs
@@ -14,7 +14,7 @@
 pub struct SlowStartExperiment {
     /// Number of ingresses in the fleet.
     pub ingresses: u16,
-    /// Number of backends.
+    /// Number of backends, half of which restart.
     pub backends: u64,
     /// Requests per second that a backend serves after its slow start.
     pub capacity: f64,
@@ -36,7 +36,7 @@
 pub struct SlowStartScenario {
     /// Number of ingresses in the fleet.
     pub ingresses: u16,
-    /// Number of backends.
+    /// Number of backends, half of which restart.
     pub backends: u64,
     /// Requests per second that a backend serves after its slow start.
     pub capacity: f64,
--- a/fleet-experiments/src/experiments/slow_start/simulation.rs
+++ b/fleet-experiments/src/experiments/slow_start/simulation.rs
@@ -36,9 +36,7 @@
     Answer {
         /// Index of the ingress.
         ingress: usize,
-        /// Id of the request.
         id: RequestId,
-        /// Number of the attempt.
         attempt: u16,
         /// Index of the backend.
         backend: usize,
--- a/fleet-experiments/src/fit.rs
+++ b/fleet-experiments/src/fit.rs
@@ -32,7 +32,7 @@
 }
 
 impl Line {
-    /// Returns the value of the line at a size.
+    /// Evaluates the line at a size.
     fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
@@ -65,7 +65,7 @@
 
 /// Values of an experiment that are fitted by one of its parameters.
 struct Fit {
-    /// Name of the experiment.
+    /// Name of the experiment in current results.
     experiment: &'static str,
     /// Key of the parameter that is varied.
     size: &'static str,
--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -147,7 +147,7 @@
         procfs::cpu_seconds(self.child.id())
     }
 
-    /// Kills the process and returns its log.
+    /// Kills the process and returns what it has written to standard error.
     pub fn kill_and_read_log(mut self) -> String {
         let _ = self.child.kill();
         let mut log = String::new();
--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -12,7 +12,7 @@
 
 /// Start of the simulated clock.
 pub const START: Instant = Instant::from_micros(1_000_000_000_000);
-/// One second.
+/// One second; longer times are stated as multiples of it.
 pub const SECOND: Duration = Duration::from_secs(1);
 /// Number of zones in the fleet.
 pub const ZONES: u64 = 18;
@@ -120,7 +120,7 @@
     Duration::from_secs_f64(-(1.0 - random.f64()).ln() / rate) + Duration::MICROSECOND
 }
 
-/// Draws a duration from a range.
+/// Draws a uniformly distributed duration from a range.
 pub fn draw_duration(random: &mut fastrand::Rng, range: Range<Duration>) -> Duration {
     Duration::from_micros(random.u64(range.start.as_micros()..range.end.as_micros()))
 }
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,7 +1,8 @@
-//! Checks the documentation of the source: that modules and types have some, and that none only repeats a name.
+//! Checks that modules and types have documentation, and that no comment only repeats the name of its item.
 //!
-//! `missing_docs` covers the public items of libraries. These checks extend to modules and types that a crate
-//! uses itself, and reject comments that add nothing to the name and the type of their item.
+//! The lint `missing_docs` covers the public items of libraries. These checks also cover modules and types
+//! that are internal to a crate, and reject comments that add nothing to the name and the type of their
+//! item.
 
 use proc_macro2::{Span, TokenStream, TokenTree};
 use std::collections::BTreeSet;
@@ -15,11 +16,11 @@
     TraitItemFn, Type, Variant, Visibility,
 };
 
-/// Files and folders, relative to the root of the workspace, whose comments may still repeat names.
-const MAY_REPEAT_NAMES: &[&str] = &["fleet-experiments"];
+/// Files and folders whose comments may still repeat names, relative to the root of the workspace.
+const MAY_REPEAT_NAMES: &[&str] = &[];
 
-/// Words of a comment that say nothing about the item that it belongs to.
-const FILLERS: &[&str] = &[
+/// Words that are ignored when a comment is compared with names.
+const STOP_WORDS: &[&str] = &[
     "a", "all", "an", "and", "any", "are", "as", "at", "be", "been", "by", "can", "each", "for", "from",
     "given", "has", "have", "here", "how", "if", "in", "into", "is", "it", "its", "name", "number", "of",
     "on", "once", "one", "or", "returns", "so", "some", "that", "the", "their", "there", "these", "they",
@@ -27,41 +28,40 @@
     "which", "while", "who", "why", "with", "whose",
 ];
 
-/// What is wrong with the documentation of an item.
+/// Defect in the documentation of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Problem {
     /// A module, inline or a file, has no documentation.
     UndocumentedModule,
     /// A type or trait that is visible outside its module has no documentation.
     UndocumentedType,
-    /// The documentation consists of words of the item's name and type, or of the enclosing item's name.
+    /// The documentation has no word beyond those of the names of the item, its type and the enclosing
+    /// items.
     RepeatsName,
 }
 
-/// A problem with its place.
+/// Defect and its location.
 #[derive(Debug)]
 struct Finding {
-    /// The line of the item, from 1.
+    /// Line of the item, from 1.
     line: usize,
-    /// The kind of problem.
     problem: Problem,
-    /// The item's name; empty for a file.
+    /// Name of the item; empty for a file.
     item: String,
 }
 
-/// Visits the items of a file and collects the findings.
+/// Visitor that collects the findings in a file.
 #[derive(Default)]
 struct Checker {
-    /// The findings so far.
     findings: Vec<Finding>,
-    /// Names of the items around the current one, the innermost last.
+    /// Names of the enclosing items, innermost last.
     enclosing: Vec<String>,
-    /// Whether the current type's documentation is printed as help for a command line.
+    /// Whether the documentation of the current type is printed as command-line help.
     is_command_line: bool,
 }
 
 impl Checker {
-    /// Returns the findings in a file's source text.
+    /// Returns the findings in the source text of a file.
     fn check(source: &str) -> Vec<Finding> {
         let file = syn::parse_file(source).expect("the source parses");
         let mut checker = Checker::default();
@@ -100,14 +100,14 @@
         self.check_words(&signature.ident, attributes, tokens(signature));
     }
 
-    /// Visits what an item contains.
+    /// Visits the content of an item, with the item's name among the enclosing names.
     fn within(&mut self, name: &impl ToString, visit_content: impl FnOnce(&mut Self)) {
         self.enclosing.push(name.to_string());
         visit_content(self);
         self.enclosing.pop();
     }
 
-    /// Visits the content of a type, whose documentation a command line may print.
+    /// Visits the content of a type, whose documentation may be printed as command-line help.
     fn within_type(&mut self, name: &Ident, attributes: &[Attribute], visit_content: impl FnOnce(&mut Self)) {
         self.is_command_line = derives_command_line(attributes);
         self.within(name, visit_content);
@@ -203,7 +203,7 @@
     part.to_token_stream()
 }
 
-/// Returns the name of the type that an `impl` belongs to; empty if it is not a plain path.
+/// Returns the name of the type that an `impl` block is for; empty if the type is not a path.
 fn type_name(implemented: &Type) -> String {
     match implemented {
         Type::Path(path) => {
@@ -213,21 +213,21 @@
     }
 }
 
-/// Returns the documentation among an item's attributes; none if there is none or it is blank.
+/// Returns the documentation in the attributes of an item; `None` if it is missing or blank.
 fn documentation(attributes: &[Attribute]) -> Option<String> {
     let lines: Vec<String> = attributes.iter().filter_map(documentation_line).collect();
     let text = lines.join("\n");
     (!text.trim().is_empty()).then_some(text)
 }
 
-/// Returns the text of an attribute that is a line of documentation.
+/// Returns the text of an attribute that is a documentation comment.
 fn documentation_line(attribute: &Attribute) -> Option<String> {
     let Meta::NameValue(pair) = &attribute.meta else { return None };
     let Expr::Lit(ExprLit { lit: Lit::Str(text), .. }) = &pair.value else { return None };
     pair.path.is_ident("doc").then(|| text.value())
 }
 
-/// Returns whether the attributes derive a parser of the command line, which prints the documentation as help.
+/// Returns whether the attributes derive a command-line parser, which prints the documentation as help.
 fn derives_command_line(attributes: &[Attribute]) -> bool {
     let derived = attributes.iter().filter(|attribute| attribute.path().is_ident("derive"));
     let mut names = derived.filter_map(|attribute| attribute.meta.require_list().ok());
@@ -237,7 +237,7 @@
     })
 }
 
-/// Returns all identifiers among tokens, those inside of brackets too.
+/// Returns all identifiers among tokens, including those inside brackets.
 fn identifiers(part: TokenStream) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     for tree in part {
@@ -250,7 +250,7 @@
     found
 }
 
-/// Splits a name or a text into the stems of its words, without fillers.
+/// Splits a name or a text into words and returns their stems, without stop words.
 fn stems(text: &str) -> BTreeSet<String> {
     let mut spaced = String::new();
     let mut previous = ' ';
@@ -265,17 +265,17 @@
         previous = character;
     }
     let words = spaced.split_whitespace().map(str::to_lowercase);
-    words.filter(|word| !FILLERS.contains(&word.as_str())).map(|word| stem(&word)).collect()
+    words.filter(|word| !STOP_WORDS.contains(&word.as_str())).map(|word| stem(&word)).collect()
 }
 
-/// Removes the ending of a word.
+/// Removes the inflectional ending of a word.
 fn stem(word: &str) -> String {
     const ENDINGS: [&str; 6] = ["ies", "ing", "ed", "es", "s", "e"];
     let ending = ENDINGS.iter().find(|ending| word.len() > ending.len() + 1 && word.ends_with(*ending));
     ending.map_or(word, |ending| &word[..word.len() - ending.len()]).to_string()
 }
 
-/// Returns the Rust files below a folder, without build results.
+/// Returns the Rust files below a folder, except in build directories and hidden folders.
 fn rust_files(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder).expect("the folder can be read");
     let mut paths: Vec<PathBuf> = entries.map(|entry| entry.expect("the entry can be read").path()).collect();
@@ -292,13 +292,13 @@
     files
 }
 
-/// A comment that repeats a name, or a module or type without one, leaves a reader with the name alone. The
-/// lint `missing_docs` covers neither what a crate uses itself nor what a comment says.
+/// A comment that only repeats a name, or a module or type without a comment, tells the reader nothing
+/// beyond the name. The lint `missing_docs` checks neither crate-internal items nor the words of a comment.
 #[test]
 fn modules_and_types_are_documented_beyond_their_names() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let files = rust_files(root);
-    assert!(files.len() > 100, "only {} files below {}", files.len(), root.display());
+    assert!(files.len() > 100, "found only {} Rust files below {}", files.len(), root.display());
     let mut problems = Vec::new();
     for file in &files {
         let path = file.strip_prefix(root).expect("the file is below the root");
@@ -313,8 +313,8 @@
     assert!(problems.is_empty(), "{} problems:\n{}", problems.len(), problems.join("\n"));
 }
 
-/// A check that reports nothing would pass unnoticed, so each kind of problem is planted once, beside items
-/// that are documented well.
+/// A check that never reports a problem would go unnoticed, so each kind of problem is tested with a source
+/// that has it, and with sources that have none.
 #[test]
 fn each_kind_of_problem_is_found() {
     let problems = |source: &str| -> Vec<(Problem, String)> {
