--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// Reads the counters of the ingresses that were started only once.
+/// Reads the counters of the ingresses that were started only once. A restart resets the counters.
 fn read_counters(observations: &mut Observations, programs: &Programs, ingresses: usize) {
     for number in 0..ingresses {
         let events = observations.processes.iter().filter(|record| record.ingress == number);
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -147,8 +147,8 @@
             && matches!(self.stream.peek(&mut [0]), Ok(1..))
     }
 
-    /// Waits while the backend is partitioned from the network, and then closes the connection. Closes it
-    /// early if the ingress has closed it.
+    /// Waits while the backend is partitioned from the network, and then closes the connection, which sends a
+    /// reset if input is unread. Closes it early if the ingress has closed it.
     fn wait_while_partitioned(&self) -> Result<(), Closed> {
         if !self.is_affected_by(FaultScenario::PartitionedBackend) {
             return Ok(());
