--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -17,7 +17,7 @@
 use std::net::SocketAddr;
 
 /// Size in bytes of the read buffer, and the capacity that the buffers of an idle connection keep.
-pub const BUFFER_SIZE: usize = 32 * 1024;
+pub const BUFFER_BYTES: usize = 32 * 1024;
 /// Minimum time that a connection stays idle after a reply before it is reused.
 ///
 /// Replies carry no id, so a duplicate reply would be taken for the reply to the next command. A duplicate
@@ -67,7 +67,7 @@
             connections: Slab::new(),
             pools: HashMap::new(),
             last_serial: 0,
-            read_buffer: vec![0; BUFFER_SIZE],
+            read_buffer: vec![0; BUFFER_BYTES],
             configured_max_idle_time: keepalive_timeout / KEEPALIVE_MARGIN_DIVISOR
                 * (KEEPALIVE_MARGIN_DIVISOR - 1),
             idle_reuse: IdleReuseTracker::default(),
@@ -240,8 +240,8 @@
         connection.attempt = None;
         connection.idle_since = now;
         connection.received.clear();
-        connection.received.shrink_to(BUFFER_SIZE);
-        connection.command.shrink_to(BUFFER_SIZE);
+        connection.received.shrink_to(BUFFER_BYTES);
+        connection.command.shrink_to(BUFFER_BYTES);
         pool.idle.push(key);
         Usability::Usable
     }
--- a/src/bin/ingress/clients.rs
+++ b/src/bin/ingress/clients.rs
@@ -22,7 +22,7 @@
 use memory::MemoryBudget;
 use mio::net::{TcpListener, TcpStream};
 use mio::Token;
-use reading::READ_BUFFER_LEN;
+use reading::READ_BUFFER_BYTES;
 use slab::Slab;
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -159,7 +159,7 @@
             last_request_id: 0,
             token_of,
             schema,
-            read_buffer: vec![0; READ_BUFFER_LEN],
+            read_buffer: vec![0; READ_BUFFER_BYTES],
             argument_ranges: Vec::new(),
             write_queue: Vec::new(),
             write_retries: Vec::new(),
--- a/src/bin/ingress/command/options.rs
+++ b/src/bin/ingress/command/options.rs
@@ -34,11 +34,11 @@
 /// Maximum size or start of a gateway set that is accepted by the parser.
 const MAX_GATEWAY_NUMBER: u64 = 65_535;
 /// Maximum length of an id or idempotency key, in bytes.
-const MAX_TOKEN_LEN: usize = 64;
+const MAX_TOKEN_BYTES: usize = 64;
 /// Maximum number of digits of an integer.
 const MAX_INTEGER_DIGITS: usize = 10;
 /// Maximum number of characters of a decimal number.
-const MAX_NUMBER_LEN: usize = 20;
+const MAX_NUMBER_BYTES: usize = 20;
 /// Number of hex digits of a customer.
 const CUSTOMER_DIGITS: usize = 16;
 /// Exclusive upper bound of customer numbers.
@@ -183,10 +183,10 @@
     number.filter(|number| *number < CUSTOMER_LIMIT).ok_or(CommandError::InvalidCustomer)
 }
 
-/// Returns whether the text has 1 to [`MAX_TOKEN_LEN`] bytes, all of them printable ASCII characters other
+/// Returns whether the text has 1 to [`MAX_TOKEN_BYTES`] bytes, all of them printable ASCII characters other
 /// than the space.
 pub fn is_token(text: &[u8]) -> bool {
-    !text.is_empty() && text.len() <= MAX_TOKEN_LEN && text.iter().all(u8::is_ascii_graphic)
+    !text.is_empty() && text.len() <= MAX_TOKEN_BYTES && text.iter().all(u8::is_ascii_graphic)
 }
 
 /// Parses an integer of decimal digits, at most `max`.
@@ -201,7 +201,7 @@
 /// Parses a non-negative decimal number without sign or exponent.
 fn parse_number(text: &[u8], option: &'static str) -> Result<f64, CommandError> {
     let is_digit_or_point = |byte: &u8| byte.is_ascii_digit() || *byte == b'.';
-    let is_plain = !text.is_empty() && text.len() <= MAX_NUMBER_LEN && text.iter().all(is_digit_or_point);
+    let is_plain = !text.is_empty() && text.len() <= MAX_NUMBER_BYTES && text.iter().all(is_digit_or_point);
     let digits = std::str::from_utf8(text).ok().filter(|_| is_plain);
     digits.and_then(|digits| digits.parse().ok()).ok_or(CommandError::InvalidNumber(option))
 }
--- a/src/bin/ingress/discovery/http.rs
+++ b/src/bin/ingress/discovery/http.rs
@@ -16,7 +16,7 @@
 /// when the end of the body may have arrived.
 const MAX_INCREMENTAL_DECODE_BYTES: usize = 64 * 1024;
 /// Length of the CRLF that follows each chunk.
-const CHUNK_TERMINATOR_LEN: usize = 2;
+const CHUNK_TERMINATOR_BYTES: usize = 2;
 
 /// Returns the maximum size of a response's body for an ingress with this memory limit, in bytes.
 pub fn max_body_bytes(memory: usize) -> usize {
@@ -142,7 +142,7 @@
         };
         let size = usize::try_from(size).ok().filter(|size| *size <= max_body_bytes);
         let size = size.ok_or(HttpError::TooLong)?;
-        let end = start + size + CHUNK_TERMINATOR_LEN;
+        let end = start + size + CHUNK_TERMINATOR_BYTES;
         let Some(chunk) = rest.get(start..end) else { return Ok(None) };
         if size == 0 {
             return Ok(Some(body));
--- a/src/bin/ingress/resp.rs
+++ b/src/bin/ingress/resp.rs
@@ -17,13 +17,13 @@
 pub use error::ProtocolError;
 
 /// Maximum size of a value, in bytes.
-pub const MAX_VALUE_LEN: usize = 64 * 1024;
+pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// Maximum number of arguments of a command, and of elements of a reply.
 const MAX_ELEMENTS: usize = 8;
 /// Maximum total size of the arguments of a command, or of the elements of a reply, in bytes.
-const MAX_TOTAL_LEN: usize = MAX_VALUE_LEN + 4096;
+const MAX_TOTAL_BYTES: usize = MAX_VALUE_BYTES + 4096;
 /// Maximum length of a status or error line, in bytes.
-const MAX_LINE_LEN: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 /// Maximum number of digits of a length.
 const MAX_LENGTH_DIGITS: usize = 10;
 
--- a/src/bin/ingress/resp/decode.rs
+++ b/src/bin/ingress/resp/decode.rs
@@ -1,11 +1,11 @@
 //! Parses commands and replies from a buffer.
 
 use super::error::{Parsed, ProtocolError};
-use super::{MAX_ELEMENTS, MAX_LENGTH_DIGITS, MAX_LINE_LEN, MAX_TOTAL_LEN, MAX_VALUE_LEN};
+use super::{MAX_ELEMENTS, MAX_LENGTH_DIGITS, MAX_LINE_BYTES, MAX_TOTAL_BYTES, MAX_VALUE_BYTES};
 use std::ops::Range;
 
 /// Length of the CR LF that ends a line or a bulk string, in bytes.
-const TERMINATOR_LEN: usize = 2;
+const TERMINATOR_BYTES: usize = 2;
 
 /// The RESP2 type of an element.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,7 +62,7 @@
 
 /// Parses the line of at most `max_len` bytes that begins at `start`.
 fn parse_line(buffer: &[u8], start: usize, max_len: usize) -> Parsed<Line> {
-    let max_len_with_terminator = max_len + TERMINATOR_LEN;
+    let max_len_with_terminator = max_len + TERMINATOR_BYTES;
     let received = &buffer[start..buffer.len().min(start + max_len_with_terminator)];
     match received.iter().position(|byte| *byte == b'\n') {
         Some(newline) if newline > 0 && received[newline - 1] == b'\r' => {
@@ -100,7 +100,7 @@
 /// Returns the position after the terminator of the bulk string with this `body`.
 fn bulk_string_end(buffer: &[u8], body: &Range<usize>) -> Parsed<usize> {
     match buffer.get(body.end..).unwrap_or_default() {
-        [b'\r', b'\n', ..] => Ok(Some(body.end + TERMINATOR_LEN)),
+        [b'\r', b'\n', ..] => Ok(Some(body.end + TERMINATOR_BYTES)),
         [] | [b'\r'] => Ok(None),
         _ => Err(ProtocolError::UnterminatedBulkString),
     }
@@ -118,9 +118,9 @@
     let Some(header) = parse_length_header(buffer, 0, MAX_ELEMENTS)? else { return Ok(None) };
     let count = header.length.filter(|count| *count > 0).ok_or(ProtocolError::EmptyCommand)?;
     let mut position = header.end;
-    let mut remaining = MAX_TOTAL_LEN;
+    let mut remaining = MAX_TOTAL_BYTES;
     for _ in 0..count {
-        let max_len = MAX_VALUE_LEN.min(remaining);
+        let max_len = MAX_VALUE_BYTES.min(remaining);
         let Some(argument) = parse_argument(buffer, position, max_len)? else { return Ok(None) };
         remaining -= argument.payload.len();
         position = argument.span.end;
@@ -170,7 +170,7 @@
         b'*' => return parse_null_array(buffer, start, max_len),
         _ => return Err(ProtocolError::UnknownTypeMarker),
     };
-    let Some(line) = parse_line(buffer, start + 1, MAX_LINE_LEN)? else { return Ok(None) };
+    let Some(line) = parse_line(buffer, start + 1, MAX_LINE_BYTES)? else { return Ok(None) };
     Ok(Some(Element { kind, payload: line.text, span: start..line.end }))
 }
 
@@ -186,7 +186,7 @@
 /// Parses the reply at the beginning of `buffer`.
 pub fn parse_reply(buffer: &[u8]) -> Parsed<ParsedReply> {
     if buffer.first() != Some(&b'*') {
-        let element = parse_element(buffer, 0, MAX_VALUE_LEN)?;
+        let element = parse_element(buffer, 0, MAX_VALUE_BYTES)?;
         return Ok(element.map(single_reply));
     }
     let Some(header) = parse_length_header(buffer, 0, MAX_ELEMENTS)? else { return Ok(None) };
@@ -195,9 +195,9 @@
     };
     let mut elements = Vec::with_capacity(count);
     let mut position = header.end;
-    let mut remaining = MAX_TOTAL_LEN;
+    let mut remaining = MAX_TOTAL_BYTES;
     for _ in 0..count {
-        let max_len = MAX_VALUE_LEN.min(remaining);
+        let max_len = MAX_VALUE_BYTES.min(remaining);
         let Some(element) = parse_element(buffer, position, max_len)? else { return Ok(None) };
         position = element.span.end;
         remaining = remaining.saturating_sub(element.payload.len());
--- a/src/bin/ingress/resp/encode.rs
+++ b/src/bin/ingress/resp/encode.rs
@@ -1,6 +1,6 @@
 //! Writes RESP2 values to a buffer.
 
-use super::MAX_LINE_LEN;
+use super::MAX_LINE_BYTES;
 use std::io::Write;
 
 /// Length of an error line without its message, rounded up: `-ERR ` and the terminator.
@@ -26,6 +26,6 @@
 pub fn write_error(out: &mut Vec<u8>, message: &str) {
     let printable = message.bytes().map(|byte| if byte.is_ascii_control() { b' ' } else { byte });
     out.extend_from_slice(b"-ERR ");
-    out.extend(printable.take(MAX_LINE_LEN - ERROR_LINE_OVERHEAD));
+    out.extend(printable.take(MAX_LINE_BYTES - ERROR_LINE_OVERHEAD));
     out.extend_from_slice(b"\r\n");
 }
--- a/src/bin/simulator-adapter/input.rs
+++ b/src/bin/simulator-adapter/input.rs
@@ -7,7 +7,7 @@
 /// Reads the next frame. Returns `None` at the end of the input.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
     let Some(mut frame) = read_header(input)? else { return Ok(None) };
-    let expected = (wire::frame_size(&frame)? - wire::BATCH_HEADER_SIZE) as u64;
+    let expected = (wire::frame_size(&frame)? - wire::BATCH_HEADER_BYTES) as u64;
     // `read_to_end` allocates memory as bytes arrive, so that a wrong length in a header allocates none.
     let read = input.take(expected).read_to_end(&mut frame).map_err(AdapterError::ReadBatch)?;
     if (read as u64) < expected {
@@ -18,7 +18,7 @@
 
 /// Reads the header of a batch. Returns `None` at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<Vec<u8>>, AdapterError> {
-    let mut header = vec![0; wire::BATCH_HEADER_SIZE];
+    let mut header = vec![0; wire::BATCH_HEADER_BYTES];
     let mut read = 0;
     while read < header.len() {
         match input.read(&mut header[read..]) {
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -48,7 +48,7 @@
 mod record;
 mod reply;
 
-pub use batch::{frame_size, Batch, BATCH_HEADER_SIZE};
+pub use batch::{frame_size, Batch, BATCH_HEADER_BYTES};
 pub use record::{Record, RecordContent};
 pub use reply::Reply;
 
--- a/src/bin/simulator-adapter/wire/batch.rs
+++ b/src/bin/simulator-adapter/wire/batch.rs
@@ -1,12 +1,12 @@
 //! Decoding of batches: a header with count, length, clock and number, the records of events, and the tail.
 
 use super::field_reader::FieldReader;
-use super::record::{Record, RECORD_SIZE};
+use super::record::{Record, RECORD_BYTES};
 use crate::error::FrameError;
 use ingress::Instant;
 
 /// Length of a batch's header in bytes.
-pub const BATCH_HEADER_SIZE: usize = 20;
+pub const BATCH_HEADER_BYTES: usize = 20;
 
 /// The decoded header of a batch.
 struct Header {
@@ -41,7 +41,7 @@
 
     /// Returns the offset of the tail in the frame.
     fn tail_start(&self) -> usize {
-        BATCH_HEADER_SIZE + self.record_count as usize * RECORD_SIZE
+        BATCH_HEADER_BYTES + self.record_count as usize * RECORD_BYTES
     }
 }
 
@@ -67,14 +67,14 @@
     pub fn parse(frame: &'a [u8]) -> Result<Self, FrameError> {
         let header = Header::parse(frame)?;
         let tail_start = header.tail_start();
-        let records = &frame[BATCH_HEADER_SIZE..tail_start];
+        let records = &frame[BATCH_HEADER_BYTES..tail_start];
         let tail = &frame[tail_start..header.frame_size];
         Ok(Batch { number: header.number, clock: header.clock, records, tail })
     }
 
     /// Returns the records in order.
     pub fn records(&self) -> impl Iterator<Item = Record<'a>> + '_ {
-        let bodies = self.records.chunks_exact(RECORD_SIZE).enumerate();
+        let bodies = self.records.chunks_exact(RECORD_BYTES).enumerate();
         bodies.map(|(index, body)| Record { batch: self.number, index, body, tail: self.tail })
     }
 }
--- a/src/bin/simulator-adapter/wire/field_reader.rs
+++ b/src/bin/simulator-adapter/wire/field_reader.rs
@@ -3,7 +3,7 @@
 use ingress::{BackendId, Duration, Instant};
 
 /// Length of a backend's identifier on the wire, in bytes.
-pub const BACKEND_ID_SIZE: usize = 6;
+pub const BACKEND_ID_BYTES: usize = 6;
 
 /// Reads the fields of a record in order. Reading beyond the end is a programming error and panics.
 pub struct FieldReader<'a> {
@@ -66,10 +66,10 @@
         f64::from(f32::from_le_bytes(self.bytes()))
     }
 
-    /// Reads a backend's identifier of [`BACKEND_ID_SIZE`] bytes.
+    /// Reads a backend's identifier of [`BACKEND_ID_BYTES`] bytes.
     pub fn backend(&mut self) -> BackendId {
         let mut identifier = [0; 8];
-        identifier[..BACKEND_ID_SIZE].copy_from_slice(&self.bytes::<BACKEND_ID_SIZE>());
+        identifier[..BACKEND_ID_BYTES].copy_from_slice(&self.bytes::<BACKEND_ID_BYTES>());
         BackendId(u64::from_le_bytes(identifier))
     }
 }
--- a/src/bin/simulator-adapter/wire/field_writer.rs
+++ b/src/bin/simulator-adapter/wire/field_writer.rs
@@ -1,6 +1,6 @@
 //! Sequential writer of the fields of a record.
 
-use super::field_reader::BACKEND_ID_SIZE;
+use super::field_reader::BACKEND_ID_BYTES;
 use ingress::{BackendId, Duration, RequestId};
 
 /// Writes the fields of a record of `SIZE` bytes in order. Bytes that are not written are zero. Writing
@@ -56,8 +56,8 @@
         self.u64(id.0)
     }
 
-    /// Appends a backend's identifier of [`BACKEND_ID_SIZE`] bytes.
+    /// Appends a backend's identifier of [`BACKEND_ID_BYTES`] bytes.
     pub fn backend(&mut self, backend: BackendId) -> &mut Self {
-        self.bytes(&backend.0.to_le_bytes()[..BACKEND_ID_SIZE])
+        self.bytes(&backend.0.to_le_bytes()[..BACKEND_ID_BYTES])
     }
 }
--- a/src/bin/simulator-adapter/wire/record.rs
+++ b/src/bin/simulator-adapter/wire/record.rs
@@ -1,6 +1,6 @@
 //! Decoding of the records of a batch: a code, the number of an instance, and the fields of that code.
 
-use super::field_reader::{FieldReader, BACKEND_ID_SIZE};
+use super::field_reader::{FieldReader, BACKEND_ID_BYTES};
 use super::InstanceId;
 use crate::error::{FieldProblem, RecordError};
 use ingress::{
@@ -9,19 +9,19 @@
 };
 
 /// Length of a record in bytes.
-pub const RECORD_SIZE: usize = 48;
+pub const RECORD_BYTES: usize = 48;
 /// Length of an endpoint in the tail, in bytes.
-const ENDPOINT_SIZE: usize = 24;
+const ENDPOINT_BYTES: usize = 24;
 /// Length in bytes of the version of an endpoint list, which follows its kind and is ignored.
-const ENDPOINT_UPDATE_SKIPPED: usize = 8;
+const ENDPOINT_UPDATE_SKIPPED_BYTES: usize = 8;
 /// Offset of the outcome in the fields of a health check, after the backend's identifier.
-const HEALTH_CHECK_OUTCOME_OFFSET: usize = BACKEND_ID_SIZE;
+const HEALTH_CHECK_OUTCOME_OFFSET: usize = BACKEND_ID_BYTES;
 /// Offset of the outcome in the fields of a call to the shared counter, after the counter's name.
 const COUNTER_OUTCOME_OFFSET: usize = size_of::<u64>();
 /// Maximum number of values in a load report on the wire.
 const MAX_REPORT_VALUES: usize = 4;
 /// Length in bytes of a customer's metered usage, which is ignored.
-const METERED_USE_SIZE: usize = size_of::<u16>();
+const METERED_USAGE_BYTES: usize = size_of::<u16>();
 
 /// Codes of records, each documented with its name on the wire.
 mod code {
@@ -131,10 +131,10 @@
             3 => EndpointUpdate::PollFailed,
             other => return Err(self.error("scope", FieldProblem::UnknownEndpointUpdate(other))),
         };
-        fields.skip(ENDPOINT_UPDATE_SKIPPED);
-        let rows = self.tail_slice(fields, "rows", ENDPOINT_SIZE)?;
+        fields.skip(ENDPOINT_UPDATE_SKIPPED_BYTES);
+        let rows = self.tail_slice(fields, "rows", ENDPOINT_BYTES)?;
         let endpoints: Result<Vec<Endpoint>, RecordError> =
-            rows.chunks_exact(ENDPOINT_SIZE).map(|row| self.endpoint(row)).collect();
+            rows.chunks_exact(ENDPOINT_BYTES).map(|row| self.endpoint(row)).collect();
         Ok(Event::Endpoints(update, endpoints?))
     }
 
@@ -180,7 +180,7 @@
         let outcome = self.outcome(fields)?;
         let request_closed = fields.u8() != 0;
         let attempt = fields.u16();
-        fields.skip(METERED_USE_SIZE);
+        fields.skip(METERED_USAGE_BYTES);
         let backend = fields.backend();
         let charged_units = Some(fields.u16()).filter(|units| *units > 0).map(f64::from);
         let reported_queue_depth = queue_depth(fields, report_fields);
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -6,9 +6,9 @@
 use ingress::{Action, GatewayId, Instant};
 
 /// Length of a reply's header in bytes.
-pub const REPLY_HEADER_SIZE: usize = 12;
+pub const REPLY_HEADER_BYTES: usize = 12;
 /// Length of an action's record in bytes.
-pub const ACTION_SIZE: usize = 32;
+pub const ACTION_BYTES: usize = 32;
 /// Receiver's index that stands for all peers.
 const ALL_PEERS: GatewayId = GatewayId(u16::MAX);
 /// Value of the only field of `Listen`: subscribe to discovery, rather than unsubscribe.
@@ -53,7 +53,7 @@
     /// Appends records of an instance's actions.
     pub fn push(&mut self, instance: InstanceId, actions: &[Action]) {
         for action in actions {
-            let mut record = FieldWriter::<ACTION_SIZE>::new();
+            let mut record = FieldWriter::<ACTION_BYTES>::new();
             record.u8(action_code(action)).u16(instance.0);
             self.write_fields(&mut record, action);
             self.records.extend_from_slice(&record.finish());
@@ -61,7 +61,7 @@
     }
 
     /// Writes the fields of an action, which follow its code and instance.
-    fn write_fields(&mut self, record: &mut FieldWriter<ACTION_SIZE>, action: &Action) {
+    fn write_fields(&mut self, record: &mut FieldWriter<ACTION_BYTES>, action: &Action) {
         match action {
             Action::Send { id, backend, expires_at } => {
                 // 0 means the client's deadline.
@@ -92,16 +92,16 @@
     }
 
     /// Appends bytes to the tail, and writes their offset and length to the record.
-    fn write_tail(&mut self, record: &mut FieldWriter<ACTION_SIZE>, bytes: &[u8]) {
+    fn write_tail(&mut self, record: &mut FieldWriter<ACTION_BYTES>, bytes: &[u8]) {
         record.u32(self.tail.len() as u32).u32(bytes.len() as u32);
         self.tail.extend_from_slice(bytes);
     }
 
     /// Encodes the whole frame.
     pub fn finish(self) -> Vec<u8> {
-        let size = REPLY_HEADER_SIZE + self.records.len() + self.tail.len();
-        let mut header = FieldWriter::<REPLY_HEADER_SIZE>::new();
-        header.u32((self.records.len() / ACTION_SIZE) as u32).u32(size as u32).u32(self.batch);
+        let size = REPLY_HEADER_BYTES + self.records.len() + self.tail.len();
+        let mut header = FieldWriter::<REPLY_HEADER_BYTES>::new();
+        header.u32((self.records.len() / ACTION_BYTES) as u32).u32(size as u32).u32(self.batch);
         let mut frame = Vec::with_capacity(size);
         frame.extend_from_slice(&header.finish());
         frame.extend_from_slice(&self.records);
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of [`super`].
 
 use super::field_reader::FieldReader;
-use super::record::RECORD_SIZE;
-use super::reply::{ACTION_SIZE, REPLY_HEADER_SIZE};
+use super::record::RECORD_BYTES;
+use super::reply::{ACTION_BYTES, REPLY_HEADER_BYTES};
 use super::*;
 use ingress::{
     Action, AttemptEnded, Availability, BackendId, CustomerId, Duration, Endpoint, EndpointUpdate, Event,
@@ -40,9 +40,9 @@
     let mut header = FieldReader::new(&frame);
     assert_eq!((header.u32() as usize, header.u32() as usize), (actions.len(), frame.len()));
     assert_eq!(header.u32(), 5);
-    assert_eq!(&frame[REPLY_HEADER_SIZE + ACTION_SIZE * actions.len()..], b"\x08\x09\x07abc");
+    assert_eq!(&frame[REPLY_HEADER_BYTES + ACTION_BYTES * actions.len()..], b"\x08\x09\x07abc");
     for (index, (code, action, fields)) in actions.iter().enumerate() {
-        let record = &frame[REPLY_HEADER_SIZE + ACTION_SIZE * index..][..ACTION_SIZE];
+        let record = &frame[REPLY_HEADER_BYTES + ACTION_BYTES * index..][..ACTION_BYTES];
         assert_eq!(record[..3], [*code, 3, 0], "{action:?}");
         for (at, value) in fields {
             assert_eq!(record[*at], *value, "{action:?} at offset {at}");
@@ -51,8 +51,8 @@
 }
 
 /// Encodes the record of an event for instance 1, with the given bytes at the given offsets.
-fn event_record(code: u8, parts: &[(usize, &[u8])]) -> [u8; RECORD_SIZE] {
-    let mut record = [0; RECORD_SIZE];
+fn event_record(code: u8, parts: &[(usize, &[u8])]) -> [u8; RECORD_BYTES] {
+    let mut record = [0; RECORD_BYTES];
     (record[0], record[1]) = (code, 1);
     for (at, bytes) in parts {
         record[*at..*at + bytes.len()].copy_from_slice(bytes);
@@ -61,7 +61,7 @@
 }
 
 /// Decodes a record, and asserts that it is an event for instance 1.
-fn read_event(body: [u8; RECORD_SIZE]) -> Event {
+fn read_event(body: [u8; RECORD_BYTES]) -> Event {
     let record = Record { batch: 1, index: 0, body: &body, tail: &[4, 5, 6] };
     assert_eq!(record.instance(), InstanceId(1));
     match record.decode(&[LoadReportField::QueueDepth]) {
@@ -172,7 +172,7 @@
     (row[6], row[7], row[9], row[11]) = (2, 3, 4, 1);
     row[12..16].copy_from_slice(&1.5f32.to_le_bytes());
     row[16] = 9;
-    let mut body = [0; RECORD_SIZE];
+    let mut body = [0; RECORD_BYTES];
     (body[0], body[1], body[3], body[16]) = (60, 1, 1, 1);
     let record = Record { batch: 1, index: 0, body: &body, tail: &row };
     assert_eq!(record.instance(), InstanceId(1));
--- a/src/state/endpoint_index.rs
+++ b/src/state/endpoint_index.rs
@@ -3,7 +3,7 @@
 use crate::BackendId;
 
 /// Maximum number of entries in a block; a longer one is split in two.
-const MAX_BLOCK_LEN: usize = 512;
+const MAX_BLOCK_ENTRIES: usize = 512;
 
 /// Backends sorted by a key, stored in blocks of limited length.
 ///
@@ -22,7 +22,7 @@
     pub(crate) fn from_entries(mut entries: Vec<(u64, BackendId)>) -> EndpointIndex {
         entries.sort_unstable();
         entries.dedup();
-        let blocks = entries.chunks(MAX_BLOCK_LEN / 2).map(<[_]>::to_vec).collect();
+        let blocks = entries.chunks(MAX_BLOCK_ENTRIES / 2).map(<[_]>::to_vec).collect();
         EndpointIndex { blocks, len: entries.len() }
     }
 
@@ -60,8 +60,8 @@
         let Err(position) = block.binary_search(&entry) else { return };
         block.insert(position, entry);
         self.len += 1;
-        if block.len() > MAX_BLOCK_LEN {
-            let rest = block.split_off(MAX_BLOCK_LEN / 2);
+        if block.len() > MAX_BLOCK_ENTRIES {
+            let rest = block.split_off(MAX_BLOCK_ENTRIES / 2);
             self.blocks.insert(block_index + 1, rest);
         }
     }
--- a/src/state/endpoint_index/tests.rs
+++ b/src/state/endpoint_index/tests.rs
@@ -48,5 +48,5 @@
         index.insert(number.wrapping_mul(0x9E37_79B9_7F4A_7C15), BackendId(number));
     }
     assert_eq!(index.len(), 50_000);
-    assert!(index.blocks.iter().all(|block| (1..=MAX_BLOCK_LEN).contains(&block.len())));
+    assert!(index.blocks.iter().all(|block| (1..=MAX_BLOCK_ENTRIES).contains(&block.len())));
 }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -3,8 +3,8 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const HEADER_SIZE: usize = 20;
-const RECORD_SIZE: usize = 48;
+const HEADER_BYTES: usize = 20;
+const RECORD_BYTES: usize = 48;
 
 /// Runs the adapter with this standard input until it exits.
 fn run(input: &[u8]) -> Output {
@@ -20,8 +20,8 @@
 }
 
 /// Encodes a batch as header, records and tail.
-fn batch(number: u32, clock: u64, records: &[[u8; RECORD_SIZE]], tail: &[u8]) -> Vec<u8> {
-    let size = HEADER_SIZE + records.len() * RECORD_SIZE + tail.len();
+fn batch(number: u32, clock: u64, records: &[[u8; RECORD_BYTES]], tail: &[u8]) -> Vec<u8> {
+    let size = HEADER_BYTES + records.len() * RECORD_BYTES + tail.len();
     let mut frame = Vec::new();
     frame.extend_from_slice(&(records.len() as u32).to_le_bytes());
     frame.extend_from_slice(&(size as u32).to_le_bytes());
@@ -35,8 +35,8 @@
 }
 
 /// Encodes a record as a code followed by fields, padded with zeros.
-fn record(code: u8, fields: &[u8]) -> [u8; RECORD_SIZE] {
-    let mut record = [0; RECORD_SIZE];
+fn record(code: u8, fields: &[u8]) -> [u8; RECORD_BYTES] {
+    let mut record = [0; RECORD_BYTES];
     record[0] = code;
     record[1..=fields.len()].copy_from_slice(fields);
     record
