--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -5,17 +5,17 @@
 
 /// Maximum time after SIGTERM in which clients open new connections, by the protocol for planned restarts, in
 /// milliseconds.
-const CONNECTING_MILLIS: u64 = 400;
+const CONNECTING_MS: u64 = 400;
 /// Minimum time from the end of the longest request deadline, counted from SIGTERM, to SIGKILL, by the
 /// protocol for planned restarts, in milliseconds.
-const KILL_DELAY_MILLIS: u64 = 700;
-/// The part of [`KILL_DELAY_MILLIS`] in which requests are still served after the longest deadline, in
+const KILL_DELAY_MS: u64 = 700;
+/// The part of [`KILL_DELAY_MS`] in which requests are still served after the longest deadline, in
 /// milliseconds.
-const REPLY_MARGIN_MILLIS: u64 = 400;
+const REPLY_MARGIN_MS: u64 = 400;
 
 /// Minimum time for which connections are accepted after the signal: 100 ms longer than clients open them,
 /// since some clients detect the shutdown late.
-pub const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(CONNECTING_MILLIS + 100);
+pub const MIN_ACCEPTING_TIME: Duration = Duration::from_millis(CONNECTING_MS + 100);
 /// After [`MIN_ACCEPTING_TIME`], the listener is closed when no connection was accepted for this time.
 const ACCEPT_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which the idle time of the listener is checked.
@@ -31,10 +31,10 @@
 /// longer one.
 const MAX_REPLY_DEADLINE: Duration = Duration::from_secs(3);
 /// Time between the longest deadline of a request and the reply deadline, at which open requests are failed.
-const REPLY_MARGIN: Duration = Duration::from_millis(REPLY_MARGIN_MILLIS);
+const REPLY_MARGIN: Duration = Duration::from_millis(REPLY_MARGIN_MS);
 /// Time between the reply deadline and the exit, even if clients are still sending: half of the time that
 /// remains until SIGKILL.
-const EXIT_MARGIN: Duration = Duration::from_millis((KILL_DELAY_MILLIS - REPLY_MARGIN_MILLIS) / 2);
+const EXIT_MARGIN: Duration = Duration::from_millis((KILL_DELAY_MS - REPLY_MARGIN_MS) / 2);
 
 /// The phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
