--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -87,7 +87,7 @@
                 ..AttemptEndReport::not_sent(attempt, backend)
             });
         }
-        if !self.reserve_descriptor(backend) {
+        if !self.ensure_descriptor_available(backend) {
             tracing::debug!(
                 target: "attempt", request = id.0, attempt = number, backend = backend.0,
                 "attempt not sent: no file descriptor available"
@@ -150,11 +150,11 @@
         self.record_begun_attempts();
     }
 
-    /// Returns whether a descriptor is available for an attempt at a backend, and closes an idle connection
-    /// if necessary.
-    fn reserve_descriptor(&mut self, backend: BackendId) -> bool {
+    /// Returns whether a descriptor is available for an attempt at a backend. Closes an idle connection if the
+    /// limit is reached.
+    fn ensure_descriptor_available(&mut self, backend: BackendId) -> bool {
         !self.backend_connections.needs_connection(backend, self.clock.now())
-            || self.descriptors.reserve_for_backend(
+            || self.descriptors.ensure_capacity_for_backend(
                 &mut self.clients,
                 &mut self.backend_connections,
                 self.now,
--- a/src/bin/ingress/event_loop/descriptor_budget.rs
+++ b/src/bin/ingress/event_loop/descriptor_budget.rs
@@ -55,7 +55,7 @@
         clients.len() + backend_connections.len() >= self.max_connections
     }
 
-    /// Returns the capacity for one more client, and closes an idle connection if necessary.
+    /// Returns the capacity for one more client. Closes an idle connection if the limit is reached.
     pub fn capacity_for_client(
         &self,
         clients: &mut Clients,
@@ -76,9 +76,9 @@
         }
     }
 
-    /// Returns whether one more connection to a backend can be opened, and closes an idle connection if
-    /// necessary.
-    pub fn reserve_for_backend(
+    /// Returns whether one more connection to a backend can be opened. Closes an idle connection if the limit
+    /// is reached.
+    pub fn ensure_capacity_for_backend(
         &self,
         clients: &mut Clients,
         backend_connections: &mut BackendConnections,
