--- a/src/bin/ingress/command/options.rs
+++ b/src/bin/ingress/command/options.rs
@@ -37,7 +37,7 @@
 const MAX_TOKEN_BYTES: usize = 64;
 /// Maximum number of digits of an integer.
 const MAX_INTEGER_DIGITS: usize = 10;
-/// Maximum number of characters of a decimal number.
+/// Maximum length of a decimal number, in bytes.
 const MAX_NUMBER_BYTES: usize = 20;
 /// Number of hex digits of a customer.
 const CUSTOMER_DIGITS: usize = 16;
