--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -14,21 +14,21 @@
 const NOW: Instant = Instant::from_micros(1_000_000_000);
 
 /// Client connections on a separate listener.
-struct Fixture {
+struct Harness {
     clients: Clients,
     poll: Poll,
     address: SocketAddr,
 }
 
-impl Fixture {
-    fn new(memory_limit: usize) -> Fixture {
+impl Harness {
+    fn new(memory_limit: usize) -> Harness {
         let listener = TcpListener::bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         let classes = vec![ClassSchema { name: "quote".into(), idempotency: Idempotency::Idempotent }];
         let plans = vec!["starter".into()];
         let schema = CommandSchema { classes, plans, max_units: 1.0, gateway_count: 1 };
         let clients = Clients::new(listener, schema, memory_limit, Token);
-        Fixture { clients, poll: Poll::new().unwrap(), address }
+        Harness { clients, poll: Poll::new().unwrap(), address }
     }
 
     /// Connects a client and accepts its connection.
@@ -87,12 +87,12 @@
 /// from the request, the connection would be closed before the reply is written.
 #[test]
 fn a_late_reply_is_not_treated_as_unread() {
-    let mut fixture = Fixture::new(1 << 20);
-    let mut client = fixture.client(Capacity::Available);
-    let reply_to = fixture.request(&mut client);
-    fixture.clients.reply(reply_to, b"+late\r\n");
-    fixture.clients.close_expired(NOW + WRITE_TIMEOUT + Duration::from_secs(1));
-    fixture.clients.flush(NOW + WRITE_TIMEOUT + Duration::from_secs(1));
+    let mut harness = Harness::new(1 << 20);
+    let mut client = harness.client(Capacity::Available);
+    let reply_to = harness.request(&mut client);
+    harness.clients.reply(reply_to, b"+late\r\n");
+    harness.clients.close_expired(NOW + WRITE_TIMEOUT + Duration::from_secs(1));
+    harness.clients.flush(NOW + WRITE_TIMEOUT + Duration::from_secs(1));
     expect_reply(&mut client, b"+late\r\n");
 }
 
@@ -100,13 +100,13 @@
 /// memory, since the reply is about to be written within the same iteration, which frees it.
 #[test]
 fn an_unwritten_reply_is_not_dropped_over_the_memory_limit() {
-    let mut fixture = Fixture::new(10_000);
-    let mut client = fixture.client(Capacity::Available);
-    let reply_to = fixture.request(&mut client);
+    let mut harness = Harness::new(10_000);
+    let mut client = harness.client(Capacity::Available);
+    let reply_to = harness.request(&mut client);
     let reply = [&b"$60000\r\n"[..], &vec![b'x'; 60_000], b"\r\n"].concat();
-    fixture.clients.reply(reply_to, &reply);
-    fixture.clients.read_all(NOW);
-    fixture.clients.flush(NOW);
+    harness.clients.reply(reply_to, &reply);
+    harness.clients.read_all(NOW);
+    harness.clients.flush(NOW);
     expect_reply(&mut client, &reply);
 }
 
@@ -114,15 +114,15 @@
 /// completing it is over. The command is read and answered, not refused as incomplete.
 #[test]
 fn the_rest_of_a_command_is_read_before_the_command_times_out() {
-    let mut fixture = Fixture::new(1 << 20);
-    let mut client = fixture.client(Capacity::Available);
+    let mut harness = Harness::new(1 << 20);
+    let mut client = harness.client(Capacity::Available);
     client.write_all(b"*1\r\n$4\r\nPI").unwrap();
-    while fixture.clients.idle_count() > 0 {
-        fixture.clients.read_all(NOW);
+    while harness.clients.idle_count() > 0 {
+        harness.clients.read_all(NOW);
     }
     client.write_all(b"NG\r\n").unwrap();
-    fixture.clients.close_expired(NOW + COMMAND_TIMEOUT + Duration::MICROSECOND);
-    fixture.clients.flush(NOW + COMMAND_TIMEOUT + Duration::MICROSECOND);
+    harness.clients.close_expired(NOW + COMMAND_TIMEOUT + Duration::MICROSECOND);
+    harness.clients.flush(NOW + COMMAND_TIMEOUT + Duration::MICROSECOND);
     expect_reply(&mut client, b"+PONG\r\n");
 }
 
@@ -131,15 +131,15 @@
 /// was executed.
 #[test]
 fn a_client_over_the_limit_is_rejected_before_its_connection_expires() {
-    let mut fixture = Fixture::new(1 << 20);
-    let mut client = fixture.client(Capacity::OverLimit);
+    let mut harness = Harness::new(1 << 20);
+    let mut client = harness.client(Capacity::OverLimit);
     client.write_all(&request_command()).unwrap();
-    fixture.clients.close_expired(NOW + LINGER_TIMEOUT);
-    fixture.clients.flush(NOW + LINGER_TIMEOUT);
+    harness.clients.close_expired(NOW + LINGER_TIMEOUT);
+    harness.clients.flush(NOW + LINGER_TIMEOUT);
     expect_reply(&mut client, b"-BUSY\r\n");
-    fixture.clients.close_expired(NOW + LINGER_TIMEOUT * 3);
-    assert_eq!(fixture.clients.len(), 0, "rejected and closed");
-    let counts: Vec<_> = fixture.clients.close_counts().collect();
+    harness.clients.close_expired(NOW + LINGER_TIMEOUT * 3);
+    assert_eq!(harness.clients.len(), 0, "rejected and closed");
+    let counts: Vec<_> = harness.clients.close_counts().collect();
     assert_eq!(counts, [(ClientCloseReason::LingerTimeout, 1)]);
 }
 
@@ -147,11 +147,11 @@
 /// must not state that the client took too long to read one.
 #[test]
 fn a_silent_client_over_the_limit_is_not_counted_as_lingering() {
-    let mut fixture = Fixture::new(1 << 20);
-    let _client = fixture.client(Capacity::OverLimit);
-    fixture.clients.close_expired(NOW + LINGER_TIMEOUT);
-    assert_eq!(fixture.clients.len(), 0, "closed");
-    let counts: Vec<_> = fixture.clients.close_counts().collect();
+    let mut harness = Harness::new(1 << 20);
+    let _client = harness.client(Capacity::OverLimit);
+    harness.clients.close_expired(NOW + LINGER_TIMEOUT);
+    assert_eq!(harness.clients.len(), 0, "closed");
+    let counts: Vec<_> = harness.clients.close_counts().collect();
     assert_eq!(counts, [(ClientCloseReason::OverLimitTimeout, 1)]);
 }
 
@@ -160,13 +160,13 @@
 /// and would be lost.
 #[test]
 fn a_connection_queued_for_reading_is_not_closed_as_idle() {
-    let mut fixture = Fixture::new(1 << 20);
-    let _client = fixture.client(Capacity::Available);
-    let key = fixture.clients.connections.iter().next().unwrap().0;
-    fixture.clients.queue_for_read(key);
-    assert!(!fixture.clients.close_longest_idle(NOW + Duration::MICROSECOND), "a command may be waiting");
-    fixture.clients.resume_reads(NOW + Duration::MICROSECOND);
-    assert!(fixture.clients.close_longest_idle(NOW + Duration::MICROSECOND), "no command was waiting");
+    let mut harness = Harness::new(1 << 20);
+    let _client = harness.client(Capacity::Available);
+    let key = harness.clients.connections.iter().next().unwrap().0;
+    harness.clients.queue_for_read(key);
+    assert!(!harness.clients.close_longest_idle(NOW + Duration::MICROSECOND), "a command may be waiting");
+    harness.clients.resume_reads(NOW + Duration::MICROSECOND);
+    assert!(harness.clients.close_longest_idle(NOW + Duration::MICROSECOND), "no command was waiting");
 }
 
 /// A client connects and sends its request while no descriptor is available, and is accepted 0.9 s later. The
@@ -175,28 +175,28 @@
 #[test]
 fn the_timeout_includes_the_wait_to_be_accepted() {
     const WAIT: Duration = Duration::from_millis(900);
-    let mut fixture = Fixture::new(1 << 20);
-    let mut client = TcpStream::connect(fixture.address).unwrap();
+    let mut harness = Harness::new(1 << 20);
+    let mut client = TcpStream::connect(harness.address).unwrap();
     client.write_all(&request_command()).unwrap();
-    fixture.clients.set_arrival_time(NOW);
-    let outcome = fixture.clients.accept(fixture.poll.registry(), NOW, |_| Capacity::Exhausted);
+    harness.clients.set_arrival_time(NOW);
+    let outcome = harness.clients.accept(harness.poll.registry(), NOW, |_| Capacity::Exhausted);
     assert_eq!(outcome, AcceptOutcome::RetryLater);
     let accepted_at = NOW + WAIT;
-    fixture.clients.set_arrival_time(accepted_at);
-    while fixture.clients.len() == 0 {
-        fixture.clients.accept(fixture.poll.registry(), accepted_at, |_| Capacity::Available);
+    harness.clients.set_arrival_time(accepted_at);
+    while harness.clients.len() == 0 {
+        harness.clients.accept(harness.poll.registry(), accepted_at, |_| Capacity::Available);
     }
-    assert_eq!(fixture.next_arrival(accepted_at), NOW, "the connection was waiting since then");
+    assert_eq!(harness.next_arrival(accepted_at), NOW, "the connection was waiting since then");
     // A later request has not waited.
     let later = accepted_at + WAIT;
-    fixture.clients.set_arrival_time(later);
-    fixture.clients.read_all(later);
+    harness.clients.set_arrival_time(later);
+    harness.clients.read_all(later);
     client.write_all(&request_command()).unwrap();
-    assert_eq!(fixture.next_arrival(later), later);
-    let second = TcpStream::connect(fixture.address).unwrap();
-    while fixture.clients.len() < 2 {
-        fixture.clients.accept(fixture.poll.registry(), later, |_| Capacity::Available);
+    assert_eq!(harness.next_arrival(later), later);
+    let second = TcpStream::connect(harness.address).unwrap();
+    while harness.clients.len() < 2 {
+        harness.clients.accept(harness.poll.registry(), later, |_| Capacity::Available);
     }
     (&second).write_all(&request_command()).unwrap();
-    assert_eq!(fixture.next_arrival(later), later, "no connection was waiting before it");
+    assert_eq!(harness.next_arrival(later), later, "no connection was waiting before it");
 }
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -55,7 +55,7 @@
 }
 
 /// A watch whose clock and discovery socket the test controls.
-struct WatchHarness {
+struct Harness {
     watch: Watch,
     poll: mio::Poll,
     listener: std::net::TcpListener,
@@ -63,13 +63,13 @@
     lists: Vec<u64>,
 }
 
-impl WatchHarness {
-    fn new(timings: PollTimings) -> WatchHarness {
+impl Harness {
+    fn new(timings: PollTimings) -> Harness {
         let (listener, now) = (std::net::TcpListener::bind("127.0.0.1:0").unwrap(), START);
         let options = WatchOptions { max_body_bytes: MAX_BODY_BYTES, timings, seed: 7, now };
         let watch = Watch::new(listener.local_addr().unwrap(), location_names(), 41, Token(0), options);
         let mut harness =
-            WatchHarness { watch, poll: mio::Poll::new().unwrap(), listener, now, lists: Vec::new() };
+            Harness { watch, poll: mio::Poll::new().unwrap(), listener, now, lists: Vec::new() };
         harness.run_timer();
         harness
     }
@@ -135,7 +135,7 @@
         PollTimings::shared_service(MAX_POLL_INTERVAL, 6),
         PollTimings::shared_service(Duration::from_millis(500), 300),
     ] {
-        let mut harness = WatchHarness::new(timings);
+        let mut harness = Harness::new(timings);
         let mut silent = harness.accept();
         let timeout = harness.read_poll(&mut silent);
         let delivered_at = harness.now + (timeout + Duration::from_secs(2)).max(Duration::from_secs(6));
@@ -154,7 +154,7 @@
 /// ingress would use an outdated list for twice the time; a third poll has to start within 6 s of the first.
 #[test]
 fn a_third_poll_starts_within_six_seconds_of_two_silent_polls() {
-    let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
+    let mut harness = Harness::new(PollTimings::LOCAL_AGENT);
     let started_at = harness.now;
     for _ in 0..2 {
         let mut silent = harness.accept();
@@ -175,7 +175,7 @@
 /// backend that is draining would receive requests for too long.
 #[test]
 fn retries_at_a_local_agent_are_delayed_for_less_than_a_grace_period() {
-    let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
+    let mut harness = Harness::new(PollTimings::LOCAL_AGENT);
     for _ in 0..20 {
         drop(harness.accept());
         let failed_at = harness.now;
@@ -193,7 +193,7 @@
 /// to be discarded with their connection.
 #[test]
 fn bytes_received_between_two_polls_are_discarded() {
-    let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
+    let mut harness = Harness::new(PollTimings::LOCAL_AGENT);
     let mut first = harness.accept();
     harness.read_poll(&mut first);
     harness.respond(&mut first, 41);
@@ -488,7 +488,7 @@
 fn the_next_poll_starts_within_five_seconds_of_any_kind_of_failure() {
     for failure in PollFailure::ALL {
         let response = failure.response();
-        let mut harness = WatchHarness::new(PollTimings::shared_service(MAX_POLL_INTERVAL, 2900));
+        let mut harness = Harness::new(PollTimings::shared_service(MAX_POLL_INTERVAL, 2900));
         if failure == PollFailure::Refused {
             harness.listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             // connections to the first listener are refused from now on
@@ -533,7 +533,7 @@
 /// uses a new connection.
 #[test]
 fn a_connection_with_a_partly_written_request_is_not_reused() {
-    let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
+    let mut harness = Harness::new(PollTimings::LOCAL_AGENT);
     let mut stream = harness.accept();
     harness.read_poll(&mut stream);
     // More than the socket accepts while its peer does not read.
@@ -550,7 +550,7 @@
 /// request for a snapshot has to be kept.
 #[test]
 fn a_reload_with_the_same_address_keeps_the_pending_snapshot_request() {
-    let mut harness = WatchHarness::new(PollTimings::LOCAL_AGENT);
+    let mut harness = Harness::new(PollTimings::LOCAL_AGENT);
     let mut watched = harness.accept();
     harness.read_poll(&mut watched);
     let address = harness.listener.local_addr().unwrap();
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -144,7 +144,7 @@
 }
 
 /// An event loop between clients and two backends, which the test implements.
-struct Testbed {
+struct Harness {
     event_loop: EventLoop,
     backends: [TcpListener; 2],
     /// The connections accepted by each backend.
@@ -152,8 +152,8 @@
     address: SocketAddr,
 }
 
-impl Testbed {
-    fn new(name: &str, cancellation: Cancellation) -> Testbed {
+impl Harness {
+    fn new(name: &str, cancellation: Cancellation) -> Harness {
         let backend = || {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             listener.set_nonblocking(true).unwrap();
@@ -173,7 +173,7 @@
             .replace("\"quota_rate\":1.5,\"burst\":7.0", "\"quota_rate\":1000.0,\"burst\":1000.0");
         let (event_loop, client) = start(name, &config);
         let connections = [Vec::new(), Vec::new()];
-        Testbed { event_loop, backends, connections, address: client.peer_addr().unwrap() }
+        Harness { event_loop, backends, connections, address: client.peer_addr().unwrap() }
     }
 
     fn client(&self) -> TcpStream {
@@ -185,8 +185,8 @@
         let mut client = self.client();
         client.write_all(&request_command(1)).unwrap();
         let mut commands = 0;
-        self.iterate_until("the first attempt is sent", |testbed| {
-            commands += testbed.take_commands();
+        self.iterate_until("the first attempt is sent", |harness| {
+            commands += harness.take_commands();
             commands > 0
         });
         ClientInFlight { client, commands }
@@ -206,7 +206,7 @@
     }
 
     /// Runs iterations, without advancing the clock, until a condition is satisfied.
-    fn iterate_until(&mut self, what: &str, mut condition: impl FnMut(&mut Testbed) -> bool) {
+    fn iterate_until(&mut self, what: &str, mut condition: impl FnMut(&mut Harness) -> bool) {
         for _ in 0..10_000 {
             if condition(self) {
                 return;
@@ -280,16 +280,16 @@
         (Cancellation::Allowed, Disconnect::Half),
         (Cancellation::Forbidden, Disconnect::Half),
     ] {
-        let mut testbed = Testbed::new("disconnect-retry", cancellation);
-        let ClientInFlight { client, commands: first } = testbed.client_in_flight();
-        for connection in testbed.connections.iter_mut().flatten() {
+        let mut harness = Harness::new("disconnect-retry", cancellation);
+        let ClientInFlight { client, commands: first } = harness.client_in_flight();
+        for connection in harness.connections.iter_mut().flatten() {
             connection.write_all(b"-BUSY\r\n").unwrap();
         }
         let replied = |socket: &ReadySocket| matches!(socket.source(), Source::Backend(_));
-        let mut ready = testbed.poll_until(|ready| ready.iter().any(replied));
-        ready.extend(testbed.disconnect(vec![client], kind));
-        testbed.event_loop.process_ready(&mut ready);
-        assert_eq!((first, testbed.take_commands_after(200)), (1, 0), "{cancellation:?}, {kind:?}");
+        let mut ready = harness.poll_until(|ready| ready.iter().any(replied));
+        ready.extend(harness.disconnect(vec![client], kind));
+        harness.event_loop.process_ready(&mut ready);
+        assert_eq!((first, harness.take_commands_after(200)), (1, 0), "{cancellation:?}, {kind:?}");
     }
 }
 
@@ -303,21 +303,21 @@
         (Cancellation::Forbidden, Disconnect::Full),
         (Cancellation::Allowed, Disconnect::Half),
     ] {
-        let mut testbed = Testbed::new("disconnect-burst", cancellation);
-        let mut clients: Vec<_> = (0..40).map(|_| testbed.client()).collect();
+        let mut harness = Harness::new("disconnect-burst", cancellation);
+        let mut clients: Vec<_> = (0..40).map(|_| harness.client()).collect();
         for (number, client) in clients.iter_mut().enumerate() {
             client.write_all(&request_command(number)).unwrap();
         }
         let mut sent = 0;
-        testbed.iterate_until("some requests are queued", |testbed| {
-            sent += testbed.take_commands();
-            testbed.event_loop.requests.len() >= 22
+        harness.iterate_until("some requests are queued", |harness| {
+            sent += harness.take_commands();
+            harness.event_loop.requests.len() >= 22
         });
-        sent += testbed.take_commands_after(1);
+        sent += harness.take_commands_after(1);
         assert!((1..22).contains(&sent), "{sent} sent");
-        let mut ready = testbed.disconnect(clients, kind);
-        testbed.event_loop.process_ready(&mut ready);
-        assert_eq!(testbed.take_commands_after(200), 0, "{cancellation:?}, {kind:?}");
+        let mut ready = harness.disconnect(clients, kind);
+        harness.event_loop.process_ready(&mut ready);
+        assert_eq!(harness.take_commands_after(200), 0, "{cancellation:?}, {kind:?}");
     }
 }
 
@@ -326,14 +326,14 @@
 #[test]
 fn requests_sent_just_before_a_disconnect_are_not_forwarded() {
     for kind in [Disconnect::Full, Disconnect::Half] {
-        let mut testbed = Testbed::new("disconnect-after-send", Cancellation::Allowed);
-        let mut client = testbed.client();
-        let before = testbed.event_loop.clients.len();
-        testbed.iterate_until("the client is accepted", |testbed| testbed.event_loop.clients.len() > before);
+        let mut harness = Harness::new("disconnect-after-send", Cancellation::Allowed);
+        let mut client = harness.client();
+        let before = harness.event_loop.clients.len();
+        harness.iterate_until("the client is accepted", |harness| harness.event_loop.clients.len() > before);
         client.write_all(&request_command(1)).unwrap();
-        let mut ready = testbed.disconnect(vec![client], kind);
-        testbed.event_loop.process_ready(&mut ready);
-        assert_eq!(testbed.take_commands_after(50), 0, "{kind:?}");
+        let mut ready = harness.disconnect(vec![client], kind);
+        harness.event_loop.process_ready(&mut ready);
+        assert_eq!(harness.take_commands_after(50), 0, "{kind:?}");
     }
 }
 
@@ -343,12 +343,12 @@
 #[test]
 fn due_timers_begin_no_attempt_for_a_disconnected_client() {
     for cancellation in [Cancellation::Allowed, Cancellation::Forbidden] {
-        let mut testbed = Testbed::new("disconnect-hedge", cancellation);
-        let ClientInFlight { client, commands: first } = testbed.client_in_flight();
-        let mut ready = testbed.disconnect(vec![client], Disconnect::Full);
-        testbed.event_loop.now += Duration::from_millis(300); // past the hedging delay
-        testbed.event_loop.process_ready(&mut ready);
-        assert_eq!((first, testbed.take_commands_after(100)), (1, 0), "{cancellation:?}");
+        let mut harness = Harness::new("disconnect-hedge", cancellation);
+        let ClientInFlight { client, commands: first } = harness.client_in_flight();
+        let mut ready = harness.disconnect(vec![client], Disconnect::Full);
+        harness.event_loop.now += Duration::from_millis(300); // past the hedging delay
+        harness.event_loop.process_ready(&mut ready);
+        assert_eq!((first, harness.take_commands_after(100)), (1, 0), "{cancellation:?}");
     }
 }
 
@@ -357,17 +357,17 @@
 /// continues to retry the request of a disconnected client.
 #[test]
 fn a_disconnect_between_two_commands_closes_the_request() {
-    let mut testbed = Testbed::new("disconnect-between", Cancellation::Allowed);
-    let ClientInFlight { client: _client, commands: first } = testbed.client_in_flight();
-    let id = testbed.event_loop.requests.ids()[0];
-    testbed.event_loop.process_client_event(ClientEvent::Disconnected(id));
-    testbed.event_loop.run_gateway();
+    let mut harness = Harness::new("disconnect-between", Cancellation::Allowed);
+    let ClientInFlight { client: _client, commands: first } = harness.client_in_flight();
+    let id = harness.event_loop.requests.ids()[0];
+    harness.event_loop.process_client_event(ClientEvent::Disconnected(id));
+    harness.event_loop.run_gateway();
     assert_eq!(
-        (first, testbed.event_loop.requests.len()),
+        (first, harness.event_loop.requests.len()),
         (1, 0),
         "its attempt is cancelled, and the request is closed"
     );
-    assert_eq!(testbed.take_commands_after(200), 0);
+    assert_eq!(harness.take_commands_after(200), 0);
 }
 
 /// The event loop stalls while a connection is established, until the time for beginning the attempt has
@@ -389,17 +389,17 @@
             socket
         })
         .collect();
-    let mut testbed = Testbed::new("late-connection", Cancellation::Allowed);
+    let mut harness = Harness::new("late-connection", Cancellation::Allowed);
     let backend_id = BackendId(7);
     let endpoint = Endpoint { backend: backend_id, ..Endpoint::default() };
     let entries = vec![EndpointEntry { endpoint, started_at: UnixTime::default(), address: Some(address) }];
     let list = EndpointList { index: 2, is_snapshot: true, entries };
-    testbed.event_loop.apply_endpoints(&list, EndpointUpdate::Snapshot);
-    testbed.event_loop.run_gateway();
-    let mut client = testbed.client();
+    harness.event_loop.apply_endpoints(&list, EndpointUpdate::Snapshot);
+    harness.event_loop.run_gateway();
+    let mut client = harness.client();
     client.write_all(&request_command(1)).unwrap();
-    testbed.iterate_until("the connection is started", |testbed| {
-        testbed.event_loop.backend_connections.len() == 1
+    harness.iterate_until("the connection is started", |harness| {
+        harness.event_loop.backend_connections.len() == 1
     });
     drop(fillers);
     let listener: TcpListener = backend.into();
@@ -412,13 +412,13 @@
     };
     while !ready.iter().any(is_up) {
         accept_all();
-        ready.extend(testbed.poll_until(|_| true));
+        ready.extend(harness.poll_until(|_| true));
     }
     // The queue is empty, so a retry after the client's timeout would connect at once.
     accept_all();
     // The loop has stalled since connecting began: the timer is due, and nothing was handled in between.
-    testbed.event_loop.now += testbed.event_loop.connect_timeout;
-    testbed.event_loop.process_ready(&mut ready);
+    harness.event_loop.now += harness.event_loop.connect_timeout;
+    harness.event_loop.process_ready(&mut ready);
     accept_all();
     for (mut connection, _) in accepted {
         connection.set_read_timeout(Some(std::time::Duration::from_millis(100))).unwrap();
--- a/src/policy/load_balancing/tests.rs
+++ b/src/policy/load_balancing/tests.rs
@@ -10,15 +10,15 @@
 const CLASS: usize = 0;
 
 /// Load balancer of a gateway, with its backends.
-struct Fixture {
+struct Harness {
     balancer: LoadBalancer,
     backends: BackendTable,
     outlier_detector: OutlierDetector,
 }
 
-impl Fixture {
+impl Harness {
     /// Creates a gateway in a fleet of three with these endpoints.
-    fn new(endpoints: Vec<Endpoint>) -> Fixture {
+    fn new(endpoints: Vec<Endpoint>) -> Harness {
         let class = Class {
             latency_objective: Duration::from_millis(400),
             latency_objective_stretch: 0.0,
@@ -38,17 +38,17 @@
         let mut backends = BackendTable::new(&settings);
         backends.replace_all(endpoints);
         let outlier_detector = OutlierDetector::new(&settings.classes, NOW);
-        Fixture { balancer: LoadBalancer::new(&settings, 3), backends, outlier_detector }
+        Harness { balancer: LoadBalancer::new(&settings, 3), backends, outlier_detector }
     }
 
     /// Creates a gateway with this many backends in its own zone, numbered from 0.
-    fn with_backends(count: u64) -> Fixture {
-        Fixture::new((0..count).map(endpoint).collect())
+    fn with_backends(count: u64) -> Harness {
+        Harness::new((0..count).map(endpoint).collect())
     }
 
     /// Chooses a backend for an attempt within `scope`.
     fn choose(&self, seed: u64, attempts: &[Attempt], scope: &RetryScope) -> Result<BackendId, NoBackend> {
-        let Fixture { backends, outlier_detector, .. } = self;
+        let Harness { backends, outlier_detector, .. } = self;
         let context =
             ChoiceContext { now: NOW, seed, class: CLASS, attempts, scope, backends, outlier_detector };
         self.balancer.choose(&context)
@@ -95,7 +95,7 @@
 /// chose the first one, it would be overloaded while the others are idle.
 #[test]
 fn attempts_are_spread_over_equal_backends() {
-    let choices = Fixture::with_backends(4).choices();
+    let choices = Harness::with_backends(4).choices();
     let mean = choices.values().sum::<usize>() / 4;
     assert!(choices.len() == 4 && choices.values().all(|count| *count < 2 * mean), "{choices:?}");
 }
@@ -104,37 +104,37 @@
 /// wait.
 #[test]
 fn the_least_loaded_backend_is_chosen() {
-    let mut fixture = Fixture::with_backends(4);
-    fixture.backends.get_mut(BackendId(2)).expect("the backend is listed").begin_attempt(NOW, Duration::ZERO);
-    assert!(!fixture.choices().contains_key(&2));
+    let mut harness = Harness::with_backends(4);
+    harness.backends.get_mut(BackendId(2)).expect("the backend is listed").begin_attempt(NOW, Duration::ZERO);
+    assert!(!harness.choices().contains_key(&2));
 }
 
 /// One backend is ejected, so the others are chosen even while they are loaded. Once all are ejected they
 /// are chosen as before; requests that are held back would only fail later.
 #[test]
 fn ejected_backends_are_avoided_but_not_excluded() {
-    let mut fixture = Fixture::with_backends(3);
-    fixture.eject(0);
+    let mut harness = Harness::with_backends(3);
+    harness.eject(0);
     for id in [1, 2] {
-        let backend = fixture.backends.get_mut(BackendId(id)).expect("the backend is listed");
+        let backend = harness.backends.get_mut(BackendId(id)).expect("the backend is listed");
         (0..5).for_each(|_| backend.begin_attempt(NOW, Duration::ZERO));
     }
-    assert!(!fixture.choices().contains_key(&0));
+    assert!(!harness.choices().contains_key(&0));
     for id in [1, 2] {
-        fixture.eject(id);
+        harness.eject(id);
     }
-    assert!(fixture.choices().contains_key(&0));
+    assert!(harness.choices().contains_key(&0));
 }
 
 /// The retry of a failed attempt is sent to another backend, since the first one would probably fail again.
 /// If there is no other backend, it is sent to the same one.
 #[test]
 fn a_retry_goes_to_another_backend() {
-    let fixture = Fixture::with_backends(3);
+    let harness = Harness::with_backends(3);
     for seed in 0..100 {
-        assert_ne!(fixture.choose(seed, &[attempt_at(1)], &RetryScope::Anywhere), Ok(BackendId(1)));
+        assert_ne!(harness.choose(seed, &[attempt_at(1)], &RetryScope::Anywhere), Ok(BackendId(1)));
     }
-    let alone = Fixture::with_backends(1);
+    let alone = Harness::with_backends(1);
     assert_eq!(alone.choose(1, &[attempt_at(0)], &RetryScope::Anywhere), Ok(BackendId(0)));
 }
 
@@ -142,38 +142,38 @@
 /// no longer applies.
 #[test]
 fn a_backend_with_a_reported_queue_is_avoided_until_it_restarts() {
-    let mut fixture = Fixture::with_backends(3);
-    fixture.backends.get_mut(BackendId(0)).expect("the backend is listed").reported_queue.report(50.0, NOW);
-    assert!(!fixture.choices().contains_key(&0));
+    let mut harness = Harness::with_backends(3);
+    harness.backends.get_mut(BackendId(0)).expect("the backend is listed").reported_queue.report(50.0, NOW);
+    assert!(!harness.choices().contains_key(&0));
     let restarted = Endpoint { started_at: Some(Instant::ZERO), ..endpoint(0) };
-    fixture.backends.apply_change(restarted);
-    assert!(fixture.choices().contains_key(&0));
+    harness.backends.apply_change(restarted);
+    assert!(harness.choices().contains_key(&0));
 }
 
 /// No backend is ready. The choice returns that reason, so that an operator who reads the log of a rejected
 /// request looks for the fault in discovery and not at the backends.
 #[test]
 fn a_choice_without_ready_backends_returns_none_ready() {
-    let fixture = Fixture::with_backends(0);
-    assert_eq!(fixture.choose(1, &[], &RetryScope::Anywhere), Err(NoBackend::NoneReady));
+    let harness = Harness::with_backends(0);
+    assert_eq!(harness.choose(1, &[], &RetryScope::Anywhere), Err(NoBackend::NoneReady));
 }
 
 /// A keyed request may be retried only in the zone of its first attempt, where no backend is left. A
 /// backend of another zone does not have the key and would execute the request a second time.
 #[test]
 fn no_backend_outside_of_the_retry_scope_is_chosen() {
-    let fixture = Fixture::with_backends(3);
+    let harness = Harness::with_backends(3);
     let elsewhere = Endpoint { zone: OWN_ZONE + 1, ..endpoint(9) };
     let scope = RetryScope::Within(IdempotencyScope::Zone, elsewhere);
-    assert_eq!(fixture.choose(1, &[], &scope), Err(NoBackend::OutOfScope));
+    assert_eq!(harness.choose(1, &[], &scope), Err(NoBackend::OutOfScope));
 }
 
 /// The only backend has just started and has received its maximum number of attempts. The request has to
 /// wait; one more attempt from each gateway would overload the backend.
 #[test]
 fn a_backend_in_slow_start_over_its_budget_is_not_chosen() {
-    let mut fixture = Fixture::new(vec![Endpoint { started_at: Some(NOW), ..endpoint(0) }]);
+    let mut harness = Harness::new(vec![Endpoint { started_at: Some(NOW), ..endpoint(0) }]);
     let window = Duration::from_secs(1);
-    fixture.backends.get_mut(BackendId(0)).expect("the backend is listed").begin_attempt(NOW, window);
-    assert_eq!(fixture.choose(1, &[], &RetryScope::Anywhere), Err(NoBackend::SlowStart));
+    harness.backends.get_mut(BackendId(0)).expect("the backend is listed").begin_attempt(NOW, window);
+    assert_eq!(harness.choose(1, &[], &RetryScope::Anywhere), Err(NoBackend::SlowStart));
 }
