--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -9,9 +9,9 @@
 use ingress::{Duration, Instant};
 use serde::{Deserialize, Serialize};
 
-/// Time in the queue of the discovery service after which a poll is rejected. The service processes a
-/// rejected poll all the same.
-const MAX_QUEUEING: Duration = Duration::from_secs(2);
+/// Time in the queue of the discovery service after which a poll is rejected. The service also processes
+/// polls that it has rejected.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
 /// Time from the restart of killed ingresses to the end of the outage.
 const RESTART_LEAD: Duration = Duration::from_secs(2);
 /// Time for which the fleet is observed after the outage.
@@ -23,9 +23,9 @@
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoveryOutageExperiment {
-    /// Number of ingresses in the fleet.
+    /// Fleet sizes to measure at, in ingresses.
     pub ingresses: Vec<u64>,
-    /// Time in which the discovery service can answer one poll of each ingress, in seconds.
+    /// Times in which the discovery service can answer one poll of each ingress, in seconds.
     #[serde(alias = "round_s")]
     pub fleet_poll_s: Vec<f64>,
     /// Number of ingresses in ten that are killed during the outage.
@@ -224,12 +224,12 @@
         self.recovery.polls += 1;
         let served_from = f64::max(self.idle_at_us, now.as_micros() as f64);
         self.idle_at_us = served_from + self.poll_service_time_us;
-        if served_from <= (now + MAX_QUEUEING).as_micros() as f64 {
+        if served_from <= (now + MAX_QUEUE_TIME).as_micros() as f64 {
             self.answered.push(Instant::from_micros(self.idle_at_us as u64).duration_since(self.outage_end));
             return None;
         }
         self.recovery.rejected_polls += 1;
-        Some(now + MAX_QUEUEING)
+        Some(now + MAX_QUEUE_TIME)
     }
 
     /// Computes the quantiles of the answer times.
--- a/fleet-experiments/src/experiments/ingress_latency.rs
+++ b/fleet-experiments/src/experiments/ingress_latency.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IngressLatencyExperiment {
-    /// Requests per second over all connections.
+    /// Request rates to measure at, in requests per second over all connections.
     pub rates: Vec<u64>,
     /// Number of connections that the requests are distributed over.
     pub connections: u64,
--- a/fleet-experiments/src/experiments/quota_messages.rs
+++ b/fleet-experiments/src/experiments/quota_messages.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaMessagesExperiment {
-    /// Number of ingresses in the fleet.
+    /// Fleet sizes to measure at, in ingresses.
     pub ingresses: Vec<u64>,
-    /// Requests per second at each ingress.
+    /// Request rates to measure at, in requests per second at each ingress.
     pub rates: Vec<u64>,
     /// Number of ingresses that receive the requests of a customer.
     #[serde(alias = "spread")]
--- a/fleet-experiments/src/experiments/quota_messages/simulation.rs
+++ b/fleet-experiments/src/experiments/quota_messages/simulation.rs
@@ -22,8 +22,8 @@
 const MIN_BURST: f64 = 4.0;
 /// Range from which the delay of a message between ingresses is drawn.
 const MESSAGE_DELAY: Range<Duration> = Duration::from_micros(500)..Duration::from_millis(3);
-/// Intervals per second over which a receiver's rate limit is enforced. Messages within one interval may be
-/// spaced unevenly, since a sender may be slightly ahead of its rate.
+/// Number of intervals per second in each of which a receiver's rate limit applies. Messages within one
+/// interval may be spaced unevenly, since a sender may be slightly ahead of its rate.
 const INTERVALS_PER_SECOND: u64 = 10;
 
 /// Event in the queue of the simulation.
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -23,11 +23,11 @@
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestCostExperiment {
-    /// Number of backends in the list.
+    /// Numbers of backends in the list.
     pub backends: Vec<u64>,
-    /// Number of customers that send requests.
+    /// Numbers of customers that send requests.
     pub customers: Vec<u64>,
-    /// Number of ingresses in the fleet.
+    /// Numbers of ingresses in the fleet.
     pub ingresses: Vec<u64>,
     /// Number of measured requests at each point. They follow a tenth as many warm-up requests.
     pub requests: u64,
--- a/fleet-experiments/src/experiments/slow_start/simulation.rs
+++ b/fleet-experiments/src/experiments/slow_start/simulation.rs
@@ -245,7 +245,7 @@
     settings
 }
 
-/// Returns the share of its capacity that a backend serves at an age.
+/// Returns the share of its capacity that a backend serves at the given age.
 fn capacity_share(age: Duration) -> f64 {
     let age_share = age.as_micros_f64() / SLOW_START_DURATION.as_micros_f64();
     (SLOW_START_FLOOR + (1.0 - SLOW_START_FLOOR) * age_share).min(1.0)
--- a/fleet-experiments/src/stand_in/discovery.rs
+++ b/fleet-experiments/src/stand_in/discovery.rs
@@ -67,11 +67,11 @@
         state: MutexGuard<'a, State>,
         end: Instant,
     ) -> Option<MutexGuard<'a, State>> {
-        let left = end.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = end.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return None;
         }
-        Some(self.changed.wait_timeout(state, left).expect("no thread panics while it holds the lock").0)
+        Some(self.changed.wait_timeout(state, remaining).expect("no thread panics while it holds the lock").0)
     }
 
     /// Records a poll, waits for a newer version, and returns the response body.
