--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -280,7 +280,10 @@
     /// Ends an attempt whose first byte may no longer be written.
     fn refuse_to_write(&mut self, attempt: AttemptId, refusal: WriteRefusal) {
         let (request, number) = (attempt.request.0, attempt.number);
-        tracing::debug!(target: "attempt", request, attempt = number, ?refusal, "command not written");
+        tracing::debug!(
+            target: "attempt", request, attempt = number, ?refusal,
+            "attempt not sent: command may no longer be written"
+        );
         let outcome = match refusal {
             // A closed request is not a failure of the backend.
             WriteRefusal::Closed => Outcome::NotSent,
--- a/src/bin/ingress/event_loop/client_events.rs
+++ b/src/bin/ingress/event_loop/client_events.rs
@@ -186,7 +186,7 @@
             client_request_id = %String::from_utf8_lossy(command.client_request_id()),
             client = reply_to.connection_serial(),
             ?refusal,
-            "request refused"
+            "request not opened"
         );
         match refusal {
             OpenRefusal::DuplicateId => {
@@ -224,7 +224,9 @@
     /// still receives a reply.
     pub(super) fn fail_unanswered(&mut self, id: RequestId, reason: MissedAnswer) {
         if self.requests.is_open(id) {
-            tracing::debug!(target: "request", request = id.0, ?reason, "request failed: no answer before the deadline");
+            tracing::debug!(
+                target: "request", request = id.0, ?reason, "request failed: no answer before the deadline"
+            );
             self.reply(id, FAILED_REPLY, Answer::Failed);
             self.pending_events.push_back(Event::RequestClosed(id));
         }
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -65,7 +65,10 @@
             ArrivalDecision::AwaitGrant { scope, timing } => {
                 let draw = unit_draw(self.next_seed());
                 if self.quota.skips_grant_request(self.now, request.customer, draw) {
-                    tracing::debug!(target: "policy", request = request.id.0, "grant request skipped");
+                    tracing::debug!(
+                        target: "policy", request = request.id.0,
+                        "grant request skipped: too many for the customer's quota owner"
+                    );
                     return self.push_rejection(
                         request.id,
                         RejectReason::GrantRequestSkipped,
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -163,7 +163,7 @@
         tracing::debug!(
             target: "policy", request = id.0, attempt = number, backend = backend_id.0, class = class_index,
             age_ms = now.duration_since(sent_at).as_millis(), is_silent = silence.is_silent(),
-            decision = ?check, "late attempt checked"
+            decision = ?check, "unanswered attempt checked"
         );
         if let SilenceCheck::Silent { ejection: Some(ejection) } = silence {
             self.on_silence_ejection(backend_id, class_index, ejection);
--- a/src/gateway/closing.rs
+++ b/src/gateway/closing.rs
@@ -16,7 +16,8 @@
             }
             FinalAnswer::Failed => {
                 tracing::debug!(
-                    target: "policy", request = id.0, attempts = state.attempts.len(), "request failed"
+                    target: "policy", request = id.0, attempts = state.attempts.len(),
+                    "request failed: it may have been executed"
                 );
                 actions.push(Action::Fail(id));
             }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -47,7 +47,10 @@
     /// one report of each customer with recent usage whose quota the peer owns.
     fn on_peer_start(&mut self, peer: u16, start: PeerStart) {
         let unreported = self.quota.on_peer_start(self.now, peer, start);
-        tracing::debug!(target: "policy", peer, ?start, customers = unreported.len(), "peer started");
+        tracing::debug!(
+            target: "policy", peer, ?start, customers = unreported.len(),
+            "first message of a peer process received"
+        );
         for id in unreported {
             self.peers.queue_single_report(peer, id);
         }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -169,7 +169,7 @@
     /// Adds the withheld tokens to all buckets, once it is known that all gateways started together, with
     /// full buckets. Without this a customer that is always over its quota would never receive them.
     pub(crate) fn release_withheld_tokens(&mut self) {
-        tracing::debug!(target: "policy", customers = self.customers.len(), "withheld tokens released");
+        tracing::debug!(target: "policy", customers = self.customers.len(), "withheld quota tokens released");
         self.known_usage = KnownUsage::Complete;
         for customer in self.customers.values_mut() {
             customer.bucket.release_withheld();
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -108,7 +108,7 @@
                 target: "policy", customer = id.0, from_plan = customer.plan, to_plan = claim.plan,
                 from_set_start = customer.gateway_set.start, from_set_size = customer.gateway_set.size,
                 to_set_start = claim.gateway_set.start, to_set_size = claim.gateway_set.size,
-                "customer identity replaced"
+                "plan and gateway set of customer replaced"
             );
             // Limits the new bucket to the old level: if each change filled it, requests that alternate
             // between plans could exceed the hard limit.
