--- a/src/policy/quota/ownership.rs
+++ b/src/policy/quota/ownership.rs
@@ -133,9 +133,9 @@
         self != Self::Designated
     }
 
-    /// Returns whether the usage of other gateways is known without a recent answer of an owner, from their
-    /// reports.
-    pub(crate) fn knows_usage_without_grant(self) -> bool {
+    /// Returns whether every gateway tracks the usage through others from their reports, and needs no recent
+    /// answer of an owner for it.
+    pub(crate) fn tracks_remote_usage(self) -> bool {
         self != Self::Designated
     }
 
--- a/src/policy/quota/shortages.rs
+++ b/src/policy/quota/shortages.rs
@@ -89,7 +89,7 @@
             return Shortages::default();
         };
         let units = context.request.units;
-        let usage_known = ownership.knows_usage_without_grant()
+        let usage_known = ownership.tracks_remote_usage()
             || customer.role.is_owner()
             || customer.answered_at.is_some_and(|answered_at| is_recent(context.now, answered_at));
         let unreported_units = customer.unreported_units(ownership);
