--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -191,12 +191,12 @@
         }
     }
 
-    /// Returns the class of a request that passed `screen`, so that its class index is valid.
+    /// Returns the class of a request that passed `validate_request`, so that its class index is valid.
     pub(crate) fn class_of(&self, request: &Request) -> &Class {
         &self.settings.classes[usize::from(request.class)]
     }
 
-    /// Returns the plan of a request that passed `screen`, so that its plan index is valid.
+    /// Returns the plan of a request that passed `validate_request`, so that its plan index is valid.
     pub(crate) fn plan_of(&self, request: &Request) -> &Plan {
         &self.settings.plans[usize::from(request.plan)]
     }
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -4,7 +4,7 @@
 use crate::policy::admission::{
     has_plan_mismatch, has_time_to_wait, min_time_left, AdmissionContext, AdmissionDecision,
 };
-use crate::policy::admission::{ArrivalContext, ArrivalDecision, QueueContext, ScreeningContext};
+use crate::policy::admission::{ArrivalContext, ArrivalDecision, QueueContext, ValidationContext};
 use crate::policy::quota::{grant_wait, ReportPurpose, ShortageContext, Shortages};
 use crate::policy::quota::{
     DecisionPoint, GrantAnswers, GrantRequestStep, GrantScope, GrantStatus, GrantTiming,
@@ -30,7 +30,7 @@
         if self.requests.contains(request.id) {
             return; // A duplicate delivery: the first one is answered.
         }
-        if let Err(reason) = self.screen(&request) {
+        if let Err(reason) = self.validate_request(&request) {
             return self.push_rejection(request.id, reason, RetryAdvice::None, actions);
         }
         let claimed_plan = request.plan;
@@ -87,15 +87,15 @@
     /// # Errors
     ///
     /// The reason why the request is rejected.
-    fn screen(&self, request: &Request) -> Result<(), RejectReason> {
-        let context = ScreeningContext {
+    fn validate_request(&self, request: &Request) -> Result<(), RejectReason> {
+        let context = ValidationContext {
             now: self.now,
             request,
             class_count: self.settings.classes.len(),
             plan_count: self.settings.plans.len(),
             min_time_left: min_time_left(self.settings.tick),
         };
-        context.screen()
+        context.validate()
     }
 
     /// Returns whether load shedding admits a request.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control: rejects a request, lets it wait for a quota grant, or queues it for a backend.
 //!
-//! A request is decided in three steps: [`ScreeningContext`] on arrival, [`ArrivalContext`] once its
+//! A request is decided in three steps: [`ValidationContext`] on arrival, [`ArrivalContext`] once its
 //! customer is identified, and [`AdmissionContext`] either immediately afterwards or after the wait for a
 //! grant. [`QueueContext`] limits its time in the queue.
 
@@ -34,8 +34,8 @@
     now + min_time_left <= deadline
 }
 
-/// Input of the checks that every request passes on arrival.
-pub(crate) struct ScreeningContext<'a> {
+/// Input of the validation of an arriving request.
+pub(crate) struct ValidationContext<'a> {
     pub now: Instant,
     pub request: &'a Request,
     /// Number of classes in the settings.
@@ -46,9 +46,9 @@
     pub min_time_left: Duration,
 }
 
-impl ScreeningContext<'_> {
+impl ValidationContext<'_> {
     /// Rejects a request that is malformed or has too little time left to be answered.
-    pub(crate) fn screen(&self) -> Result<(), RejectReason> {
+    pub(crate) fn validate(&self) -> Result<(), RejectReason> {
         if !self.is_valid() {
             return Err(RejectReason::Invalid);
         }
--- a/src/policy/admission/tests.rs
+++ b/src/policy/admission/tests.rs
@@ -62,23 +62,23 @@
 #[test]
 fn invalid_and_late_requests_are_rejected_on_arrival() {
     let valid = Request { units: 1.0, deadline: NOW + MIN_TIME_LEFT, ..Request::default() };
-    let screen = |request: Request| {
-        let context = ScreeningContext {
+    let validate = |request: Request| {
+        let context = ValidationContext {
             now: NOW,
             request: &request,
             class_count: 1,
             plan_count: 1,
             min_time_left: MIN_TIME_LEFT,
         };
-        context.screen()
+        context.validate()
     };
-    assert_eq!(screen(valid), Ok(()));
-    assert_eq!(screen(Request { class: 1, ..valid }), Err(RejectReason::Invalid));
-    assert_eq!(screen(Request { plan: 1, ..valid }), Err(RejectReason::Invalid));
-    assert_eq!(screen(Request { units: -1.0, ..valid }), Err(RejectReason::Invalid));
-    assert_eq!(screen(Request { units: f64::NAN, ..valid }), Err(RejectReason::Invalid));
+    assert_eq!(validate(valid), Ok(()));
+    assert_eq!(validate(Request { class: 1, ..valid }), Err(RejectReason::Invalid));
+    assert_eq!(validate(Request { plan: 1, ..valid }), Err(RejectReason::Invalid));
+    assert_eq!(validate(Request { units: -1.0, ..valid }), Err(RejectReason::Invalid));
+    assert_eq!(validate(Request { units: f64::NAN, ..valid }), Err(RejectReason::Invalid));
     let late = Request { deadline: NOW + MIN_TIME_LEFT - Duration::MICROSECOND, ..valid };
-    assert_eq!(screen(late), Err(RejectReason::NoTime));
+    assert_eq!(validate(late), Err(RejectReason::NoTime));
 }
 
 /// A gateway of a large fleet doesn't count a customer's usage. It requests a grant for every request,
