--- a/src/bin/ingress/clients/memory.rs
+++ b/src/bin/ingress/clients/memory.rs
@@ -14,7 +14,7 @@
 }
 
 impl MemoryBudget {
-    /// Creates a budget of `limit` bytes of which nothing is used.
+    /// Creates an unused budget of `limit` bytes.
     pub fn new(limit: usize) -> Self {
         MemoryBudget { used: 0, limit }
     }
--- a/src/bin/ingress/command/template.rs
+++ b/src/bin/ingress/command/template.rs
@@ -16,7 +16,7 @@
 pub struct CommandTemplate {
     /// The range of the request id in `bytes`.
     request_id: Range<usize>,
-    /// The encoded arguments, of which the options lack their length and timeout.
+    /// The encoded arguments; the options lack their length and timeout.
     bytes: Vec<u8>,
     /// The position of the options in `bytes`.
     options_start: usize,
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -306,7 +306,7 @@
 }
 
 impl Fleet {
-    /// Creates a fleet of which `killed` in ten ingresses are killed and restarted.
+    /// Creates a fleet in which `killed` of ten ingresses are killed and restarted.
     fn new(ingress_count: u64, polls_per_second: u64, killed: u64, restart: Restart, seed: u64) -> Fleet {
         let service_time = Duration::from_secs(1) / polls_per_second;
         let discovery = SharedDiscovery { service_time, free_at: Instant::ZERO };
--- a/src/bin/ingress/event_loop/arrival_clock.rs
+++ b/src/bin/ingress/event_loop/arrival_clock.rs
@@ -7,13 +7,13 @@
 
 use ingress::{Duration, Instant};
 
-/// Minimum duration of a call of the poll that has waited, which means that no input was ready when it began.
+/// Duration from which a call of the poll counts as having waited. No input was ready when such a call began.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// The calls of the poll, and the arrival time that follows from them.
+/// Tracks the calls of the poll and computes the arrival time of the reported input from them.
 #[derive(Clone, Copy, Debug)]
 pub struct ArrivalClock {
-    /// The return time of the last call that was not interrupted.
+    /// The time at which the last call that was not interrupted returned.
     reported_at: Instant,
     /// The earliest time at which the input that the latest call reported can have arrived.
     arrived_at: Instant,
--- a/src/bin/ingress/event_loop/attempts.rs
+++ b/src/bin/ingress/event_loop/attempts.rs
@@ -150,8 +150,8 @@
         self.record_begun_attempts();
     }
 
-    /// Returns whether a descriptor is available for an attempt at a backend. Closes an idle connection if the
-    /// limit is reached.
+    /// Returns whether a descriptor is available for an attempt at a backend. Closes an idle connection if
+    /// the limit is reached.
     fn ensure_descriptor_available(&mut self, backend: BackendId) -> bool {
         !self.backend_connections.needs_connection(backend, self.clock.now())
             || self.descriptors.ensure_capacity_for_backend(
--- a/src/bin/simulator-adapter/wire/reply.rs
+++ b/src/bin/simulator-adapter/wire/reply.rs
@@ -9,7 +9,7 @@
 pub const REPLY_HEADER_BYTES: usize = 12;
 /// Length of an action's record in bytes.
 pub const ACTION_BYTES: usize = 32;
-/// Receiver's index that stands for all peers.
+/// Receiver's index that addresses all peers.
 const ALL_PEERS: GatewayId = GatewayId(u16::MAX);
 /// Value of the only field of `Listen`: subscribe to discovery, rather than unsubscribe.
 const SUBSCRIBE: u8 = 1;
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -49,7 +49,7 @@
     /// Time of the first event after the last stall of the host. Latencies reported with that event include
     /// the stall and are ignored.
     pub(crate) resumed_at: Instant,
-    /// Schedule of the polls of discovery, where changes of the endpoint list are not pushed.
+    /// Schedule of the polls of discovery, used if changes of the endpoint list are not pushed.
     pub(crate) periodic_poll: PeriodicPoll,
     /// Unfinished requests and the queue of those that wait for a backend.
     pub(crate) requests: RequestTable,
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Handles one event at the time `now` of the host's clock, and appends the actions that the host has to
-    /// execute in order.
+    /// Handles one event and appends the resulting actions, which the host has to execute in order. `now` is
+    /// the current time of the host's clock.
     pub fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
         if self.wake_ups.was_host_stalled(now) {
             self.resume(now, actions);
@@ -144,8 +144,8 @@
         actions.push(Action::SetTimer { delay, token: WAKE_UP_TOKEN });
     }
 
-    /// Resumes after a stall of the host: rejects or fails unsent requests that are overdue, and excludes
-    /// latencies that include the stall.
+    /// Resumes after a stall of the host: rejects or fails overdue requests that have had no attempt, and
+    /// excludes latencies that include the stall.
     fn resume(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let unsent = self.requests.iter().filter(|state| state.attempts.is_empty());
         let overdue = unsent.filter(|state| !self.can_be_queued(state, now));
--- a/src/gossip/units.rs
+++ b/src/gossip/units.rs
@@ -12,7 +12,7 @@
 const OCTAVES_BELOW_OBJECTIVE: f64 = 5.0;
 /// Step of the highest latencies.
 const LAST_LATENCY_STEP: f64 = 30.0;
-/// Step that stands for an error or a missing answer.
+/// Step that encodes an error or a missing answer.
 const FAILURE_STEP: u8 = 31;
 
 /// Converts units to wire units, without rounding.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -54,15 +54,12 @@
 
 mod action;
 pub mod audit;
-
 mod endpoint;
-
 mod event;
 mod gateway;
 mod gossip;
 mod identifiers;
 mod policy;
-
 mod settings;
 mod state;
 mod time;
--- a/src/policy/load_balancing.rs
+++ b/src/policy/load_balancing.rs
@@ -1,7 +1,7 @@
 //! Load balancing: chooses the backend for an attempt.
 //!
-//! A choice takes a [`Subset`] of the ready backends, draws candidates by weight, and selects the one with
-//! the lowest cost ([`Candidate`]). [`SlowStart`] limits the attempts sent to backends that started
+//! A choice starts from a [`Subset`] of the ready backends, draws candidates by weight, and selects the one
+//! with the lowest cost ([`Candidate`]). [`SlowStart`] limits the attempts sent to backends that started
 //! recently.
 
 mod candidate;
@@ -60,7 +60,7 @@
 pub(crate) struct LoadBalancer {
     /// Zone of this gateway.
     zone: u8,
-    /// Gateways that share the backends.
+    /// Number of gateways that share the backends.
     fleet_size: u64,
     /// Limits the attempts sent to backends that started recently.
     slow_start: SlowStart,
@@ -71,7 +71,7 @@
     /// Candidate with the lowest cost.
     best: Option<BackendId>,
     best_cost: f64,
-    /// Candidates that are not suspect.
+    /// Number of candidates that are not suspect.
     healthy: usize,
     suspect: usize,
     /// Reason why backends were not candidates; [`NoBackend::NoneReady`] until one was skipped.
--- a/src/policy/load_balancing/slow_start.rs
+++ b/src/policy/load_balancing/slow_start.rs
@@ -7,8 +7,9 @@
 
 /// Time constant of the send rate from which the fair share of a backend is computed.
 const SEND_RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
-/// Used share of the attempts that [`SlowStart::overload_factor`] permits. The rest is a margin for overload,
-/// when more is sent than the backends can handle, and for gateways that happen to send at the same time.
+/// Share of the attempts permitted by [`SlowStart::overload_factor`] that is used. The rest is a margin for
+/// overload, when more attempts are sent than the backends can process, and for gateways that send at the
+/// same time by chance.
 const BUDGET_SHARE: f64 = 0.35;
 /// Overload windows per draw. The window slides, so a new draw for each window would let two gateways send
 /// within the same window.
@@ -31,7 +32,7 @@
     overload_window: Duration,
     /// Id of this gateway.
     own_id: u64,
-    /// Gateways that send to the same backends.
+    /// Number of gateways that send to the same backends.
     fleet_size: u64,
     /// Rate of the attempts that this gateway sends to all backends.
     send_rate: DecayingRate,
@@ -57,7 +58,7 @@
         self.send_rate.record(now, SEND_RATE_TIME_CONSTANT);
     }
 
-    /// Returns the share of its full capacity that a backend is sure to have, from the floor to 1.
+    /// Returns the minimum share of its full capacity that a backend has at its age, from the floor to 1.
     pub(super) fn capacity_share(&self, backend: &Backend, now: Instant) -> f64 {
         let Some(age) = self.age_in_slow_start(backend, now) else { return 1.0 };
         self.floor + (1.0 - self.floor) * age.as_micros_f64() / self.duration.as_micros_f64()
--- a/src/policy/outlier_detection/health.rs
+++ b/src/policy/outlier_detection/health.rs
@@ -70,8 +70,7 @@
     failure_rate: FailureRate,
     /// Time of the latest health signal of the class: an answer or a failed connection.
     last_signal_at: Instant,
-    /// Until this time the backend's cost is raised even if none of this gateway's attempts is in flight
-    /// there.
+    /// Time until which the backend's cost is raised even if this gateway has no attempt in flight there.
     ejected_until: Instant,
     /// Ejections since the backend was last in service; 0 while it is.
     ///
--- a/src/policy/outlier_detection/health_signal.rs
+++ b/src/policy/outlier_detection/health_signal.rs
@@ -1,4 +1,4 @@
-//! Health signals: what the outcome of an attempt shows about the health of its backend.
+//! Health signals: the evidence that the outcome of an attempt gives about its backend.
 
 use crate::Outcome;
 
--- a/src/policy/permissions.rs
+++ b/src/policy/permissions.rs
@@ -72,8 +72,8 @@
     NotListed,
 }
 
-/// Checks that a backend with this availability may be sent new work; `None` stands for a backend that is
-/// not listed.
+/// Checks that a backend with this availability may be sent new work; `None` means that the backend is not
+/// listed.
 ///
 /// # Errors
 ///
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -61,8 +61,8 @@
 use std::collections::BTreeMap;
 use token_bucket::{refill_time, time_to_refill, QuotaBucket};
 
-/// Time constant of the decay of usage rates: longer than pauses between requests, shorter than shifts of
-/// load.
+/// Time constant of the decay of usage rates: longer than pauses between requests, and shorter than
+/// the time in which the load shifts.
 pub(crate) const USAGE_RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 /// Maximum difference between the start times of gateways that count as started together, as a fleet.
 pub(crate) const FLEET_START_WINDOW: Duration = Duration::from_millis(1500);
@@ -88,10 +88,10 @@
 #[derive(Default)]
 pub(crate) struct QuotaManager {
     settings: QuotaSettings,
-    /// Records of the customers that recent requests or reports named.
+    /// Records of customers with recent requests or reports.
     customers: BTreeMap<CustomerId, Customer>,
     known_usage: KnownUsage,
-    /// When expired records are next removed.
+    /// Time of the next removal of expired records.
     next_sweep_at: Instant,
 }
 
@@ -167,7 +167,8 @@
     }
 
     /// Adds the withheld tokens to all buckets, once it is known that all gateways started together, with
-    /// full buckets. Without this a customer that is always over its quota would never receive them.
+    /// full buckets. A customer that is always over its quota would otherwise never receive its withheld
+    /// tokens.
     pub(crate) fn release_withheld_tokens(&mut self) {
         tracing::debug!(target: "policy", customers = self.customers.len(), "withheld quota tokens released");
         self.known_usage = KnownUsage::Complete;
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Returns the number of seconds for which all usage is known; `f64::MAX` for [`KnownUsage::Complete`],
-    /// which fills every bucket with a refill rate.
+    /// Returns the number of seconds for which all usage is known. For [`KnownUsage::Complete`] this is
+    /// `f64::MAX`, so that every bucket with a refill rate begins full.
     fn seconds_of_known_usage(&self, now: Instant) -> f64 {
         match self.known_usage {
             KnownUsage::Complete => f64::MAX,
--- a/src/policy/quota/identity.rs
+++ b/src/policy/quota/identity.rs
@@ -16,7 +16,7 @@
 pub(super) struct IdentityClaim {
     /// Index into the plans of the settings.
     pub plan: usize,
-    /// The gateways that receive the customer's requests, a whole number of them.
+    /// The gateways that receive the customer's requests; their number is whole.
     pub gateway_set: GatewaySet,
 }
 
@@ -45,7 +45,7 @@
 pub(crate) struct ObservedCustomer {
     /// Index of the plan whose limits apply to the request.
     pub plan: u16,
-    /// Whether a request or report named the customer within [`CUSTOMER_IDLE_TIME`].
+    /// Whether a request or report of the customer was received within [`CUSTOMER_IDLE_TIME`].
     pub activity: CustomerActivity,
     pub grant: GrantStatus,
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -66,8 +66,8 @@
 pub(crate) struct AttemptCheckContext {
     pub now: Instant,
     pub sent_at: Instant,
-    /// Time from the request's arrival within which an answer earns its full weight. Its shares at which the
-    /// attempt is checked are measured from the send of the attempt, even of a retry.
+    /// Time from the request's arrival within which an answer earns its full weight. The attempt is checked
+    /// at shares of this time after its own send, even if it is a retry.
     pub latency_budget: Duration,
     /// Whether the backend has answered no attempt of the class since this one was sent.
     pub is_silent: bool,
--- a/src/policy/start_times.rs
+++ b/src/policy/start_times.rs
@@ -69,7 +69,7 @@
 }
 
 impl StartTimes {
-    /// Records a reading of the wall clock. Start times that discovery reports later may be read from a clock
+    /// Records a reading of the wall clock. Start times that discovery reports later may come from a clock
     /// with the same offset.
     pub fn observe_clock(&mut self, now: Instant, unix_now: UnixTime) {
         self.offsets.observe(now, unix_now);
@@ -80,8 +80,8 @@
         self.last_update_at = Some(now);
     }
 
-    /// Returns the start of a backend in the host's time, from the Unix time that it is listed with.
-    /// Returns `None` if it started long ago, which a Unix time of zero stands for.
+    /// Returns the start of a backend in the host's time, from the Unix time in the endpoint list. Returns
+    /// `None` if the Unix time is zero, which means that the backend started long ago.
     pub fn host_time(&mut self, backend: BackendId, unix_time: UnixTime, now: Instant) -> Option<Instant> {
         let known = self.starts.get(&backend).copied();
         if let Some(known) = known.filter(|known| known.unix_time == unix_time) {
