--- a/src/bin/ingress/event_loop/control_events.rs
+++ b/src/bin/ingress/event_loop/control_events.rs
@@ -120,7 +120,9 @@
     tracing::debug!(target: "discovery", index, ?update, entries, removed, "endpoint list applied");
     if update == EndpointUpdate::Delta {
         for Endpoint { backend, availability, .. } in list.entries.iter().map(|entry| entry.endpoint) {
-            tracing::debug!(target: "discovery", index, backend = backend.0, ?availability, "endpoint changed");
+            tracing::debug!(
+                target: "discovery", index, backend = backend.0, ?availability, "endpoint changed"
+            );
         }
     }
 }
