--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// The reason why the request is rejected.
+    /// Returns the reason why the request is rejected.
     fn validate_request(&self, request: &Request) -> Result<(), RejectReason> {
         let context = ValidationContext {
             now: self.now,
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -177,7 +177,7 @@
     ///
     /// # Errors
     ///
-    /// If the idempotency key of an attempt that may have been executed has expired.
+    /// Returns [`KeyExpired`] if the idempotency key of an attempt that may have been executed has expired.
     pub(crate) fn retry_scope(&self, state: &RequestState) -> Result<RetryScope, KeyExpired> {
         let executed = state
             .first_possibly_executed()
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     ///
-    /// The reason why no backend is available.
+    /// Returns the reason why no backend is available.
     fn choose_backend(&self, state: &RequestState, seed: u64) -> Result<BackendId, NoBackend> {
         let scope = self.retry_scope(state).map_err(|KeyExpired| NoBackend::KeyExpired)?;
         self.load_balancer.choose(&ChoiceContext {
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Returns when an attempt that is sent now expires; `None` for the client's deadline.
+    /// Returns the time at which an attempt that is sent now expires; `None` for the client's deadline.
     fn attempt_expiry(&self, state: &RequestState) -> Option<Instant> {
         attempt_expiry(&ExpiryContext {
             now: self.now,
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// The reason why the message has to be ignored.
+    /// Returns the reason why the message has to be ignored.
     pub(crate) fn receive(
         &mut self,
         now: Instant,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -139,9 +139,9 @@
     pub shortage: Option<Shortage>,
     /// Whether answers to the grant request are outstanding.
     pub answers: GrantAnswers,
-    /// Attempts of this gateway in flight.
+    /// Number of attempts of this gateway in flight.
     pub in_flight: u32,
-    /// Requests that wait for a backend.
+    /// Number of requests that wait for a backend.
     pub queue_length: usize,
     /// Maximum number of attempts that this gateway may have in flight.
     pub concurrency_limit: f64,
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -15,7 +15,7 @@
 /// Utilization of the limit above which it grows. Fast answers at a lower utilization don't show that the
 /// backends could serve more.
 const GROWTH_UTILIZATION: f64 = 0.7;
-/// Attempts added to the limit per round, which is as many answers as the limit allows attempts.
+/// Number of attempts added to the limit per round of as many answers as the limit allows attempts.
 const GROWTH_PER_ROUND: f64 = 2.0;
 /// Minimum limit used in the growth formula.
 const MIN_GROWTH_BASE: f64 = 2.0;
@@ -25,11 +25,11 @@
 /// Load of a gateway, and the backends and gateways that its limit is derived from.
 #[derive(Clone, Copy)]
 pub(crate) struct GatewayLoad {
-    /// Attempts of this gateway in flight.
+    /// Number of attempts of this gateway in flight.
     pub in_flight: u32,
-    /// Backends that accept new attempts.
+    /// Number of backends that accept new attempts.
     pub ready_backends: usize,
-    /// Gateways that share the backends.
+    /// Number of gateways that share the backends.
     pub fleet_size: u64,
 }
 
--- a/src/policy/load_balancing/candidate.rs
+++ b/src/policy/load_balancing/candidate.rs
@@ -1,7 +1,7 @@
 //! Cost of sending an attempt to a backend: a product of factors, each of which is 1 if it is neutral.
 
-/// Maximum share that the cost grows by at random, so that ties between equal candidates are not always
-/// resolved the same way.
+/// Maximum random increase of the cost, as a share of it, so that ties between equal candidates are not
+/// always resolved the same way.
 const MAX_JITTER: f64 = 0.1;
 /// Fractional part of the golden ratio. Its multiples are evenly distributed, so the jitter differs between
 /// the candidates of a choice.
@@ -25,11 +25,11 @@
 /// Properties of a backend that determine the cost of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
-    /// Attempts of this gateway in flight at the backend.
+    /// Number of attempts of this gateway in flight at the backend.
     pub in_flight: u32,
     /// Estimated number of requests of all gateways in the backend's queue.
     pub queue_depth: f64,
-    /// Gateways that share the backends.
+    /// Number of gateways that share the backends.
     pub fleet_size: u64,
     /// Whether the backend is in the zone of this gateway.
     pub in_own_zone: bool,
@@ -43,7 +43,7 @@
     pub weight: f64,
     /// Random number of the choice, from 0 to 1.
     pub draw: f64,
-    /// Step of the choice at which the candidate was found.
+    /// Step of the choice in which the candidate was examined.
     pub step: usize,
 }
 
@@ -62,7 +62,7 @@
         self.is_ejected || self.failure_rate > SUSPECT_FAILURE_RATE
     }
 
-    /// Returns the requests at the backend, including this attempt and this gateway's part of the reported
+    /// Returns the number of requests at the backend, including this attempt and this gateway's part of the reported
     /// queue.
     fn load(&self) -> f64 {
         let queue_divisor = self.fleet_size.min(MAX_QUEUE_DIVISOR);
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -31,9 +31,9 @@
 /// Activity of a customer, by its requests to this gateway and by usage reports of peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CustomerActivity {
-    /// A request or usage report named the customer recently.
+    /// A request or usage report of the customer was received recently.
     Active,
-    /// No request or usage report named the customer recently.
+    /// No request or usage report of the customer was received recently.
     Inactive,
 }
 
@@ -56,7 +56,7 @@
     pub pressure: f64,
     /// Maximum number of attempts that the gateway may have in flight.
     pub concurrency_limit: f64,
-    /// Attempts of the gateway in flight.
+    /// Number of attempts of the gateway in flight.
     pub in_flight: u32,
 }
 
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -24,7 +24,7 @@
 const ZONE_SUCCESS_WEIGHT: f64 = 1.0;
 /// Weight of a failed connection in the failure rate of its zone.
 const ZONE_FAILURE_WEIGHT: f64 = 0.3;
-/// Latency ratio that a rejection by a backend counts with in the pressure: a multiple of the highest
+/// Latency ratio that is recorded in the pressure for a rejection by a backend, as a multiple of the highest
 /// normal latency.
 pub(crate) const REJECTION_LATENCY_RATIO: f64 = 2.0;
 
--- a/src/policy/outlier_detection/latency_baseline.rs
+++ b/src/policy/outlier_detection/latency_baseline.rs
@@ -17,7 +17,7 @@
 /// Highest normal latency, as a share of the latency objective; the lower of the two limits applies. At
 /// higher latencies backends lose throughput before the objective is missed.
 const OBJECTIVE_SHARE: f64 = 0.6;
-/// Maximum ratio to the recent latency that one answer counts with.
+/// Upper bound of the ratio of one answer's latency to the recent latency.
 const MAX_RELATIVE_LATENCY: f64 = 4.0;
 /// Minimum divisor of a latency ratio, in microseconds.
 const MIN_DIVISOR_MICROS: f64 = 1.0;
@@ -75,7 +75,7 @@
     }
 
     /// Returns the upper bound of the unloaded latency at `now`, in microseconds. The unloaded latency
-    /// falls immediately but rises slowly, so that the latencies of an overload are not taken for those of
+    /// falls immediately but rises slowly, so that the latencies of an overload are not mistaken for those of
     /// unloaded backends.
     fn max_unloaded_micros(&self, now: Instant) -> f64 {
         if self.answers <= WARM_UP_ANSWERS {
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -21,7 +21,7 @@
 /// Maximum share of the previous mean that is kept at an answer, so that each answer counts however closely
 /// they follow each other.
 const MAX_RETAINED_SHARE: f64 = 0.98;
-/// Maximum ratio that one answer counts with, so that a single very late answer causes no shedding.
+/// Maximum ratio recorded for one answer, so that a single very late answer causes no shedding.
 const MAX_LATENCY_RATIO: f64 = 4.0;
 
 /// Mean over recent answers of the ratio of their latency to the highest normal one.
@@ -29,14 +29,14 @@
 /// The mean changes only with an answer; without answers it keeps its value.
 #[derive(Default)]
 pub(crate) struct Pressure {
-    /// 1 where answers take exactly the highest normal latency.
+    /// 1 if answers take exactly the highest normal latency.
     level: f64,
     /// Time of the latest answer.
     updated_at: Instant,
 }
 
 impl Pressure {
-    /// Returns the mean; 1 where answers take exactly the highest normal latency.
+    /// Returns the mean; 1 if answers take exactly the highest normal latency.
     pub(crate) fn level(&self) -> f64 {
         self.level
     }
--- a/src/policy/quota.rs
+++ b/src/policy/quota.rs
@@ -61,8 +61,8 @@
 use std::collections::BTreeMap;
 use token_bucket::{refill_time, time_to_refill, QuotaBucket};
 
-/// Time constant of the decay of usage rates: longer than pauses between requests, and shorter than
-/// the time in which the load shifts.
+/// Time constant of the decay of usage rates: longer than pauses between requests, and shorter than the time
+/// in which the load shifts.
 pub(crate) const USAGE_RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 /// Maximum difference between the start times of gateways that count as started together, as a fleet.
 pub(crate) const FLEET_START_WINDOW: Duration = Duration::from_millis(1500);
--- a/src/policy/quota/ownership.rs
+++ b/src/policy/quota/ownership.rs
@@ -133,8 +133,8 @@
         self != Self::Designated
     }
 
-    /// Returns whether every gateway tracks the usage through others from their reports, and needs no recent
-    /// answer of an owner for it.
+    /// Returns whether every gateway tracks the usage of other gateways by their reports, so that it needs no
+    /// recent answer of an owner.
     pub(crate) fn tracks_remote_usage(self) -> bool {
         self != Self::Designated
     }
--- a/src/policy/quota/reporting.rs
+++ b/src/policy/quota/reporting.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Returns the purpose of the report that follows a rejected request, if any. The report shows an owner
+    /// Returns the purpose of the report that follows a rejected request, if any. The report informs an owner
     /// that has charged the units that they were not used.
     pub(crate) fn report_after_rejection(
         &mut self,
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// If a line has no `=`.
+    /// Returns an error if a line has no `=`.
     pub fn from_lines(text: &str) -> Result<Self, SettingsError> {
         Values::from_lines(text).map(SettingsReader)
     }
@@ -107,8 +107,8 @@
     ///
     /// # Errors
     ///
-    /// If a setting is missing, malformed or out of range, or if a list has items beyond its count. Settings
-    /// that are not used are checked too.
+    /// Returns an error if a setting is missing, malformed or out of range, or if a list has items beyond its
+    /// count. Settings that are not used are checked too.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let SettingsReader(values) = self;
         let class_indices = 0..values.count(CLASSES)?;
@@ -136,8 +136,8 @@
     ///
     /// # Errors
     ///
-    /// If the count of the classes is missing or invalid, a class has no name, or an index is beyond the
-    /// count.
+    /// Returns an error if the count of the classes is missing or invalid, a class has no name, or an index
+    /// is beyond the count.
     pub fn class_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.names(CLASSES)
     }
@@ -146,7 +146,8 @@
     ///
     /// # Errors
     ///
-    /// If the count of the plans is missing or invalid, a plan has no name, or an index is beyond the count.
+    /// Returns an error if the count of the plans is missing or invalid, a plan has no name, or an index is
+    /// beyond the count.
     pub fn plan_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.names(PLANS)
     }
@@ -155,7 +156,7 @@
     ///
     /// # Errors
     ///
-    /// If the list is missing.
+    /// Returns an error if the list is missing.
     pub fn zone_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.list("zones")
     }
@@ -164,7 +165,7 @@
     ///
     /// # Errors
     ///
-    /// If the list is missing.
+    /// Returns an error if the list is missing.
     pub fn machine_type_names(&self) -> Result<Vec<String>, SettingsError> {
         self.0.list("skus")
     }
@@ -173,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// If the value is present but not a finite, non-negative number.
+    /// Returns an error if the value is present but not a finite, non-negative number.
     pub fn max_request_units(&self) -> Result<f64, SettingsError> {
         self.0.number_or("family_info.most_units", f64::MAX)
     }
@@ -182,7 +183,7 @@
     ///
     /// # Errors
     ///
-    /// If the value is missing or not an integer.
+    /// Returns an error if the value is missing or not an integer.
     pub fn keepalive_timeout(&self) -> Result<Duration, SettingsError> {
         self.0.duration("limits.keepalive_us")
     }
@@ -191,7 +192,8 @@
     ///
     /// # Errors
     ///
-    /// If `reporting.how` is missing, or if there are load reports and `reporting.fields` is missing.
+    /// Returns an error if `reporting.how` is missing, or if there are load reports and `reporting.fields` is
+    /// missing.
     pub fn load_report_fields(&self) -> Result<Vec<LoadReportField>, SettingsError> {
         if self.0.text("reporting.how")? == "none" {
             return Ok(Vec::new());
--- a/src/settings/values.rs
+++ b/src/settings/values.rs
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     ///
-    /// If the count is missing or invalid, or an item has an index beyond it.
+    /// Returns an error if the count is missing or invalid, or an item has an index beyond it.
     pub fn count(&self, list: &str) -> Result<u64, SettingsError> {
         let count = self.integer(&format!("{list}.count"), MAX_COUNT)?;
         let prefix = format!("{list}.");
--- a/src/time.rs
+++ b/src/time.rs
@@ -50,7 +50,7 @@
     ///
     /// # Panics
     ///
-    /// If the period is zero.
+    /// Panics if the period is zero.
     pub const fn period_index(self, period: Duration) -> u64 {
         self.0 / period.0
     }
