--- a/tests/support/src/discovery.rs
+++ b/tests/support/src/discovery.rs
@@ -13,8 +13,8 @@
 
 /// Interval at which a waiting poll checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Index of the list before the first change.
-const FIRST_INDEX: u64 = 1;
+/// Version of the list before the first change.
+const FIRST_VERSION: u64 = 1;
 
 /// Returns an entry of the endpoint list as JSON. `status` is the name of a status.
 ///
@@ -47,24 +47,24 @@
     polls: AtomicUsize,
 }
 
-/// The endpoint list and the index of the latest poll.
+/// The endpoint list and the version stated in the latest poll.
 #[derive(Default)]
 struct PublishedEndpoints {
     /// Entries in the order of their publication.
     changes: Vec<String>,
-    /// Index in the latest poll; 0 for a poll of a snapshot.
+    /// Version stated in the latest poll; 0 for a poll of a snapshot.
     polled_since: u64,
 }
 
 impl PublishedEndpoints {
-    /// Returns the index of the list after all changes.
-    fn latest_index(&self) -> u64 {
-        FIRST_INDEX + self.changes.len() as u64
+    /// Returns the version of the list after all changes.
+    fn latest_version(&self) -> u64 {
+        FIRST_VERSION + self.changes.len() as u64
     }
 
-    /// Returns the entries that changed since an index.
-    fn changes_since(&self, index: u64) -> &[String] {
-        &self.changes[(index - FIRST_INDEX) as usize..]
+    /// Returns the entries that changed since a version.
+    fn changes_since(&self, version: u64) -> &[String] {
+        &self.changes[(version - FIRST_VERSION) as usize..]
     }
 }
 
@@ -103,7 +103,7 @@
     /// Returns the answer to a poll if one is due.
     fn answer(&self, poll: &Poll, deadline: Instant) -> Option<String> {
         let published = self.published.lock().unwrap();
-        let latest = published.latest_index();
+        let latest = published.latest_version();
         if self.unresponsive.load(Ordering::SeqCst) {
             return None;
         }
@@ -117,8 +117,8 @@
     }
 }
 
-/// A stand-in for discovery that answers polls of a list, whose first index is 1, unless it is set
-/// unresponsive or unavailable.
+/// A stand-in for discovery that answers polls of an endpoint list, whose first version is 1, unless it is
+/// set unresponsive or unavailable.
 pub struct DiscoveryServer {
     /// Listening address.
     pub address: SocketAddr,
@@ -154,13 +154,13 @@
     /// Panics if the ingress does not poll within [`WAIT_LIMIT`](super::wait::WAIT_LIMIT), or a connection
     /// panicked while it answered a poll.
     pub fn publish_and_wait(&self, entry: String) {
-        let index = self.publish(entry);
+        let version = self.publish(entry);
         wait_until("the ingress polls for newer changes", || {
-            self.state.published.lock().unwrap().polled_since == index
+            self.state.published.lock().unwrap().polled_since == version
         });
     }
 
-    /// Publishes an entry and returns its index without waiting for a poll.
+    /// Publishes an entry and returns the new version of the list without waiting for a poll.
     ///
     /// # Panics
     ///
@@ -168,7 +168,7 @@
     pub fn publish(&self, entry: String) -> u64 {
         let mut published = self.state.published.lock().unwrap();
         published.changes.push(entry);
-        published.latest_index()
+        published.latest_version()
     }
 
     /// Sets whether polls remain unanswered.
