--- a/fault-soak/src/scenario.rs
+++ b/fault-soak/src/scenario.rs
@@ -46,7 +46,7 @@
     FailingBackend,
     /// A backend rejects requests.
     RejectingBackend,
-    /// A backend resets connections in the middle of its replies.
+    /// A backend closes connections before or in the middle of its replies.
     ResettingBackend,
     /// A backend resets connections at the first bytes of a command, without executing it.
     #[serde(alias = "cutting_backend")]
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -38,7 +38,7 @@
 pub struct Backend {
     /// Listening address.
     pub address: SocketAddr,
-    /// Incremented by a restart, which resets the connections of earlier generations.
+    /// Incremented by a restart, which closes the connections of earlier generations.
     generation: Arc<AtomicU64>,
 }
 
@@ -71,7 +71,7 @@
         Ok(Backend { address, generation })
     }
 
-    /// Restarts the backend, which resets all connections.
+    /// Restarts the backend, which closes all connections.
     pub fn restart(&self) {
         self.generation.fetch_add(1, Ordering::SeqCst);
     }
@@ -226,7 +226,7 @@
         }
         let reply = served(id);
         if self.is_affected_by(FaultScenario::ResettingBackend) {
-            return self.reset_during_reply(&reply);
+            return self.close_during_reply(&reply);
         }
         if self.is_affected_by(FaultScenario::TricklingBackend) {
             return self.trickle(&reply);
@@ -234,8 +234,8 @@
         self.write(&reply)
     }
 
-    /// Resets the connection in the middle of a reply if its length is even, and before the reply otherwise.
-    fn reset_during_reply(&mut self, reply: &[u8]) -> Result<(), Closed> {
+    /// Closes the connection in the middle of a reply if its length is even, and before the reply otherwise.
+    fn close_during_reply(&mut self, reply: &[u8]) -> Result<(), Closed> {
         let length = if reply.len() % 2 == 0 { reply.len() / 2 } else { 0 };
         let _ = self.write(&reply[..length]);
         Err(Closed)
