--- a/fleet-experiments/src/experiments/quota_messages/simulation.rs
+++ b/fleet-experiments/src/experiments/quota_messages/simulation.rs
@@ -15,7 +15,7 @@
 /// Number of backends of the fleet.
 const BACKENDS: u64 = 32;
 /// Ratio of a customer's quota to its usage.
-const QUOTA_PER_USE: f64 = 3.0;
+const QUOTA_TO_USAGE_RATIO: f64 = 3.0;
 /// Burst of a quota, in seconds at its rate.
 const BURST_SECONDS: f64 = 3.0;
 /// Minimum burst, in requests.
@@ -216,7 +216,7 @@
 fn settings(load: &FleetLoad, number: u16) -> Settings {
     let mut settings = ingress_settings(load.ingresses, number);
     settings.limits.peer_messages = true;
-    let quota_per_ingress = load.rate / load.customers_per_ingress as f64 * QUOTA_PER_USE;
+    let quota_per_ingress = load.rate / load.customers_per_ingress as f64 * QUOTA_TO_USAGE_RATIO;
     let rate = quota_per_ingress * f64::from(load.gateway_set_size);
     settings.plans[0].rate = rate;
     settings.plans[0].burst = (rate * BURST_SECONDS).max(MIN_BURST);
