--- a/fleet-experiments/src/client.rs
+++ b/fleet-experiments/src/client.rs
@@ -26,7 +26,7 @@
     customer: u64,
     /// Number of requests sent, from which request ids are formed.
     requests: u64,
-    /// Received part of an answer.
+    /// Buffer for the part of an answer received so far.
     buffer: [u8; MAX_ANSWER_SIZE],
 }
 
@@ -43,7 +43,8 @@
         Ok(Client { stream, customer, requests: 0, buffer: [0; MAX_ANSWER_SIZE] })
     }
 
-    /// Sends a request and reads its answer. Returns whether the answer is a value.
+    /// Sends a request and reads its answer. Returns whether the answer is a value, as opposed to a rejection
+    /// or an error.
     ///
     /// # Errors
     ///
@@ -68,7 +69,7 @@
 
 /// Clients that send requests continuously, each in a thread of its own.
 pub struct BackgroundLoad {
-    /// Tells all clients to stop.
+    /// Stop flag shared by all clients.
     stop: Arc<AtomicBool>,
     /// Client threads, each of which returns the number of its served requests.
     clients: Vec<JoinHandle<u64>>,
--- a/fleet-experiments/src/experiment.rs
+++ b/fleet-experiments/src/experiment.rs
@@ -17,7 +17,7 @@
     /// Returns the name of the experiment's table, which also labels its points in the results.
     fn name(&self) -> &'static str;
 
-    /// Returns all parameters, for validation before any experiment runs.
+    /// Returns all numeric parameters, for validation before any experiment runs.
     fn parameters(&self) -> Vec<Parameter>;
 
     /// Measures all points of the experiment and records them.
@@ -31,7 +31,7 @@
 /// Values under one key of an experiment's table.
 #[derive(Clone, Debug)]
 pub struct Parameter {
-    /// Key in the table, as error messages print it.
+    /// Key in the table, as printed in error messages.
     pub key: &'static str,
     /// One value, or the elements of a list.
     pub values: Vec<f64>,
--- a/fleet-experiments/src/experiment_file.rs
+++ b/fleet-experiments/src/experiment_file.rs
@@ -1,6 +1,6 @@
 //! Experiment files in TOML: a seed, and one table for each experiment to run.
 //!
-//! Former names of tables and keys are accepted as aliases.
+//! Former names of tables and keys are accepted as aliases, so that older results can be reproduced.
 
 use crate::experiment::{Environment, Experiment, Parameter};
 use crate::experiments::discovery_outage::DiscoveryOutageExperiment;
@@ -100,8 +100,8 @@
     ///
     /// # Errors
     ///
-    /// If the text is not valid TOML, a key is unknown or has a value of another type, there is no
-    /// experiment, or a parameter has no value or one out of range.
+    /// If the text is not valid TOML, a key is missing or unknown, a value is of the wrong type or out of
+    /// range, a list is empty, or there is no experiment.
     pub fn parse(text: &str) -> Result<ExperimentFile, ExperimentFileError> {
         let table: toml::Table = text
             .parse()
--- a/fleet-experiments/src/experiments/discovery_outage.rs
+++ b/fleet-experiments/src/experiments/discovery_outage.rs
@@ -1,5 +1,5 @@
-//! Load on a shared discovery service after an outage and a mass restart, with a limited rate at which the
-//! service answers polls.
+//! Load on a shared discovery service after an outage and a mass restart. The service answers polls at a
+//! limited rate.
 
 use crate::experiment::{Environment, Experiment, Parameter};
 use crate::report::Report;
@@ -9,8 +9,8 @@
 use ingress::{Duration, Instant};
 use serde::{Deserialize, Serialize};
 
-/// Time in the queue of the discovery service after which a poll is rejected. The service also processes
-/// polls that it has rejected.
+/// Time in the queue of the discovery service after which a poll is rejected. A rejected poll still takes up
+/// the time that the service needs for it.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
 /// Time from the restart of killed ingresses to the end of the outage.
 const RESTART_LEAD: Duration = Duration::from_secs(2);
@@ -25,7 +25,8 @@
 pub struct DiscoveryOutageExperiment {
     /// Fleet sizes to measure at, in ingresses.
     pub ingresses: Vec<u64>,
-    /// Times in which the discovery service can answer one poll of each ingress, in seconds.
+    /// Capacities to measure at: times that the discovery service needs to answer one poll of each ingress,
+    /// in seconds.
     #[serde(alias = "round_s")]
     pub fleet_poll_s: Vec<f64>,
     /// Number of ingresses in ten that are killed during the outage.
@@ -58,8 +59,8 @@
     pub polls: u64,
     /// Polls rejected because they waited too long in the queue.
     pub rejected_polls: u64,
-    /// Longest interval without a poll of an ingress that had not received an answer, counted from its
-    /// previous poll or the end of the outage, whichever is later.
+    /// Longest time that an ingress without an answer took to poll again, counted from its previous poll or
+    /// the end of the outage, whichever is later.
     pub longest_gap: Duration,
     /// Median time from the end of the outage to the first answer to an ingress.
     pub median: Duration,
@@ -73,13 +74,13 @@
 #[derive(Debug, Serialize)]
 struct Point {
     ingresses: u64,
-    /// Time in which the discovery service can answer one poll of each ingress.
+    /// Time that the discovery service needs to answer one poll of each ingress.
     fleet_poll_s: f64,
     /// Polls that reached the discovery service after the outage.
     polls: u64,
     /// Polls rejected because they waited too long in the queue.
     rejected_polls: u64,
-    /// Longest interval without a poll of an ingress that had not received an answer.
+    /// Longest time that an ingress without an answer took to poll again.
     longest_gap_s: f64,
     /// Median time from the end of the outage to the first answer to an ingress.
     median_s: f64,
@@ -137,8 +138,8 @@
 }
 
 /// Simulates a fleet whose watches all end when the outage begins. During the outage the discovery service
-/// rejects polls at once. Killed ingresses restart shortly before its end. The first poll of each ingress is
-/// delayed by the spread of its poll schedule.
+/// rejects polls at once. Killed ingresses restart shortly before its end. The first polls are spread over
+/// the interval of [`PollTimings::shared_service`].
 pub fn simulate(outage: &Outage) -> Recovery {
     Simulation::new(outage).run()
 }
--- a/fleet-experiments/src/experiments/endpoint_list.rs
+++ b/fleet-experiments/src/experiments/endpoint_list.rs
@@ -13,7 +13,7 @@
 
 /// Time between two updates, on the simulated clock.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(4);
-/// Distance in the list between backends that change in succession.
+/// Distance in the list between two backends that change in succession.
 const CHANGE_STRIDE: u64 = 7919;
 
 /// Sizes of the endpoint list, and the number of changes measured at each of them.
@@ -33,23 +33,23 @@
 struct Point {
     /// Number of backends in the list.
     backends: u64,
-    /// Time of the first snapshot.
+    /// Processing time of the first snapshot.
     snapshot_us: f64,
-    /// Time of the same snapshot when it is received again.
+    /// Processing time of the same snapshot, received again.
     repeated_snapshot_us: f64,
-    /// Median time of the change of one backend.
+    /// Median processing time of the change of one backend.
     change_us: f64,
-    /// 99th percentile of the time of the change of one backend.
+    /// 99th percentile of the processing time of the change of one backend.
     change_p99_us: f64,
     /// Number of changes of one backend.
     changes: u64,
     /// Number of backends in the zone that is lost.
     zone_backends: u64,
-    /// Time of the update that removes the zone.
+    /// Processing time of the update that removes the zone.
     zone_lost_us: f64,
-    /// Time of the update that adds the zone again.
+    /// Processing time of the update that adds the zone again.
     zone_returned_us: f64,
-    /// Growth of resident memory with the first snapshot.
+    /// Growth of resident memory due to the first snapshot.
     memory_bytes: u64,
 }
 
@@ -109,8 +109,8 @@
         })
     }
 
-    /// Drains backends one after another; each becomes ready again with the next change. Returns the times
-    /// of the changes, in nanoseconds.
+    /// Drains backends one after another; each becomes ready again with the next change. Returns the
+    /// processing times of the changes, in nanoseconds.
     fn measure_changes(&self, ingress: &mut TimedIngress, backends: u64) -> anyhow::Result<Histogram<u64>> {
         let mut times = Histogram::new(3)?;
         for change in 0..self.changes {
--- a/fleet-experiments/src/experiments/ingress_endpoint_list.rs
+++ b/fleet-experiments/src/experiments/ingress_endpoint_list.rs
@@ -1,5 +1,5 @@
-//! Cost of the endpoint list in a real ingress with an agent on its host, by the size of the list: time to
-//! apply a snapshot, processor time and memory.
+//! Cost of the endpoint list in a real ingress with a discovery agent on its machine, by the size of the
+//! list: time to apply a snapshot, processor time and memory.
 
 use crate::experiment::{Environment, Experiment, Parameter};
 use crate::ingress_process::{check_capacity, DiscoveryMode, IngressConfig, IngressProcess, InitialList};
@@ -20,9 +20,9 @@
 const BACKEND: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
 /// Number of ingresses that the settings state for the fleet.
 const FLEET_SIZE: u64 = 2900;
-/// Version of the snapshot. The changes have the versions that follow.
+/// Version of the snapshot. The versions of the changes follow it.
 const SNAPSHOT_VERSION: u64 = 2;
-/// Distance in the list between backends that change in succession.
+/// Distance in the list between two backends that change in succession.
 const CHANGE_STRIDE: u64 = 7919;
 
 /// Sizes of the endpoint list, the number of changes, and the memory limit.
@@ -160,8 +160,8 @@
     let cpu_before = ingress.cpu_seconds();
     let published_at = Instant::now();
     discovery.publish(SNAPSHOT_VERSION, body);
-    // A poll for versions newer than the snapshot shows that the ingress has read the snapshot. It answers a
-    // PING after that only once it has applied the snapshot.
+    // A poll for versions newer than the snapshot shows that the ingress has read the snapshot. A PING sent
+    // after that poll is answered only once the ingress has applied the snapshot.
     let applied = discovery.wait_for_polls(Some(SNAPSHOT_VERSION), 1, SNAPSHOT_TIMEOUT);
     ensure!(ingress.answers_ping(), "the ingress did not answer a PING after the snapshot");
     let elapsed = published_at.elapsed();
--- a/fleet-experiments/src/experiments/ingress_latency.rs
+++ b/fleet-experiments/src/experiments/ingress_latency.rs
@@ -20,8 +20,8 @@
 /// Memory limit of the ingress, in MB.
 const MEMORY_MB: u64 = 192;
 
-/// Request rates, and the load at each of them. With too few connections, a request is delayed by the
-/// previous one on its connection.
+/// Request rates, and the number of connections and requests at each of them. With too few connections, a
+/// request is delayed by the previous one on its connection.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IngressLatencyExperiment {
--- a/fleet-experiments/src/experiments/ingress_restart.rs
+++ b/fleet-experiments/src/experiments/ingress_restart.rs
@@ -19,7 +19,8 @@
 const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(90);
 /// Interval between two checks for the first poll of an ingress.
 const FIRST_POLL_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// One of this number of ingresses keeps running while the others are killed.
+/// Distance between the numbers of two ingresses that keep running. Those in between are killed and
+/// restarted.
 const SURVIVOR_STEP: usize = 10;
 /// Version of the list that the first ingress starts with. Each further ingress starts with the next
 /// version, so that discovery can tell their polls apart.
@@ -33,7 +34,7 @@
 pub struct IngressRestartExperiment {
     /// Number of ingresses that run on this machine.
     pub processes: u64,
-    /// Sizes of the fleet that the settings state.
+    /// Fleet sizes to measure at, as stated in the settings of the ingresses.
     #[serde(alias = "fleets")]
     pub fleet_sizes: Vec<u64>,
     /// Number of backends in the list that each ingress starts with.
--- a/fleet-experiments/src/experiments/quota_messages.rs
+++ b/fleet-experiments/src/experiments/quota_messages.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use simulation::Simulation;
 
-/// Time at the start of a simulation that is not counted.
+/// Simulated time at the start that is excluded from the counts.
 const WARM_UP_SECONDS: u64 = 1;
 
 /// Sizes of the fleet, request rates, and the distribution of customers.
--- a/fleet-experiments/src/experiments/quota_messages/simulation.rs
+++ b/fleet-experiments/src/experiments/quota_messages/simulation.rs
@@ -22,8 +22,8 @@
 const MIN_BURST: f64 = 4.0;
 /// Range from which the delay of a message between ingresses is drawn.
 const MESSAGE_DELAY: Range<Duration> = Duration::from_micros(500)..Duration::from_millis(3);
-/// Number of intervals per second in each of which a receiver's rate limit applies. Messages within one
-/// interval may be spaced unevenly, since a sender may be slightly ahead of its rate.
+/// Number of intervals per second. A receiver's rate limit applies to each interval as a whole, since a
+/// sender may be slightly ahead of its rate.
 const INTERVALS_PER_SECOND: u64 = 10;
 
 /// Event in the queue of the simulation.
@@ -65,7 +65,7 @@
 struct ReceiveInterval {
     /// Index of the ingress.
     ingress: usize,
-    /// Number of intervals since the epoch.
+    /// Number of the interval, counted from time 0 of the simulated clock.
     number: u64,
 }
 
--- a/fleet-experiments/src/experiments/request_cost.rs
+++ b/fleet-experiments/src/experiments/request_cost.rs
@@ -14,12 +14,12 @@
 const REQUESTS_PER_SECOND: u64 = 1034;
 /// Time from a request to its answer, on the simulated clock.
 const ANSWER_DELAY: Duration = Duration::from_micros(900);
-/// Duration of the attempt that an answer reports.
+/// Duration of an attempt, as reported with its answer.
 const REPORTED_ELAPSED: Duration = Duration::from_millis(100);
 /// Number of measured requests per warm-up request.
 const REQUESTS_PER_WARM_UP_REQUEST: u64 = 10;
 
-/// Lists of sizes. Each list is varied while the other sizes have the first value of theirs.
+/// Lists of sizes. One size is varied at a time, while each of the others has the first value of its list.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestCostExperiment {
@@ -29,7 +29,7 @@
     pub customers: Vec<u64>,
     /// Numbers of ingresses in the fleet.
     pub ingresses: Vec<u64>,
-    /// Number of measured requests at each point. They follow a tenth as many warm-up requests.
+    /// Number of measured requests at each point, after a tenth as many warm-up requests.
     pub requests: u64,
 }
 
@@ -44,7 +44,7 @@
     ingresses: u64,
 }
 
-/// Cost of requests at one point. A time covers a request and its answer.
+/// Cost of requests at one point. Times are those of processing a request and its answer.
 #[derive(Debug, Serialize)]
 struct Point {
     #[serde(flatten)]
--- a/fleet-experiments/src/experiments/slow_start.rs
+++ b/fleet-experiments/src/experiments/slow_start.rs
@@ -151,8 +151,8 @@
     }
 }
 
-/// Simulates one scenario. Arrivals at each ingress are Poisson. The rates of ingresses differ by up to a
-/// factor of ten.
+/// Simulates one scenario. Requests arrive at each ingress in a Poisson process. The arrival rates of two
+/// ingresses differ by at most a factor of ten.
 pub fn simulate(scenario: &SlowStartScenario) -> SlowStartOutcome {
     simulation::Simulation::new(scenario).run()
 }
--- a/fleet-experiments/src/experiments/slow_start/overload_rule.rs
+++ b/fleet-experiments/src/experiments/slow_start/overload_rule.rs
@@ -1,5 +1,5 @@
-//! Overload rule: the maximum number of requests to a backend in slow start, and the share of it that was
-//! sent.
+//! Overload rule: limits the number of requests to a backend in slow start. Computes the share of the limit
+//! that was sent.
 
 use super::SlowStartScenario;
 use crate::simulation::START;
--- a/fleet-experiments/src/fit.rs
+++ b/fleet-experiments/src/fit.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Fits a line; `None` if all points have the same size, or a value is not positive.
+/// Fits a line to points. Returns `None` if all points have the same size, or a value is not positive.
 pub fn fit_line(points: &[Point]) -> Option<Line> {
     if points.iter().any(|point| point.value <= 0.0) {
         return None;
@@ -63,7 +63,7 @@
     Some(line)
 }
 
-/// Values of an experiment that are fitted by one of its parameters.
+/// Values of an experiment that are fitted as linear functions of one of its parameters.
 struct Fit {
     /// Name of the experiment in current results.
     experiment: &'static str,
@@ -75,7 +75,7 @@
     values: &'static [&'static str],
 }
 
-/// All fits that are made of a file of results.
+/// Fits that are computed for a file of results.
 const FITS: [Fit; 6] = [
     Fit {
         experiment: "endpoint_list",
@@ -170,7 +170,7 @@
     Ok(descriptions)
 }
 
-/// Groups the points of one value by the keys that must be equal among the points of one line.
+/// Returns the points of the value under `key`, grouped by the values of the keys in `fit.group_by`.
 fn groups(results: &[Value], fit: &Fit, key: &str) -> BTreeMap<String, Vec<Point>> {
     let mut groups: BTreeMap<String, Vec<Point>> = BTreeMap::new();
     for result in results.iter().filter(|result| is_from_experiment(result, fit.experiment)) {
--- a/fleet-experiments/src/ingress_process/config.rs
+++ b/fleet-experiments/src/ingress_process/config.rs
@@ -10,7 +10,7 @@
 /// Source of an ingress's endpoint updates.
 #[derive(Clone, Copy, Debug)]
 pub enum DiscoveryMode {
-    /// An agent on the same host, which receives all changes itself.
+    /// An agent on the same machine, which receives each change at once.
     Push,
     /// A discovery service that all ingresses poll.
     Poll,
--- a/fleet-experiments/src/procfs.rs
+++ b/fleet-experiments/src/procfs.rs
@@ -31,7 +31,7 @@
     Some(line.split(':').nth(1)?.trim())
 }
 
-/// Returns the size under a key of such lines, converted from kilobytes to bytes.
+/// Returns the size after `key` in lines such as `MemTotal: 5 kB`, converted to bytes.
 pub fn bytes(text: &str, key: &str) -> u64 {
     let size = value(text, key).and_then(|value| value.split_whitespace().next());
     let kilobytes = size.and_then(|number| number.parse::<u64>().ok());
--- a/fleet-experiments/src/simulation.rs
+++ b/fleet-experiments/src/simulation.rs
@@ -14,7 +14,7 @@
 pub const START: Instant = Instant::from_micros(1_000_000_000_000);
 /// One second; longer times are stated as multiples of it.
 pub const SECOND: Duration = Duration::from_secs(1);
-/// Number of zones in the fleet.
+/// Number of zones in the simulated fleet.
 pub const ZONES: u64 = 18;
 /// Time after which clients abandon a request.
 pub const REQUEST_DEADLINE: Duration = Duration::from_secs(3);
--- a/fleet-experiments/src/stand_in/discovery.rs
+++ b/fleet-experiments/src/stand_in/discovery.rs
@@ -124,7 +124,7 @@
         Ok(Discovery { address, shared })
     }
 
-    /// Publishes a version of the list, whose body [`list_json`] has encoded.
+    /// Publishes a version of the list, with a body encoded by [`list_json`].
     pub fn publish(&self, version: u64, body: String) {
         self.shared.lock().versions.push(Version { number: version, body });
         self.shared.changed.notify_all();
@@ -150,8 +150,8 @@
     }
 }
 
-/// Answers the polls of a connection until it is closed. Writes the body without copying it into the
-/// response, since a list may have many megabytes.
+/// Answers the polls of a connection until it is closed. Head and body are written separately to avoid
+/// another copy of the body, which may have many megabytes.
 fn answer_polls(mut stream: TcpStream, state: &SharedState) -> std::io::Result<()> {
     while let Some(head) = read_head(&mut stream, || true) {
         let Ok(poll) = Poll::parse(&head) else { break };
--- a/fleet-experiments/tests/slow_start.rs
+++ b/fleet-experiments/tests/slow_start.rs
@@ -2,10 +2,9 @@
 
 use fleet_experiments::experiments::slow_start::{simulate, SlowStartScenario};
 
-/// A fleet offered up to 2.5 times its capacity keeps to the overload rule, even if latency does not depend
-/// on load. With a budget that grew with the offered load, or with draws of all ingresses at the same time,
-/// windows reached up to 1.7 times the limit, which would make a real backend fail again right after its
-/// start.
+/// A fleet offered up to 2.5 times its capacity complies with the overload rule, even if latency does not
+/// depend on load. If the budget grew with the offered load, or all ingresses drew at the same time, windows
+/// would reach up to 1.7 times the limit, and a real backend would fail again right after its start.
 #[test]
 fn backends_in_slow_start_are_not_overloaded_by_an_overloaded_fleet() {
     let scenario = |ingresses, backends, capacity, overload_factor, load| SlowStartScenario {
