--- a/tests/decision_digest/deployment.rs
+++ b/tests/decision_digest/deployment.rs
@@ -21,7 +21,7 @@
 /// Largest fleet in which each gateway of a customer's set is one of its quota owners.
 pub const THIRTY: FleetSize =
     FleetSize { gateway_count: 30, live_gateways: 5, backends: 60, peer_messages_per_second: 130.0 };
-/// A customer has one quota owner, from which the other gateways request grants.
+/// A customer has one quota owner, or two with a hard limit, from which the other gateways request grants.
 pub const THREE_HUNDRED: FleetSize =
     FleetSize { gateway_count: 300, live_gateways: 6, backends: 300, peer_messages_per_second: 60.0 };
 
--- a/tests/decision_digest/main.rs
+++ b/tests/decision_digest/main.rs
@@ -92,7 +92,7 @@
     assert_pinned(THIRTY, Pinned { digest: 0x5135_22E7_BE53_26D3, counts });
 }
 
-/// The same for a fleet of three hundred, where one or two quota owners count a customer's usage and the
+/// The same for a fleet of three hundred, where one or two quota owners add up a customer's usage and the
 /// other gateways request grants from them.
 #[test]
 fn gateways_of_three_hundred_decide_as_pinned() {
@@ -111,8 +111,8 @@
     assert_pinned(THREE_HUNDRED, Pinned { digest: 0x8931_D61E_8E33_B64F, counts });
 }
 
-/// A digest that did not depend on the decisions would never fail. With another gateway seed, the same stream
-/// of events has to give another digest.
+/// A test whose digest did not depend on the decisions would never fail. With another gateway seed, the same
+/// stream of events has to give another digest.
 #[test]
 fn another_seed_gives_another_digest() {
     assert_ne!(drive(THREE, GATEWAY_SEED).digest, drive(THREE, GATEWAY_SEED + 1).digest);
--- a/tests/gateway/load_balancing.rs
+++ b/tests/gateway/load_balancing.rs
@@ -56,7 +56,7 @@
 }
 
 /// There are sixty times as many backends as gateways, and each gateway sends only to a subset. With a
-/// fixed subset size of 32 three in five backends would be idle while the others receive all the load.
+/// fixed subset size of 32, three in five backends would be idle while the others receive all the load.
 #[test]
 fn every_backend_of_a_large_fleet_is_in_a_subset() {
     let (gateways, backends) = (40u16, 2_400);
--- a/tests/gateway/rate_quota.rs
+++ b/tests/gateway/rate_quota.rs
@@ -28,7 +28,8 @@
 }
 
 /// Forged requests state another plan for a customer, before or between its own requests. If a single request
-/// set the plan of the record, it could lift the quota, or apply the wrong plan permanently.
+/// set the plan of the record, it could lift the quota, or apply the wrong plan permanently. The record
+/// therefore follows the plan that most requests state.
 #[test]
 fn requests_with_a_forged_plan_do_not_change_the_customers_record() {
     for forged_first in [false, true] {
--- a/tests/ingress/shutdown.rs
+++ b/tests/ingress/shutdown.rs
@@ -40,7 +40,7 @@
         "connections are closed between requests"
     );
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
-    assert!(start.elapsed() < Duration::from_secs(3), "SIGKILL may come 3.7 s after SIGTERM");
+    assert!(start.elapsed() < Duration::from_secs(3), "SIGKILL may follow 3.7 s after SIGTERM");
     let log = ingress.log();
     assert!(!log.contains("panicked"));
     assert!(log.contains("shutdown: listener closed, open_requests="), "{log}");
@@ -121,5 +121,5 @@
     ingress.signal("TERM");
     let start = Instant::now();
     assert_eq!(ingress.wait_for_exit().code(), Some(0));
-    assert!(start.elapsed() < Duration::from_millis(3500), "SIGKILL may come 3.7 s after SIGTERM");
+    assert!(start.elapsed() < Duration::from_millis(3500), "SIGKILL may follow 3.7 s after SIGTERM");
 }
