--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -491,7 +491,7 @@
         let mut harness = Harness::new(PollTimings::shared_service(MAX_POLL_INTERVAL, 2900));
         if failure == PollFailure::Refused {
             harness.listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-            // connections to the first listener are refused from now on
+            // Connections to the first listener are refused from now on.
         }
         let mut last = harness.now;
         for round in 0..12 {
