--- a/fault-plan/src/lib.rs
+++ b/fault-plan/src/lib.rs
@@ -4,7 +4,7 @@
 //! own seed, so the same calls in the same order get the same faults.
 //!
 //! A [`SystemCallFault`] makes one kind of system call fail in one process. A `FaultScenario` of `fault-soak`
-//! affects an ingress, a backend, discovery or clients, and consists of any number of system call faults.
+//! affects an ingress, a backend, discovery or clients, and consists of zero or more system call faults.
 
 use serde::{Deserialize, Serialize};
 
@@ -21,13 +21,13 @@
     ShortWrite,
     /// A write to a TCP connection accepts no bytes and reports no error.
     ZeroWrite,
-    /// A read from a TCP connection is interrupted by a signal.
+    /// A read from a TCP connection fails with EINTR, as if interrupted by a signal.
     InterruptedRead,
-    /// A write to a TCP connection is interrupted by a signal.
+    /// A write to a TCP connection fails with EINTR, as if interrupted by a signal.
     InterruptedWrite,
     /// A write to a TCP connection fails with ENOBUFS.
     NoBufferForWrite,
-    /// A wait for epoll events is interrupted by a signal.
+    /// A wait for epoll events fails with EINTR, as if interrupted by a signal.
     InterruptedWait,
     /// Accepting a connection fails with ECONNABORTED, ENFILE, ENOBUFS, EMFILE, ENOMEM or EINTR.
     FailedAccept,
@@ -83,7 +83,7 @@
     /// System call faults with their probabilities and intervals.
     #[serde(default)]
     pub faults: Vec<ScheduledFault>,
-    /// Steps of the wall clock, which add up.
+    /// Steps of the wall clock. Their sizes add up.
     #[serde(default)]
     pub clock_steps: Vec<ClockStep>,
 }
--- a/fault-plan/src/tests.rs
+++ b/fault-plan/src/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// A plan keeps all its fields on the way through the environment variable, and an unknown kind of fault is
-/// an error. If a fault were dropped silently, a test would pass without it.
+/// A plan keeps all its fields when it is passed through the environment variable, and an unknown kind of
+/// fault is an error. If a fault were dropped silently, a test would pass without it.
 #[test]
 fn plan_round_trips_through_json() {
     let plan = FaultPlan {
@@ -20,7 +20,7 @@
     assert!(FaultPlan::from_json("{\"seed\":1,\"faults\":[{\"kind\":\"none\"}]}").is_err());
 }
 
-/// A fault is not injected outside of its interval, where it could even prevent the process from starting.
+/// A fault is not injected outside of its interval, where it could prevent the process from starting.
 /// The probabilities of overlapping faults of the same kind add up.
 #[test]
 fn faults_are_active_only_within_their_interval() {
--- a/fault-shim/src/decision.rs
+++ b/fault-shim/src/decision.rs
@@ -21,13 +21,14 @@
 struct Context {
     /// The faults to inject, parsed from the environment.
     plan: FaultPlan,
-    /// Time of the monotonic clock at which the plan was read, in milliseconds.
+    /// Time of the monotonic clock at which the plan was read, in milliseconds. The plan is read at the first
+    /// call that it can affect, so this approximates the start of the process.
     started_ms: u64,
     /// State of the random number generator, shared by all threads.
     random: AtomicU64,
 }
 
-/// Returns the time of the monotonic clock, in milliseconds. Plans step only the wall clock.
+/// Returns the time of the monotonic clock, in milliseconds, which plans do not step.
 fn monotonic_ms() -> u64 {
     let mut time = timespec { tv_sec: 0, tv_nsec: 0 };
     // SAFETY: `time` is a local variable that outlives the call.
--- a/fault-shim/src/lib.rs
+++ b/fault-shim/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! It injects only faults that Linux documents, and only into the process that loads it; no descriptor, file
 //! or clock outside of that process is affected. Reads and writes fail only on TCP connections over IPv4, so
-//! that pipes and files of the process keep working; writes to standard error can fail as well.
+//! that pipes and files of the process keep working. Writes of the log to standard error can fail as well.
 
 mod decision;
 mod real;
@@ -72,7 +72,7 @@
     unsafe { real::recv()(descriptor, buffer, length, flags) }
 }
 
-/// Interposes `send` to interrupt, fail or shorten writes.
+/// Interposes `send` to interrupt or shorten writes, or make them fail.
 ///
 /// # Safety
 /// As for `send`: `buffer` must hold `length` bytes.
@@ -100,7 +100,7 @@
     unsafe { real::send()(descriptor, buffer, length, flags) }
 }
 
-/// Interposes `write` to fail writes to standard error, which carry the log.
+/// Interposes `write` to make writes of the log to standard error fail.
 ///
 /// # Safety
 /// As for `write`: `buffer` must hold `length` bytes.
@@ -113,7 +113,7 @@
     unsafe { real::write()(descriptor, buffer, length) }
 }
 
-/// Interposes `accept4` to fail accepting connections.
+/// Interposes `accept4` to make the acceptance of connections fail.
 ///
 /// # Safety
 /// As for `accept4`: `address` and `length` must be null or valid.
@@ -133,7 +133,7 @@
     unsafe { real::accept4()(descriptor, address, length, flags) }
 }
 
-/// Interposes `socket` to fail creating IPv4 sockets.
+/// Interposes `socket` to make the creation of IPv4 sockets fail.
 ///
 /// # Safety
 /// As for `socket`, which has no requirements.
@@ -146,7 +146,7 @@
     unsafe { real::socket()(domain, kind, protocol) }
 }
 
-/// Interposes `connect` to fail connecting TCP sockets.
+/// Interposes `connect` to make connection attempts of TCP sockets fail.
 ///
 /// # Safety
 /// As for `connect`: `address` must point to `length` bytes.
@@ -177,7 +177,7 @@
     unsafe { real::epoll_wait()(descriptor, events, capacity, timeout) }
 }
 
-/// Interposes `epoll_ctl` to fail registering TCP sockets.
+/// Interposes `epoll_ctl` to make the registration of TCP sockets fail.
 ///
 /// # Safety
 /// As for `epoll_ctl`: `event` must be null or valid.
--- a/fault-shim/src/real.rs
+++ b/fault-shim/src/real.rs
@@ -4,7 +4,7 @@
 use std::ffi::CStr;
 use std::sync::OnceLock;
 
-/// Returns the address of the function with this name that follows this library's in the order of symbol
+/// Returns the address of the next function with this name after this library's own, in the order of symbol
 /// lookup.
 fn lookup_next(name: &CStr) -> usize {
     // SAFETY: a `CStr` ends with a zero byte.
--- a/fault-soak/src/bin/fault-soak/arguments.rs
+++ b/fault-soak/src/bin/fault-soak/arguments.rs
@@ -41,7 +41,7 @@
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Removes faults from the plan of a seed while the same rule is still violated.
+    /// Removes the faults from the plan of a seed that are not needed to violate the same rule.
     Shrink {
         /// The seed.
         seed: u64,
--- a/fault-soak/src/bin/fault-soak/main.rs
+++ b/fault-soak/src/bin/fault-soak/main.rs
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// Removes faults one by one while the first violated rule is still violated.
+/// Removes the faults that are not needed to violate the first violated rule, and prints the others.
 fn shrink(seed: u64, options: &RunOptions) -> anyhow::Result<()> {
     let mut smallest = run_and_check(options, options.plan(seed))?;
     print_summary(&smallest);
--- a/fault-soak/src/context.rs
+++ b/fault-soak/src/context.rs
@@ -11,9 +11,9 @@
     pub plan: SoakPlan,
     /// The observations so far, and the clock of the run.
     pub recorder: Recorder,
-    /// Whether clients send no more requests.
+    /// Whether the load has ended, after which clients send no more requests.
     load_ended: AtomicBool,
-    /// Whether stand-ins close their connections.
+    /// Whether the run has ended, after which stand-ins close their connections.
     run_ended: AtomicBool,
 }
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Tells clients to send no more requests.
+    /// Signals clients to send no more requests.
     pub fn end_load(&self) {
         self.load_ended.store(true, Ordering::SeqCst);
     }
@@ -38,7 +38,7 @@
         self.load_ended.load(Ordering::SeqCst)
     }
 
-    /// Tells stand-ins to close their connections.
+    /// Signals stand-ins to close their connections.
     pub fn end_run(&self) {
         self.run_ended.store(true, Ordering::SeqCst);
     }
--- a/fault-soak/src/counters.rs
+++ b/fault-soak/src/counters.rs
@@ -2,14 +2,15 @@
 
 use crate::record::CounterRecord;
 
-/// Target that precedes the title in a log line of counters.
+/// Target that precedes the title in a log line of counters, such as
+/// `counters: attempts, begun=9 served=3`, which has the title `attempts`.
 const LINE_MARKER: &str = "counters: ";
 
 /// The fields of a log line of counters, such as `begun=9 served=3`.
 struct Fields<'a>(&'a str);
 
 impl<'a> Fields<'a> {
-    /// Finds the latest counters with a title in a log.
+    /// Finds the fields of the last line of counters with this title in a log.
     fn find(log: &'a str, title: &str) -> Option<Fields<'a>> {
         let marker = format!("{LINE_MARKER}{title}, ");
         let (_, fields) = log.lines().rev().find_map(|line| line.split_once(&marker))?;
--- a/fault-soak/src/ingress.rs
+++ b/fault-soak/src/ingress.rs
@@ -21,7 +21,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum time from SIGTERM until an ingress exits: the longest deadline plus 0.7 s.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(2700);
-/// Maximum time of a PING.
+/// Maximum time for the reply to a PING.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval between two polls of the state of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -90,7 +90,8 @@
     /// Returns an error if the file cannot be read or written.
     pub fn write_truncated_config(&self) -> anyhow::Result<()> {
         let text = fs::read_to_string(self.config_file())?;
-        fs::write(self.config_file(), &text[..text.len() / 2]).context("cannot write a configuration")
+        fs::write(self.config_file(), &text[..text.len() / 2])
+            .context("cannot write the truncated configuration")
     }
 
     /// Records an event of the process with the current time.
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Records a crash if the process has exited without a request.
+    /// Records a crash if the process has exited without a signal from the soak.
     pub fn record_unexpected_exit(&mut self) {
         if self.child.is_some() && self.has_exited() {
             self.record(ProcessEvent::Crashed);
--- a/fault-soak/src/oracle.rs
+++ b/fault-soak/src/oracle.rs
@@ -1,7 +1,7 @@
 //! Checks the observations of a run against the rules.
 //!
-//! The ingresses' own logs and counters serve only to find violations: those that an ingress reports, and
-//! counters that disagree with the observations.
+//! The logs and counters of the ingresses are used only to find further violations: those that an ingress
+//! reports itself, and counters that disagree with the observations.
 
 mod backends;
 mod ingresses;
@@ -15,7 +15,7 @@
 use crate::record::{Micros, Observations};
 use crate::scenario::FaultScenario;
 
-/// Maximum delay until a stand-in observes an event, in addition to the longest measured stall.
+/// Maximum delay between an event and its observation, in addition to the longest measured stall.
 const OBSERVATION_SLACK: Micros = 100_000;
 /// Maximum delay of an ingress that the plan pauses: the longest pause that the protocol documentation
 /// permits. The testbed's pauses are a little shorter, because it may continue a process late.
--- a/fault-soak/src/oracle/backends.rs
+++ b/fault-soak/src/oracle/backends.rs
@@ -71,7 +71,7 @@
         self.notified_at(ingress_of(&arrival.id)?, change.version)
     }
 
-    /// Returns the time of the next change of the same backend.
+    /// Returns the time of the next change of the same backend, if any.
     fn next_change_at(&self, change: &EndpointChange) -> Option<Micros> {
         let changes = self.observations.changes.iter();
         let later = changes.filter(|later| later.backend == change.backend && later.at > change.at);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Checks a request that arrived at a backend that drains from `change` to `until`.
+    /// Checks an attempt at a backend that drains from `change` to `until`.
     fn check_arrival_at_draining(&mut self, change: &EndpointChange, until: Micros, arrival: &ArrivalRecord) {
         let Some(notified_at) = self.sender_notified_at(arrival, change) else { return };
         let limit = notified_at + DRAIN_GRACE + self.slack();
--- a/fault-soak/src/oracle/ingresses.rs
+++ b/fault-soak/src/oracle/ingresses.rs
@@ -35,7 +35,7 @@
     attempts: u64,
     /// Number of requests that these attempts belong to.
     requests: u64,
-    /// Number of requests that clients received the value of.
+    /// Number of requests for which clients received the expected value.
     served: u64,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns whether the ingress counted at least as many of each.
+    /// Returns whether the ingress counted at least as many attempts, requests and served requests.
     fn is_covered_by(&self, counters: &CounterRecord) -> bool {
         self.attempts <= counters.attempts_begun
             && self.requests <= counters.requests
@@ -113,8 +113,9 @@
     }
 }
 
-/// Returns the violations and panics in the logs of the ingresses. Late answers are checked by the clients'
-/// observations instead, because an ingress also reports those that a pause of the plan causes.
+/// Returns the violations and panics in the logs of the ingresses. Late answers are detected from the
+/// observations of the clients instead, because an ingress also reports those that a pause of the plan
+/// causes.
 pub fn check_logs(folder: &Path, ingresses: usize) -> Vec<Violation> {
     let mut violations = Vec::new();
     for number in 0..ingresses {
--- a/fault-soak/src/oracle/requests.rs
+++ b/fault-soak/src/oracle/requests.rs
@@ -7,8 +7,8 @@
 use crate::settings::{ANSWER_SLACK, KEY_WINDOW, MAX_ATTEMPTS};
 use std::collections::HashMap;
 
-/// Maximum excess of an attempt's stated timeout over the time that its client has left, by the protocol
-/// documentation. It equals the longest pause, but also applies without pauses.
+/// Maximum excess of an attempt's stated timeout over the time that its client has left, as the protocol
+/// documentation permits. It equals the longest pause, but also applies without pauses.
 const TIME_SLACK: Micros = 150_000;
 /// Maximum time between a client's disconnect and the start of an attempt.
 const DISCONNECT_SLACK: Micros = 100_000;
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Returns whether a process of the ingress was killed, crashed or was not ready in a span. Its open
-    /// requests are then not counted as lost; crashes are reported separately.
+    /// Returns whether a process of the ingress was killed, crashed or was not ready between two times. Its
+    /// open requests are then not counted as lost; crashes are reported separately.
     fn terminated_abnormally(&self, ingress: usize, from: Micros, until: Micros) -> bool {
         let slack = self.observation_slack();
         self.observations.processes.iter().any(|record| {
@@ -66,7 +66,7 @@
             Outcome::WrongValue => {
                 self.report(Rule::WrongValue, &request.id, "another request's value".into());
             }
-            // During a stall longer than the clients' slack, a late answer cannot be told from a lost one.
+            // If the machine stalls for longer than the clients' slack, a late answer looks like a lost one.
             Outcome::Unanswered if !excused && self.observations.longest_stall < ANSWER_SLACK => {
                 let detail = format!("no answer in {waited_ms} ms of {} ms", to_millis(request.timeout));
                 self.report(Rule::Lost, &request.id, detail);
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Checks that an attempt was allowed in view of earlier attempts of the same request.
+    /// Checks that an attempt was allowed, given the earlier attempts of the same request.
     fn check_repeat(&mut self, request: &RequestRecord, earlier: &[&ArrivalRecord], arrival: &ArrivalRecord) {
         let Some(first) = earlier.iter().find(|earlier| !earlier.rejected) else { return };
         let after_ms = to_millis(arrival.at - first.at);
--- a/fault-soak/src/plan.rs
+++ b/fault-soak/src/plan.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
-/// Size of a step of the wall clocks, in milliseconds.
+/// Size of a step of the wall clocks, in milliseconds: one hour.
 const CLOCK_STEP_MS: i64 = 3_600_000;
 /// Earliest start of a fault, in milliseconds. Clients have received answers by then.
 const FIRST_FAULT_MS: u64 = 1500;
@@ -20,7 +20,7 @@
 const MILLIS_PER_SECOND: u64 = 1000;
 /// Number of groups of overlapping faults in a plan.
 const GROUP_COUNT: RangeInclusive<usize> = 1..=2;
-/// Number of overlapping faults in a group.
+/// Number of faults in a group. All of them are active at the middle of the group.
 const GROUP_SIZE: RangeInclusive<usize> = 2..=3;
 /// Minimum time from the earliest start of a fault to the middle of a group, in milliseconds.
 const MIN_LEAD_MS: u64 = 500;
@@ -28,7 +28,8 @@
 const MIN_TIME_BEFORE_MS: u64 = 100;
 /// Time from the middle of a group to the end of a fault, in milliseconds.
 const TIME_AFTER_MS: RangeInclusive<u64> = 200..=2500;
-/// Exclusive upper bound of drawn targets, which are taken modulo the number of members.
+/// Exclusive upper bound of drawn targets. A target is taken modulo the number of members that a scenario
+/// can affect: ingresses, backends or groups of clients.
 const TARGET_COUNT: usize = 1000;
 
 /// A fault of a run: a scenario with its interval and target.
@@ -40,7 +41,8 @@
     pub from_ms: u64,
     /// End of the interval, exclusive, in milliseconds since the start of the load.
     pub until_ms: u64,
-    /// Number of the affected ingress, backend or client, modulo the number of members.
+    /// Number that selects the affected ingress, backend or group of clients, modulo the number of these
+    /// members. Scenarios that affect all members ignore it.
     pub target: usize,
 }
 
@@ -55,7 +57,8 @@
         self.from_ms < other.until_ms && other.from_ms < self.until_ms
     }
 
-    /// Draws a fault that is active at `middle_ms` and ends no later than `last_ms`.
+    /// Draws a fault that is active at `middle_ms`, the middle of its group, and ends no later than
+    /// `last_ms`.
     fn draw(random: &mut StdRng, scenarios: &[FaultScenario], middle_ms: u64, last_ms: u64) -> InjectedFault {
         let max_time_before = (middle_ms - FIRST_FAULT_MS).max(MIN_TIME_BEFORE_MS + 1);
         let before = random.random_range(MIN_TIME_BEFORE_MS..=max_time_before);
@@ -108,7 +111,8 @@
 impl SoakPlan {
     /// Draws a plan with groups of two or three overlapping faults of the given scenarios.
     ///
-    /// The order of the draws determines the plan of a seed, so it must not change.
+    /// The order of the draws determines the plan of a seed. It must not change, because recorded seeds could
+    /// no longer be replayed.
     pub fn draw(seed: u64, shape: Shape, scenarios: &[FaultScenario]) -> SoakPlan {
         let mut random = StdRng::seed_from_u64(seed);
         let last_ms =
@@ -164,8 +168,8 @@
         })
     }
 
-    /// Returns the system call faults of an ingress whose process starts at `started_ms`, with times relative
-    /// to that start.
+    /// Returns the system call faults and clock steps of an ingress whose process starts at `started_ms`,
+    /// with times relative to that start. Clock steps apply to all ingresses.
     pub fn shim_plan(&self, ingress: usize, started_ms: u64) -> FaultPlan {
         let own_faults = self.faults.iter().filter(|fault| fault.target % self.shape.ingresses == ingress);
         let faults = own_faults.flat_map(|fault| {
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -54,8 +54,8 @@
     pub outcome: Outcome,
     /// Time of the outcome.
     pub ended_at: Micros,
-    /// Whether the connection carried an earlier request, so that its close by the ingress may cross this
-    /// one.
+    /// Whether the connection may have carried earlier requests. The ingress may close such a connection
+    /// while this request is in transit.
     pub may_cross_close: bool,
     /// Number of requests in flight on the connection ahead of this one.
     pub pipelined_behind: usize,
@@ -121,9 +121,9 @@
     Killed,
     /// The process did not exit in time after SIGTERM and was killed.
     Overdue,
-    /// The process exited without a request.
+    /// The process exited without a signal from the soak.
     Crashed,
-    /// The process did not become ready in time.
+    /// The process exited before it was ready, or did not become ready in time.
     NotReady,
     /// The process was stopped for a short pause and continued.
     Paused,
--- a/fault-soak/src/report/page.rs
+++ b/fault-soak/src/report/page.rs
@@ -21,7 +21,8 @@
 /// Difference in brightness between a pair that never overlapped and the most frequent pair.
 const BRIGHTNESS_RANGE: f64 = 200.0;
 
-/// Number of runs in which each pair of scenarios overlapped. A pair is in the order of declaration.
+/// Number of runs in which each pair of scenarios overlapped. The scenarios of a pair are in the order of
+/// declaration.
 struct OverlapCounts(BTreeMap<(FaultScenario, FaultScenario), usize>);
 
 impl OverlapCounts {
--- a/fault-soak/src/run.rs
+++ b/fault-soak/src/run.rs
@@ -53,8 +53,10 @@
     }
 }
 
-/// Starts a thread that measures the longest stall until the run ends: the excess of a sleep over its
-/// duration, including the wait for the recorder's lock, whose holder may be stalled.
+/// Starts a thread that measures the longest stall until the run ends.
+///
+/// A stall is the time by which a sleep and the following wait for the recorder's lock exceed the duration of
+/// the sleep. The wait counts because the holder of the lock may be stalled.
 fn start_stall_watchdog(context: &Arc<RunContext>) -> JoinHandle<()> {
     let context = context.clone();
     thread::spawn(move || {
@@ -68,7 +70,7 @@
     })
 }
 
-/// The state of a fault during a run.
+/// The progress of a fault during a run.
 #[derive(Clone, Copy, Default)]
 struct Progress {
     begun: bool,
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -3,14 +3,14 @@
 use crate::plan::SoakPlan;
 use std::net::SocketAddr;
 
-/// Time for which backends remember an idempotency key, in microseconds.
+/// Time for which an idempotency key is valid, in microseconds.
 pub const KEY_WINDOW: u64 = 1_500_000;
 /// Time for which a draining backend may still receive new requests, in microseconds.
 pub const DRAIN_GRACE: u64 = 250_000;
 /// Maximum timeout of a request, in milliseconds.
 pub const MAX_TIMEOUT_MS: u64 = 2000;
-/// Time for which clients wait for an answer beyond its timeout, in microseconds, so that a late answer does
-/// not count as lost.
+/// Time for which clients wait for an answer beyond the timeout of the request, in microseconds, so that a
+/// late answer does not count as lost.
 pub const ANSWER_SLACK: u64 = 600_000;
 /// Fraction of its capacity that a backend has at its start.
 pub const SLOW_START_FLOOR: f64 = 0.1;
@@ -25,7 +25,7 @@
 
 /// Name of the plan with a quota that no customer reaches.
 pub const UNMETERED_PLAN: &str = "starter";
-/// Name of the plan with a quota that customers exceed several times.
+/// Name of the plan with a quota that customers exceed several times over.
 pub const METERED_PLAN: &str = "metered";
 /// Rate of the metered plan's quota, in units per second.
 pub const METERED_RATE: f64 = 10.0;
--- a/fault-soak/src/stand_in/backend.rs
+++ b/fault-soak/src/stand_in/backend.rs
@@ -159,7 +159,8 @@
         Err(Closed)
     }
 
-    /// Waits for `time`. Returns an error early if the ingress closes the connection, or it should close.
+    /// Waits for `time`. Returns an error early if the ingress closes the connection, the run ends or the
+    /// backend is restarted.
     fn wait(&self, time: Duration) -> Result<(), Closed> {
         self.stream.set_read_timeout(Some(POLL_INTERVAL)).map_err(|_| Closed)?;
         let end = Instant::now() + time;
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -70,7 +70,8 @@
     ingress: usize,
     outcome: Outcome,
     ended_at: Micros,
-    /// Whether the connection carried an earlier request, so that its close may cross this one.
+    /// Whether the connection may have carried earlier requests, so that the ingress may close it while this
+    /// request is in transit.
     may_cross_close: bool,
     /// Number of requests in flight on the connection ahead of this one.
     pipelined_behind: usize,
@@ -205,7 +206,7 @@
         encode_request(request.class, &request.id, customer, to_millis(request.timeout))
     }
 
-    /// Writes commands, in pieces if the client trickles.
+    /// Writes commands, in pieces of [`TRICKLE_SIZE`] bytes if the client is to trickle them.
     fn write(&self, connection: &mut Connection, bytes: &[u8]) -> std::io::Result<()> {
         if !self.is_affected_by(FaultScenario::TricklingClients) {
             return connection.write(bytes);
@@ -247,7 +248,7 @@
         is_open
     }
 
-    /// Disconnects before the answers, or after the first answer.
+    /// Waits for the first answer until a random time, disconnects and records the outcomes.
     fn disconnect(&mut self, ingress: usize, mut connection: Connection, pending: Vec<PendingRequest>) {
         let time_ms = self.random.random_range(0..=MAX_TIME_TO_DISCONNECT_MS);
         let disconnects_at = self.context.recorder.now() + time_ms * MICROS_PER_MILLI;
--- a/fault-soak/src/stand_in/client/connection.rs
+++ b/fault-soak/src/stand_in/client/connection.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Read timeout, after which the time limit is checked.
+/// Read timeout, after which a waiting client checks whether its time limit has passed.
 const READ_TIMEOUT: Duration = Duration::from_millis(2);
 /// Maximum number of bytes per read.
 const CHUNK_SIZE: usize = 4096;
--- a/fault-soak/src/stand_in/discovery.rs
+++ b/fault-soak/src/stand_in/discovery.rs
@@ -24,7 +24,7 @@
 const TRICKLE_PAUSE: Duration = Duration::from_micros(300);
 /// Version of the list at the start of a run.
 const FIRST_VERSION: u64 = 1;
-/// Number of responses per truncated response while the fault is active.
+/// Ratio of all responses to truncated responses while the fault is active.
 const TRUNCATION_INTERVAL: u64 = 2;
 
 /// A backend in the endpoint list.
@@ -106,8 +106,8 @@
         })
     }
 
-    /// Publishes the status of a backend. The start time of a restarted backend is given by the wall clock
-    /// with the steps of the plan.
+    /// Publishes the status of a backend. The start time of a restarted backend is the time of the wall clock
+    /// including the steps of the plan.
     pub fn publish(&self, backend: usize, status: EndpointStatus, restarted: bool) {
         let mut backends = self.backends();
         let version = latest_version(&backends) + 1;
--- a/fault-soak/src/testbed.rs
+++ b/fault-soak/src/testbed.rs
@@ -233,7 +233,7 @@
         })
     }
 
-    /// Records crashed ingresses, except for those that a fault has locked.
+    /// Records crashed ingresses. Skips those that are locked by a fault in progress, such as a restart.
     pub fn record_unexpected_exits(&self) {
         for ingress in &self.ingresses {
             if let Ok(mut ingress) = ingress.try_lock() {
--- a/fault-soak/tests/oracle.rs
+++ b/fault-soak/tests/oracle.rs
@@ -156,7 +156,7 @@
 }
 
 /// A restarted backend receives as many requests as a backend in normal operation, which would overload it
-/// during slow start. A backend that receives none is not a violation.
+/// during slow start. It is not a violation that a restarted backend receives no requests.
 #[test]
 fn an_even_share_during_slow_start_is_a_violation() {
     // 100 requests per second for each of two backends, one of which has just started.
--- a/stand-ins/src/request.rs
+++ b/stand-ins/src/request.rs
@@ -26,7 +26,7 @@
 pub struct UnknownClass(String);
 
 impl RequestClass {
-    /// Returns the name of the class in the settings of all stand-in deployments.
+    /// Returns the name of the class in the settings of all test deployments.
     pub fn name(self) -> &'static str {
         match self {
             RequestClass::Idempotent => "quote",
--- a/tests/support/src/discovery.rs
+++ b/tests/support/src/discovery.rs
@@ -88,7 +88,7 @@
         self.unavailable.load(Ordering::SeqCst)
     }
 
-    /// Waits for the answer to a long poll. Returns `None` once discovery is unavailable.
+    /// Waits for the answer to a long poll. Returns `None` if discovery becomes unavailable.
     fn wait_for_answer(&self, poll: &Poll, deadline: Instant) -> Option<String> {
         while !self.is_unavailable() {
             let answer = self.answer(poll, deadline);
--- a/tests/support/src/fault_shim.rs
+++ b/tests/support/src/fault_shim.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// Builds the library at the first call, and returns its path.
+/// Returns the path of the library, which the first call builds.
 fn library() -> &'static PathBuf {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
--- a/tests/support/src/gateway.rs
+++ b/tests/support/src/gateway.rs
@@ -37,7 +37,7 @@
         harness
     }
 
-    /// Replaces the gateway by a new one that starts with a cached list of backends.
+    /// Replaces the gateway with a new one that starts with a cached list of backends.
     pub fn restart(&mut self, settings: Settings, seed: u64, backends: u64) {
         self.gateway = Gateway::new(settings, seed, self.now);
         self.update_endpoints(EndpointUpdate::CachedSnapshot, backends);
@@ -66,12 +66,12 @@
         actions
     }
 
-    /// Submits a request for this number of units, from a customer with a set of three gateways.
+    /// Submits a request for this number of units, from a customer with a gateway set of three.
     pub fn request(&mut self, class: u8, plan: u16, customer: u64, units: f64) -> SubmittedRequest {
         self.request_from_set(class, plan, customer, units, 3.0)
     }
 
-    /// Submits a request from a customer with a set of `set_size` gateways.
+    /// Submits a request from a customer with a gateway set of `set_size`.
     pub fn request_from_set(
         &mut self,
         class: u8,
