--- a/fleet-experiments/src/experiments/ingress_restart.rs
+++ b/fleet-experiments/src/experiments/ingress_restart.rs
@@ -23,7 +23,7 @@
 /// restarted.
 const SURVIVOR_STEP: usize = 10;
 /// Version of the list that the first ingress starts with. Each further ingress starts with the next
-/// version, so that discovery can tell their polls apart.
+/// version, so that their polls can be distinguished.
 const FIRST_VERSION: u64 = 1_000;
 /// Memory limit of each ingress, in MB.
 const MEMORY_MB: u64 = 192;
@@ -65,7 +65,7 @@
     first_poll_p50_s: f64,
     /// 90th percentile of the time to the first poll.
     first_poll_p90_s: f64,
-    /// Maximum time to the first poll; infinite if an ingress did not poll in time.
+    /// Maximum time to the first poll; infinite, written as `null`, if an ingress did not poll in time.
     first_poll_last_s: f64,
     /// Number of ingresses that polled the new discovery service.
     reconfigured: usize,
--- a/fleet-experiments/src/ingress_process.rs
+++ b/fleet-experiments/src/ingress_process.rs
@@ -24,8 +24,8 @@
 /// Interval between two PINGs of an ingress that is not ready.
 const PING_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Checks that this machine can run a number of ingresses: at most 400, which need at most half of its memory
-/// and no more than is available.
+/// Checks that this machine can run a number of ingresses: at most `MAX_PROCESSES`, which need at most half
+/// of its memory and no more than is available.
 ///
 /// # Errors
 ///
--- a/fleet-experiments/src/stand_in/discovery.rs
+++ b/fleet-experiments/src/stand_in/discovery.rs
@@ -130,13 +130,14 @@
         self.shared.changed.notify_all();
     }
 
-    /// Returns the arrival times of polls for versions newer than `since`, or of polls of the snapshot.
+    /// Returns the arrival times of polls for versions newer than `since`, or of polls of the snapshot if
+    /// `since` is `None`.
     pub fn polls(&self, since: Option<u64>) -> Vec<Instant> {
         self.shared.lock().polls.get(&since).cloned().unwrap_or_default()
     }
 
-    /// Waits until `count` polls for versions newer than `since` have arrived. Returns `false` after the
-    /// timeout.
+    /// Waits until `count` polls have arrived, selected by `since` as in [`polls`](Self::polls). Returns
+    /// `false` after the timeout.
     pub fn wait_for_polls(&self, since: Option<u64>, count: usize, timeout: Duration) -> bool {
         let end = Instant::now() + timeout;
         let mut state = self.shared.lock();
