--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -289,8 +289,9 @@
     files
 }
 
-/// A comment that only repeats a name, or a module or type without a comment, tells the reader nothing
-/// beyond the name. The lint `missing_docs` checks neither crate-internal items nor the words of a comment.
+/// A comment that only repeats a name adds nothing to it, and a module or type without a comment has to be
+/// understood from its code. The lint `missing_docs` checks neither crate-internal items nor the words of a
+/// comment.
 #[test]
 fn modules_and_types_are_documented_beyond_their_names() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/tests/gateway/admission.rs
+++ b/tests/gateway/admission.rs
@@ -104,7 +104,7 @@
 }
 
 /// A client disconnects, and its attempt times out afterwards. No answer, rejection or retry follows, since
-/// nobody would receive it.
+/// no client is left to receive it.
 #[test]
 fn an_attempt_that_ends_after_a_disconnect_gets_no_final_answer() {
     let mut harness = GatewayHarness::new(settings(), 4);
--- a/tests/gateway/outlier_detection.rs
+++ b/tests/gateway/outlier_detection.rs
@@ -98,8 +98,8 @@
 }
 
 /// One of 30 backends stops answering, and each of 100 gateways sends it a request only rarely. If each
-/// gateway had to detect this by itself, many clients would wait in vain; with shared observations the
-/// backend receives hardly any request after some seconds.
+/// gateway had to detect this by itself, many requests would be sent to it and get no reply; with shared
+/// observations it receives hardly any request after some seconds.
 #[test]
 fn a_hundred_gateways_share_observations_of_a_silent_backend() {
     let mut fleet = Fleet::new(100);
