--- a/fault-soak/src/bin/fault-soak/arguments.rs
+++ b/fault-soak/src/bin/fault-soak/arguments.rs
@@ -12,7 +12,7 @@
 /// Maximum time for which clients send requests, in seconds.
 const MAX_SECONDS: u64 = 60;
 
-/// Injects random faults around real ingresses on loopback, and checks invariants.
+/// Runs ingress processes on loopback, injects random faults and checks invariants.
 #[derive(Parser)]
 #[command(version)]
 pub struct Arguments {
@@ -41,7 +41,7 @@
         #[command(flatten)]
         options: RunOptions,
     },
-    /// Removes the faults from the plan of a seed that are not needed to violate the same rule.
+    /// Removes the faults from the plan of a seed that are not needed to violate its first violated rule.
     Shrink {
         /// The seed.
         seed: u64,
--- a/fault-soak/src/bin/fault-soak/main.rs
+++ b/fault-soak/src/bin/fault-soak/main.rs
@@ -1,4 +1,4 @@
-//! Injects faults around real ingresses and reports violated invariants.
+//! Runs ingress processes with injected faults and reports violated invariants.
 
 mod arguments;
 mod output;
--- a/fault-soak/src/record.rs
+++ b/fault-soak/src/record.rs
@@ -59,7 +59,7 @@
     pub may_cross_close: bool,
     /// Number of requests in flight on the connection ahead of this one.
     pub pipelined_behind: usize,
-    /// Number of the customer, if its plan has a quota within reach.
+    /// Number of the customer, if it has the metered plan.
     pub metered_customer: Option<u64>,
 }
 
--- a/fault-soak/src/settings.rs
+++ b/fault-soak/src/settings.rs
@@ -23,9 +23,9 @@
 /// Maximum number of attempts per request.
 pub const MAX_ATTEMPTS: usize = 3;
 
-/// Name of the plan with a quota that no customer reaches.
+/// Name of the customer plan with a quota that no customer reaches.
 pub const UNMETERED_PLAN: &str = "starter";
-/// Name of the plan with a quota that customers exceed several times over.
+/// Name of the customer plan with a quota that customers exceed several times over.
 pub const METERED_PLAN: &str = "metered";
 /// Rate of the metered plan's quota, in units per second.
 pub const METERED_RATE: f64 = 10.0;
--- a/fault-soak/src/stand_in/client.rs
+++ b/fault-soak/src/stand_in/client.rs
@@ -59,7 +59,7 @@
     /// Time at which the last byte was written.
     sent_at: Micros,
     timeout: Micros,
-    /// The customer, if its plan has a quota within reach.
+    /// The customer, if it has the metered plan.
     metered: Option<Customer>,
 }
 
