--- a/src/policy/load_balancing/candidate.rs
+++ b/src/policy/load_balancing/candidate.rs
@@ -62,8 +62,8 @@
         self.is_ejected || self.failure_rate > SUSPECT_FAILURE_RATE
     }
 
-    /// Returns the number of requests at the backend, including this attempt and this gateway's part of the reported
-    /// queue.
+    /// Returns the number of requests at the backend, including this attempt and this gateway's part of the
+    /// reported queue.
     fn load(&self) -> f64 {
         let queue_divisor = self.fleet_size.min(MAX_QUEUE_DIVISOR);
         f64::from(self.in_flight) + 1.0 + self.queue_depth / queue_divisor as f64
