--- a/src/audit/violation.rs
+++ b/src/audit/violation.rs
@@ -27,7 +27,7 @@
     TooManyAttempts,
     /// The timeout stated to a backend exceeded the client's remaining time (A6).
     TimeOverstated,
-    /// The end of an attempt was reported that was not in flight (A8).
+    /// An end was reported for an attempt that was not in flight (A8).
     UnexpectedEnd,
     /// An attempt began at a backend that accepts no new requests (B1).
     ClosedBackend,
--- a/src/bin/ingress/backends/closing.rs
+++ b/src/bin/ingress/backends/closing.rs
@@ -1,4 +1,4 @@
-//! Closes connections to backends that are expired, stalled or idle when a descriptor is needed.
+//! Closes connections to backends: expired and stalled ones, and idle ones when a descriptor is needed.
 
 use super::connection::BackendConnection;
 use super::BackendConnections;
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Empties the pool of a backend and closes its connections.
+    /// Closes the idle connections to a backend and removes them from its pool.
     pub(super) fn close_idle(&mut self, backend: BackendId, reason: BackendCloseReason) {
         let idle = self.pools.get_mut(&backend).map(|pool| std::mem::take(&mut pool.idle));
         for key in idle.into_iter().flatten() {
--- a/src/bin/ingress/backends/pool.rs
+++ b/src/bin/ingress/backends/pool.rs
@@ -230,7 +230,8 @@
         Ok(key)
     }
 
-    /// Returns a connection to its backend's pool after an attempt, unless the backend's address has changed.
+    /// Returns a connection to its backend's pool after an attempt, unless the backend was removed or its
+    /// address has changed.
     pub(super) fn release(&mut self, key: usize, now: Instant) -> Usability {
         let connection = &mut self.connections[key];
         let Some(pool) = self.pools.get_mut(&connection.backend) else { return Usability::Unusable };
--- a/src/bin/ingress/clients/accepting.rs
+++ b/src/bin/ingress/clients/accepting.rs
@@ -12,8 +12,8 @@
 /// a failure may be transient.
 const MIN_ACCEPT_FAILURE_TIME: Duration = Duration::from_millis(100);
 
-/// Returns whether an error of `accept` concerns only the connection to be accepted: Linux also reports
-/// errors of that connection.
+/// Returns whether an error of `accept` does not prevent accepting the next connection: the call was
+/// interrupted, or Linux reports a pending network error of the connection to be accepted.
 fn concerns_one_connection(error: &io::Error) -> bool {
     use ErrorKind::{
         ConnectionAborted, HostUnreachable, Interrupted, NetworkDown, NetworkUnreachable, TimedOut,
--- a/src/bin/ingress/clients/closing.rs
+++ b/src/bin/ingress/clients/closing.rs
@@ -42,7 +42,8 @@
         ClientCloseReason::MemoryLimit,
     ];
 
-    /// Returns whether replies may be dropped with the connection, because the client does not wait for them.
+    /// Returns whether replies may be dropped with the connection, as when the client has disconnected or
+    /// does not read them.
     fn may_drop_replies(self) -> bool {
         !matches!(
             self,
--- a/src/bin/ingress/clients/reading.rs
+++ b/src/bin/ingress/clients/reading.rs
@@ -126,7 +126,7 @@
         loop {
             let connection = &mut self.connections[key];
             if connection.is_closing() {
-                // Input after the last command with a reply is discarded.
+                // No further command is answered, so the rest of the input is discarded.
                 parsed = connection.input.len();
             }
             if connection.is_backlogged() || parsed >= connection.input.len() {
--- a/src/bin/ingress/clients/tests.rs
+++ b/src/bin/ingress/clients/tests.rs
@@ -110,8 +110,8 @@
     expect_reply(&mut client, &reply);
 }
 
-/// The ingress is busy, and the rest of a command has arrived in time but was not read when the time for
-/// completing it is over. The command is read and answered, not refused as incomplete.
+/// The ingress is busy: the rest of a command arrives in time, but is still unread when the command times
+/// out. The command is read and answered, not refused as incomplete.
 #[test]
 fn the_rest_of_a_command_is_read_before_the_command_times_out() {
     let mut harness = Harness::new(1 << 20);
--- a/src/bin/ingress/discovery/endpoint_list.rs
+++ b/src/bin/ingress/discovery/endpoint_list.rs
@@ -43,7 +43,7 @@
     pub index: u64,
     /// Whether the list is complete rather than a delta.
     pub is_snapshot: bool,
-    /// The backends in the order of discovery.
+    /// The backends in the order in which discovery sent them.
     pub entries: Vec<EndpointEntry>,
 }
 
--- a/src/bin/ingress/discovery/http.rs
+++ b/src/bin/ingress/discovery/http.rs
@@ -7,8 +7,8 @@
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 const STATUS_OK: u16 = 200;
 const MAX_HEADERS: usize = 64;
-/// Divisor of the memory limit that gives the maximum size of a response's body. A body takes several times
-/// its size, with the spare capacity of its buffer and the list that is built from it.
+/// Divisor of the memory limit that gives the maximum size of a response's body. A body needs several times
+/// its size in memory, with the spare capacity of its buffer and the list that is built from it.
 const BODY_MEMORY_DIVISOR: usize = 8;
 /// Lower bound of the maximum size of a response's body, for ingresses with little memory.
 const MIN_BODY_LIMIT_BYTES: usize = 4 << 20;
@@ -63,7 +63,7 @@
 struct Head {
     len: usize,
     framing: Framing,
-    /// Applies if no bytes follow the body; otherwise the connection has to be closed.
+    /// Does not apply if bytes follow a body of known length: the connection then has to be closed.
     persistence: Persistence,
 }
 
--- a/src/bin/ingress/discovery/watch.rs
+++ b/src/bin/ingress/discovery/watch.rs
@@ -13,7 +13,8 @@
 use std::net::SocketAddr;
 
 /// Additional time to wait for a response after the poll's timeout. Changes in a lost response count as
-/// delivered 2 s after the timeout, so the next poll has to be answered by then.
+/// delivered 2 s after the timeout, and the ingress must not use a removed backend from then on, so the next
+/// poll has to be answered earlier.
 const RESPONSE_GRACE: Duration = Duration::from_millis(750);
 /// Delay before the next poll after an immediate empty response. A watch counts as uninterrupted if the next
 /// poll follows within 200 ms.
--- a/src/bin/ingress/discovery/watch/tests.rs
+++ b/src/bin/ingress/discovery/watch/tests.rs
@@ -5,7 +5,8 @@
 use crate::discovery::HttpError;
 use std::io::{Read, Write};
 
-/// Maximum time from a failed poll to the next one: 6 s, less the time that a response takes.
+/// Maximum time from a failed poll to the next one: 6 s, after which missed changes count as delivered, less
+/// the time that a response takes.
 const MAX_RETRY_GAP: Duration = Duration::from_secs(5);
 /// Maximum interval between polls of discovery in the settings.
 const MAX_POLL_INTERVAL: Duration = Duration::from_secs(10);
@@ -16,7 +17,7 @@
     HttpError::Status(503).into()
 }
 
-/// A hundred ingresses share a discovery that serves forty polls in two seconds, and all of them start or
+/// A hundred ingresses share a service that answers forty polls in two seconds, and all of them start or
 /// lose their watches at the same moment. With retry delays of at most a second, the polls that are not
 /// served keep its queue full permanently, so first polls and retries are spread out. An agent on the same
 /// host serves one ingress only and is polled at once.
@@ -127,7 +128,7 @@
 /// A watch receives no more responses, for example because a firewall dropped its connection. Missed changes
 /// count as delivered 2 s after the poll's timeout, or 6 s after the poll if that is later; from then on a
 /// request to a removed backend is a fault of the ingress. Detecting the silence only after 3 s and then
-/// delaying the retry is too slow: a new poll has to be pending before that time.
+/// delaying the retry is too slow: a new poll has to be pending before the changes count as delivered.
 #[test]
 fn a_silent_watch_polls_again_before_missed_changes_count_as_delivered() {
     for timings in [
@@ -242,7 +243,7 @@
 /// Measurements of a fleet's polls after an outage of discovery.
 #[derive(Debug)]
 struct Outage {
-    /// Longest time without a poll of any ingress that had no response, while discovery could be reached.
+    /// Longest time for which an ingress without a response did not poll although it could reach discovery.
     longest_gap: Duration,
     /// 95th percentile of the time from discovery's return, or the ingress's start if later, to a response.
     p95: Duration,
--- a/src/bin/ingress/event_loop/request_entries.rs
+++ b/src/bin/ingress/event_loop/request_entries.rs
@@ -36,7 +36,7 @@
 /// An attempt of a request, whether in flight or ended.
 pub struct AttemptEntry {
     pub backend: BackendId,
-    /// The time at which the attempt was sent.
+    /// The time at which the attempt was assigned to its connection; initially the time of its creation.
     pub started_at: Instant,
     /// The time at which the attempt times out.
     pub expires_at: Instant,
@@ -70,7 +70,8 @@
     pub command: Command,
     /// The handle of the reply that is owed to the client.
     pub reply_to: ReplyHandle,
-    /// The latest time for the final reply, before the client's deadline by the time that a reply takes.
+    /// The latest time for the final reply: earlier than the client's deadline, since the reply takes time to
+    /// reach the client.
     pub deadline: Instant,
     /// All attempts so far; an attempt's number is its index.
     pub attempts: Vec<AttemptEntry>,
--- a/src/bin/ingress/event_loop/shutdown.rs
+++ b/src/bin/ingress/event_loop/shutdown.rs
@@ -6,8 +6,8 @@
 /// Maximum time after SIGTERM in which clients open new connections, by the protocol for planned restarts, in
 /// milliseconds.
 const CONNECTING_MS: u64 = 400;
-/// Minimum time from the end of the longest request deadline, counted from SIGTERM, to SIGKILL, by the
-/// protocol for planned restarts, in milliseconds.
+/// Minimum time between the longest request deadline, counted from SIGTERM, and SIGKILL, by the protocol for
+/// planned restarts, in milliseconds.
 const KILL_DELAY_MS: u64 = 700;
 /// The part of [`KILL_DELAY_MS`] in which requests are still served after the longest deadline, in
 /// milliseconds.
@@ -20,8 +20,8 @@
 const ACCEPT_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which the idle time of the listener is checked.
 pub const ACCEPTING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum time between closing the listener and the reply deadline: a request on a later connection would
-/// rarely be served in time.
+/// Time before the reply deadline from which the listener is closed even if clients are still connecting: a
+/// request on a later connection would rarely be served in time.
 const ACCEPTING_END_MARGIN: Duration = Duration::from_millis(500);
 /// Maximum time, while draining, for the rest of an incomplete command to arrive.
 const INCOMPLETE_COMMAND_TIME: Duration = Duration::from_secs(1);
--- a/src/bin/ingress/event_loop/tests.rs
+++ b/src/bin/ingress/event_loop/tests.rs
@@ -42,7 +42,7 @@
 }
 
 /// The rest of a command arrives between the last read and the exit of the process. The kernel has accepted
-/// these bytes, so that without another read the exit would reset the connection and lose the command.
+/// these bytes: without another read, the exit would reset the connection and lose the command.
 #[test]
 fn commands_received_just_before_the_exit_are_answered() {
     let (mut event_loop, mut client) = start("end", CONFIG);
--- a/src/gossip/exchange.rs
+++ b/src/gossip/exchange.rs
@@ -51,7 +51,7 @@
     peers: BTreeMap<u16, Peer>,
     /// Peers whose outbox is not empty.
     nonempty_outboxes: BTreeSet<u16>,
-    /// Samples for the next messages: failures first, then the latest first.
+    /// Samples for the next messages: failures before other samples, and within each group the latest first.
     latency_samples: VecDeque<QueuedSample>,
 }
 
@@ -103,7 +103,7 @@
         Message { incarnation, sequence: peer.sent_messages, samples, body }.encode()
     }
 
-    /// Returns whether an answer to this incarnation is addressed to this process. An answer to an earlier
+    /// Returns whether quota grants for this incarnation are addressed to this process. Grants for an earlier
     /// process of this gateway would be counted twice.
     pub(crate) fn is_for_this_process(&self, receiver_incarnation: u32) -> bool {
         receiver_incarnation == self.incarnation
--- a/src/gossip/message.rs
+++ b/src/gossip/message.rs
@@ -32,8 +32,8 @@
 /// A quota owner's answer to a [`UsageReport`] that requests a grant: the customer's usage as the owner
 /// counts it.
 ///
-/// The same type carries a grant and a refusal, without a field for the difference: the receiver decides by
-/// whether the tokens and the attempts in flight leave room for its request.
+/// The answer does not state whether the request is granted or refused: the receiver checks whether the
+/// tokens and the attempts in flight leave room for its request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct QuotaGrant {
     pub customer: CustomerId,
--- a/src/gossip/peer.rs
+++ b/src/gossip/peer.rs
@@ -46,9 +46,10 @@
 /// After this time, a message of a superseded incarnation means that the superseded process still runs, and a
 /// sequence number that is not higher means that the numbers have wrapped.
 const MAX_MESSAGE_DELAY: Duration = Duration::from_secs(1);
-/// First sequence number received from a peer at which the peer counts as started before this gateway.
+/// Lowest sequence number of the first message received from a peer with which the peer counts as started
+/// before this gateway.
 ///
-/// If the peer starts later, one of its first few messages is received, even if some are lost.
+/// From a peer that starts later, one of the first few messages is received even if some are lost.
 const MIN_FIRST_SEQUENCE_OF_OLDER_PEER: u16 = 16;
 
 /// An incarnation that was replaced by a later one.
@@ -112,8 +113,8 @@
         superseded.is_some_and(|superseded| now < superseded.at + MAX_MESSAGE_DELAY)
     }
 
-    /// Compares the age of the peer's process with this one, by the messages received. Only if these are
-    /// inconclusive, the incarnations decide, which depend on the wall clocks.
+    /// Compares the age of the peer's process with this one, by the messages received. If these are
+    /// inconclusive, the incarnations decide; they depend on the wall clocks.
     pub(super) fn age(&self, own_incarnation: u32) -> PeerAge {
         let restarted_since = self.superseded.is_some();
         let missed_first_messages = self.first_sequence >= MIN_FIRST_SEQUENCE_OF_OLDER_PEER;
--- a/src/state/backend.rs
+++ b/src/state/backend.rs
@@ -10,7 +10,7 @@
     pub endpoint: Endpoint,
     /// Capacity relative to other backends; 1 if the endpoint list gives none.
     pub size: f64,
-    /// Whether the endpoint list contains it as [`Availability::Ready`](crate::Availability::Ready).
+    /// Whether the endpoint list contains the backend as [`Availability::Ready`](crate::Availability::Ready).
     pub ready: bool,
     /// Number of this gateway's attempts in flight.
     pub in_flight: u32,
