--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -144,8 +144,8 @@
         actions.push(Action::SetTimer { delay, token: WAKE_UP_TOKEN });
     }
 
-    /// Resumes after a stall of the host: rejects or fails overdue requests that have had no attempt, and
-    /// excludes latencies that include the stall.
+    /// Resumes after a stall of the host: rejects overdue requests that have had no attempt, and excludes
+    /// latencies that include the stall.
     fn resume(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let unsent = self.requests.iter().filter(|state| state.attempts.is_empty());
         let overdue = unsent.filter(|state| !self.can_be_queued(state, now));
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -15,7 +15,8 @@
 /// Utilization of the limit above which it grows. Fast answers at a lower utilization don't show that the
 /// backends could serve more.
 const GROWTH_UTILIZATION: f64 = 0.7;
-/// Number of attempts added to the limit per round of as many answers as the limit allows attempts.
+/// Number of attempts by which the limit grows in a round. A round has as many answers as the limit has
+/// attempts.
 const GROWTH_PER_ROUND: f64 = 2.0;
 /// Minimum limit used in the growth formula.
 const MIN_GROWTH_BASE: f64 = 2.0;
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -1,9 +1,13 @@
 //! Schedules for polls of discovery and their retries.
 //!
 //! There are two schedules, for two kinds of host. The ingress program watches discovery by long polls and
-//! follows [`PollSchedule`]: exponential backoff with jitter, bounded by the rule that a change counts as
-//! delivered a fixed time after discovery could be reached. A host that polls when the gateway requests it,
-//! such as the simulator, follows `PeriodicPoll`. There is no I/O and no clock; the caller passes the time.
+//! follows [`PollSchedule`]: exponential backoff with jitter, bounded by the delivery rule. A host that polls
+//! when the gateway requests it, such as the simulator, follows `PeriodicPoll`. There is no I/O and no clock;
+//! the caller passes the time.
+//!
+//! The delivery rule: a change counts as delivered a fixed time after discovery had it and could be reached.
+//! From then on a request to a removed backend is a fault of the ingress, even if it has not received the
+//! change.
 
 use crate::{Duration, Instant};
 use std::ops::RangeInclusive;
@@ -12,12 +16,12 @@
 const MAX_POLL_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time by which each ingress extends the interval over which first polls are spread.
 const SPREAD_PER_INGRESS: Duration = Duration::from_millis(20);
-/// Maximum length of that interval. The endpoint list counts as delivered to a new process 6 s after its
-/// start; the rest of that time is left for the response.
+/// Maximum length of the interval over which first polls are spread. The endpoint list counts as delivered
+/// to a new process 6 s after its start; the rest of that time is left for the response.
 const MAX_SPREAD: Duration = Duration::from_secs(4);
-/// Range from which the maximum time between a failed poll and the next one is drawn. A change counts as
-/// delivered 6 s after discovery had it and could be reached, which may be the moment after the failed
-/// poll; the rest is left for the response.
+/// Range from which the maximum time until the next poll is drawn, measured from the time since which
+/// changes may have been missed. Such a change counts as delivered 6 s after discovery had it and could be
+/// reached; the rest is left for the response.
 const POLL_GAP: RangeInclusive<Duration> = Duration::from_millis(4500)..=Duration::from_secs(5);
 
 /// Periodic polls per interval within which one is required: two, so that one may fail.
@@ -50,10 +54,10 @@
 }
 
 impl PollTimings {
-    /// Polls of an agent on the same host, which receives every change itself. They wait for a short time,
-    /// since a dead connection can only be detected after it. Changes that the agent has received count as
-    /// delivered whether or not a poll is pending, so every delay must be shorter than the grace period of
-    /// a change ([`Rules::drain_grace`](crate::Rules::drain_grace)).
+    /// Polls of an agent on the same host, which receives every change itself. Their timeout is short, since
+    /// a dead connection is detected only after it. Changes that the agent has received count as delivered
+    /// whether or not a poll is pending, so every delay must be shorter than the grace period of a change
+    /// ([`Rules::drain_grace`](crate::Rules::drain_grace)).
     pub const LOCAL_AGENT: PollTimings = PollTimings {
         poll_timeout: Duration::from_secs(2),
         response_timeout: Duration::from_secs(1),
@@ -61,11 +65,11 @@
         spread: Duration::ZERO,
     };
 
-    /// Polls of a service that all ingresses share and that queues them. The service also processes polls
-    /// whose clients have given up, so a queue that is full after a mass restart only empties if rejected
-    /// ingresses wait as long as the delivery rule allows. `max_poll_interval` is the setting for the
-    /// interval within which discovery must be polled. A waiting poll may last longer than that: it is
-    /// answered at each change, and more frequent polls would only add load.
+    /// Returns the timings for a service that all ingresses share and that queues their polls. The service
+    /// also processes polls whose clients have given up, so a queue that is full after a mass restart only
+    /// empties if rejected ingresses wait as long as the delivery rule allows. `max_poll_interval` is the
+    /// setting for the interval within which discovery must be polled. A waiting poll may last longer than
+    /// that: it is answered at each change, and more frequent polls would only add load.
     pub fn shared_service(max_poll_interval: Duration, ingress_count: u64) -> PollTimings {
         PollTimings {
             poll_timeout: (max_poll_interval * 2).clamp(Self::LOCAL_AGENT.poll_timeout, MAX_POLL_TIMEOUT),
--- a/src/policy/load_balancing/slow_start/tests.rs
+++ b/src/policy/load_balancing/slow_start/tests.rs
@@ -7,7 +7,7 @@
 const START: Instant = Instant::from_micros(100_000_000);
 /// Duration of slow start.
 const DURATION: Duration = Duration::from_secs(20);
-/// Time within which twice its capacity overloads a backend.
+/// Overload window: a backend breaks down if it receives more than twice its capacity within this time.
 const WINDOW: Duration = Duration::from_secs(1);
 
 /// Returns the limits of one gateway in a fleet of `fleet_size`.
@@ -76,8 +76,8 @@
     assert!(sent <= 5, "{sent}");
 }
 
-/// The draws are repeated over time, so that every gateway may send to a starting backend at some point. A
-/// gateway that never may would have no backend at all after all of them have restarted.
+/// The draws are repeated over time, so that every gateway may send to a starting backend at some point.
+/// Otherwise a gateway could be left without any backend after a restart of all of them.
 #[test]
 fn every_gateway_may_send_in_some_draws() {
     let times = || (0..100).map(|draw| START + WINDOW * WINDOWS_PER_DRAW * draw);
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -19,7 +19,7 @@
 pub(super) const MIN_STAGE_TIME_UP: Duration = Duration::from_millis(1500);
 /// Minimum time in a stage before the next lower one.
 const MIN_STAGE_TIME_DOWN: Duration = Duration::from_secs(2);
-/// Time for which the same customers are shed; longer than their clients retry.
+/// Time for which the same customers are shed. It is longer than the time for which their clients retry.
 const SHEDDING_EPOCH: Duration = Duration::from_secs(10);
 /// Salt of the number of the epoch in a customer's draw.
 const EPOCH_SALT: Salt = Salt::from_bit(33);
--- a/src/policy/pressure.rs
+++ b/src/policy/pressure.rs
@@ -18,8 +18,8 @@
 pub(crate) const LOW_PRESSURE: f64 = 0.75;
 /// Time constant of the mean over recent answers.
 pub(crate) const PRESSURE_TIME_CONSTANT: Duration = Duration::from_secs(1);
-/// Maximum share of the previous mean that is kept at an answer, so that each answer counts however closely
-/// they follow each other.
+/// Maximum share of the previous mean that is kept at an answer, so that an answer counts even if no time has
+/// passed since the previous one.
 const MAX_RETAINED_SHARE: f64 = 0.98;
 /// Maximum ratio recorded for one answer, so that a single very late answer causes no shedding.
 const MAX_LATENCY_RATIO: f64 = 4.0;
--- a/src/policy/quota/grant_request.rs
+++ b/src/policy/quota/grant_request.rs
@@ -72,7 +72,8 @@
     pub needs_hard_limit: bool,
     /// Owners that have answered.
     pub answered_by: Vec<u16>,
-    /// Whether an owner has already charged the units, which its answer implies if the limits allow them.
+    /// Whether an owner is presumed to have charged the units, because its answer shows that the quota allows
+    /// them.
     pub charged_by_owner: bool,
     pub waiting: Vec<RequestId>,
 }
--- a/src/policy/quota/token_bucket.rs
+++ b/src/policy/quota/token_bucket.rs
@@ -19,7 +19,7 @@
 }
 
 impl QuotaBucket {
-    /// Creates a bucket with a number of tokens. The difference to the plan's burst is withheld.
+    /// Creates a bucket with a number of tokens. The rest of the plan's burst is withheld.
     pub(super) fn new(plan: &Plan, tokens: f64) -> QuotaBucket {
         QuotaBucket { tokens, withheld: plan.burst - tokens }
     }
@@ -88,8 +88,8 @@
 /// Returns the time in which both buckets of a plan refill from empty; [`MAX_REFILL_SECONDS`] for a bucket
 /// without a refill rate.
 pub(super) fn refill_time(plan: &Plan) -> Duration {
-    // A limit that the plan does not have gives 0 / 0, a NaN: `max` ignores one, and two become a duration of
-    // zero.
+    // A limit that the plan does not have gives 0 / 0, a NaN. `max` ignores a single NaN; the conversion
+    // turns the NaN of a plan without limits into a duration of zero.
     let seconds = (plan.burst / plan.rate).max(plan.hard_limit_burst / plan.hard_limit_rate);
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_REFILL_SECONDS))
 }
--- a/src/policy/quota/usage_report.rs
+++ b/src/policy/quota/usage_report.rs
@@ -24,7 +24,7 @@
     AtConcurrencyQuota,
 }
 
-/// The period that the difference between the total in a usage report and the last one covers.
+/// The period in which the units were used that a usage report adds to the last reported total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReportedPeriod {
     /// The time since the sender's last report.
--- a/src/policy/reasons.rs
+++ b/src/policy/reasons.rs
@@ -22,9 +22,9 @@
     /// limit could be exceeded. This also happens after a change of plan that has not reached this gateway
     /// yet.
     PlanMismatch,
-    /// The gateway has as many attempts in flight and requests in the queue as it may.
+    /// The concurrency limit is reached, and the queue accepts no further request of the customer.
     Saturated,
-    /// The request was queued for the maximum time.
+    /// The request was queued for the maximum time, or until too little time was left to answer it.
     QueueTimeout,
     /// The host stalled, and the request had too little time left afterwards.
     HostStalled,
@@ -58,7 +58,8 @@
 /// Reason why a backend was ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EjectionReason {
-    /// The failure rate of its answers was too high.
+    /// An attempt failed while the failure rate was too high, or before the backend returned to service from
+    /// an earlier ejection.
     Failures,
     /// The backend has answered no attempt of the class for too long.
     Silence,
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -88,7 +88,7 @@
 
 /// A backend answers other attempts while this one is late. If the settings allow two attempts at once, a
 /// hedged request is sent, except while load is shed: many answers are late then, and hedging would add
-/// load.
+/// load. An attempt at a silent backend is hedged even while load is shed.
 #[test]
 fn a_late_answer_is_hedged_unless_load_is_shed() {
     let policy = policy(Limits { hedging: true, cancellation: true, ..limits() });
