--- a/src/policy/quota/hard_limit/tests.rs
+++ b/src/policy/quota/hard_limit/tests.rs
@@ -38,7 +38,7 @@
 }
 
 /// Usage before a gateway's start is unknown, so its share of the bucket is assumed to have been empty then.
-/// The new record holds no more tokens than the one that it replaces.
+/// A record that replaces another one holds at most the tokens of the old one.
 #[test]
 fn a_new_share_holds_the_tokens_refilled_since_the_start() {
     let mut share = HardLimitShare { fraction: 0.5, ..HardLimitShare::default() };
--- a/src/policy/wake_up/tests.rs
+++ b/src/policy/wake_up/tests.rs
@@ -17,8 +17,8 @@
     assert!(schedule.is_due(START + interval));
 }
 
-/// A machine is suspended for a second. Latencies measured across that time must not eject backends, so the
-/// stall has to be detected. A wake-up that is merely late is no stall.
+/// A machine is suspended for a second. Latencies that include that time must not count against backends, so
+/// the stall has to be detected. A wake-up that is merely late is no stall.
 #[test]
 fn a_host_that_missed_several_wake_ups_has_stalled() {
     let mut schedule = WakeUpSchedule::new(TICK);
